--- a/tests/sim.c
+++ b/tests/sim.c
@@ -50,6 +50,13 @@
 
 const struct sim_engine *sim_old_engine;
 bool sim_standby;
+void (*sim_observer)(const struct sim_message *message);
+
+static void observe(const struct sim *s, struct sim_message message) {
+    message.time = s->now;
+    if (sim_observer)
+        sim_observer(&message);
+}
 
 /* ---- state service ---- */
 
@@ -843,10 +850,30 @@
     char *body;
 };
 
+/* Shows a node's answer to a user or a worker. The request's target is gone by then. */
+static void observe_answer(const struct sim_request *r, int status, const char *body, int retry) {
+    static const char *const asked[] = {"submission", "question", "cancellation"};
+    const struct sim *s = r->sim;
+    char to[128];
+    if (r->answer == EV_REPORT_ANSWER)
+        snprintf(to, sizeof to, "%s", s->workers[r->worker].name);
+    else if (r->answer == EV_USER)
+        snprintf(to, sizeof to, "user:%s:%s", s->jobs[r->worker].spec.id, asked[r->user_op]);
+    else
+        snprintf(to, sizeof to, "user:odd:%s", asked[r->user_op]);
+    observe(s, (struct sim_message){.from = r->node,
+                                    .to = to,
+                                    .method = "",
+                                    .target = "",
+                                    .status = status,
+                                    .retry_after = retry,
+                                    .body = body});
+}
+
 static void request_respond(struct rp_request *req, int status, const char *body, int retry) {
     struct sim_request *r = (struct sim_request *)(void *)req;
     struct sim *s = r->sim;
-    (void)retry;
+    observe_answer(r, status, body, retry);
     if (r->flight || r->answer != EV_REPORT_ANSWER) {
         struct sim_event *e = sim_event_new(s, r->answer, delay(s));
         e->status = status;
@@ -920,6 +947,11 @@
                        const char *target, const char *body, double timeout_s, rp_answer_fn fn,
                        void *arg) {
     struct sim *s = line->sim;
+    observe(s, (struct sim_message){.from = line->node,
+                                    .to = addr,
+                                    .method = method,
+                                    .target = target,
+                                    .body = body ? body : ""});
     struct sim_event *e = sim_event_new(s, EV_REQUEST, delay(s));
     e->node = line->node;
     e->life = line->life;
@@ -980,13 +1012,23 @@
 /* Nodes answer one another at once, so the answer can be kept on the stack. */
 struct peer_request {
     struct rp_request req;
+    const struct sim *sim;
+    int from, to;
     int status;
     json_t *body;
 };
 
 static void peer_respond(struct rp_request *req, int status, const char *body, int retry_after) {
     struct peer_request *r = (struct peer_request *)(void *)req;
-    (void)retry_after;
+    char to[32];
+    snprintf(to, sizeof to, "peer%d", r->to);
+    observe(r->sim, (struct sim_message){.from = r->from,
+                                         .to = to,
+                                         .method = req->method,
+                                         .target = req->target,
+                                         .status = status,
+                                         .retry_after = retry_after,
+                                         .body = body});
     r->status = status;
     r->body = json_loads(body, 0, NULL);
 }
@@ -995,7 +1037,10 @@
     int index = e->addr[strlen("peer")] - '0';
     struct sim_node *n = &s->nodes[index];
     struct peer_request r = {
-        .req = {.method = e->method, .target = e->target, .body = "", .respond = peer_respond}};
+        .req = {.method = e->method, .target = e->target, .body = "", .respond = peer_respond},
+        .sim = s,
+        .from = index,
+        .to = e->node};
     if (!n->alive || s->now < n->stalled_until || s->now < s->apart_until)
         return 0;
     if (n->old_node)
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -83,6 +83,21 @@
 /* Whether the nodes take part in takeovers; from the environment (RP_SIM_STANDBY) as well. */
 extern bool sim_standby;
 
+/* Something that leaves a node: a request, or its answer to one. */
+struct sim_message {
+    double time; /* the world's */
+    int from;    /* the node's index */
+    const char *to;
+    const char *method, *target; /* "" where a user or a worker is answered */
+    int status;                  /* 0: a request */
+    int retry_after;
+    const char *body; /* "": none */
+};
+
+/* Is shown every message at the moment at which it leaves a simulated node; NULL: nobody looks.
+ * What happens in the world doesn't depend on it. */
+extern void (*sim_observer)(const struct sim_message *message);
+
 /* What the state service takes; 0: as its settings say. */
 struct sim_limits {
     double value_bytes, txn_ops, write_rps;
