--- a/src/status.c
+++ b/src/api/status.c
@@ -1,7 +1,7 @@
-#include "status.h"
+#include "api/status.h"
 
 #include <jansson.h>
-#include "wire.h"
+#include "protocol/wire.h"
 
 static json_t *class_counts(const struct rp_node *n) {
     json_t *classes = json_object();
--- a/src/status.h
+++ b/src/api/status.h
@@ -3,7 +3,7 @@
 #ifndef RP_STATUS_H
 #define RP_STATUS_H
 
-#include "node.h"
+#include "controller/node.h"
 
 /* The node's state, counters and latencies as JSON; the caller frees it. NULL: out of memory. */
 char *rp_status_json(const struct rp_node *n);
--- a/src/api.c
+++ b/src/api/user_api.c
@@ -2,9 +2,9 @@
  * conditional writes are linearizable, so no node can give an older answer than another. */
 #include <stdlib.h>
 #include <string.h>
-#include "log.h"
-#include "node.h"
-#include "wire.h"
+#include "base/log.h"
+#include "controller/node.h"
+#include "protocol/wire.h"
 
 #define TRIES 4
 #define RETRY_AFTER_S 1
--- a/src/log.c
+++ b/src/base/log.c
@@ -1,4 +1,4 @@
-#include "log.h"
+#include "base/log.h"
 
 #include <stdarg.h>
 #include <stdio.h>
--- a/src/loop.c
+++ b/src/base/loop.c
@@ -1,4 +1,4 @@
-#include "loop.h"
+#include "base/loop.h"
 
 #include <errno.h>
 #include <stdlib.h>
--- a/src/loop.h
+++ b/src/base/loop.h
@@ -8,7 +8,7 @@
 #include <stddef.h>
 #include <stdint.h>
 #include <sys/epoll.h>
-#include "timeutil.h"
+#include "base/timeutil.h"
 
 typedef void (*rp_timer_fn)(void *arg);
 typedef void (*rp_watch_fn)(void *arg, uint32_t events);
--- a/src/metrics.c
+++ b/src/base/metrics.c
@@ -1,4 +1,4 @@
-#include "metrics.h"
+#include "base/metrics.h"
 
 #include <math.h>
 #include <string.h>
--- a/src/bucket.h
+++ b/src/base/token_bucket.h
@@ -2,7 +2,7 @@
 #ifndef RP_BUCKET_H
 #define RP_BUCKET_H
 
-#include "timeutil.h"
+#include "base/timeutil.h"
 
 struct rp_bucket {
     double rate, depth, level;
--- a/src/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -1,9 +1,9 @@
-#include "catalog_source.h"
+#include "cloud/catalog_source.h"
 
 #include <string.h>
-#include "log.h"
-#include "records.h"
-#include "wire.h"
+#include "base/log.h"
+#include "store/records.h"
+#include "protocol/wire.h"
 
 #define CLOUD_RETRY_S 0.5
 #define STORED_AFTER_S 0.7 /* the cloud's own word is preferred, if it comes soon */
--- a/src/catalog_source.h
+++ b/src/cloud/catalog_source.h
@@ -3,12 +3,12 @@
 #ifndef RP_CATALOG_SOURCE_H
 #define RP_CATALOG_SOURCE_H
 
-#include "cloud_client.h"
-#include "election.h"
-#include "model.h"
-#include "settings.h"
-#include "state_client.h"
-#include "upgrade.h"
+#include "cloud/cloud_client.h"
+#include "election/election.h"
+#include "model/model.h"
+#include "config/settings.h"
+#include "store/kv_client.h"
+#include "upgrade/format_upgrade.h"
 
 struct rp_catalog_source {
     struct rp_loop *loop;
--- a/src/cloud_client.c
+++ b/src/cloud/cloud_client.c
@@ -1,4 +1,4 @@
-#include "cloud_client.h"
+#include "cloud/cloud_client.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -2,9 +2,9 @@
 #ifndef RP_CLOUD_CLIENT_H
 #define RP_CLOUD_CLIENT_H
 
-#include "bucket.h"
-#include "loop.h"
-#include "net.h"
+#include "base/token_bucket.h"
+#include "base/loop.h"
+#include "base/net.h"
 
 enum rp_cloud_urgency { RP_CLOUD_URGENT, RP_CLOUD_ROUTINE, RP_CLOUD_URGENCIES };
 
--- a/src/cluster.c
+++ b/src/cluster/cluster.c
@@ -1,9 +1,9 @@
-#include "cluster.h"
+#include "cluster/cluster.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "log.h"
+#include "base/log.h"
 
 int rp_cluster_init(struct rp_cluster *p, struct rp_loop *loop, struct rp_jobs *jobs,
                     const struct rp_settings *settings, const struct rp_catalog *catalog) {
--- a/src/cluster.h
+++ b/src/cluster/cluster.h
@@ -4,8 +4,8 @@
 #ifndef RP_CLUSTER_H
 #define RP_CLUSTER_H
 
-#include "jobs.h"
-#include "model.h"
+#include "jobs/jobs.h"
+#include "model/model.h"
 
 enum rp_machine_state {
     RP_MACHINE_BOOTING,  /* rented, has not reported yet, can hold nothing */
--- a/src/fleet.c
+++ b/src/cluster/fleet.c
@@ -1,13 +1,13 @@
-#include "fleet.h"
+#include "cluster/fleet.h"
 
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "task_errors.h"
-#include "log.h"
-#include "wire.h"
-#include "workers.h"
+#include "cluster/quarantine.h"
+#include "base/log.h"
+#include "protocol/wire.h"
+#include "worker/workers.h"
 
 #define TICK_S 0.5
 #define TICK_LEAST_S 0.02
--- a/src/fleet.h
+++ b/src/cluster/fleet.h
@@ -2,9 +2,9 @@
 #ifndef RP_FLEET_H
 #define RP_FLEET_H
 
-#include "cloud_client.h"
-#include "cluster.h"
-#include "gone_machines.h"
+#include "cloud/cloud_client.h"
+#include "cluster/cluster.h"
+#include "cluster/tombstones.h"
 
 enum rp_rental_state {
     RP_RENTAL_WRITING,   /* the intent is being recorded */
--- a/src/image_index.c
+++ b/src/cluster/image_index.c
@@ -1,8 +1,8 @@
-#include "image_index.h"
+#include "cluster/image_index.h"
 
 #include <stdlib.h>
 #include <string.h>
-#include "wire.h"
+#include "protocol/wire.h"
 
 #define EVERY_S 8.0
 #define ANSWER_S 1.5
--- a/src/image_index.h
+++ b/src/cluster/image_index.h
@@ -5,9 +5,9 @@
 #define RP_IMAGE_INDEX_H
 
 #include <jansson.h>
-#include "election.h"
-#include "net.h"
-#include "cluster.h"
+#include "election/election.h"
+#include "base/net.h"
+#include "cluster/cluster.h"
 
 struct rp_image_index {
     struct rp_loop *loop;
--- a/src/task_errors.c
+++ b/src/cluster/quarantine.c
@@ -1,8 +1,8 @@
-#include "task_errors.h"
+#include "cluster/quarantine.h"
 
 #include <math.h>
 #include <string.h>
-#include "log.h"
+#include "base/log.h"
 
 #define JOB_SUSPECT 2 /* machines on which a job failed, with no success anywhere */
 #define SUSPICION_S                                                                                \
--- a/src/task_errors.h
+++ b/src/cluster/quarantine.h
@@ -3,7 +3,7 @@
 #ifndef RP_TASK_ERRORS_H
 #define RP_TASK_ERRORS_H
 
-#include "cluster.h"
+#include "cluster/cluster.h"
 
 /* Notes that the job failed on the machine; false if it had failed there before. */
 bool rp_task_errors_note(struct rp_job *job, const struct rp_machine *m);
--- a/src/gone_machines.c
+++ b/src/cluster/tombstones.c
@@ -1,8 +1,8 @@
-#include "gone_machines.h"
+#include "cluster/tombstones.h"
 
 #include <stdlib.h>
 #include <string.h>
-#include "model.h"
+#include "model/model.h"
 
 static uint32_t *head_of(const struct rp_gone_machines *gone, uint64_t hash) {
     return &gone->heads[hash % RP_GONE_KEPT];
--- a/src/settings.c
+++ b/src/config/settings.c
@@ -1,12 +1,12 @@
-#include "settings.h"
+#include "config/settings.h"
 
 #include <jansson.h>
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
 #include "operator.pb-c.h"
-#include "plan.h"
-#include "text_format.h"
+#include "scheduler/planner.h"
+#include "config/text_format.h"
 
 /* Workers drop a report's answer after this long. */
 #define LATE_COMMANDS_S 4.0
--- a/src/text_format.c
+++ b/src/config/text_format.c
@@ -1,4 +1,4 @@
-#include "text_format.h"
+#include "config/text_format.h"
 
 #include <ctype.h>
 #include <errno.h>
--- a/src/node.c
+++ b/src/controller/node.c
@@ -1,11 +1,11 @@
-#include "node.h"
+#include "controller/node.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "log.h"
-#include "status.h"
-#include "wire.h"
+#include "base/log.h"
+#include "api/status.h"
+#include "protocol/wire.h"
 
 #define SUMMARY_S 2.0
 #define SUMMARY_WAIT_S 1.5
--- a/src/election.c
+++ b/src/election/election.c
@@ -1,11 +1,11 @@
-#include "election.h"
+#include "election/election.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "log.h"
-#include "records.h"
-#include "wire.h"
+#include "base/log.h"
+#include "store/records.h"
+#include "protocol/wire.h"
 
 /* The steady clock may run 0.05% fast against the service's: four times that, and a little for
  * the clock's steps and a turn that ends between the check and the sending. */
--- a/src/election.h
+++ b/src/election/election.h
@@ -9,8 +9,8 @@
 #ifndef RP_ELECTION_H
 #define RP_ELECTION_H
 
-#include "records.h"
-#include "state_client.h"
+#include "store/records.h"
+#include "store/kv_client.h"
 
 enum rp_election_state {
     RP_FOLLOWING, /* looks at the key now and then */
--- a/src/http.c
+++ b/src/http/http.c
@@ -1,4 +1,4 @@
-#include "http.h"
+#include "http/http.h"
 
 #include <arpa/inet.h>
 #include <errno.h>
@@ -9,7 +9,7 @@
 #include <string.h>
 #include <sys/socket.h>
 #include <unistd.h>
-#include "log.h"
+#include "base/log.h"
 
 #define READ_SIZE 16384
 #define BACKLOG 4096 /* after a takeover all workers come at once */
--- a/src/http.h
+++ b/src/http/http.h
@@ -3,9 +3,9 @@
 #define RP_HTTP_H
 
 #include <stddef.h>
-#include "http_parse.h"
-#include "loop.h"
-#include "net.h"
+#include "http/parser.h"
+#include "base/loop.h"
+#include "base/net.h"
 
 struct rp_http_conn;
 struct rp_http_call;
--- a/src/http_parse.c
+++ b/src/http/parser.c
@@ -1,4 +1,4 @@
-#include "http_parse.h"
+#include "http/parser.h"
 
 #include <ctype.h>
 #include <stdint.h>
--- a/src/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -1,10 +1,10 @@
-#include "job_lookup.h"
+#include "jobs/job_lookup.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "records.h"
-#include "wire.h"
+#include "store/records.h"
+#include "protocol/wire.h"
 
 #define CONDITIONS_PER_CHANGE 4 /* of a transaction (PROTOCOL) */
 #define BATCH_MOST 64
--- a/src/job_lookup.h
+++ b/src/jobs/job_lookup.h
@@ -5,9 +5,9 @@
 #ifndef RP_JOB_LOOKUP_H
 #define RP_JOB_LOOKUP_H
 
-#include "model.h"
-#include "settings.h"
-#include "state_client.h"
+#include "model/model.h"
+#include "config/settings.h"
+#include "store/kv_client.h"
 
 enum rp_lookup_result {
     RP_LOOKUP_OPEN,       /* the job's record stood among the open ones after the question came */
--- a/src/jobs.c
+++ b/src/jobs/jobs.c
@@ -1,11 +1,11 @@
-#include "jobs.h"
+#include "jobs/jobs.h"
 
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "log.h"
-#include "wire.h"
+#include "base/log.h"
+#include "protocol/wire.h"
 
 #define PAGE 1000
 #define FOLLOW_HOLD_S 3.0
--- a/src/jobs.h
+++ b/src/jobs/jobs.h
@@ -3,11 +3,11 @@
 #ifndef RP_JOBS_H
 #define RP_JOBS_H
 
-#include "election.h"
-#include "model.h"
-#include "records.h"
-#include "settings.h"
-#include "upgrade.h"
+#include "election/election.h"
+#include "model/model.h"
+#include "store/records.h"
+#include "config/settings.h"
+#include "upgrade/format_upgrade.h"
 
 enum rp_job_state {
     RP_JOB_OPEN,
--- a/src/final_states.c
+++ b/src/jobs/terminal_states.c
@@ -1,4 +1,4 @@
-#include "final_states.h"
+#include "jobs/terminal_states.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/final_states.h
+++ b/src/jobs/terminal_states.h
@@ -4,7 +4,7 @@
 #ifndef RP_FINAL_STATES_H
 #define RP_FINAL_STATES_H
 
-#include "model.h"
+#include "model/model.h"
 
 #define RP_FINAL_STATES_KEPT 4096 /* a later job takes the position of one with the same hash */
 
--- a/src/model.h
+++ b/src/model/model.h
@@ -5,7 +5,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
-#include "timeutil.h"
+#include "base/timeutil.h"
 
 #define RP_ID_MAX 48    /* a job's id */
 #define RP_TEXT_MAX 96  /* names of classes, teams, images, types, zones, machines */
--- a/src/wire.c
+++ b/src/protocol/wire.c
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "protocol/wire.h"
 
 #include <ctype.h>
 #include <math.h>
--- a/src/wire.h
+++ b/src/protocol/wire.h
@@ -3,7 +3,7 @@
 #define RP_WIRE_H
 
 #include <jansson.h>
-#include "model.h"
+#include "model/model.h"
 
 /* Paths, in the protocol's words. */
 #define RP_PATH_JOBS "/v1/jobs"
--- a/src/round.c
+++ b/src/scheduler/cycle.c
@@ -1,12 +1,12 @@
-#include "round.h"
+#include "scheduler/cycle.h"
 
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
-#include "guarantees.h"
-#include "log.h"
-#include "room.h"
-#include "round_input.h"
+#include "scheduler/quota.h"
+#include "base/log.h"
+#include "scheduler/room.h"
+#include "scheduler/cycle_input.h"
 
 static void tick(void *arg);
 
--- a/src/round.h
+++ b/src/scheduler/cycle.h
@@ -3,10 +3,10 @@
 #ifndef RP_ROUND_H
 #define RP_ROUND_H
 
-#include "fleet.h"
-#include "metrics.h"
-#include "plan.h"
-#include "services.h"
+#include "cluster/fleet.h"
+#include "base/metrics.h"
+#include "scheduler/planner.h"
+#include "scheduler/services.h"
 
 struct rp_round {
     struct rp_loop *loop;
--- a/src/round_input.c
+++ b/src/scheduler/cycle_input.c
@@ -1,11 +1,11 @@
-#include "round_input.h"
+#include "scheduler/cycle_input.h"
 
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
-#include "task_errors.h"
-#include "log.h"
-#include "room.h"
+#include "cluster/quarantine.h"
+#include "base/log.h"
+#include "scheduler/room.h"
 
 #define SUSPECT_TASKS 2 /* of a job that has failed wherever it was started, at a time */
 #define NO_LIMIT 1e15
--- a/src/round_input.h
+++ b/src/scheduler/cycle_input.h
@@ -2,7 +2,7 @@
 #ifndef RP_ROUND_INPUT_H
 #define RP_ROUND_INPUT_H
 
-#include "round.h"
+#include "scheduler/cycle.h"
 
 struct rp_round_input {
     struct rp_plan_input in;
--- a/src/plan.c
+++ b/src/scheduler/planner.c
@@ -1,4 +1,4 @@
-#include "plan.h"
+#include "scheduler/planner.h"
 
 #include <gsl/gsl_rng.h>
 #include <math.h>
--- a/src/plan.h
+++ b/src/scheduler/planner.h
@@ -4,7 +4,7 @@
 #ifndef RP_PLAN_H
 #define RP_PLAN_H
 
-#include "model.h"
+#include "model/model.h"
 
 /* A machine that is returned costs at least this long (PROTOCOL, price). */
 #define RP_MIN_CHARGE_S 60.0
--- a/src/guarantees.c
+++ b/src/scheduler/quota.c
@@ -1,9 +1,9 @@
-#include "guarantees.h"
+#include "scheduler/quota.h"
 
 #include <math.h>
 #include <stdlib.h>
-#include "log.h"
-#include "room.h"
+#include "base/log.h"
+#include "scheduler/room.h"
 
 #define EPS 1e-9
 #define STOPS_MOST 64       /* machines freed in one round */
--- a/src/guarantees.h
+++ b/src/scheduler/quota.h
@@ -3,7 +3,7 @@
 #ifndef RP_GUARANTEES_H
 #define RP_GUARANTEES_H
 
-#include "round_input.h"
+#include "scheduler/cycle_input.h"
 
 /* Stops other teams' work for guaranteed tasks that the plan has no room for now. Gangs of several
  * tasks are left to rp_room_gather, which keeps machines for one at a time. */
--- a/src/room.c
+++ b/src/scheduler/room.c
@@ -1,9 +1,9 @@
-#include "room.h"
+#include "scheduler/room.h"
 
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
-#include "log.h"
+#include "base/log.h"
 
 #define START_COUNTS_S 31 /* a start that is stopped sooner counts for no aim (PROTOCOL) */
 #define MOVE_S 10         /* stopping a task here and starting it there */
--- a/src/room.h
+++ b/src/scheduler/room.h
@@ -3,7 +3,7 @@
 #ifndef RP_ROOM_H
 #define RP_ROOM_H
 
-#include "round_input.h"
+#include "scheduler/cycle_input.h"
 
 /* The job that room is kept for on this machine, while it is still waited for. */
 struct rp_job *rp_room_reserved_for(const struct rp_round *r, const struct rp_machine *m);
--- a/src/services.h
+++ b/src/scheduler/services.h
@@ -4,7 +4,7 @@
 #ifndef RP_SERVICES_H
 #define RP_SERVICES_H
 
-#include "workers.h"
+#include "worker/workers.h"
 
 /* What has lately arrived of services: the room held ready for more is taken from it. */
 struct rp_service_flow {
--- a/src/standby/change_log.c
+++ b/src/standby/change_log.c
@@ -1,4 +1,4 @@
-#include "change_log.h"
+#include "standby/change_log.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/standby/change_log.h
+++ b/src/standby/change_log.h
@@ -3,7 +3,7 @@
 #ifndef RP_CHANGE_LOG_H
 #define RP_CHANGE_LOG_H
 
-#include "stream_message.h"
+#include "standby/stream_message.h"
 
 /* At 4,000 machines, which change a few dozen times a second, several minutes; 3 MB. */
 #define RP_CHANGES_KEPT 16384
--- a/src/standby/replica.c
+++ b/src/standby/machine_directory.c
@@ -1,4 +1,4 @@
-#include "replica.h"
+#include "standby/machine_directory.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/standby/replica.h
+++ b/src/standby/machine_directory.h
@@ -3,8 +3,8 @@
 #ifndef RP_REPLICA_H
 #define RP_REPLICA_H
 
-#include "gone_machines.h"
-#include "stream_message.h"
+#include "cluster/tombstones.h"
+#include "standby/stream_message.h"
 
 #define RP_REPLICA_BUCKETS 8192
 
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -1,9 +1,9 @@
-#include "standby.h"
+#include "standby/standby.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "log.h"
+#include "base/log.h"
 
 #define TICK_S 0.1
 #define TICK_MOST_S 0.3 /* a tick counts for no more: this node itself may have stood still */
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -7,12 +7,12 @@
 #ifndef RP_STANDBY_H
 #define RP_STANDBY_H
 
-#include "change_log.h"
-#include "cluster.h"
-#include "election.h"
-#include "net.h"
-#include "replica.h"
-#include "workers.h"
+#include "standby/change_log.h"
+#include "cluster/cluster.h"
+#include "election/election.h"
+#include "base/net.h"
+#include "standby/machine_directory.h"
+#include "worker/workers.h"
 
 #define RP_PATH_STREAM "/peer/stream"
 
--- a/src/standby/stream_message.c
+++ b/src/standby/stream_message.c
@@ -1,4 +1,4 @@
-#include "stream_message.h"
+#include "standby/stream_message.h"
 
 #include <jansson.h>
 #include <math.h>
--- a/src/state_client.c
+++ b/src/store/kv_client.c
@@ -1,11 +1,11 @@
-#include "state_client.h"
+#include "store/kv_client.h"
 
 #include <math.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "log.h"
-#include "wire.h"
+#include "base/log.h"
+#include "protocol/wire.h"
 
 #define ANSWER_S 1.5      /* an answer takes milliseconds, now and then a few hundred */
 #define QUEUE_USERS_S 0.3 /* how long a request may wait here for its budget */
--- a/src/state_client.h
+++ b/src/store/kv_client.h
@@ -3,9 +3,9 @@
 #define RP_STATE_CLIENT_H
 
 #include <jansson.h>
-#include "bucket.h"
-#include "loop.h"
-#include "net.h"
+#include "base/token_bucket.h"
+#include "base/loop.h"
+#include "base/net.h"
 
 enum rp_state_outcome {
     RP_STATE_OK,
--- a/src/records.c
+++ b/src/store/records.c
@@ -1,10 +1,10 @@
-#include "records.h"
+#include "store/records.h"
 
 #include <ctype.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "wire.h"
+#include "protocol/wire.h"
 
 void rp_key(char out[RP_KEY_MAX], const char *prefix, const char *name) {
     snprintf(out, RP_KEY_MAX, "%s%s", prefix, name);
--- a/src/records.h
+++ b/src/store/records.h
@@ -3,7 +3,7 @@
 #define RP_RECORDS_H
 
 #include <jansson.h>
-#include "model.h"
+#include "model/model.h"
 
 /* All keys lie below one tenant's prefix; a hosted service would have one for each tenant. */
 #define RP_KEY_ROOT "rp/main/"
--- a/src/upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -1,9 +1,9 @@
-#include "upgrade.h"
+#include "upgrade/format_upgrade.h"
 
 #include <string.h>
-#include "log.h"
-#include "records.h"
-#include "wire.h"
+#include "base/log.h"
+#include "store/records.h"
+#include "protocol/wire.h"
 
 #define TICK_S 0.5
 #define LEASE_S 10.0 /* a node that is gone counts as old so much later */
--- a/src/upgrade.h
+++ b/src/upgrade/format_upgrade.h
@@ -5,8 +5,8 @@
 #ifndef RP_UPGRADE_H
 #define RP_UPGRADE_H
 
-#include "election.h"
-#include "settings.h"
+#include "election/election.h"
+#include "config/settings.h"
 
 enum rp_upgrade_state {
     RP_UPGRADE_LOOKING,    /* has not read the activation yet, or it isn't there */
--- a/src/workers.c
+++ b/src/worker/workers.c
@@ -1,11 +1,11 @@
-#include "workers.h"
+#include "worker/workers.h"
 
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
-#include "task_errors.h"
-#include "log.h"
-#include "wire.h"
+#include "cluster/quarantine.h"
+#include "base/log.h"
+#include "protocol/wire.h"
 
 /* Below the 64 KiB that a line of an answer may have, at some 90 bytes a command. */
 #define COMMANDS_MAX 400
--- a/src/workers.h
+++ b/src/worker/workers.h
@@ -2,9 +2,9 @@
 #ifndef RP_WORKERS_H
 #define RP_WORKERS_H
 
-#include "fleet.h"
-#include "metrics.h"
-#include "cluster.h"
+#include "cluster/fleet.h"
+#include "base/metrics.h"
+#include "cluster/cluster.h"
 
 /* A report that brought news, whose answer waits for the round that this calls for. */
 struct rp_held_report {
--- a/tests/behaviour/behaviour_digest.c
+++ b/tests/behaviour/behaviour_digest.c
@@ -15,9 +15,9 @@
 #include <sys/wait.h>
 #include <time.h>
 #include <unistd.h>
-#include "log.h"
+#include "base/log.h"
 #include "sim.h"
-#include "wire.h"
+#include "protocol/wire.h"
 
 #define DAY_S 150.0                  /* troubles last for so long */
 #define REST_S 100.0                 /* and then the work comes to its end */
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "wire.h"
+#include "protocol/wire.h"
 
 #define GANG_WAIT_S 40.0
 #define GANG_PEER_S 5.0
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -7,7 +7,7 @@
 #include <gsl/gsl_rng.h>
 #include <jansson.h>
 #include "engine.h"
-#include "node.h"
+#include "controller/node.h"
 
 #define SIM_NODES_MAX 5
 #define SIM_WORKERS 4200
--- a/tests/test_election.c
+++ b/tests/test_election.c
@@ -1,8 +1,8 @@
 /* Leadership's arithmetic, the loop's timers, budgets. */
 #include "test.h"
 
-#include "bucket.h"
-#include "election.h"
+#include "base/token_bucket.h"
+#include "election/election.h"
 
 static void trust_ends_before_the_lease(void **state) {
     struct timespec sent = rp_ts(100);
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -7,8 +7,8 @@
 #include <unistd.h>
 
 #include <gsl/gsl_rng.h>
-#include "http.h"
-#include "http_parse.h"
+#include "http/http.h"
+#include "http/parser.h"
 
 static int parse(const char *text, size_t step, enum rp_http_role role, struct rp_http_parser *p) {
     size_t len = strlen(text), at = 0;
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -3,7 +3,7 @@
  * about. */
 #include "test.h"
 
-#include "log.h"
+#include "base/log.h"
 #include "sim.h"
 
 #define REST_S 250
--- a/tests/test_plan.c
+++ b/tests/test_plan.c
@@ -3,7 +3,7 @@
 
 #include <gsl/gsl_rng.h>
 #include <math.h>
-#include "plan.h"
+#include "scheduler/planner.h"
 
 static const struct rp_heuristic fcfs_sm = {RP_FCFS, RP_SM};
 
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -2,7 +2,7 @@
 #include "test.h"
 
 #include <gsl/gsl_rng.h>
-#include "settings.h"
+#include "config/settings.h"
 
 static char told[4096];
 
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -2,7 +2,7 @@
 #include "test.h"
 
 #include <math.h>
-#include "log.h"
+#include "base/log.h"
 #include "sim.h"
 
 #define DAY_S 150
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -2,7 +2,7 @@
  * (sim_check.c); each test shows besides that its trouble came about. */
 #include "test.h"
 
-#include "log.h"
+#include "base/log.h"
 #include "sim.h"
 
 #define REST_S 250
--- a/tests/test_stream.c
+++ b/tests/test_stream.c
@@ -4,7 +4,7 @@
 
 #include <gsl/gsl_rng.h>
 #include "standby/change_log.h"
-#include "standby/replica.h"
+#include "standby/machine_directory.h"
 
 #define MUTATIONS 4000
 
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -2,8 +2,8 @@
 #include "test.h"
 
 #include <dlfcn.h>
-#include "log.h"
-#include "records.h"
+#include "base/log.h"
+#include "store/records.h"
 #include "sim.h"
 
 #define DAY_S 150
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -3,8 +3,8 @@
 
 #include <math.h>
 #include <gsl/gsl_rng.h>
-#include "records.h"
-#include "wire.h"
+#include "store/records.h"
+#include "protocol/wire.h"
 
 static const char good[] =
     "{\"ref\":\"j-000412\",\"rig\":\"train\",\"crew\":\"vision\",\"haul\":\"ensemble\","
