--- a/src/api/status.h
+++ b/src/api/status.h
@@ -6,6 +6,6 @@
 #include "controller/node.h"
 
 /* The node's state, counters and latencies as JSON; the caller frees it. NULL: out of memory. */
-char *rp_status_json(const struct rp_node *n);
+char *rp_status_json(const struct rp_node *node);
 
 #endif
--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -37,170 +37,174 @@
     struct timespec since;
 };
 
-static void op_next(struct op *op, enum op_state state);
+static void op_next(struct op *operation, enum op_state state);
 
-static void op_answer(struct op *op, int status, char *body, int retry_after) {
-    op->state = OP_ANSWERED;
+static void op_answer(struct op *operation, int status, char *body, int retry_after) {
+    operation->state = OP_ANSWERED;
     if (status == 400 || status == 422)
-        rp_info("submission %s refused with %d: %s", op->id, status, op->why);
-    rp_metrics_add(&op->node->metrics, op->kind == OP_SUBMIT ? RP_METRIC_SUBMIT : RP_METRIC_QUERY,
-                   rp_ts_since(rp_loop_now(op->node->loop), op->since));
-    op->req->respond(op->req, status, body ? body : "{}", retry_after);
+        rp_info("submission %s refused with %d: %s", operation->id, status, operation->why);
+    rp_metrics_add(&operation->node->metrics,
+                   operation->kind == OP_SUBMIT ? RP_METRIC_SUBMIT : RP_METRIC_QUERY,
+                   rp_ts_since(rp_loop_now(operation->node->loop), operation->since));
+    operation->req->respond(operation->req, status, body ? body : "{}", retry_after);
     free(body);
-    rp_job_spec_free(&op->spec);
-    free(op);
+    rp_job_spec_free(&operation->spec);
+    free(operation);
 }
 
 /* A malformed submission needs no look at the state service: whoever accepted the job before has
  * read the same body, and found it sound. */
-static void op_unavailable(struct op *op) {
-    if (op->kind == OP_SUBMIT && op->refusal == 400)
-        op_answer(op, 400, rp_wire_error(op->why), 0);
+static void op_unavailable(struct op *operation) {
+    if (operation->kind == OP_SUBMIT && operation->refusal == 400)
+        op_answer(operation, 400, rp_wire_error(operation->why), 0);
     else
-        op_answer(op, 503, rp_wire_error("not possible just now"), RETRY_AFTER_S);
+        op_answer(operation, 503, rp_wire_error("not possible just now"), RETRY_AFTER_S);
 }
 
-static void op_status(struct op *op, int status, enum rp_job_word word) {
+static void op_status(struct op *operation, int status, enum rp_job_word word) {
     struct rp_job_status st = {.word = word};
-    strcpy(st.id, op->id);
+    strcpy(st.id, operation->id);
     if (word == RP_JOB_QUEUED && status == 200)
-        rp_node_display(op->node, &st);
-    op_answer(op, status, rp_wire_job_status(&st), 0);
+        rp_node_display(operation->node, &st);
+    op_answer(operation, status, rp_wire_job_status(&st), 0);
 }
 
 /* The job's end, as the state service has it: it stays so, and this node answers by itself next
  * time. */
-static void op_final(struct op *op, enum rp_job_word word) {
-    rp_final_states_note(&op->node->final_states, op->id, word);
-    op_status(op, 200, word);
+static void op_final(struct op *operation, enum rp_job_word word) {
+    rp_final_states_note(&operation->node->final_states, operation->id, word);
+    op_status(operation, 200, word);
 }
 
-static bool op_known_final(struct op *op) {
+static bool op_known_final(struct op *operation) {
     enum rp_job_word word;
-    if (!rp_final_states_find(&op->node->final_states, op->id, &word))
+    if (!rp_final_states_find(&operation->node->final_states, operation->id, &word))
         return false;
-    op_status(op, 200, word);
+    op_status(operation, 200, word);
     return true;
 }
 
-static void op_unknown_job(struct op *op) {
+static void op_unknown_job(struct op *operation) {
     /* Nobody is told that a job doesn't exist on the word of a lookup alone: a service that names
      * only some of the conditions that failed would make accepted jobs unknown. */
-    if (op->looked_up) {
-        op->looked_up = false;
-        op_next(op, OP_READ_OPEN);
-    } else if (op->kind != OP_SUBMIT)
-        op_answer(op, 404, rp_wire_error("no such job"), 0);
-    else if (op->refusal == 503)
-        op_unavailable(op);
-    else if (op->refusal)
-        op_answer(op, op->refusal, rp_wire_error(op->why), 0);
+    if (operation->looked_up) {
+        operation->looked_up = false;
+        op_next(operation, OP_READ_OPEN);
+    } else if (operation->kind != OP_SUBMIT)
+        op_answer(operation, 404, rp_wire_error("no such job"), 0);
+    else if (operation->refusal == 503)
+        op_unavailable(operation);
+    else if (operation->refusal)
+        op_answer(operation, operation->refusal, rp_wire_error(operation->why), 0);
     else
-        op_next(op, OP_WRITE);
+        op_next(operation, OP_WRITE);
 }
 
-static void over_read(void *arg, const struct rp_state_result *r) {
-    struct op *op = arg;
+static void over_read(void *arg, const struct rp_state_result *result) {
+    struct op *operation = arg;
     struct rp_item item;
     enum rp_job_word word;
-    if (r->outcome == RP_STATE_MISSING)
-        op_unknown_job(op);
-    else if (r->outcome == RP_STATE_OK && rp_wire_item(r->body, &item) &&
+    if (result->outcome == RP_STATE_MISSING)
+        op_unknown_job(operation);
+    else if (result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item) &&
              rp_record_over_read(item.value, &word))
-        op_final(op, word);
+        op_final(operation, word);
     else
-        op_unavailable(op);
+        op_unavailable(operation);
 }
 
 static void looked_up(void *arg, enum rp_lookup_result result) {
-    struct op *op = arg;
+    struct op *operation = arg;
     switch (result) {
     case RP_LOOKUP_OPEN:
-        op_status(op, 200, RP_JOB_QUEUED);
+        op_status(operation, 200, RP_JOB_QUEUED);
         break;
     case RP_LOOKUP_NOT_OPEN:
-        op->looked_up = true;
-        op_next(op, OP_READ_OVER);
+        operation->looked_up = true;
+        op_next(operation, OP_READ_OVER);
         break;
     case RP_LOOKUP_UNAVAILABLE:
-        op_unavailable(op);
+        op_unavailable(operation);
         break;
     }
 }
 
-static void open_read(void *arg, const struct rp_state_result *r) {
-    struct op *op = arg;
+static void open_read(void *arg, const struct rp_state_result *result) {
+    struct op *operation = arg;
     struct rp_item item;
-    if (r->outcome == RP_STATE_MISSING) {
-        op_next(op, OP_READ_OVER);
-    } else if (r->outcome == RP_STATE_OK && rp_wire_item(r->body, &item)) {
-        op->version = item.version;
-        if (op->kind == OP_CANCEL)
-            op_next(op, OP_WRITE);
+    if (result->outcome == RP_STATE_MISSING) {
+        op_next(operation, OP_READ_OVER);
+    } else if (result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item)) {
+        operation->version = item.version;
+        if (operation->kind == OP_CANCEL)
+            op_next(operation, OP_WRITE);
         else
-            op_status(op, 200, RP_JOB_QUEUED);
+            op_status(operation, 200, RP_JOB_QUEUED);
     } else {
-        op_unavailable(op);
+        op_unavailable(operation);
     }
 }
 
 /* What a value may have: until every node knows better, today's limit. */
-static size_t value_limit(const struct op *op) {
-    const struct rp_settings *s = op->node->settings;
-    bool fit = rp_upgrade_active(&op->node->upgrade);
-    return (size_t)((fit ? s->state_fit : s->state).value_kb * 1024);
+static size_t value_limit(const struct op *operation) {
+    const struct rp_settings *settings = operation->node->settings;
+    bool fit = rp_upgrade_active(&operation->node->upgrade);
+    return (size_t)((fit ? settings->state_fit : settings->state).value_kb * 1024);
 }
 
 /* A node of the version before would run a service like an array, and call it done: it is accepted
  * only once there is none left. */
-static void format_read(void *arg, const struct rp_state_result *r) {
-    struct op *op = arg;
+static void format_read(void *arg, const struct rp_state_result *result) {
+    struct op *operation = arg;
     struct rp_item item;
-    if (r->outcome == RP_STATE_OK && rp_wire_item(r->body, &item))
-        rp_upgrade_read(&op->node->upgrade, item.value);
-    if (rp_upgrade_active(&op->node->upgrade)) {
-        op_next(op, OP_WRITE);
+    if (result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item))
+        rp_upgrade_read(&operation->node->upgrade, item.value);
+    if (rp_upgrade_active(&operation->node->upgrade)) {
+        op_next(operation, OP_WRITE);
         return;
     }
-    op->refusal = 503;
-    op_next(op, OP_READ_OPEN);
+    operation->refusal = 503;
+    op_next(operation, OP_READ_OPEN);
 }
 
-static void written(void *arg, const struct rp_state_result *r) {
-    struct op *op = arg;
-    if (r->outcome == RP_STATE_OK) {
-        if (op->kind == OP_SUBMIT) {
-            op->node->n_accepted++;
-            rp_debug("job %s accepted", op->id);
-            op_status(op, 201, RP_JOB_QUEUED);
+static void written(void *arg, const struct rp_state_result *result) {
+    struct op *operation = arg;
+    if (result->outcome == RP_STATE_OK) {
+        if (operation->kind == OP_SUBMIT) {
+            operation->node->n_accepted++;
+            rp_debug("job %s accepted", operation->id);
+            op_status(operation, 201, RP_JOB_QUEUED);
         } else {
-            rp_info("job %s cancelled by its user", op->id);
-            op_final(op, RP_JOB_CANCELLED);
+            rp_info("job %s cancelled by its user", operation->id);
+            op_final(operation, RP_JOB_CANCELLED);
         }
         return;
     }
     /* A conflict: the job is known, or has changed meanwhile. No answer: only a look tells
      * whether the write was carried out; if it was not, it still may be, and writing again is
      * harmless since both carry the same conditions. */
-    if (r->outcome == RP_STATE_BAD && op->kind == OP_SUBMIT && ++op->tries < TRIES) {
-        op->value_most = (op->value_most ? op->value_most : value_limit(op)) / 2;
-        op_next(op, OP_WRITE);
+    if (result->outcome == RP_STATE_BAD && operation->kind == OP_SUBMIT &&
+        ++operation->tries < TRIES) {
+        operation->value_most =
+            (operation->value_most ? operation->value_most : value_limit(operation)) / 2;
+        op_next(operation, OP_WRITE);
         return;
     }
-    if ((r->outcome == RP_STATE_CONFLICT || r->outcome == RP_STATE_UNKNOWN) && ++op->tries < TRIES)
-        op_next(op, OP_READ_OPEN);
+    if ((result->outcome == RP_STATE_CONFLICT || result->outcome == RP_STATE_UNKNOWN) &&
+        ++operation->tries < TRIES)
+        op_next(operation, OP_READ_OPEN);
     else
-        op_unavailable(op);
+        op_unavailable(operation);
 }
 
 /* The allowed types without repetitions, and without those that no machine is of: the job means
  * the same, and its record is much shorter where somebody lists a thousand. */
-static void forget_useless_types(const struct rp_catalog *c, struct rp_job_spec *spec) {
+static void forget_useless_types(const struct rp_catalog *catalog, struct rp_job_spec *spec) {
     size_t kept = 0;
     for (size_t i = 0; i < spec->n_types; i++) {
         bool known = false, again = false;
-        for (size_t t = 0; t < c->n_types; t++)
-            known |= strcmp(c->types[t].name, spec->types[i]) == 0;
+        for (size_t t = 0; t < catalog->n_types; t++)
+            known |= strcmp(catalog->types[t].name, spec->types[i]) == 0;
         for (size_t k = 0; k < kept; k++)
             again |= strcmp(spec->types[k], spec->types[i]) == 0;
         if (known && !again && kept++ != i)
@@ -210,132 +214,134 @@
 }
 
 /* The pieces in which the job's record is written: one mostly. 0: no transaction can hold it. */
-static size_t submission_pieces(struct op *op, json_t **pieces, size_t max) {
-    struct rp_node *n = op->node;
-    size_t most = op->value_most ? op->value_most : value_limit(op);
+static size_t submission_pieces(struct op *operation, json_t **pieces, size_t max) {
+    struct rp_node *node = operation->node;
+    size_t most = operation->value_most ? operation->value_most : value_limit(operation);
     struct timespec wall;
     clock_gettime(CLOCK_REALTIME, &wall);
-    pieces[0] = rp_jobs_mark(&n->jobs, rp_record_open(&op->spec, wall));
+    pieces[0] = rp_jobs_mark(&node->jobs, rp_record_open(&operation->spec, wall));
     if (rp_record_size(pieces[0]) <= most)
         return 1;
     json_decref(pieces[0]);
-    forget_useless_types(&n->catalog, &op->spec);
-    json_t *record = rp_jobs_mark(&n->jobs, rp_record_open(&op->spec, wall));
+    forget_useless_types(&node->catalog, &operation->spec);
+    json_t *record = rp_jobs_mark(&node->jobs, rp_record_open(&operation->spec, wall));
     if (rp_record_size(record) <= most) {
         pieces[0] = record;
         return 1;
     }
-    size_t count = rp_upgrade_active(&n->upgrade) ? rp_record_cut(record, most, pieces, max) : 0;
+    size_t count = rp_upgrade_active(&node->upgrade) ? rp_record_cut(record, most, pieces, max) : 0;
     json_decref(record);
     return count;
 }
 
 /* What is too long for one value is written in parts, all in one transaction: so the job is there
  * whole or not at all. Before the activation nobody reads parts, and the user has to come again. */
-static void write_submission(struct op *op) {
+static void write_submission(struct op *operation) {
     char open[RP_KEY_MAX], over[RP_KEY_MAX], part[RP_KEY_MAX];
     json_t *pieces[RP_PARTS_MAX];
-    size_t max = op->node->settings->state_fit.txn_ops;
-    size_t count = submission_pieces(op, pieces, max < RP_PARTS_MAX ? max : RP_PARTS_MAX);
+    size_t max = operation->node->settings->state_fit.txn_ops;
+    size_t count = submission_pieces(operation, pieces, max < RP_PARTS_MAX ? max : RP_PARTS_MAX);
     if (count == 0) {
-        strcpy(op->why, "the description is longer than the state service can keep");
-        op->refusal = rp_upgrade_active(&op->node->upgrade) ? 422 : 503;
-        op_next(op, OP_READ_OPEN);
+        strcpy(operation->why, "the description is longer than the state service can keep");
+        operation->refusal = rp_upgrade_active(&operation->node->upgrade) ? 422 : 503;
+        op_next(operation, OP_READ_OPEN);
         return;
     }
     json_t *txn = rp_wire_txn();
-    rp_key(open, RP_KEY_OPEN, op->id);
-    rp_key(over, RP_KEY_OVER, op->id);
+    rp_key(open, RP_KEY_OPEN, operation->id);
+    rp_key(over, RP_KEY_OVER, operation->id);
     rp_wire_txn_if(txn, open, 0);
     rp_wire_txn_if(txn, over, 0);
     rp_wire_txn_put(txn, open, pieces[0], 0);
     for (size_t i = 1; i < count; i++) {
-        rp_key_part(part, op->id, (unsigned)i);
+        rp_key_part(part, operation->id, (unsigned)i);
         rp_wire_txn_put(txn, part, pieces[i], 0);
     }
-    rp_state_txn(&op->node->state, RP_SHARE_SUBMISSIONS, txn, written, op);
+    rp_state_txn(&operation->node->state, RP_SHARE_SUBMISSIONS, txn, written, operation);
 }
 
-static void write_cancellation(struct op *op) {
+static void write_cancellation(struct op *operation) {
     char open[RP_KEY_MAX], over[RP_KEY_MAX];
     json_t *txn = rp_wire_txn();
-    rp_key(open, RP_KEY_OPEN, op->id);
-    rp_key(over, RP_KEY_OVER, op->id);
-    rp_wire_txn_if(txn, open, op->version);
+    rp_key(open, RP_KEY_OPEN, operation->id);
+    rp_key(over, RP_KEY_OVER, operation->id);
+    rp_wire_txn_if(txn, open, operation->version);
     rp_wire_txn_delete(txn, open);
-    rp_wire_txn_put(txn, over, rp_jobs_mark(&op->node->jobs, rp_record_over(RP_JOB_CANCELLED)), 0);
-    rp_state_txn(&op->node->state, RP_SHARE_SUBMISSIONS, txn, written, op);
+    rp_wire_txn_put(txn, over,
+                    rp_jobs_mark(&operation->node->jobs, rp_record_over(RP_JOB_CANCELLED)), 0);
+    rp_state_txn(&operation->node->state, RP_SHARE_SUBMISSIONS, txn, written, operation);
 }
 
-static enum rp_state_share op_share(const struct op *op) {
-    return op->kind == OP_QUERY ? RP_SHARE_QUERIES : RP_SHARE_SUBMISSIONS;
+static enum rp_state_share op_share(const struct op *operation) {
+    return operation->kind == OP_QUERY ? RP_SHARE_QUERIES : RP_SHARE_SUBMISSIONS;
 }
 
 /* The one place where a request changes its state. */
-static void op_next(struct op *op, enum op_state state) {
+static void op_next(struct op *operation, enum op_state state) {
     char key[RP_KEY_MAX];
-    op->state = state;
+    operation->state = state;
     switch (state) {
     case OP_LOOK_UP:
-        rp_job_lookup_add(&op->node->job_lookup, op->id, looked_up, op);
+        rp_job_lookup_add(&operation->node->job_lookup, operation->id, looked_up, operation);
         break;
     case OP_READ_OPEN:
-        rp_key(key, RP_KEY_OPEN, op->id);
-        rp_state_get(&op->node->state, op_share(op), key, open_read, op);
+        rp_key(key, RP_KEY_OPEN, operation->id);
+        rp_state_get(&operation->node->state, op_share(operation), key, open_read, operation);
         break;
     case OP_READ_OVER:
-        rp_key(key, RP_KEY_OVER, op->id);
-        rp_state_get(&op->node->state, op_share(op), key, over_read, op);
+        rp_key(key, RP_KEY_OVER, operation->id);
+        rp_state_get(&operation->node->state, op_share(operation), key, over_read, operation);
         break;
     case OP_READ_FORMAT:
-        rp_state_get(&op->node->state, op_share(op), RP_KEY_FORMAT, format_read, op);
+        rp_state_get(&operation->node->state, op_share(operation), RP_KEY_FORMAT, format_read,
+                     operation);
         break;
     case OP_WRITE:
-        if (op->kind == OP_SUBMIT)
-            write_submission(op);
+        if (operation->kind == OP_SUBMIT)
+            write_submission(operation);
         else
-            write_cancellation(op);
+            write_cancellation(operation);
         break;
     case OP_ANSWERED:
         break;
     }
 }
 
-static struct op *op_new(struct rp_node *n, struct rp_request *req, enum op_kind kind) {
-    struct op *op = calloc(1, sizeof *op);
-    if (!op) {
+static struct op *op_new(struct rp_node *node, struct rp_request *req, enum op_kind kind) {
+    struct op *operation = calloc(1, sizeof *operation);
+    if (!operation) {
         req->respond(req, 503, "{}", RETRY_AFTER_S);
         return NULL;
     }
-    op->node = n;
-    op->req = req;
-    op->kind = kind;
-    op->since = rp_loop_now(n->loop);
-    return op;
+    operation->node = node;
+    operation->req = req;
+    operation->kind = kind;
+    operation->since = rp_loop_now(node->loop);
+    return operation;
 }
 
 /* 422, 503 or 0. */
-static int judge(const struct rp_node *n, const struct rp_job_spec *spec, char why[128]) {
-    int index = rp_settings_team(n->settings, spec->team);
+static int judge(const struct rp_node *node, const struct rp_job_spec *spec, char why[128]) {
+    int index = rp_settings_team(node->settings, spec->team);
     bool fits = false;
     double tasks = spec->kind == RP_ARRAY ? 1 : spec->n_tasks;
     if (index < 0) {
         strcpy(why, "unknown team");
         return 422;
     }
-    if (!n->catalog_source.known) {
+    if (!node->catalog_source.known) {
         strcpy(why, "machine types are not known yet");
         return 503;
     }
-    for (size_t t = 0; t < n->catalog.n_types; t++)
-        for (size_t z = 0; z < n->catalog.n_zones; z++)
-            fits |= (n->catalog.types[t].zones >> z & 1) &&
-                    rp_cluster_allows(&n->cluster, spec, (int)t, (int)z, false);
+    for (size_t t = 0; t < node->catalog.n_types; t++)
+        for (size_t z = 0; z < node->catalog.n_zones; z++)
+            fits |= (node->catalog.types[t].zones >> z & 1) &&
+                    rp_cluster_allows(&node->cluster, spec, (int)t, (int)z, false);
     if (!fits) {
         strcpy(why, "a task fits no allowed machine type");
         return 422;
     }
-    const struct rp_team *team = &n->settings->teams[index];
+    const struct rp_team *team = &node->settings->teams[index];
     if ((team->cpus_max > 0 && tasks * spec->each.cpus > team->cpus_max + 1e-9) ||
         (team->gpus_max > 0 && tasks * spec->each.gpus > team->gpus_max + 1e-9)) {
         strcpy(why, "needs more than the team's limit");
@@ -344,42 +350,42 @@
     return 0;
 }
 
-void rp_api_submit(struct rp_node *n, struct rp_request *req) {
-    struct op *op = op_new(n, req, OP_SUBMIT);
-    if (!op)
+void rp_api_submit(struct rp_node *node, struct rp_request *req) {
+    struct op *operation = op_new(node, req, OP_SUBMIT);
+    if (!operation)
         return;
-    if (!rp_wire_submission_id(req->body, req->len, op->id)) {
-        strcpy(op->why, "not a JSON object with a valid id");
-        op_answer(op, 400, rp_wire_error(op->why), 0);
+    if (!rp_wire_submission_id(req->body, req->len, operation->id)) {
+        strcpy(operation->why, "not a JSON object with a valid id");
+        op_answer(operation, 400, rp_wire_error(operation->why), 0);
         return;
     }
-    if (op_known_final(op))
+    if (op_known_final(operation))
         return;
-    if (!rp_wire_submission(req->body, req->len, &op->spec, op->why))
-        op->refusal = 400;
+    if (!rp_wire_submission(req->body, req->len, &operation->spec, operation->why))
+        operation->refusal = 400;
     else
-        op->refusal = judge(n, &op->spec, op->why);
+        operation->refusal = judge(node, &operation->spec, operation->why);
     /* A known job is answered before anything is found wrong with the rest of the request. */
-    bool service = !op->refusal && op->spec.kind == RP_SERVICE;
-    op_next(op, op->refusal                                  ? OP_READ_OPEN
-                : service && !rp_upgrade_active(&n->upgrade) ? OP_READ_FORMAT
-                                                             : OP_WRITE);
+    bool service = !operation->refusal && operation->spec.kind == RP_SERVICE;
+    op_next(operation, operation->refusal                              ? OP_READ_OPEN
+                       : service && !rp_upgrade_active(&node->upgrade) ? OP_READ_FORMAT
+                                                                       : OP_WRITE);
 }
 
-void rp_api_query(struct rp_node *n, struct rp_request *req, const char *id) {
-    struct op *op = op_new(n, req, OP_QUERY);
-    if (!op)
+void rp_api_query(struct rp_node *node, struct rp_request *req, const char *id) {
+    struct op *operation = op_new(node, req, OP_QUERY);
+    if (!operation)
         return;
-    strcpy(op->id, id);
-    if (!op_known_final(op))
-        op_next(op, rp_job_lookup_pays(&n->job_lookup) ? OP_LOOK_UP : OP_READ_OPEN);
+    strcpy(operation->id, id);
+    if (!op_known_final(operation))
+        op_next(operation, rp_job_lookup_pays(&node->job_lookup) ? OP_LOOK_UP : OP_READ_OPEN);
 }
 
-void rp_api_cancel(struct rp_node *n, struct rp_request *req, const char *id) {
-    struct op *op = op_new(n, req, OP_CANCEL);
-    if (!op)
+void rp_api_cancel(struct rp_node *node, struct rp_request *req, const char *id) {
+    struct op *operation = op_new(node, req, OP_CANCEL);
+    if (!operation)
         return;
-    strcpy(op->id, id);
-    if (!op_known_final(op))
-        op_next(op, OP_READ_OPEN);
+    strcpy(operation->id, id);
+    if (!op_known_final(operation))
+        op_next(operation, OP_READ_OPEN);
 }
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -11,36 +11,36 @@
 
 static const char *const names[RP_METRICS] = {"submit_s", "query_s", "round_s", "start_wait_s"};
 
-int rp_metrics_init(struct rp_metrics *m) {
+int rp_metrics_init(struct rp_metrics *metrics) {
     double ranges[BINS + 1];
-    memset(m, 0, sizeof *m);
+    memset(metrics, 0, sizeof *metrics);
     ranges[0] = 0;
     for (int i = 1; i <= BINS; i++)
         ranges[i] = FIRST_S * pow(10, (double)i / PER_DECADE);
     for (int i = 0; i < RP_METRICS; i++) {
-        m->h[i] = gsl_histogram_alloc(BINS);
-        if (!m->h[i] || gsl_histogram_set_ranges(m->h[i], ranges, BINS + 1) != 0) {
-            rp_metrics_free(m);
+        metrics->h[i] = gsl_histogram_alloc(BINS);
+        if (!metrics->h[i] || gsl_histogram_set_ranges(metrics->h[i], ranges, BINS + 1) != 0) {
+            rp_metrics_free(metrics);
             return -1;
         }
     }
     return 0;
 }
 
-void rp_metrics_free(struct rp_metrics *m) {
+void rp_metrics_free(struct rp_metrics *metrics) {
     for (int i = 0; i < RP_METRICS; i++)
-        if (m->h[i])
-            gsl_histogram_free(m->h[i]);
-    memset(m, 0, sizeof *m);
+        if (metrics->h[i])
+            gsl_histogram_free(metrics->h[i]);
+    memset(metrics, 0, sizeof *metrics);
 }
 
-void rp_metrics_add(struct rp_metrics *m, enum rp_metric metric, double seconds) {
-    double most = gsl_histogram_max(m->h[metric]) * (1 - 1e-9);
-    gsl_histogram_increment(m->h[metric], fmin(fmax(seconds, 0), most));
+void rp_metrics_add(struct rp_metrics *metrics, enum rp_metric metric, double seconds) {
+    double most = gsl_histogram_max(metrics->h[metric]) * (1 - 1e-9);
+    gsl_histogram_increment(metrics->h[metric], fmin(fmax(seconds, 0), most));
 }
 
-double rp_metrics_quantile(const struct rp_metrics *m, enum rp_metric metric, double share) {
-    const gsl_histogram *h = m->h[metric];
+double rp_metrics_quantile(const struct rp_metrics *metrics, enum rp_metric metric, double share) {
+    const gsl_histogram *h = metrics->h[metric];
     double total = gsl_histogram_sum(h), seen = 0, low, high = 0;
     for (size_t i = 0; i < gsl_histogram_bins(h) && total > 0; i++) {
         seen += gsl_histogram_get(h, i);
@@ -51,13 +51,14 @@
     return high;
 }
 
-json_t *rp_metrics_json(const struct rp_metrics *m) {
-    json_t *v = json_object();
+json_t *rp_metrics_json(const struct rp_metrics *metrics) {
+    json_t *value = json_object();
     for (int i = 0; i < RP_METRICS; i++)
-        json_object_set_new(v, names[i],
-                            json_pack("{s:f,s:f,s:f,s:f}", "count", gsl_histogram_sum(m->h[i]),
-                                      "p50", rp_metrics_quantile(m, (enum rp_metric)i, 0.5), "p95",
-                                      rp_metrics_quantile(m, (enum rp_metric)i, 0.95), "p99",
-                                      rp_metrics_quantile(m, (enum rp_metric)i, 0.99)));
-    return v;
+        json_object_set_new(value, names[i],
+                            json_pack("{s:f,s:f,s:f,s:f}", "count",
+                                      gsl_histogram_sum(metrics->h[i]), "p50",
+                                      rp_metrics_quantile(metrics, (enum rp_metric)i, 0.5), "p95",
+                                      rp_metrics_quantile(metrics, (enum rp_metric)i, 0.95), "p99",
+                                      rp_metrics_quantile(metrics, (enum rp_metric)i, 0.99)));
+    return value;
 }
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -17,11 +17,11 @@
     gsl_histogram *h[RP_METRICS];
 };
 
-int rp_metrics_init(struct rp_metrics *m);
-void rp_metrics_free(struct rp_metrics *m);
-void rp_metrics_add(struct rp_metrics *m, enum rp_metric metric, double seconds);
+int rp_metrics_init(struct rp_metrics *metrics);
+void rp_metrics_free(struct rp_metrics *metrics);
+void rp_metrics_add(struct rp_metrics *metrics, enum rp_metric metric, double seconds);
 /* The value below which the share of all observations lies; 0 when there are none. */
-double rp_metrics_quantile(const struct rp_metrics *m, enum rp_metric metric, double share);
-json_t *rp_metrics_json(const struct rp_metrics *m);
+double rp_metrics_quantile(const struct rp_metrics *metrics, enum rp_metric metric, double share);
+json_t *rp_metrics_json(const struct rp_metrics *metrics);
 
 #endif
--- a/src/base/timeutil.h
+++ b/src/base/timeutil.h
@@ -10,38 +10,38 @@
 
 static inline struct timespec rp_ts(double seconds) {
     double whole = floor(seconds);
-    struct timespec t = {.tv_sec = (time_t)whole, .tv_nsec = (long)((seconds - whole) * 1e9)};
-    if (t.tv_nsec >= RP_NSEC) {
-        t.tv_sec++;
-        t.tv_nsec -= RP_NSEC;
+    struct timespec time = {.tv_sec = (time_t)whole, .tv_nsec = (long)((seconds - whole) * 1e9)};
+    if (time.tv_nsec >= RP_NSEC) {
+        time.tv_sec++;
+        time.tv_nsec -= RP_NSEC;
     }
-    return t;
+    return time;
 }
 
-static inline double rp_ts_s(struct timespec t) {
-    return (double)t.tv_sec + (double)t.tv_nsec * 1e-9;
+static inline double rp_ts_s(struct timespec time) {
+    return (double)time.tv_sec + (double)time.tv_nsec * 1e-9;
 }
 
 static inline struct timespec rp_ts_add(struct timespec a, struct timespec b) {
-    struct timespec t = {.tv_sec = a.tv_sec + b.tv_sec, .tv_nsec = a.tv_nsec + b.tv_nsec};
-    if (t.tv_nsec >= RP_NSEC) {
-        t.tv_sec++;
-        t.tv_nsec -= RP_NSEC;
+    struct timespec time = {.tv_sec = a.tv_sec + b.tv_sec, .tv_nsec = a.tv_nsec + b.tv_nsec};
+    if (time.tv_nsec >= RP_NSEC) {
+        time.tv_sec++;
+        time.tv_nsec -= RP_NSEC;
     }
-    return t;
+    return time;
 }
 
 static inline struct timespec rp_ts_sub(struct timespec a, struct timespec b) {
-    struct timespec t = {.tv_sec = a.tv_sec - b.tv_sec, .tv_nsec = a.tv_nsec - b.tv_nsec};
-    if (t.tv_nsec < 0) {
-        t.tv_sec--;
-        t.tv_nsec += RP_NSEC;
+    struct timespec time = {.tv_sec = a.tv_sec - b.tv_sec, .tv_nsec = a.tv_nsec - b.tv_nsec};
+    if (time.tv_nsec < 0) {
+        time.tv_sec--;
+        time.tv_nsec += RP_NSEC;
     }
-    return t;
+    return time;
 }
 
-static inline struct timespec rp_ts_after(struct timespec t, double seconds) {
-    return rp_ts_add(t, rp_ts(seconds));
+static inline struct timespec rp_ts_after(struct timespec time, double seconds) {
+    return rp_ts_add(time, rp_ts(seconds));
 }
 
 static inline int rp_ts_cmp(struct timespec a, struct timespec b) {
@@ -53,8 +53,8 @@
 }
 
 /* Unset: no such instant. */
-static inline bool rp_ts_zero(struct timespec t) {
-    return t.tv_sec == 0 && t.tv_nsec == 0;
+static inline bool rp_ts_zero(struct timespec time) {
+    return time.tv_sec == 0 && time.tv_nsec == 0;
 }
 
 static inline bool rp_ts_reached(struct timespec now, struct timespec due) {
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -40,9 +40,9 @@
 }
 
 /* Takes the types over if there are none yet, and `v` has some. */
-static bool take(struct rp_catalog_source *source, const json_t *v, const char *origin) {
+static bool take(struct rp_catalog_source *source, const json_t *value, const char *origin) {
     struct rp_catalog fresh;
-    if (source->known || !rp_wire_catalog_read(v, &fresh))
+    if (source->known || !rp_wire_catalog_read(value, &fresh))
         return source->known;
     *source->catalog = fresh;
     source->known = true;
@@ -56,15 +56,15 @@
 
 static void cloud_came(void *arg, const struct rp_answer *answer) {
     struct rp_catalog_source *source = arg;
-    json_t *v = answer->status == 200 ? rp_wire_parse(answer->body, answer->len) : NULL;
+    json_t *value = answer->status == 200 ? rp_wire_parse(answer->body, answer->len) : NULL;
     struct rp_catalog read;
-    if (rp_wire_catalog_read(v, &read)) {
-        source->from_cloud = json_incref(v);
-        (void)take(source, v, "the cloud");
+    if (rp_wire_catalog_read(value, &read)) {
+        source->from_cloud = json_incref(value);
+        (void)take(source, value, "the cloud");
     } else {
         rp_timer_set(source->loop, &source->cloud_timer, CLOUD_RETRY_S);
     }
-    json_decref(v);
+    json_decref(value);
 }
 
 static void cloud_due(void *arg) {
@@ -72,10 +72,10 @@
     rp_cloud_call(source->cloud, RP_CLOUD_URGENT, "GET", RP_PATH_TYPES, NULL, cloud_came, source);
 }
 
-static void stored_came(void *arg, const struct rp_state_result *r) {
+static void stored_came(void *arg, const struct rp_state_result *result) {
     struct rp_catalog_source *source = arg;
     struct rp_item item;
-    bool read = r->outcome == RP_STATE_OK && rp_wire_item(r->body, &item) &&
+    bool read = result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item) &&
                 rp_record_format(item.value) <= RP_FORMAT;
     if (!read || !take(source, item.value, "the state service"))
         rp_timer_set(source->loop, &source->stored_timer, STORED_AFTER_S);
@@ -91,17 +91,17 @@
 
 /* ---- storing ---- */
 
-static void written(void *arg, const struct rp_state_result *r) {
+static void written(void *arg, const struct rp_state_result *result) {
     (void)arg;
-    if (r->outcome != RP_STATE_OK)
+    if (result->outcome != RP_STATE_OK)
         rp_debug("the machine types could not be stored"); /* the next leader tries again */
 }
 
-static void compare_came(void *arg, const struct rp_state_result *r) {
+static void compare_came(void *arg, const struct rp_state_result *result) {
     struct rp_catalog_source *source = arg;
     struct rp_item item = {0};
-    bool found = r->outcome == RP_STATE_OK && rp_wire_item(r->body, &item);
-    if ((!found && r->outcome != RP_STATE_MISSING) || source->election->at != RP_HOLDING ||
+    bool found = result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item);
+    if ((!found && result->outcome != RP_STATE_MISSING) || source->election->at != RP_HOLDING ||
         !source->from_cloud)
         return;
     json_t *record = rp_record_mark(json_copy(source->from_cloud));
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -20,11 +20,11 @@
     struct rp_timer pump;
 };
 
-void rp_cloud_client_init(struct rp_cloud_client *c, struct rp_loop *loop, struct rp_net net,
+void rp_cloud_client_init(struct rp_cloud_client *client, struct rp_loop *loop, struct rp_net net,
                           const char *addr, double rps);
-void rp_cloud_client_close(struct rp_cloud_client *c);
+void rp_cloud_client_close(struct rp_cloud_client *client);
 /* Takes `body` over. `fn` gets the answer as the network gave it. */
-void rp_cloud_call(struct rp_cloud_client *c, enum rp_cloud_urgency urgency, const char *method,
-                   const char *target, char *body, rp_answer_fn fn, void *arg);
+void rp_cloud_call(struct rp_cloud_client *client, enum rp_cloud_urgency urgency,
+                   const char *method, const char *target, char *body, rp_answer_fn fn, void *arg);
 
 #endif
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -132,75 +132,79 @@
     uint64_t attempt_base, attempt_next;
     /* A machine's address or session is known anew, it is being returned, or it is gone; NULL:
      * nobody wants to know. */
-    void (*on_machine)(void *arg, const struct rp_machine *m, bool gone);
+    void (*on_machine)(void *arg, const struct rp_machine *machine, bool gone);
     void *on_machine_arg;
 };
 
-int rp_cluster_init(struct rp_cluster *p, struct rp_loop *loop, struct rp_jobs *jobs,
+int rp_cluster_init(struct rp_cluster *cluster, struct rp_loop *loop, struct rp_jobs *jobs,
                     const struct rp_settings *settings, const struct rp_catalog *catalog);
 /* Forgets everything and starts numbering attempts for this token. */
-void rp_cluster_reset(struct rp_cluster *p, uint64_t token);
-void rp_cluster_free(struct rp_cluster *p);
+void rp_cluster_reset(struct rp_cluster *cluster, uint64_t token);
+void rp_cluster_free(struct rp_cluster *cluster);
 
-struct rp_machine *rp_machine_find(const struct rp_cluster *p, const char *name);
-struct rp_machine *rp_machine_add(struct rp_cluster *p, const char *name,
+struct rp_machine *rp_machine_find(const struct rp_cluster *cluster, const char *name);
+struct rp_machine *rp_machine_add(struct rp_cluster *cluster, const char *name,
                                   enum rp_machine_state state);
 /* The machine is certainly gone: everything on it is, too. */
-void rp_machine_remove(struct rp_cluster *p, struct rp_machine *m);
+void rp_machine_remove(struct rp_cluster *cluster, struct rp_machine *machine);
 /* The one place where a machine changes its state. */
-void rp_machine_set_state(struct rp_cluster *p, struct rp_machine *m, enum rp_machine_state state);
+void rp_machine_set_state(struct rp_cluster *cluster, struct rp_machine *machine,
+                          enum rp_machine_state state);
 /* Where it can be reached, and in which session, as its newest message says. */
-void rp_machine_note_contact(struct rp_cluster *p, struct rp_machine *m, const char *addr,
-                             uint64_t session);
+void rp_machine_note_contact(struct rp_cluster *cluster, struct rp_machine *machine,
+                             const char *addr, uint64_t session);
 /* Whether its newest report shows our token. */
-void rp_machine_note_token(struct rp_cluster *p, struct rp_machine *m, bool seen);
+void rp_machine_note_token(struct rp_cluster *cluster, struct rp_machine *machine, bool seen);
 /* Forgets, and adds, tasks of jobs that this leader doesn't know; false beyond
  * RP_UNKNOWN_TASKS_KEPT. */
-void rp_machine_clear_unknown_tasks(struct rp_cluster *p, struct rp_machine *m);
-bool rp_machine_add_unknown_task(struct rp_cluster *p, struct rp_machine *m,
+void rp_machine_clear_unknown_tasks(struct rp_cluster *cluster, struct rp_machine *machine);
+bool rp_machine_add_unknown_task(struct rp_cluster *cluster, struct rp_machine *machine,
                                  const struct rp_unknown_task *unknown_tasks);
 /* The session is over: no task of it is on the machine any more. */
-void rp_machine_session_over(struct rp_cluster *p, struct rp_machine *m);
+void rp_machine_session_over(struct rp_cluster *cluster, struct rp_machine *machine);
 
 /* Unique over all leaders: the token and a count. */
-uint64_t rp_cluster_attempt(struct rp_cluster *p);
+uint64_t rp_cluster_attempt(struct rp_cluster *cluster);
 /* No machine may hold tasks that this leader doesn't know of. */
-bool rp_cluster_settled(struct rp_cluster *p);
+bool rp_cluster_settled(struct rp_cluster *cluster);
 /* No machine may hold tasks of this job that this leader doesn't know of. */
-bool rp_cluster_job_settled(struct rp_cluster *p, const struct rp_job *job);
-struct rp_resources rp_machine_free(const struct rp_cluster *p, const struct rp_machine *m);
-bool rp_machine_usable(const struct rp_machine *m);
-bool rp_machine_misses_answers(const struct rp_machine *m);
+bool rp_cluster_job_settled(struct rp_cluster *cluster, const struct rp_job *job);
+struct rp_resources rp_machine_free(const struct rp_cluster *cluster,
+                                    const struct rp_machine *machine);
+bool rp_machine_usable(const struct rp_machine *machine);
+bool rp_machine_misses_answers(const struct rp_machine *machine);
 /* The types, zones and kinds that the job allows. */
-bool rp_cluster_allows(const struct rp_cluster *p, const struct rp_job_spec *spec, int type,
+bool rp_cluster_allows(const struct rp_cluster *cluster, const struct rp_job_spec *spec, int type,
                        int zone, bool spot);
-bool rp_cluster_may_start(struct rp_cluster *p, const struct rp_job *job, uint32_t task,
-                          const struct rp_machine *m);
+bool rp_cluster_may_start(struct rp_cluster *cluster, const struct rp_job *job, uint32_t task,
+                          const struct rp_machine *machine);
 /* What the very message that starts a task gives back before: of the machine's room, and of what
  * the job's team uses. */
 struct rp_freed {
     struct rp_resources room, team;
 };
 /* The same with that. */
-bool rp_cluster_may_start_over(struct rp_cluster *p, const struct rp_job *job, uint32_t task,
-                               const struct rp_machine *m, const struct rp_freed *freed);
+bool rp_cluster_may_start_over(struct rp_cluster *cluster, const struct rp_job *job, uint32_t task,
+                               const struct rp_machine *machine, const struct rp_freed *freed);
 /* How far one more task of the job would be beyond its team's limit; not above 0: it isn't. */
-struct rp_resources rp_cluster_over_quota(const struct rp_cluster *p, const struct rp_job *job);
+struct rp_resources rp_cluster_over_quota(const struct rp_cluster *cluster,
+                                          const struct rp_job *job);
 /* Nothing is on the machine, nor may be. What has ended may still be listed: attempts that were
  * started directly are kept known there, so that late copies of their starts do nothing. */
-bool rp_machine_idle(const struct rp_machine *m);
-struct rp_allocation *rp_allocation_add(struct rp_cluster *p, struct rp_machine *m,
+bool rp_machine_idle(const struct rp_machine *machine);
+struct rp_allocation *rp_allocation_add(struct rp_cluster *cluster, struct rp_machine *machine,
                                         struct rp_job *job, uint32_t task, uint64_t attempt,
                                         enum rp_allocation_state state);
 /* The one place where an allocation changes its state; keeps all counts. */
-void rp_allocation_set_state(struct rp_cluster *p, struct rp_machine *m,
+void rp_allocation_set_state(struct rp_cluster *cluster, struct rp_machine *machine,
                              struct rp_allocation *allocation, enum rp_allocation_state state);
-void rp_allocation_drop(struct rp_cluster *p, struct rp_machine *m, size_t index);
+void rp_allocation_drop(struct rp_cluster *cluster, struct rp_machine *machine, size_t index);
 void rp_allocation_stop(struct rp_allocation *allocation, double grace_s);
 /* Wants every task of the job stopped, wherever it may be. */
-void rp_cluster_stop_job(struct rp_cluster *p, struct rp_job *job, double grace_s);
+void rp_cluster_stop_job(struct rp_cluster *cluster, struct rp_job *job, double grace_s);
 /* Images are known by the hashes of their names. */
-void rp_machine_note_image(struct rp_cluster *p, struct rp_machine *m, uint64_t hash, double gb);
-bool rp_machine_has_image(const struct rp_machine *m, uint64_t hash);
+void rp_machine_note_image(struct rp_cluster *cluster, struct rp_machine *machine, uint64_t hash,
+                           double gb);
+bool rp_machine_has_image(const struct rp_machine *machine, uint64_t hash);
 
 #endif
--- a/src/cluster/fleet.h
+++ b/src/cluster/fleet.h
@@ -67,30 +67,30 @@
     unsigned long n_rented, n_refused, n_returned;
 };
 
-void rp_fleet_init(struct rp_fleet *f, struct rp_loop *loop, struct rp_cloud_client *cloud,
+void rp_fleet_init(struct rp_fleet *fleet, struct rp_loop *loop, struct rp_cloud_client *cloud,
                    struct rp_state_client *state, struct rp_election *election,
                    struct rp_cluster *cluster, struct rp_jobs *jobs,
                    const struct rp_settings *settings, struct rp_catalog *catalog);
 /* Reads the rental records into the cluster state: every machine named there may hold tasks. */
-void rp_fleet_load(struct rp_fleet *f);
-void rp_fleet_clear(struct rp_fleet *f);
+void rp_fleet_load(struct rp_fleet *fleet);
+void rp_fleet_clear(struct rp_fleet *fleet);
 /* The process ends: what outlives a term goes, too. */
-void rp_fleet_close(struct rp_fleet *f);
-void rp_fleet_rent(struct rp_fleet *f, int type, int zone, bool spot, unsigned count);
+void rp_fleet_close(struct rp_fleet *fleet);
+void rp_fleet_rent(struct rp_fleet *fleet, int type, int zone, bool spot, unsigned count);
 /* Whether the zone seems to be cut off: what is rented there can't report. */
-bool rp_fleet_zone_out(const struct rp_fleet *f, int zone);
-bool rp_fleet_refused(const struct rp_fleet *f, int type, int zone, bool spot);
+bool rp_fleet_zone_out(const struct rp_fleet *fleet, int zone);
+bool rp_fleet_refused(const struct rp_fleet *fleet, int type, int zone, bool spot);
 /* Rentals asked for whose machines aren't known yet. */
-unsigned rp_fleet_pending(const struct rp_fleet *f, int type, int zone, bool spot);
+unsigned rp_fleet_pending(const struct rp_fleet *fleet, int type, int zone, bool spot);
 /* The machine has reported: recorded before anything is started on it, so that the next leader
  * knows which machines can't hold tasks. */
-void rp_fleet_came_up(struct rp_fleet *f, struct rp_machine *m);
-void rp_fleet_adopt(struct rp_fleet *f, struct rp_machine *m);
-bool rp_fleet_gone(const struct rp_fleet *f, const char *machine);
-void rp_fleet_return(struct rp_fleet *f, struct rp_machine *m, const char *why);
+void rp_fleet_came_up(struct rp_fleet *fleet, struct rp_machine *machine);
+void rp_fleet_adopt(struct rp_fleet *fleet, struct rp_machine *machine);
+bool rp_fleet_gone(const struct rp_fleet *fleet, const char *machine);
+void rp_fleet_return(struct rp_fleet *fleet, struct rp_machine *machine, const char *why);
 /* What a worker says of its machine, which the record may not know. */
-void rp_fleet_describe(struct rp_fleet *f, struct rp_machine *m, const char *type, const char *zone,
-                       bool spot);
-double rp_fleet_price(const struct rp_catalog *c, int type, bool spot);
+void rp_fleet_describe(struct rp_fleet *fleet, struct rp_machine *machine, const char *type,
+                       const char *zone, bool spot);
+double rp_fleet_price(const struct rp_catalog *catalog, int type, bool spot);
 
 #endif
--- a/src/cluster/image_index.c
+++ b/src/cluster/image_index.c
@@ -48,12 +48,13 @@
     return each > IMAGES_LEAST ? each : IMAGES_LEAST;
 }
 
-static json_t *images_of(struct rp_machine *m, size_t most) {
+static json_t *images_of(struct rp_machine *machine, size_t most) {
     json_t *list = json_array();
-    qsort(m->images, m->n_images, sizeof *m->images, by_use);
-    for (size_t i = m->n_images > most ? m->n_images - most : 0; i < m->n_images; i++) {
-        json_array_append_new(list, json_integer((json_int_t)m->images[i].hash));
-        json_array_append_new(list, json_real(m->images[i].gb));
+    qsort(machine->images, machine->n_images, sizeof *machine->images, by_use);
+    for (size_t i = machine->n_images > most ? machine->n_images - most : 0; i < machine->n_images;
+         i++) {
+        json_array_append_new(list, json_integer((json_int_t)machine->images[i].hash));
+        json_array_append_new(list, json_real(machine->images[i].gb));
     }
     return list;
 }
@@ -62,12 +63,14 @@
     /* A leader that still reads its records knows no more than what it remembers. */
     bool own = leads(index) && index->cluster->n_machines > 0;
     json_t *images = own ? json_object() : json_incref(index->known);
-    for (struct rp_machine *m = own ? index->cluster->first : NULL; m; m = m->next)
-        if (m->n_images > 0)
-            json_object_set_new(images, m->name, images_of(m, images_told(index->cluster)));
-    json_t *v = json_pack("{s:o*}", "images", images);
-    char *text = json_dumps(v, JSON_COMPACT);
-    json_decref(v);
+    for (struct rp_machine *machine = own ? index->cluster->first : NULL; machine;
+         machine = machine->next)
+        if (machine->n_images > 0)
+            json_object_set_new(images, machine->name,
+                                images_of(machine, images_told(index->cluster)));
+    json_t *value = json_pack("{s:o*}", "images", images);
+    char *text = json_dumps(value, JSON_COMPACT);
+    json_decref(value);
     return text;
 }
 
@@ -76,27 +79,27 @@
     const char *name;
     json_t *list;
     json_object_foreach(images, name, list) {
-        struct rp_machine *m = rp_machine_find(index->cluster, name);
-        for (size_t i = 0; m && m->type >= 0 && i + 1 < json_array_size(list); i += 2) {
+        struct rp_machine *machine = rp_machine_find(index->cluster, name);
+        for (size_t i = 0; machine && machine->type >= 0 && i + 1 < json_array_size(list); i += 2) {
             uint64_t hash = (uint64_t)json_integer_value(json_array_get(list, i));
             double gb = json_number_value(json_array_get(list, i + 1));
-            if (!rp_machine_has_image(m, hash))
-                rp_machine_note_image(index->cluster, m, hash, gb);
+            if (!rp_machine_has_image(machine, hash))
+                rp_machine_note_image(index->cluster, machine, hash, gb);
         }
     }
 }
 
 static void came(void *arg, const struct rp_answer *answer) {
     struct rp_image_index *index = arg;
-    json_t *v = answer->status == 200 ? rp_wire_parse(answer->body, answer->len) : NULL;
-    json_t *images = json_object_get(v, "images");
+    json_t *value = answer->status == 200 ? rp_wire_parse(answer->body, answer->len) : NULL;
+    json_t *images = json_object_get(value, "images");
     if (json_object_size(images) > 0) {
         if (leads(index))
             take(index, images);
         json_decref(index->known);
         index->known = json_incref(images);
     }
-    json_decref(v);
+    json_decref(value);
 }
 
 static void ask(struct rp_image_index *index, const struct rp_peer *peer) {
--- a/src/cluster/quarantine.h
+++ b/src/cluster/quarantine.h
@@ -6,17 +6,18 @@
 #include "cluster/cluster.h"
 
 /* Notes that the job failed on the machine; false if it had failed there before. */
-bool rp_task_errors_note(struct rp_job *job, const struct rp_machine *m);
+bool rp_task_errors_note(struct rp_job *job, const struct rp_machine *machine);
 /* A task of the job ended with an error on the machine. */
-void rp_task_errors_failure(struct rp_cluster *p, struct rp_job *job, struct rp_machine *m,
-                            struct timespec now);
+void rp_task_errors_failure(struct rp_cluster *cluster, struct rp_job *job,
+                            struct rp_machine *machine, struct timespec now);
 /* The machine's part in it alone. */
-void rp_task_errors_count(struct rp_cluster *p, const struct rp_job *job, struct rp_machine *m,
-                          struct timespec now);
+void rp_task_errors_count(struct rp_cluster *cluster, const struct rp_job *job,
+                          struct rp_machine *machine, struct timespec now);
 /* A task of the job, already counted as done, ended well on the machine. */
-void rp_task_errors_success(struct rp_cluster *p, struct rp_job *job, struct rp_machine *m);
+void rp_task_errors_success(struct rp_cluster *cluster, struct rp_job *job,
+                            struct rp_machine *machine);
 /* A machine under suspicion may show with another job what it is worth. */
-void rp_task_errors_step(struct rp_machine *m, struct timespec now);
+void rp_task_errors_step(struct rp_machine *machine, struct timespec now);
 /* It has failed on several machines and ended well on none: started with a few tasks only. */
 bool rp_task_errors_job_suspect(const struct rp_job *job);
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -73,18 +73,19 @@
     struct rp_tuning tuning;
 };
 
-void rp_tuning_defaults(struct rp_tuning *t);
+void rp_tuning_defaults(struct rp_tuning *tuning);
 /* Each returns the number of mistakes, each told to `errors` in a line of its own. */
-int rp_settings_parse(struct rp_settings *s, const char *text, const char *file, FILE *errors);
-int rp_tuning_parse(struct rp_tuning *t, const char *text, const char *file, FILE *errors);
+int rp_settings_parse(struct rp_settings *settings, const char *text, const char *file,
+                      FILE *errors);
+int rp_tuning_parse(struct rp_tuning *tuning, const char *text, const char *file, FILE *errors);
 /* Fills in what neither file says and depends on both. */
-void rp_settings_complete(struct rp_settings *s);
+void rp_settings_complete(struct rp_settings *settings);
 /* How old the newest news of the jobs may be for a leader to go on answering workers. */
-double rp_settings_news_s(const struct rp_settings *s);
+double rp_settings_news_s(const struct rp_settings *settings);
 /* What the two files say together: periods and time-outs that contradict one another. */
-int rp_settings_check(const struct rp_settings *s, FILE *errors);
-void rp_settings_free(struct rp_settings *s);
+int rp_settings_check(const struct rp_settings *settings, FILE *errors);
+void rp_settings_free(struct rp_settings *settings);
 /* The team's index in the list, or -1. */
-int rp_settings_team(const struct rp_settings *s, const char *name);
+int rp_settings_team(const struct rp_settings *settings, const char *name);
 
 #endif
--- a/src/controller/node.h
+++ b/src/controller/node.h
@@ -62,22 +62,22 @@
     bool leaving;
 };
 
-int rp_node_init(struct rp_node *n, struct rp_loop *loop, struct rp_net net,
+int rp_node_init(struct rp_node *node, struct rp_loop *loop, struct rp_net net,
                  const struct rp_settings *settings);
-void rp_node_start(struct rp_node *n);
+void rp_node_start(struct rp_node *node);
 /* The process is about to end: no more users, and the key is given up. */
-void rp_node_leave(struct rp_node *n);
-void rp_node_close(struct rp_node *n);
+void rp_node_leave(struct rp_node *node);
+void rp_node_close(struct rp_node *node);
 /* Requests from users, workers and health checks. */
 void rp_node_client_request(void *node, struct rp_request *req);
 /* Requests from other nodes and operators. */
 void rp_node_peer_request(void *node, struct rp_request *req);
 
 /* api.c: the users' interface. */
-void rp_api_submit(struct rp_node *n, struct rp_request *req);
-void rp_api_query(struct rp_node *n, struct rp_request *req, const char *id);
-void rp_api_cancel(struct rp_node *n, struct rp_request *req, const char *id);
-bool rp_node_healthy(const struct rp_node *n);
-void rp_node_display(const struct rp_node *n, struct rp_job_status *status);
+void rp_api_submit(struct rp_node *node, struct rp_request *req);
+void rp_api_query(struct rp_node *node, struct rp_request *req, const char *id);
+void rp_api_cancel(struct rp_node *node, struct rp_request *req, const char *id);
+bool rp_node_healthy(const struct rp_node *node);
+void rp_node_display(const struct rp_node *node, struct rp_job_status *status);
 
 #endif
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -29,9 +29,9 @@
     unsigned long refused, evicted;
 };
 
-int rp_http_server_open(struct rp_http_server *s, struct rp_loop *loop, const char *addr,
+int rp_http_server_open(struct rp_http_server *server, struct rp_loop *loop, const char *addr,
                         const struct rp_http_limits *limits, rp_request_fn fn, void *arg);
-void rp_http_server_close(struct rp_http_server *s);
+void rp_http_server_close(struct rp_http_server *server);
 
 struct rp_http_host;
 struct http_line;
@@ -53,9 +53,9 @@
     struct http_line *idle_first, *idle_last; /* the one idle for longest first */
 };
 
-void rp_http_client_init(struct rp_http_client *c, struct rp_loop *loop, size_t max_per_host,
+void rp_http_client_init(struct rp_http_client *client, struct rp_loop *loop, size_t max_per_host,
                          size_t max_total, size_t body_max);
-void rp_http_client_close(struct rp_http_client *c);
-struct rp_net rp_http_client_net(struct rp_http_client *c);
+void rp_http_client_close(struct rp_http_client *client);
+struct rp_net rp_http_client_net(struct rp_http_client *client);
 
 #endif
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -49,16 +49,16 @@
     size_t body_len, body_cap;
 };
 
-void rp_http_parser_init(struct rp_http_parser *p, enum rp_http_role role, size_t body_max);
+void rp_http_parser_init(struct rp_http_parser *parser, enum rp_http_role role, size_t body_max);
 /* Makes the parser ready for the next message of the connection. */
-void rp_http_parser_reset(struct rp_http_parser *p);
-void rp_http_parser_free(struct rp_http_parser *p);
+void rp_http_parser_reset(struct rp_http_parser *parser);
+void rp_http_parser_free(struct rp_http_parser *parser);
 /* Takes bytes until the message is whole or has failed; returns how many it used. */
-size_t rp_http_parser_feed(struct rp_http_parser *p, const char *data, size_t len);
+size_t rp_http_parser_feed(struct rp_http_parser *parser, const char *data, size_t len);
 /* The connection has ended: a body without a length is whole now. */
-void rp_http_parser_eof(struct rp_http_parser *p);
+void rp_http_parser_eof(struct rp_http_parser *parser);
 /* True before the first byte of a message. */
-bool rp_http_parser_idle(const struct rp_http_parser *p);
+bool rp_http_parser_idle(const struct rp_http_parser *parser);
 const char *rp_http_reason(int status);
 
 #endif
--- a/src/jobs/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -44,21 +44,21 @@
     return lookup->collecting || rp_state_must_wait(lookup->state, RP_SHARE_QUERIES);
 }
 
-static enum rp_lookup_result result_of(const struct rp_state_result *r, const char *job) {
+static enum rp_lookup_result result_of(const struct rp_state_result *result, const char *job) {
     char key[RP_KEY_MAX];
-    if (r->outcome == RP_STATE_OK)
+    if (result->outcome == RP_STATE_OK)
         return RP_LOOKUP_NOT_OPEN; /* every condition held: none of the keys exists */
-    if (r->outcome != RP_STATE_CONFLICT)
+    if (result->outcome != RP_STATE_CONFLICT)
         return RP_LOOKUP_UNAVAILABLE;
     rp_key(key, RP_KEY_OPEN, job);
-    return rp_wire_failed_key(r->body, key) ? RP_LOOKUP_OPEN : RP_LOOKUP_NOT_OPEN;
+    return rp_wire_failed_key(result->body, key) ? RP_LOOKUP_OPEN : RP_LOOKUP_NOT_OPEN;
 }
 
-static void compared(void *arg, const struct rp_state_result *r) {
+static void compared(void *arg, const struct rp_state_result *result) {
     struct rp_lookup_batch *batch = arg;
     for (size_t i = 0; i < batch->n; i++) {
         const struct question *question = &batch->questions[i];
-        question->fn(question->arg, result_of(r, question->job));
+        question->fn(question->arg, result_of(result, question->job));
     }
     free(batch);
 }
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -130,23 +130,23 @@
     void *arg;
 };
 
-void rp_jobs_init(struct rp_jobs *t, struct rp_loop *loop, struct rp_state_client *state,
+void rp_jobs_init(struct rp_jobs *jobs, struct rp_loop *loop, struct rp_state_client *state,
                   struct rp_election *election, const struct rp_upgrade *upgrade,
                   const struct rp_settings *settings);
 /* Loads everything; `on_loaded` tells the outcome. */
-void rp_jobs_load(struct rp_jobs *t);
+void rp_jobs_load(struct rp_jobs *jobs);
 /* Empties the table; every allocation must have been dropped before. */
-void rp_jobs_clear(struct rp_jobs *t);
-struct rp_job *rp_jobs_find(const struct rp_jobs *t, const char *id);
+void rp_jobs_clear(struct rp_jobs *jobs);
+struct rp_job *rp_jobs_find(const struct rp_jobs *jobs, const char *id);
 /* Seconds since the last moment of which the table is known to hold all news. */
-double rp_jobs_stale_s(const struct rp_jobs *t);
+double rp_jobs_stale_s(const struct rp_jobs *jobs);
 /* Cancellations are heard of fast enough for workers to be answered: every answer renews a lease.
  */
-bool rp_jobs_may_answer(const struct rp_jobs *t);
+bool rp_jobs_may_answer(const struct rp_jobs *jobs);
 /* And for tasks to be started. */
-bool rp_jobs_may_start(const struct rp_jobs *t);
+bool rp_jobs_may_start(const struct rp_jobs *jobs);
 /* The state service answers other nodes, but not this one: they may be confirming cancellations. */
-void rp_jobs_note_refused(struct rp_jobs *t);
+void rp_jobs_note_refused(struct rp_jobs *jobs);
 double rp_job_age_s(const struct rp_job *job, struct timespec now);
 
 bool rp_job_task_done(const struct rp_job *job, uint32_t task);
@@ -156,12 +156,12 @@
 void rp_job_count_allocation(struct rp_job *job, uint32_t task, int sign);
 bool rp_job_task_durable(const struct rp_job *job, uint32_t task);
 /* A worker has reported the task done (of a gang: any task). */
-void rp_jobs_task_done(struct rp_jobs *t, struct rp_job *job, uint32_t task);
+void rp_jobs_task_done(struct rp_jobs *jobs, struct rp_job *job, uint32_t task);
 /* Marks a record with its format, once that is active. */
-json_t *rp_jobs_mark(const struct rp_jobs *t, json_t *record);
-void rp_jobs_release(struct rp_jobs *t, struct rp_job *job);
-void rp_jobs_observe(struct rp_jobs *t, struct rp_job *job, double run_s);
+json_t *rp_jobs_mark(const struct rp_jobs *jobs, json_t *record);
+void rp_jobs_release(struct rp_jobs *jobs, struct rp_job *job);
+void rp_jobs_observe(struct rp_jobs *jobs, struct rp_job *job, double run_s);
 /* The expected run time of one of the job's tasks. */
-double rp_jobs_expect_s(const struct rp_jobs *t, const struct rp_job *job);
+double rp_jobs_expect_s(const struct rp_jobs *jobs, const struct rp_job *job);
 
 #endif
--- a/src/main.c
+++ b/src/main.c
@@ -37,24 +37,24 @@
           to);
 }
 
-static int parse_options(int argc, char **argv, struct options *o) {
+static int parse_options(int argc, char **argv, struct options *options) {
     static const struct option longs[] = {
         {"config", required_argument, NULL, 'c'}, {"operator", required_argument, NULL, 'o'},
         {"check", no_argument, NULL, 'k'},        {"help", no_argument, NULL, 'h'},
         {"version", no_argument, NULL, 'V'},      {NULL, 0, NULL, 0}};
     int c;
-    *o = (struct options){.operator_file = OPERATOR_FILE};
+    *options = (struct options){.operator_file = OPERATOR_FILE};
     while ((c = getopt_long(argc, argv, "c:o:hV", longs, NULL)) != -1) {
         switch (c) {
         case 'c':
-            o->config = optarg;
+            options->config = optarg;
             break;
         case 'o':
-            o->operator_file = optarg;
-            o->operator_given = true;
+            options->operator_file = optarg;
+            options->operator_given = true;
             break;
         case 'k':
-            o->check = true;
+            options->check = true;
             break;
         case 'h':
             usage(stdout);
@@ -67,9 +67,9 @@
             return EXIT_USAGE;
         }
     }
-    if (!o->config || optind < argc) {
-        fputs(o->config ? "ridgepulley: unexpected argument\n"
-                        : "ridgepulley: --config FILE is needed\n",
+    if (!options->config || optind < argc) {
+        fputs(options->config ? "ridgepulley: unexpected argument\n"
+                              : "ridgepulley: --config FILE is needed\n",
               stderr);
         usage(stderr);
         return EXIT_USAGE;
@@ -97,27 +97,27 @@
     return text;
 }
 
-static int load_settings(const struct options *o, struct rp_settings *s) {
+static int load_settings(const struct options *options, struct rp_settings *settings) {
     int mistakes = 0;
-    char *text = read_file(o->config);
+    char *text = read_file(options->config);
     if (!text) {
-        fprintf(stderr, "%s: %s\n", o->config, strerror(errno));
+        fprintf(stderr, "%s: %s\n", options->config, strerror(errno));
         return EXIT_USAGE;
     }
-    mistakes += rp_settings_parse(s, text, o->config, stderr);
+    mistakes += rp_settings_parse(settings, text, options->config, stderr);
     free(text);
     errno = 0;
-    text = read_file(o->operator_file);
+    text = read_file(options->operator_file);
     if (text)
-        mistakes += rp_tuning_parse(&s->tuning, text, o->operator_file, stderr);
-    else if (o->operator_given || errno != ENOENT) {
-        fprintf(stderr, "%s: %s\n", o->operator_file, strerror(errno));
+        mistakes += rp_tuning_parse(&settings->tuning, text, options->operator_file, stderr);
+    else if (options->operator_given || errno != ENOENT) {
+        fprintf(stderr, "%s: %s\n", options->operator_file, strerror(errno));
         mistakes++;
     }
     free(text);
-    rp_settings_complete(s);
+    rp_settings_complete(settings);
     if (mistakes == 0)
-        mistakes += rp_settings_check(s, stderr);
+        mistakes += rp_settings_check(settings, stderr);
     return mistakes ? EXIT_USAGE : EXIT_OK;
 }
 
@@ -134,25 +134,25 @@
 }
 
 static void leave(void *arg, uint32_t events) {
-    struct leaving *l = arg;
+    struct leaving *leaving = arg;
     (void)events;
     rp_info("asked to end");
-    rp_watch_remove(l->loop, &l->watch);
-    rp_node_leave(l->node);
-    rp_timer_set(l->loop, &l->timer, LEAVE_S);
+    rp_watch_remove(leaving->loop, &leaving->watch);
+    rp_node_leave(leaving->node);
+    rp_timer_set(leaving->loop, &leaving->timer, LEAVE_S);
 }
 
-static void watch_signals(struct leaving *l) {
+static void watch_signals(struct leaving *leaving) {
     sigset_t set;
     sigemptyset(&set);
     sigaddset(&set, SIGTERM);
     sigaddset(&set, SIGINT);
-    l->watch = (struct rp_watch){.fd = -1, .fn = leave, .arg = l};
-    l->timer = (struct rp_timer){.fn = leave_now, .arg = l};
+    leaving->watch = (struct rp_watch){.fd = -1, .fn = leave, .arg = leaving};
+    leaving->timer = (struct rp_timer){.fn = leave_now, .arg = leaving};
     if (sigprocmask(SIG_BLOCK, &set, NULL) == 0)
-        l->watch.fd = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
+        leaving->watch.fd = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
     /* Where signals can't be watched they keep their old effect, which nodes survive as well. */
-    if (l->watch.fd < 0 || rp_watch_add(l->loop, &l->watch, EPOLLIN) < 0)
+    if (leaving->watch.fd < 0 || rp_watch_add(leaving->loop, &leaving->watch, EPOLLIN) < 0)
         sigprocmask(SIG_UNBLOCK, &set, NULL);
 }
 
@@ -164,7 +164,7 @@
     return many > few ? many : few;
 }
 
-static int serve(const struct rp_settings *s) {
+static int serve(const struct rp_settings *settings) {
     struct rp_loop loop;
     struct rp_http_client client;
     struct rp_http_server users, peers;
@@ -172,10 +172,11 @@
     struct leaving leaving = {.loop = &loop, .node = node};
     /* Sockets: calls of our own and the other nodes get a part each, a few stay free, and users and
      * workers get the rest, since after a takeover all workers may come to one node. */
-    size_t own = own_connections(s->max_connections);
-    size_t peer = s->max_connections / 16 < 64 ? s->max_connections / 16 : 64;
-    size_t spare = s->max_connections / 16 < 32 ? s->max_connections / 16 : 32;
-    struct rp_http_limits user_limits = {.max_conns = s->max_connections - own - peer - spare,
+    size_t own = own_connections(settings->max_connections);
+    size_t peer = settings->max_connections / 16 < 64 ? settings->max_connections / 16 : 64;
+    size_t spare = settings->max_connections / 16 < 32 ? settings->max_connections / 16 : 32;
+    struct rp_http_limits user_limits = {.max_conns =
+                                             settings->max_connections - own - peer - spare,
                                          .body_max = 65536,
                                          .idle_s = 120,
                                          .receive_s = 10,
@@ -186,19 +187,19 @@
     if (rc < 0)
         goto out;
     rp_http_client_init(&client, &loop, 24, own, 16u << 20);
-    rc = rp_node_init(node, &loop, rp_http_client_net(&client), s);
+    rc = rp_node_init(node, &loop, rp_http_client_net(&client), settings);
     if (rc < 0)
         goto out_loop;
-    rc = rp_http_server_open(&users, &loop, s->client_listen, &user_limits, rp_node_client_request,
-                             node);
+    rc = rp_http_server_open(&users, &loop, settings->client_listen, &user_limits,
+                             rp_node_client_request, node);
     if (rc < 0)
         goto out_node;
-    rc = rp_http_server_open(&peers, &loop, s->peer_listen, &peer_limits, rp_node_peer_request,
-                             node);
+    rc = rp_http_server_open(&peers, &loop, settings->peer_listen, &peer_limits,
+                             rp_node_peer_request, node);
     if (rc < 0)
         goto out_users;
-    rp_info("ridgepulley " RP_VERSION " serves users on %s, peers on %s", s->client_listen,
-            s->peer_listen);
+    rp_info("ridgepulley " RP_VERSION " serves users on %s, peers on %s", settings->client_listen,
+            settings->peer_listen);
     watch_signals(&leaving);
     rp_node_start(node);
     rc = rp_loop_run(&loop);
@@ -218,15 +219,15 @@
 }
 
 int main(int argc, char **argv) {
-    struct options o;
+    struct options options;
     struct rp_settings settings;
-    int rc = parse_options(argc, argv, &o);
+    int rc = parse_options(argc, argv, &options);
     if (rc >= 0)
         return rc;
-    rc = load_settings(&o, &settings);
-    if (rc == EXIT_OK && o.check)
+    rc = load_settings(&options, &settings);
+    if (rc == EXIT_OK && options.check)
         puts("settings are good");
-    if (rc != EXIT_OK || o.check)
+    if (rc != EXIT_OK || options.check)
         goto out;
     signal(SIGPIPE, SIG_IGN);
     rp_log_setup(settings.node, rp_log_level_named(getenv("LOG_LEVEL")));
--- a/src/model/model.h
+++ b/src/model/model.h
@@ -21,17 +21,17 @@
     double cpus, gpus, memory_gb;
 };
 
-static inline void rp_resources_add(struct rp_resources *a, const struct rp_resources *b) {
-    a->cpus += b->cpus;
-    a->gpus += b->gpus;
-    a->memory_gb += b->memory_gb;
+static inline void rp_resources_add(struct rp_resources *sum, const struct rp_resources *amount) {
+    sum->cpus += amount->cpus;
+    sum->gpus += amount->gpus;
+    sum->memory_gb += amount->memory_gb;
 }
 
 /* Never below nothing. */
-static inline void rp_resources_sub(struct rp_resources *a, const struct rp_resources *b) {
-    a->cpus = fmax(0, a->cpus - b->cpus);
-    a->gpus = fmax(0, a->gpus - b->gpus);
-    a->memory_gb = fmax(0, a->memory_gb - b->memory_gb);
+static inline void rp_resources_sub(struct rp_resources *sum, const struct rp_resources *amount) {
+    sum->cpus = fmax(0, sum->cpus - amount->cpus);
+    sum->gpus = fmax(0, sum->gpus - amount->gpus);
+    sum->memory_gb = fmax(0, sum->memory_gb - amount->memory_gb);
 }
 
 static inline bool rp_resources_fit(const struct rp_resources *need,
--- a/src/protocol/wire.c
+++ b/src/protocol/wire.c
@@ -31,17 +31,17 @@
     return true;
 }
 
-static char *dump(json_t *v) {
-    char *text = v ? json_dumps(v, JSON_COMPACT) : NULL;
-    json_decref(v);
+static char *dump(json_t *value) {
+    char *text = value ? json_dumps(value, JSON_COMPACT) : NULL;
+    json_decref(value);
     return text;
 }
 
 json_t *rp_wire_parse(const char *body, size_t len) {
-    json_t *v = json_loadb(body, len, 0, NULL);
-    if (json_is_object(v))
-        return v;
-    json_decref(v);
+    json_t *value = json_loadb(body, len, 0, NULL);
+    if (json_is_object(value))
+        return value;
+    json_decref(value);
     return NULL;
 }
 
@@ -58,10 +58,10 @@
 }
 
 bool rp_wire_submission_id(const char *body, size_t len, char id[RP_ID_MAX]) {
-    json_t *v = rp_wire_parse(body, len);
-    const char *text = json_string_value(json_object_get(v, "ref"));
+    json_t *value = rp_wire_parse(body, len);
+    const char *text = json_string_value(json_object_get(value, "ref"));
     bool ok = rp_wire_id_valid(text) && copy_text(id, RP_ID_MAX, text);
-    json_decref(v);
+    json_decref(value);
     return ok;
 }
 
@@ -71,120 +71,121 @@
     bool ok;
 };
 
-static void bad(struct field_reader *r, const char *name, const char *what) {
-    if (r->ok)
-        snprintf(r->why, 128, "%s: %s", name, what);
-    r->ok = false;
+static void bad(struct field_reader *reader, const char *name, const char *what) {
+    if (reader->ok)
+        snprintf(reader->why, 128, "%s: %s", name, what);
+    reader->ok = false;
 }
 
 /* A field that may be null may also be absent: NULL for both. */
-static json_t *optional(struct field_reader *r, const char *name) {
-    json_t *v = json_object_get(r->in, name);
-    return json_is_null(v) ? NULL : v;
+static json_t *optional(struct field_reader *reader, const char *name) {
+    json_t *value = json_object_get(reader->in, name);
+    return json_is_null(value) ? NULL : value;
 }
 
-static void read_text(struct field_reader *r, const char *name, char *out, size_t size) {
-    const char *text = json_string_value(json_object_get(r->in, name));
+static void read_text(struct field_reader *reader, const char *name, char *out, size_t size) {
+    const char *text = json_string_value(json_object_get(reader->in, name));
     if (!text || !*text)
-        bad(r, name, "a string is needed");
+        bad(reader, name, "a string is needed");
     else if (!copy_text(out, size, text))
-        bad(r, name, "too long");
+        bad(reader, name, "too long");
 }
 
-static void read_amount(struct field_reader *r, const char *name, double *out) {
-    json_t *v = json_object_get(r->in, name);
-    *out = json_number_value(v);
-    if (!json_is_number(v) || !isfinite(*out) || *out < 0 || *out > 1e12)
-        bad(r, name, "an amount from 0 on is needed");
+static void read_amount(struct field_reader *reader, const char *name, double *out) {
+    json_t *value = json_object_get(reader->in, name);
+    *out = json_number_value(value);
+    if (!json_is_number(value) || !isfinite(*out) || *out < 0 || *out > 1e12)
+        bad(reader, name, "an amount from 0 on is needed");
 }
 
-static void read_flag(struct field_reader *r, const char *name, bool *out) {
-    json_t *v = json_object_get(r->in, name);
-    *out = json_is_true(v);
-    if (!json_is_boolean(v))
-        bad(r, name, "true or false is needed");
+static void read_flag(struct field_reader *reader, const char *name, bool *out) {
+    json_t *value = json_object_get(reader->in, name);
+    *out = json_is_true(value);
+    if (!json_is_boolean(value))
+        bad(reader, name, "true or false is needed");
 }
 
-static int read_word(struct field_reader *r, const char *name, const char *const *words, size_t n) {
-    int index = word_index(json_string_value(json_object_get(r->in, name)), words, n);
+static int read_word(struct field_reader *reader, const char *name, const char *const *words,
+                     size_t n) {
+    int index = word_index(json_string_value(json_object_get(reader->in, name)), words, n);
     if (index < 0)
-        bad(r, name, "not one of the known words");
+        bad(reader, name, "not one of the known words");
     return index < 0 ? 0 : index;
 }
 
-static void read_types(struct field_reader *r, struct rp_job_spec *out) {
-    json_t *v = optional(r, "frames");
-    if (!v)
+static void read_types(struct field_reader *reader, struct rp_job_spec *out) {
+    json_t *value = optional(reader, "frames");
+    if (!value)
         return;
-    out->n_types = json_array_size(v);
-    if (!json_is_array(v) || out->n_types == 0 || out->n_types > 1000) {
+    out->n_types = json_array_size(value);
+    if (!json_is_array(value) || out->n_types == 0 || out->n_types > 1000) {
         out->n_types = 0;
-        bad(r, "frames", "a list of machine types is needed");
+        bad(reader, "frames", "a list of machine types is needed");
         return;
     }
     out->types = calloc(out->n_types, sizeof *out->types);
     for (size_t i = 0; out->types && i < out->n_types; i++)
-        if (!copy_text(out->types[i], RP_TEXT_MAX, json_string_value(json_array_get(v, i))))
-            bad(r, "frames", "a list of machine types is needed");
+        if (!copy_text(out->types[i], RP_TEXT_MAX, json_string_value(json_array_get(value, i))))
+            bad(reader, "frames", "a list of machine types is needed");
 }
 
-static void read_shape(struct field_reader *r, struct rp_job_spec *out) {
-    json_t *tasks = json_object_get(r->in, "lifts");
+static void read_shape(struct field_reader *reader, struct rp_job_spec *out) {
+    json_t *tasks = json_object_get(reader->in, "lifts");
     if (!json_is_integer(tasks) || json_integer_value(tasks) < 1 ||
         json_integer_value(tasks) > RP_TASKS_MAX)
-        bad(r, "lifts", "a whole number from 1 to 100000 is needed");
+        bad(reader, "lifts", "a whole number from 1 to 100000 is needed");
     else
         out->n_tasks = (uint32_t)json_integer_value(tasks);
-    read_amount(r, "vcpus", &out->each.cpus);
-    read_amount(r, "cards", &out->each.gpus);
-    read_amount(r, "memory_gb", &out->each.memory_gb);
-    read_text(r, "payload", out->image, sizeof out->image);
-    read_amount(r, "image_gb", &out->image_gb);
-    read_types(r, out);
-    json_t *zone = optional(r, "yard");
+    read_amount(reader, "vcpus", &out->each.cpus);
+    read_amount(reader, "cards", &out->each.gpus);
+    read_amount(reader, "memory_gb", &out->each.memory_gb);
+    read_text(reader, "payload", out->image, sizeof out->image);
+    read_amount(reader, "image_gb", &out->image_gb);
+    read_types(reader, out);
+    json_t *zone = optional(reader, "yard");
     if (zone && (!json_is_string(zone) || !*json_string_value(zone) ||
                  !copy_text(out->zone, sizeof out->zone, json_string_value(zone))))
-        bad(r, "yard", "a zone or null is needed");
+        bad(reader, "yard", "a zone or null is needed");
 }
 
-bool rp_wire_spec_read(json_t *in, struct rp_job_spec *out, char why[128]) {
-    struct field_reader r = {.in = in, .why = why, .ok = true};
+bool rp_wire_spec_read(json_t *object, struct rp_job_spec *out, char why[128]) {
+    struct field_reader reader = {.in = object, .why = why, .ok = true};
     memset(out, 0, sizeof *out);
-    if (!json_is_object(in)) {
+    if (!json_is_object(object)) {
         snprintf(why, 128, "not an object");
         return false;
     }
-    read_text(&r, "ref", out->id, sizeof out->id);
-    if (r.ok && !rp_wire_id_valid(out->id))
-        bad(&r, "ref", "not a job id");
-    read_text(&r, "rig", out->class_name, sizeof out->class_name);
-    read_text(&r, "crew", out->team, sizeof out->team);
-    out->kind = (enum rp_kind)read_word(&r, "haul", kind_words, COUNT(kind_words));
+    read_text(&reader, "ref", out->id, sizeof out->id);
+    if (reader.ok && !rp_wire_id_valid(out->id))
+        bad(&reader, "ref", "not a job id");
+    read_text(&reader, "rig", out->class_name, sizeof out->class_name);
+    read_text(&reader, "crew", out->team, sizeof out->team);
+    out->kind = (enum rp_kind)read_word(&reader, "haul", kind_words, COUNT(kind_words));
     out->priority =
-        (enum rp_priority)read_word(&r, "precedence", priority_words, COUNT(priority_words));
-    read_shape(&r, out);
-    read_flag(&r, "one_zone", &out->one_zone);
-    read_flag(&r, "spread", &out->spread);
-    read_flag(&r, "loaners", &out->spot);
-    read_amount(&r, "run_guess_s", &out->estimate_s);
-    read_amount(&r, "brace_every_s", &out->checkpoint_s);
-    read_amount(&r, "brace_s", &out->save_s);
-    if (optional(&r, "due_s"))
-        read_amount(&r, "due_s", &out->deadline_s);
-    if (!r.ok)
+        (enum rp_priority)read_word(&reader, "precedence", priority_words, COUNT(priority_words));
+    read_shape(&reader, out);
+    read_flag(&reader, "one_zone", &out->one_zone);
+    read_flag(&reader, "spread", &out->spread);
+    read_flag(&reader, "loaners", &out->spot);
+    read_amount(&reader, "run_guess_s", &out->estimate_s);
+    read_amount(&reader, "brace_every_s", &out->checkpoint_s);
+    read_amount(&reader, "brace_s", &out->save_s);
+    if (optional(&reader, "due_s"))
+        read_amount(&reader, "due_s", &out->deadline_s);
+    if (!reader.ok)
         rp_job_spec_free(out);
-    return r.ok;
+    return reader.ok;
 }
 
 bool rp_wire_submission(const char *body, size_t len, struct rp_job_spec *out, char why[128]) {
-    json_t *v = rp_wire_parse(body, len);
-    if (!v) {
+    json_t *value = rp_wire_parse(body, len);
+    if (!value) {
         memset(out, 0, sizeof *out);
         snprintf(why, 128, "not a JSON object");
         return false;
     }
-    bool ok = rp_wire_spec_read(v, out, why);
-    json_decref(v);
+    bool ok = rp_wire_spec_read(value, out, why);
+    json_decref(value);
     return ok;
 }
 
@@ -194,29 +195,31 @@
     spec->n_types = 0;
 }
 
-json_t *rp_wire_spec_json(const struct rp_job_spec *s) {
+json_t *rp_wire_spec_json(const struct rp_job_spec *spec) {
     json_t *types = NULL;
-    if (s->n_types) {
+    if (spec->n_types) {
         types = json_array();
-        for (size_t i = 0; i < s->n_types; i++)
-            json_array_append_new(types, json_string(s->types[i]));
+        for (size_t i = 0; i < spec->n_types; i++)
+            json_array_append_new(types, json_string(spec->types[i]));
     }
     return json_pack(
         "{s:s,s:s,s:s,s:s,s:s,s:i,s:f,s:f,s:f,s:s,s:f,s:o*,s:s*,s:b,s:b,s:b,s:f,s:f,s:f,s:o*}",
-        "ref", s->id, "rig", s->class_name, "crew", s->team, "haul", kind_words[s->kind],
-        "precedence", priority_words[s->priority], "lifts", (int)s->n_tasks, "vcpus", s->each.cpus,
-        "cards", s->each.gpus, "memory_gb", s->each.memory_gb, "payload", s->image, "image_gb",
-        s->image_gb, "frames", types, "yard", *s->zone ? s->zone : NULL, "one_zone", s->one_zone,
-        "spread", s->spread, "loaners", s->spot, "run_guess_s", s->estimate_s, "brace_every_s",
-        s->checkpoint_s, "brace_s", s->save_s, "due_s",
-        s->deadline_s > 0 ? json_real(s->deadline_s) : NULL);
+        "ref", spec->id, "rig", spec->class_name, "crew", spec->team, "haul",
+        kind_words[spec->kind], "precedence", priority_words[spec->priority], "lifts",
+        (int)spec->n_tasks, "vcpus", spec->each.cpus, "cards", spec->each.gpus, "memory_gb",
+        spec->each.memory_gb, "payload", spec->image, "image_gb", spec->image_gb, "frames", types,
+        "yard", *spec->zone ? spec->zone : NULL, "one_zone", spec->one_zone, "spread", spec->spread,
+        "loaners", spec->spot, "run_guess_s", spec->estimate_s, "brace_every_s", spec->checkpoint_s,
+        "brace_s", spec->save_s, "due_s",
+        spec->deadline_s > 0 ? json_real(spec->deadline_s) : NULL);
 }
 
-char *rp_wire_job_status(const struct rp_job_status *st) {
-    if (st->word == RP_JOB_DONE || st->word == RP_JOB_CANCELLED)
-        return dump(json_pack("{s:s,s:s}", "ref", st->id, "tension", job_words[st->word]));
-    return dump(json_pack("{s:s,s:s,s:i,s:i}", "ref", st->id, "tension", job_words[st->word],
-                          "done", (int)st->done, "running", (int)st->running));
+char *rp_wire_job_status(const struct rp_job_status *status) {
+    if (status->word == RP_JOB_DONE || status->word == RP_JOB_CANCELLED)
+        return dump(json_pack("{s:s,s:s}", "ref", status->id, "tension", job_words[status->word]));
+    return dump(json_pack("{s:s,s:s,s:i,s:i}", "ref", status->id, "tension",
+                          job_words[status->word], "done", (int)status->done, "running",
+                          (int)status->running));
 }
 
 char *rp_wire_error(const char *text) {
@@ -225,10 +228,10 @@
 
 /* ---- workers ---- */
 
-static bool read_count(json_t *in, const char *name, uint64_t *out) {
-    json_t *v = json_object_get(in, name);
-    json_int_t n = json_integer_value(v);
-    if (!json_is_integer(v) || n < 0)
+static bool read_count(json_t *object, const char *name, uint64_t *out) {
+    json_t *value = json_object_get(object, name);
+    json_int_t n = json_integer_value(value);
+    if (!json_is_integer(value) || n < 0)
         return false;
     *out = (uint64_t)n;
     return true;
@@ -249,35 +252,36 @@
     return true;
 }
 
-static bool read_task_report(json_t *in, struct rp_task_report *out) {
-    int state = word_index(json_string_value(json_object_get(in, "tension")), task_words,
+static bool read_task_report(json_t *object, struct rp_task_report *out) {
+    int state = word_index(json_string_value(json_object_get(object, "tension")), task_words,
                            COUNT(task_words));
     if (state < 0 ||
-        !read_task_name(json_string_value(json_object_get(in, "lift")), out->job, &out->task) ||
-        !read_count(in, "pull", &out->attempt))
+        !read_task_name(json_string_value(json_object_get(object, "lift")), out->job, &out->task) ||
+        !read_count(object, "pull", &out->attempt))
         return false;
     out->state = (enum rp_task_state)state;
-    out->saved = json_is_true(json_object_get(in, "stored"));
+    out->saved = json_is_true(json_object_get(object, "stored"));
     out->why = RP_EXIT_NONE;
     if (out->state == RP_TASK_EXITED) {
-        int why = word_index(json_string_value(json_object_get(in, "slack_reason")), exit_words,
+        int why = word_index(json_string_value(json_object_get(object, "slack_reason")), exit_words,
                              COUNT(exit_words));
         out->why = why > 0 ? (enum rp_exit)why : RP_EXIT_OTHER;
     }
     return true;
 }
 
-static bool read_report(json_t *v, struct rp_report *out) {
-    json_t *tasks = json_object_get(v, "lifts");
-    json_t *notice = json_object_get(v, "recall_s");
-    if (!copy_text(out->machine, RP_TEXT_MAX, json_string_value(json_object_get(v, "sheave"))) ||
-        !copy_text(out->addr, RP_TEXT_MAX, json_string_value(json_object_get(v, "address"))) ||
-        !copy_text(out->type, RP_TEXT_MAX, json_string_value(json_object_get(v, "frame"))) ||
-        !copy_text(out->zone, RP_TEXT_MAX, json_string_value(json_object_get(v, "yard"))) ||
-        !read_count(v, "stint", &out->session) || !read_count(v, "tick", &out->seq) ||
-        !read_count(v, "warrant", &out->token) || !json_is_array(tasks) || !*out->machine)
+static bool read_report(json_t *value, struct rp_report *out) {
+    json_t *tasks = json_object_get(value, "lifts");
+    json_t *notice = json_object_get(value, "recall_s");
+    if (!copy_text(out->machine, RP_TEXT_MAX,
+                   json_string_value(json_object_get(value, "sheave"))) ||
+        !copy_text(out->addr, RP_TEXT_MAX, json_string_value(json_object_get(value, "address"))) ||
+        !copy_text(out->type, RP_TEXT_MAX, json_string_value(json_object_get(value, "frame"))) ||
+        !copy_text(out->zone, RP_TEXT_MAX, json_string_value(json_object_get(value, "yard"))) ||
+        !read_count(value, "stint", &out->session) || !read_count(value, "tick", &out->seq) ||
+        !read_count(value, "warrant", &out->token) || !json_is_array(tasks) || !*out->machine)
         return false;
-    out->spot = json_is_true(json_object_get(v, "loaners"));
+    out->spot = json_is_true(json_object_get(value, "loaners"));
     out->has_notice = json_is_number(notice);
     out->notice_s = json_number_value(notice);
     size_t n = json_array_size(tasks);
@@ -291,10 +295,10 @@
 }
 
 bool rp_wire_report(const char *body, size_t len, struct rp_report *out) {
-    json_t *v = rp_wire_parse(body, len);
+    json_t *value = rp_wire_parse(body, len);
     memset(out, 0, sizeof *out);
-    bool ok = v && read_report(v, out);
-    json_decref(v);
+    bool ok = value && read_report(value, out);
+    json_decref(value);
     if (!ok)
         rp_report_free(out);
     return ok;
@@ -309,14 +313,14 @@
 static json_t *commands_json(const struct rp_command *commands, size_t n) {
     json_t *list = json_array();
     for (size_t i = 0; i < n; i++) {
-        const struct rp_command *c = &commands[i];
+        const struct rp_command *command = &commands[i];
         char task[RP_ID_MAX + 16];
-        snprintf(task, sizeof task, "%s/%u", c->job, c->task);
-        json_t *v = json_pack("{s:s,s:s,s:I}", "signal", op_words[c->op], "lift", task, "pull",
-                              (json_int_t)c->attempt);
-        if (c->op == RP_OP_STOP)
-            json_object_set_new(v, "ease_s", json_real(c->grace_s));
-        json_array_append_new(list, v);
+        snprintf(task, sizeof task, "%s/%u", command->job, command->task);
+        json_t *value = json_pack("{s:s,s:s,s:I}", "signal", op_words[command->op], "lift", task,
+                                  "pull", (json_int_t)command->attempt);
+        if (command->op == RP_OP_STOP)
+            json_object_set_new(value, "ease_s", json_real(command->grace_s));
+        json_array_append_new(list, value);
     }
     return list;
 }
@@ -338,42 +342,43 @@
 
 /* ---- cloud ---- */
 
-static int zone_index(struct rp_catalog *c, const char *zone) {
-    for (size_t i = 0; i < c->n_zones; i++)
-        if (strcmp(c->zones[i], zone) == 0)
+static int zone_index(struct rp_catalog *catalog, const char *zone) {
+    for (size_t i = 0; i < catalog->n_zones; i++)
+        if (strcmp(catalog->zones[i], zone) == 0)
             return (int)i;
-    if (c->n_zones == RP_ZONES_MAX || !copy_text(c->zones[c->n_zones], RP_TEXT_MAX, zone)) {
-        c->n_left_out++;
+    if (catalog->n_zones == RP_ZONES_MAX ||
+        !copy_text(catalog->zones[catalog->n_zones], RP_TEXT_MAX, zone)) {
+        catalog->n_left_out++;
         return -1;
     }
-    return (int)c->n_zones++;
+    return (int)catalog->n_zones++;
 }
 
-static bool read_type(json_t *in, struct rp_catalog *c, struct rp_type *out) {
+static bool read_type(json_t *object, struct rp_catalog *catalog, struct rp_type *out) {
     char why[128];
-    struct field_reader r = {.in = in, .why = why, .ok = true};
-    json_t *zones = json_object_get(in, "yards");
-    read_text(&r, "name", out->name, sizeof out->name);
-    read_amount(&r, "vcpus", &out->capacity.cpus);
-    if (json_object_get(in, "cards"))
-        read_amount(&r, "cards", &out->capacity.gpus);
-    read_amount(&r, "memory_gb", &out->capacity.memory_gb);
-    read_amount(&r, "cache_gb", &out->cache_gb);
-    read_amount(&r, "fetch_gb_per_s", &out->fetch_gb_per_s);
-    read_amount(&r, "price", &out->price);
-    read_amount(&r, "market_price", &out->spot_price);
-    read_amount(&r, "boot_s", &out->boot_s);
+    struct field_reader reader = {.in = object, .why = why, .ok = true};
+    json_t *zones = json_object_get(object, "yards");
+    read_text(&reader, "name", out->name, sizeof out->name);
+    read_amount(&reader, "vcpus", &out->capacity.cpus);
+    if (json_object_get(object, "cards"))
+        read_amount(&reader, "cards", &out->capacity.gpus);
+    read_amount(&reader, "memory_gb", &out->capacity.memory_gb);
+    read_amount(&reader, "cache_gb", &out->cache_gb);
+    read_amount(&reader, "fetch_gb_per_s", &out->fetch_gb_per_s);
+    read_amount(&reader, "price", &out->price);
+    read_amount(&reader, "market_price", &out->spot_price);
+    read_amount(&reader, "boot_s", &out->boot_s);
     for (size_t i = 0; i < json_array_size(zones); i++) {
         const char *zone = json_string_value(json_array_get(zones, i));
-        int index = zone ? zone_index(c, zone) : -1;
+        int index = zone ? zone_index(catalog, zone) : -1;
         if (index >= 0)
             out->zones |= 1u << index;
     }
-    return r.ok;
+    return reader.ok;
 }
 
-bool rp_wire_catalog_read(const json_t *v, struct rp_catalog *out) {
-    json_t *types = json_object_get(v, "frames");
+bool rp_wire_catalog_read(const json_t *value, struct rp_catalog *out) {
+    json_t *types = json_object_get(value, "frames");
     bool ok = json_is_array(types);
     memset(out, 0, sizeof *out);
     size_t n = json_array_size(types);
@@ -388,9 +393,9 @@
 }
 
 bool rp_wire_catalog(const char *body, size_t len, struct rp_catalog *out) {
-    json_t *v = rp_wire_parse(body, len);
-    bool ok = rp_wire_catalog_read(v, out);
-    json_decref(v);
+    json_t *value = rp_wire_parse(body, len);
+    bool ok = rp_wire_catalog_read(value, out);
+    json_decref(value);
     return ok;
 }
 
@@ -401,8 +406,8 @@
 }
 
 char (*rp_wire_rented(const char *body, size_t len, size_t *n))[RP_TEXT_MAX] {
-    json_t *v = rp_wire_parse(body, len);
-    json_t *names = json_object_get(v, "sheaves");
+    json_t *value = rp_wire_parse(body, len);
+    json_t *names = json_object_get(value, "sheaves");
     char(*out)[RP_TEXT_MAX] = NULL;
     *n = 0;
     if (json_is_array(names))
@@ -410,15 +415,15 @@
     for (size_t i = 0; out && i < json_array_size(names); i++)
         if (copy_text(out[*n], RP_TEXT_MAX, json_string_value(json_array_get(names, i))))
             (*n)++;
-    json_decref(v);
+    json_decref(value);
     return out;
 }
 
 bool rp_wire_no_capacity(const char *body, size_t len) {
-    json_t *v = rp_wire_parse(body, len);
-    const char *error = json_string_value(json_object_get(v, "error"));
+    json_t *value = rp_wire_parse(body, len);
+    const char *error = json_string_value(json_object_get(value, "error"));
     bool yes = error && strcmp(error, "no capacity") == 0;
-    json_decref(v);
+    json_decref(value);
     return yes;
 }
 
@@ -430,29 +435,29 @@
 }
 
 struct rp_listed *rp_wire_listed(const char *body, size_t len, size_t *n, bool *more) {
-    json_t *v = rp_wire_parse(body, len);
-    json_t *list = json_object_get(v, "sheaves");
+    json_t *value = rp_wire_parse(body, len);
+    json_t *list = json_object_get(value, "sheaves");
     struct rp_listed *out = NULL;
     *n = 0;
-    *more = json_is_true(json_object_get(v, "has_next"));
+    *more = json_is_true(json_object_get(value, "has_next"));
     if (json_is_array(list))
         out = calloc(json_array_size(list) + 1, sizeof *out);
     for (size_t i = 0; out && i < json_array_size(list); i++) {
         json_t *m = json_array_get(list, i);
-        struct rp_listed *l = &out[*n];
+        struct rp_listed *listed = &out[*n];
         int state = word_index(json_string_value(json_object_get(m, "tension")), listed_words,
                                COUNT(listed_words));
         const char *addr = json_string_value(json_object_get(m, "address"));
-        l->state = state < 0 ? RP_LISTED_RUNNING : (enum rp_listed_state)state;
-        l->spot = json_is_true(json_object_get(m, "loaners"));
-        l->age_s = json_number_value(json_object_get(m, "age_s"));
-        copy_text(l->addr, RP_TEXT_MAX, addr ? addr : "");
-        if (copy_text(l->machine, RP_TEXT_MAX, json_string_value(json_object_get(m, "ref"))) &&
-            copy_text(l->type, RP_TEXT_MAX, json_string_value(json_object_get(m, "frame"))) &&
-            copy_text(l->zone, RP_TEXT_MAX, json_string_value(json_object_get(m, "yard"))))
+        listed->state = state < 0 ? RP_LISTED_RUNNING : (enum rp_listed_state)state;
+        listed->spot = json_is_true(json_object_get(m, "loaners"));
+        listed->age_s = json_number_value(json_object_get(m, "age_s"));
+        copy_text(listed->addr, RP_TEXT_MAX, addr ? addr : "");
+        if (copy_text(listed->machine, RP_TEXT_MAX, json_string_value(json_object_get(m, "ref"))) &&
+            copy_text(listed->type, RP_TEXT_MAX, json_string_value(json_object_get(m, "frame"))) &&
+            copy_text(listed->zone, RP_TEXT_MAX, json_string_value(json_object_get(m, "yard"))))
             (*n)++;
     }
-    json_decref(v);
+    json_decref(value);
     return out;
 }
 
--- a/src/protocol/wire.h
+++ b/src/protocol/wire.h
@@ -30,7 +30,7 @@
 
 /* ---- stored and outside form of a job are the same object ---- */
 json_t *rp_wire_spec_json(const struct rp_job_spec *spec);
-bool rp_wire_spec_read(json_t *in, struct rp_job_spec *out, char why[128]);
+bool rp_wire_spec_read(json_t *object, struct rp_job_spec *out, char why[128]);
 
 /* ---- workers ---- */
 bool rp_wire_report(const char *body, size_t len, struct rp_report *out);
@@ -44,7 +44,7 @@
 /* Machine types as the cloud tells them, which is also their stored form; false when there are
  * none.
  */
-bool rp_wire_catalog_read(const json_t *v, struct rp_catalog *out);
+bool rp_wire_catalog_read(const json_t *value, struct rp_catalog *out);
 bool rp_wire_catalog(const char *body, size_t len, struct rp_catalog *out);
 char *rp_wire_rent(const char *request, const char *type, const char *zone, bool spot,
                    unsigned count);
--- a/src/scheduler/cycle.h
+++ b/src/scheduler/cycle.h
@@ -32,16 +32,16 @@
     bool active;
 };
 
-void rp_round_init(struct rp_round *r, struct rp_loop *loop, struct rp_election *election,
+void rp_round_init(struct rp_round *scheduler, struct rp_loop *loop, struct rp_election *election,
                    struct rp_cluster *cluster, struct rp_jobs *jobs, struct rp_fleet *fleet,
                    struct rp_services *services, const struct rp_settings *settings,
                    struct rp_metrics *metrics);
-void rp_round_start(struct rp_round *r);
-void rp_round_stop(struct rp_round *r);
+void rp_round_start(struct rp_round *scheduler);
+void rp_round_stop(struct rp_round *scheduler);
 /* One round now. */
-void rp_round_run(struct rp_round *r);
+void rp_round_run(struct rp_round *scheduler);
 /* Seconds until the task's estimated end. */
-double rp_allocation_left_s(const struct rp_round *r, const struct rp_machine *m,
+double rp_allocation_left_s(const struct rp_round *scheduler, const struct rp_machine *machine,
                             const struct rp_allocation *allocation, struct timespec now);
 
 #endif
--- a/src/scheduler/cycle_input.c
+++ b/src/scheduler/cycle_input.c
@@ -17,56 +17,57 @@
 #define BEGIN_AFTER_S 160 /* a job that has waited so long has its first task started */
 #define OVERDUE 2.2 /* a machine that boots this many times longer than usual isn't waited for */
 
-void rp_round_input_free(struct rp_round_input *x) {
-    free(x->kinds);
-    free(x->machines);
-    free(x->groups);
-    free(x->teams);
-    free(x->has_image);
-    free(x->images);
-    free(x->ends);
-    free(x->guarantees);
+void rp_round_input_free(struct rp_round_input *input) {
+    free(input->kinds);
+    free(input->machines);
+    free(input->groups);
+    free(input->teams);
+    free(input->has_image);
+    free(input->images);
+    free(input->ends);
+    free(input->guarantees);
 }
 
-static void build_kinds(struct rp_round *r, struct rp_round_input *x) {
-    const struct rp_catalog *c = rp_round_catalog(r);
-    x->kinds = calloc(c->n_types * c->n_zones * 2 + 1, sizeof *x->kinds);
-    for (size_t t = 0; x->kinds && t < c->n_types; t++)
-        for (size_t z = 0; z < c->n_zones; z++)
+static void build_kinds(struct rp_round *scheduler, struct rp_round_input *input) {
+    const struct rp_catalog *catalog = rp_round_catalog(scheduler);
+    input->kinds = calloc(catalog->n_types * catalog->n_zones * 2 + 1, sizeof *input->kinds);
+    for (size_t t = 0; input->kinds && t < catalog->n_types; t++)
+        for (size_t z = 0; z < catalog->n_zones; z++)
             for (int spot = 1; spot >= 0; spot--) {
-                const struct rp_type *type = &c->types[t];
+                const struct rp_type *type = &catalog->types[t];
                 if (!(type->zones >> z & 1) || (spot && type->spot_price <= 0))
                     continue;
-                x->kinds[x->in.n_kinds++] = (struct rp_plan_kind){
+                input->kinds[input->in.n_kinds++] = (struct rp_plan_kind){
                     .type = (int)t,
                     .zone = (int)z,
                     .spot = spot,
                     /* Until what is asked for is answered, nobody knows whether there is more. */
-                    .refused = rp_fleet_zone_out(r->fleet, (int)z) ||
-                               rp_fleet_refused(r->fleet, (int)t, (int)z, spot) ||
-                               rp_fleet_pending(r->fleet, (int)t, (int)z, spot) >= ASKED_MAX,
-                    .price = rp_fleet_price(c, (int)t, spot),
+                    .refused =
+                        rp_fleet_zone_out(scheduler->fleet, (int)z) ||
+                        rp_fleet_refused(scheduler->fleet, (int)t, (int)z, spot) ||
+                        rp_fleet_pending(scheduler->fleet, (int)t, (int)z, spot) >= ASKED_MAX,
+                    .price = rp_fleet_price(catalog, (int)t, spot),
                     .boot_s = type->boot_s,
                     .fetch_gb_per_s = type->fetch_gb_per_s,
                     .capacity = type->capacity};
             }
-    x->in.kinds = x->kinds;
+    input->in.kinds = input->kinds;
 }
 
-double rp_allocation_left_s(const struct rp_round *r, const struct rp_machine *m,
+double rp_allocation_left_s(const struct rp_round *scheduler, const struct rp_machine *machine,
                             const struct rp_allocation *allocation, struct timespec now) {
     const struct rp_job *job = allocation->job;
-    double run = rp_jobs_expect_s(r->jobs, job);
+    double run = rp_jobs_expect_s(scheduler->jobs, job);
     if (allocation->stop)
         return allocation->grace_s + 1;
     if (run <= 0) {
         /* No estimate: until the end of the machine's billing unit. */
-        double unit = r->settings->tuning.billing_unit_s;
-        return unit - fmod(rp_ts_since(now, m->rented), unit);
+        double unit = scheduler->settings->tuning.billing_unit_s;
+        return unit - fmod(rp_ts_since(now, machine->rented), unit);
     }
     if (allocation->running.tv_sec == 0) {
-        double rate = rp_round_catalog(r)->types[m->type].fetch_gb_per_s;
-        bool has = rp_machine_has_image(m, job->image_hash);
+        double rate = rp_round_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
+        bool has = rp_machine_has_image(machine, job->image_hash);
         double fetch = has || rate <= 0 ? 0 : job->spec.image_gb / rate;
         return run + fmax(0.5, fetch - rp_ts_since(now, allocation->since));
     }
@@ -83,16 +84,16 @@
     ends[at] = (struct rp_plan_end){.s = s, .gives = *gives};
 }
 
-static void describe_work(const struct rp_round *r, const struct rp_machine *m,
+static void describe_work(const struct rp_round *scheduler, const struct rp_machine *machine,
                           struct rp_plan_machine *out, struct rp_plan_end *ends,
                           struct timespec now) {
     double sum = 0;
     out->ends = ends;
-    for (size_t i = 0; i < m->n_allocations; i++) {
-        const struct rp_allocation *allocation = &m->allocations[i];
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state == RP_ALLOCATION_EXITED)
             continue;
-        double left = rp_allocation_left_s(r, m, allocation, now);
+        double left = rp_allocation_left_s(scheduler, machine, allocation, now);
         double age = rp_ts_since(now, allocation->since);
         bool service = allocation->job->spec.kind == RP_SERVICE;
         out->busy_s = fmax(out->busy_s, left);
@@ -112,21 +113,23 @@
         if (left <= out->wait_s)
             rp_resources_add(&out->later, &allocation->job->spec.each);
     }
-    out->mean_arrival_s = m->n_allocations ? sum / (double)m->n_allocations : 0;
+    out->mean_arrival_s = machine->n_allocations ? sum / (double)machine->n_allocations : 0;
 }
 
 /* What a machine's own kind of work leaves even when it fills the machine: beyond what a task that
  * takes it whole needs. Nothing while an image is fetched for it, which another would slow down. */
-static struct rp_resources spare_room(const struct rp_round *r, const struct rp_machine *m) {
-    const struct rp_resources *capacity = &rp_round_catalog(r)->types[m->type].capacity;
-    const struct rp_resources *own = &r->whole[m->type];
+static struct rp_resources spare_room(const struct rp_round *scheduler,
+                                      const struct rp_machine *machine) {
+    const struct rp_resources *capacity =
+        &rp_round_catalog(scheduler)->types[machine->type].capacity;
+    const struct rp_resources *own = &scheduler->whole[machine->type];
     struct rp_resources spare = {0};
-    if (capacity->gpus <= 0 || own->gpus <= 0 || !rp_machine_usable(m))
+    if (capacity->gpus <= 0 || own->gpus <= 0 || !rp_machine_usable(machine))
         return spare;
     spare = *capacity;
     rp_resources_sub(&spare, own);
-    for (size_t i = 0; i < m->n_allocations; i++) {
-        const struct rp_allocation *allocation = &m->allocations[i];
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state == RP_ALLOCATION_EXITED)
             continue;
         if (allocation->job->spec.each.gpus <= 0)
@@ -138,31 +141,32 @@
     return spare;
 }
 
-static void describe_machine(const struct rp_round *r, struct rp_machine *m,
+static void describe_machine(const struct rp_round *scheduler, struct rp_machine *machine,
                              struct rp_plan_machine *out, struct rp_plan_end *ends,
                              struct timespec now) {
-    const struct rp_type *type = &rp_round_catalog(r)->types[m->type];
-    struct rp_resources room = rp_machine_free(r->cluster, m);
-    *out = (struct rp_plan_machine){.ref = m,
-                                    .type = m->type,
-                                    .zone = m->zone,
-                                    .spot = m->spot,
-                                    .price = rp_fleet_price(rp_round_catalog(r), m->type, m->spot),
-                                    .fetch_gb_per_s = type->fetch_gb_per_s,
-                                    .capacity = type->capacity,
-                                    .later = room,
-                                    .wait_s = type->boot_s,
-                                    .age_s = rp_ts_since(now, m->rented)};
-    if (m->state == RP_MACHINE_BOOTING) {
+    const struct rp_type *type = &rp_round_catalog(scheduler)->types[machine->type];
+    struct rp_resources room = rp_machine_free(scheduler->cluster, machine);
+    *out = (struct rp_plan_machine){
+        .ref = machine,
+        .type = machine->type,
+        .zone = machine->zone,
+        .spot = machine->spot,
+        .price = rp_fleet_price(rp_round_catalog(scheduler), machine->type, machine->spot),
+        .fetch_gb_per_s = type->fetch_gb_per_s,
+        .capacity = type->capacity,
+        .later = room,
+        .wait_s = type->boot_s,
+        .age_s = rp_ts_since(now, machine->rented)};
+    if (machine->state == RP_MACHINE_BOOTING) {
         out->wait_s = fmax(type->boot_s - out->age_s, 2);
         return;
     }
-    if (rp_machine_usable(m))
+    if (rp_machine_usable(machine))
         out->room = room;
-    out->spare = spare_room(r, m);
-    describe_work(r, m, out, ends, now);
+    out->spare = spare_room(scheduler, machine);
+    describe_work(scheduler, machine, out, ends, now);
     /* Room being made for a job isn't given to others while the rest of it is still in use. */
-    const struct rp_job *job = rp_room_reserved_for(r, m);
+    const struct rp_job *job = rp_room_reserved_for(scheduler, machine);
     if (job && rp_room_whole(job)) {
         out->kept = job;
     } else if (job) {
@@ -171,22 +175,24 @@
     }
 }
 
-static bool plannable(const struct rp_round *r, const struct rp_machine *m, struct timespec now) {
-    if (m->type < 0 || m->zone < 0)
+static bool plannable(const struct rp_round *scheduler, const struct rp_machine *machine,
+                      struct timespec now) {
+    if (machine->type < 0 || machine->zone < 0)
         return false;
-    if (m->state == RP_MACHINE_BOOTING)
-        return rp_ts_since(now, m->rented) < rp_round_catalog(r)->types[m->type].boot_s * OVERDUE;
-    return m->state == RP_MACHINE_UP && !m->faulty && !m->suspect && !m->noticed && !m->draining &&
-           !rp_machine_misses_answers(m);
+    if (machine->state == RP_MACHINE_BOOTING)
+        return rp_ts_since(now, machine->rented) <
+               rp_round_catalog(scheduler)->types[machine->type].boot_s * OVERDUE;
+    return machine->state == RP_MACHINE_UP && !machine->faulty && !machine->suspect &&
+           !machine->noticed && !machine->draining && !rp_machine_misses_answers(machine);
 }
 
 /* What the GPU work known now takes of a machine that it fills: a task that takes all GPUs what it
  * says, smaller ones, of which several sizes come together, their mean. */
-static void note_whole(struct rp_round *r, size_t type) {
-    const struct rp_resources *all = &rp_round_catalog(r)->types[type].capacity;
+static void note_whole(struct rp_round *scheduler, size_t type) {
+    const struct rp_resources *all = &rp_round_catalog(scheduler)->types[type].capacity;
     struct rp_resources largest = {0}, sum = {0};
     double n_sum = 0;
-    for (const struct rp_job *job = r->jobs->first; job; job = job->next) {
+    for (const struct rp_job *job = scheduler->jobs->first; job; job = job->next) {
         const struct rp_resources *each = &job->spec.each;
         if (each->gpus <= 0 || !rp_resources_fit(each, all))
             continue;
@@ -201,49 +207,53 @@
         }
         largest.gpus = all->gpus;
     }
-    r->whole[type] = largest;
+    scheduler->whole[type] = largest;
     if (n_sum > 0) {
-        r->whole[type].cpus = fmax(largest.cpus, sum.cpus / n_sum);
-        r->whole[type].memory_gb = fmax(largest.memory_gb, sum.memory_gb / n_sum);
+        scheduler->whole[type].cpus = fmax(largest.cpus, sum.cpus / n_sum);
+        scheduler->whole[type].memory_gb = fmax(largest.memory_gb, sum.memory_gb / n_sum);
     }
 }
 
-static void build_machines(struct rp_round *r, struct rp_round_input *x, struct timespec now) {
-    const struct rp_catalog *c = rp_round_catalog(r);
+static void build_machines(struct rp_round *scheduler, struct rp_round_input *input,
+                           struct timespec now) {
+    const struct rp_catalog *catalog = rp_round_catalog(scheduler);
     size_t pending = 0;
-    for (size_t t = 0; t < c->n_types; t++)
-        note_whole(r, t);
-    for (size_t i = 0; i < x->in.n_kinds; i++)
-        pending += rp_fleet_pending(r->fleet, x->kinds[i].type, x->kinds[i].zone, x->kinds[i].spot);
-    x->machines = calloc(r->cluster->n_machines + pending + 1, sizeof *x->machines);
+    for (size_t t = 0; t < catalog->n_types; t++)
+        note_whole(scheduler, t);
+    for (size_t i = 0; i < input->in.n_kinds; i++)
+        pending += rp_fleet_pending(scheduler->fleet, input->kinds[i].type, input->kinds[i].zone,
+                                    input->kinds[i].spot);
+    input->machines = calloc(scheduler->cluster->n_machines + pending + 1, sizeof *input->machines);
     size_t allocations = 1;
-    for (const struct rp_machine *m = r->cluster->first; m; m = m->next)
-        allocations += m->n_allocations;
-    x->ends = calloc(allocations, sizeof *x->ends);
-    if (!x->machines || !x->ends)
+    for (const struct rp_machine *machine = scheduler->cluster->first; machine;
+         machine = machine->next)
+        allocations += machine->n_allocations;
+    input->ends = calloc(allocations, sizeof *input->ends);
+    if (!input->machines || !input->ends)
         return;
-    rp_room_mark_held(r);
-    for (struct rp_machine *m = r->cluster->first; m; m = m->next)
-        if (plannable(r, m, now)) {
-            describe_machine(r, m, &x->machines[x->in.n_machines++], &x->ends[x->n_ends], now);
-            x->n_ends += m->n_allocations;
+    rp_room_mark_held(scheduler);
+    for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next)
+        if (plannable(scheduler, machine, now)) {
+            describe_machine(scheduler, machine, &input->machines[input->in.n_machines++],
+                             &input->ends[input->n_ends], now);
+            input->n_ends += machine->n_allocations;
         }
     /* What has been asked for and not answered yet holds its tasks, too. */
-    for (size_t i = 0; i < x->in.n_kinds; i++) {
-        const struct rp_plan_kind *k = &x->kinds[i];
-        unsigned n = rp_fleet_pending(r->fleet, k->type, k->zone, k->spot);
+    for (size_t i = 0; i < input->in.n_kinds; i++) {
+        const struct rp_plan_kind *kind = &input->kinds[i];
+        unsigned n = rp_fleet_pending(scheduler->fleet, kind->type, kind->zone, kind->spot);
         for (; n > 0; n--)
-            x->machines[x->in.n_machines++] =
-                (struct rp_plan_machine){.type = k->type,
-                                         .zone = k->zone,
-                                         .spot = k->spot,
-                                         .price = k->price,
-                                         .fetch_gb_per_s = k->fetch_gb_per_s,
-                                         .capacity = k->capacity,
-                                         .later = k->capacity,
-                                         .wait_s = c->types[k->type].boot_s};
+            input->machines[input->in.n_machines++] =
+                (struct rp_plan_machine){.type = kind->type,
+                                         .zone = kind->zone,
+                                         .spot = kind->spot,
+                                         .price = kind->price,
+                                         .fetch_gb_per_s = kind->fetch_gb_per_s,
+                                         .capacity = kind->capacity,
+                                         .later = kind->capacity,
+                                         .wait_s = catalog->types[kind->type].boot_s};
     }
-    x->in.machines = x->machines;
+    input->in.machines = input->machines;
 }
 
 static uint32_t startable(const struct rp_job *job) {
@@ -256,37 +266,38 @@
     return rp_task_errors_job_suspect(job) && left > most ? most : left;
 }
 
-static void allowed_types(const struct rp_round *r, const struct rp_job_spec *spec,
-                          struct rp_plan_group *g) {
-    const struct rp_catalog *c = rp_round_catalog(r);
+static void allowed_types(const struct rp_round *scheduler, const struct rp_job_spec *spec,
+                          struct rp_plan_group *group) {
+    const struct rp_catalog *catalog = rp_round_catalog(scheduler);
     uint32_t types = 0, plain = 0;
-    for (size_t t = 0; t < c->n_types; t++)
-        for (size_t z = 0; z < c->n_zones; z++)
-            if ((c->types[t].zones >> z & 1) &&
-                rp_cluster_allows(r->cluster, spec, (int)t, (int)z, false)) {
+    for (size_t t = 0; t < catalog->n_types; t++)
+        for (size_t z = 0; z < catalog->n_zones; z++)
+            if ((catalog->types[t].zones >> z & 1) &&
+                rp_cluster_allows(scheduler->cluster, spec, (int)t, (int)z, false)) {
                 types |= 1u << t;
-                if (c->types[t].capacity.gpus <= 0)
+                if (catalog->types[t].capacity.gpus <= 0)
                     plain |= 1u << t;
             }
     /* Work without GPUs stays off the machines that have them: it would sit where whole-machine
      * work has to go, at many times the price. It only takes what that leaves. */
     bool keep_off = spec->each.gpus <= 0 && plain;
-    g->types = keep_off ? plain : types;
-    g->spare_types = keep_off && spec->kind == RP_ARRAY ? types & ~plain : 0;
+    group->types = keep_off ? plain : types;
+    group->spare_types = keep_off && spec->kind == RP_ARRAY ? types & ~plain : 0;
 }
 
 /* Time to spare until the first of the class's aims that the job can still meet. */
-static double slack(const struct rp_round *r, const struct rp_job *job, struct rp_plan_group *g) {
-    const struct rp_settings *s = r->settings;
+static double slack(const struct rp_round *scheduler, const struct rp_job *job,
+                    struct rp_plan_group *group) {
+    const struct rp_settings *settings = scheduler->settings;
     double best = RP_NO_AIM_S, latest = 0;
-    for (size_t i = 0; i < s->n_objectives; i++) {
-        const struct rp_objective *aim = &s->objectives[i];
+    for (size_t i = 0; i < settings->n_objectives; i++) {
+        const struct rp_objective *aim = &settings->objectives[i];
         if (strcmp(aim->class_name, job->spec.class_name) != 0)
             continue;
         double due = aim->kind == RP_AIM_DEADLINE ? job->spec.deadline_s * aim->times
-                     : aim->kind == RP_AIM_WAIT   ? aim->within_s + g->run_s
+                     : aim->kind == RP_AIM_WAIT   ? aim->within_s + group->run_s
                                                   : aim->within_s;
-        double left = due - g->age_s - g->run_s;
+        double left = due - group->age_s - group->run_s;
         if (due <= 0)
             continue;
         latest = fmax(latest, due);
@@ -297,10 +308,10 @@
         return best;
     if (latest <= 0)
         return RP_NO_AIM_S;
-    g->late = true;
+    group->late = true;
     /* A job that can be in time for nothing any more stands behind those that can, but with less
      * and less patience: it is not to wait for as long as others keep coming. */
-    return fmax(0, LATE_SLACK_S - (g->age_s + g->run_s - latest));
+    return fmax(0, LATE_SLACK_S - (group->age_s + group->run_s - latest));
 }
 
 /* Unfinished jobs by class. Classes are told apart by their hashes: a wrong guess shifts an order.
@@ -319,27 +330,27 @@
     return &counts[i];
 }
 
-static void count_classes(const struct rp_round *r, struct rp_round_input *x) {
+static void count_classes(const struct rp_round *scheduler, struct rp_round_input *input) {
     struct class_count counts[RP_CLASSES_MAX] = {0};
-    for (const struct rp_job *job = r->jobs->first; job; job = job->next)
+    for (const struct rp_job *job = scheduler->jobs->first; job; job = job->next)
         if (job->state == RP_JOB_OPEN)
             class_of(counts, job)->jobs++;
-    for (size_t g = 0; g < x->in.n_groups; g++)
-        x->groups[g].class_jobs = class_of(counts, x->groups[g].ref)->jobs;
+    for (size_t g = 0; g < input->in.n_groups; g++)
+        input->groups[g].class_jobs = class_of(counts, input->groups[g].ref)->jobs;
 }
 
-static void build_group(const struct rp_round *r, struct rp_job *job, uint32_t n,
-                        struct rp_plan_group *g, struct timespec now) {
+static void build_group(const struct rp_round *scheduler, struct rp_job *job, uint32_t n,
+                        struct rp_plan_group *group, struct timespec now) {
     const struct rp_job_spec *spec = &job->spec;
-    const struct rp_catalog *c = rp_round_catalog(r);
-    double run = rp_jobs_expect_s(r->jobs, job);
-    *g = (struct rp_plan_group){
+    const struct rp_catalog *catalog = rp_round_catalog(scheduler);
+    double run = rp_jobs_expect_s(scheduler->jobs, job);
+    *group = (struct rp_plan_group){
         .ref = job,
         .kind = spec->kind,
         .priority = spec->priority,
         .n = n,
         .each = spec->each,
-        .run_s = spec->kind == RP_SERVICE ? r->settings->tuning.billing_unit_s : run,
+        .run_s = spec->kind == RP_SERVICE ? scheduler->settings->tuning.billing_unit_s : run,
         .image_gb = spec->image_gb,
         .age_s = rp_job_age_s(job, now),
         .slack_s = RP_NO_AIM_S,
@@ -349,17 +360,17 @@
         .spread = spec->spread && spec->n_tasks > 1,
         .fixed_zone = -1,
         .spread_max = (spec->n_tasks + 1) / 2};
-    allowed_types(r, spec, g);
+    allowed_types(scheduler, spec, group);
     /* A service's aims are those of a start, which priority alone decides. */
     if (spec->kind != RP_SERVICE)
-        g->slack_s = slack(r, job, g);
-    g->held = job->held_round == r->n_rounds;
-    for (size_t z = 0; z < c->n_zones; z++) {
-        if (!*spec->zone || strcmp(spec->zone, c->zones[z]) == 0)
-            g->zones |= 1u << z;
-        g->zone_used[z] = job->zone_count[z];
+        group->slack_s = slack(scheduler, job, group);
+    group->held = job->held_round == scheduler->n_rounds;
+    for (size_t z = 0; z < catalog->n_zones; z++) {
+        if (!*spec->zone || strcmp(spec->zone, catalog->zones[z]) == 0)
+            group->zones |= 1u << z;
+        group->zone_used[z] = job->zone_count[z];
         if (job->zone_count[z])
-            g->fixed_zone = (int)z;
+            group->fixed_zone = (int)z;
     }
 }
 
@@ -369,52 +380,52 @@
 }
 
 /* The image's index among those that the groups need, or n_images. */
-static size_t image_index(const struct rp_round_input *x, uint64_t hash) {
-    const uint64_t *found = bsearch(&hash, x->images, x->n_images, sizeof hash, by_hash);
-    return found ? (size_t)(found - x->images) : x->n_images;
+static size_t image_index(const struct rp_round_input *input, uint64_t hash) {
+    const uint64_t *found = bsearch(&hash, input->images, input->n_images, sizeof hash, by_hash);
+    return found ? (size_t)(found - input->images) : input->n_images;
 }
 
-static bool list_images(struct rp_round_input *x) {
-    x->images = calloc(x->in.n_groups + 1, sizeof *x->images);
-    if (!x->images)
+static bool list_images(struct rp_round_input *input) {
+    input->images = calloc(input->in.n_groups + 1, sizeof *input->images);
+    if (!input->images)
         return false;
-    for (size_t g = 0; g < x->in.n_groups; g++)
-        x->images[g] = ((const struct rp_job *)x->groups[g].ref)->image_hash;
-    qsort(x->images, x->in.n_groups, sizeof *x->images, by_hash);
-    for (size_t g = 0; g < x->in.n_groups; g++)
-        if (g == 0 || x->images[g] != x->images[x->n_images - 1])
-            x->images[x->n_images++] = x->images[g];
+    for (size_t g = 0; g < input->in.n_groups; g++)
+        input->images[g] = ((const struct rp_job *)input->groups[g].ref)->image_hash;
+    qsort(input->images, input->in.n_groups, sizeof *input->images, by_hash);
+    for (size_t g = 0; g < input->in.n_groups; g++)
+        if (g == 0 || input->images[g] != input->images[input->n_images - 1])
+            input->images[input->n_images++] = input->images[g];
     return true;
 }
 
 /* Hundreds of jobs share a few images: which machines hold one is found once for all of them. Names
  * are told apart by their hashes, as what a wrong guess costs is a fetch. */
-static void build_images(struct rp_round_input *x) {
-    size_t n = x->in.n_machines;
-    if (!list_images(x))
+static void build_images(struct rp_round_input *input) {
+    size_t n = input->in.n_machines;
+    if (!list_images(input))
         return;
-    x->has_image = calloc(x->n_images * n + 1, sizeof(bool));
-    if (!x->has_image)
+    input->has_image = calloc(input->n_images * n + 1, sizeof(bool));
+    if (!input->has_image)
         return;
     for (size_t m = 0; m < n; m++) {
-        const struct rp_machine *machine = x->machines[m].ref;
+        const struct rp_machine *machine = input->machines[m].ref;
         for (size_t i = 0; machine && i < machine->n_images; i++) {
-            size_t at = image_index(x, machine->images[i].hash);
-            if (at < x->n_images)
-                x->has_image[at * n + m] = true;
+            size_t at = image_index(input, machine->images[i].hash);
+            if (at < input->n_images)
+                input->has_image[at * n + m] = true;
         }
     }
-    for (size_t g = 0; g < x->in.n_groups; g++) {
-        const struct rp_job *job = x->groups[g].ref;
-        x->groups[g].has_image = &x->has_image[image_index(x, job->image_hash) * n];
+    for (size_t g = 0; g < input->in.n_groups; g++) {
+        const struct rp_job *job = input->groups[g].ref;
+        input->groups[g].has_image = &input->has_image[image_index(input, job->image_hash) * n];
     }
 }
 
 /* Of the job's `n` tasks those that fit what is left of its team's guarantee, which they take. */
-static uint32_t take_guarantee(struct rp_round_input *x, const struct rp_job *job, uint32_t n) {
+static uint32_t take_guarantee(struct rp_round_input *input, const struct rp_job *job, uint32_t n) {
     if (job->team < 0)
         return 0;
-    struct rp_resources *left = &x->guarantees[job->team];
+    struct rp_resources *left = &input->guarantees[job->team];
     const struct rp_resources *each = &job->spec.each;
     if (left->cpus <= 0 && left->gpus <= 0)
         return 0;
@@ -429,16 +440,16 @@
     return job->spec.kind == RP_GANG ? tasks * n : tasks;
 }
 
-static void add_group(const struct rp_round *r, struct rp_round_input *x, struct rp_job *job,
-                      size_t most, struct timespec now) {
+static void add_group(const struct rp_round *scheduler, struct rp_round_input *input,
+                      struct rp_job *job, size_t most, struct timespec now) {
     uint32_t n = startable(job);
     bool begun = job->n_done > 0 || job->n_counted > 0;
     if (n == 0 || job->state != RP_JOB_OPEN || !rp_ts_reached(now, job->held_until))
         return;
-    uint32_t guaranteed = take_guarantee(x, job, n);
-    if (guaranteed > 0 && x->in.n_groups < most) {
-        build_group(r, job, guaranteed, &x->groups[x->in.n_groups], now);
-        x->groups[x->in.n_groups++].guaranteed = true;
+    uint32_t guaranteed = take_guarantee(input, job, n);
+    if (guaranteed > 0 && input->in.n_groups < most) {
+        build_group(scheduler, job, guaranteed, &input->groups[input->in.n_groups], now);
+        input->groups[input->in.n_groups++].guaranteed = true;
         begun = true;
         n -= guaranteed;
     }
@@ -446,69 +457,77 @@
         return;
     /* Large jobs that are given up so that more small ones are in time begin all the same: the
      * users want the first task of every job within four minutes. */
-    if (r->short_of_room[job->spec.each.gpus > 0] && !begun && n > 1 &&
-        job->spec.kind == RP_ARRAY && x->in.n_groups + 1 < most &&
+    if (scheduler->short_of_room[job->spec.each.gpus > 0] && !begun && n > 1 &&
+        job->spec.kind == RP_ARRAY && input->in.n_groups + 1 < most &&
         rp_job_age_s(job, now) > BEGIN_AFTER_S) {
-        build_group(r, job, 1, &x->groups[x->in.n_groups], now);
-        x->groups[x->in.n_groups++].begin = true;
+        build_group(scheduler, job, 1, &input->groups[input->in.n_groups], now);
+        input->groups[input->in.n_groups++].begin = true;
         n--;
     }
-    if (x->in.n_groups < most)
-        build_group(r, job, n, &x->groups[x->in.n_groups++], now);
+    if (input->in.n_groups < most)
+        build_group(scheduler, job, n, &input->groups[input->in.n_groups++], now);
 }
 
 /* What the teams' work takes of their guarantees now is gone; 0 in the settings means none. */
-static bool fill_guarantees(const struct rp_round *r, struct rp_round_input *x) {
-    x->guarantees = calloc(r->settings->n_teams + 1, sizeof *x->guarantees);
-    for (size_t i = 0; x->guarantees && i < r->settings->n_teams; i++) {
-        const struct rp_team *team = &r->settings->teams[i];
-        x->guarantees[i].cpus = fmax(0, team->cpus - r->cluster->team_cpus[i]);
-        x->guarantees[i].gpus = fmax(0, team->gpus - r->cluster->team_gpus[i]);
+static bool fill_guarantees(const struct rp_round *scheduler, struct rp_round_input *input) {
+    input->guarantees = calloc(scheduler->settings->n_teams + 1, sizeof *input->guarantees);
+    for (size_t i = 0; input->guarantees && i < scheduler->settings->n_teams; i++) {
+        const struct rp_team *team = &scheduler->settings->teams[i];
+        input->guarantees[i].cpus = fmax(0, team->cpus - scheduler->cluster->team_cpus[i]);
+        input->guarantees[i].gpus = fmax(0, team->gpus - scheduler->cluster->team_gpus[i]);
     }
-    return x->guarantees;
+    return input->guarantees;
 }
 
-static void build_groups(struct rp_round *r, struct rp_round_input *x, struct timespec now) {
-    size_t most = r->jobs->n_jobs * 3 < BATCH_MAX ? r->jobs->n_jobs * 3 + 1 : BATCH_MAX;
-    x->groups = calloc(most, sizeof *x->groups);
-    if (!x->groups || !fill_guarantees(r, x))
+static void build_groups(struct rp_round *scheduler, struct rp_round_input *input,
+                         struct timespec now) {
+    size_t most =
+        scheduler->jobs->n_jobs * 3 < BATCH_MAX ? scheduler->jobs->n_jobs * 3 + 1 : BATCH_MAX;
+    input->groups = calloc(most, sizeof *input->groups);
+    if (!input->groups || !fill_guarantees(scheduler, input))
         return;
-    if (r->jobs->n_jobs * 3 >= BATCH_MAX && r->n_over_bounds++ == 0)
+    if (scheduler->jobs->n_jobs * 3 >= BATCH_MAX && scheduler->n_over_bounds++ == 0)
         rp_error(
             "more than %d groups of tasks wait: the lowest and youngest are left out of rounds",
             BATCH_MAX);
     /* Higher priorities first, so that a full batch never leaves them out. */
     for (int priority = RP_PRODUCTION; priority >= RP_LOW; priority--)
-        for (struct rp_job *job = r->jobs->first; job && x->in.n_groups < most; job = job->next)
+        for (struct rp_job *job = scheduler->jobs->first; job && input->in.n_groups < most;
+             job = job->next)
             if ((int)job->spec.priority == priority)
-                add_group(r, x, job, most, now);
-    x->in.groups = x->groups;
-    count_classes(r, x);
-    build_images(x);
+                add_group(scheduler, input, job, most, now);
+    input->in.groups = input->groups;
+    count_classes(scheduler, input);
+    build_images(input);
 }
 
-static void build_teams(struct rp_round *r, struct rp_round_input *x) {
-    const struct rp_settings *s = r->settings;
-    x->teams = calloc(s->n_teams + 1, sizeof *x->teams);
-    for (size_t i = 0; x->teams && i < s->n_teams; i++) {
-        x->teams[i].cpus_left =
-            s->teams[i].cpus_max > 0 ? s->teams[i].cpus_max - r->cluster->team_cpus[i] : NO_LIMIT;
-        x->teams[i].gpus_left =
-            s->teams[i].gpus_max > 0 ? s->teams[i].gpus_max - r->cluster->team_gpus[i] : NO_LIMIT;
+static void build_teams(struct rp_round *scheduler, struct rp_round_input *input) {
+    const struct rp_settings *settings = scheduler->settings;
+    input->teams = calloc(settings->n_teams + 1, sizeof *input->teams);
+    for (size_t i = 0; input->teams && i < settings->n_teams; i++) {
+        input->teams[i].cpus_left =
+            settings->teams[i].cpus_max > 0
+                ? settings->teams[i].cpus_max - scheduler->cluster->team_cpus[i]
+                : NO_LIMIT;
+        input->teams[i].gpus_left =
+            settings->teams[i].gpus_max > 0
+                ? settings->teams[i].gpus_max - scheduler->cluster->team_gpus[i]
+                : NO_LIMIT;
     }
-    x->in.teams = x->teams;
-    x->in.n_teams = s->n_teams;
+    input->in.teams = input->teams;
+    input->in.n_teams = settings->n_teams;
 }
 
-bool rp_round_input_build(struct rp_round *r, struct rp_round_input *x, struct timespec now) {
-    memset(x, 0, sizeof *x);
-    x->in.unit_s = r->settings->tuning.billing_unit_s;
-    x->in.seed = r->n_rounds;
-    x->in.new_max = NEW_MAX;
-    build_kinds(r, x);
-    build_machines(r, x, now);
-    build_groups(r, x, now);
-    build_teams(r, x);
-    return x->kinds && x->machines && x->ends && x->groups && x->teams && x->has_image &&
-           x->guarantees;
+bool rp_round_input_build(struct rp_round *scheduler, struct rp_round_input *input,
+                          struct timespec now) {
+    memset(input, 0, sizeof *input);
+    input->in.unit_s = scheduler->settings->tuning.billing_unit_s;
+    input->in.seed = scheduler->n_rounds;
+    input->in.new_max = NEW_MAX;
+    build_kinds(scheduler, input);
+    build_machines(scheduler, input, now);
+    build_groups(scheduler, input, now);
+    build_teams(scheduler, input);
+    return input->kinds && input->machines && input->ends && input->groups && input->teams &&
+           input->has_image && input->guarantees;
 }
--- a/src/scheduler/cycle_input.h
+++ b/src/scheduler/cycle_input.h
@@ -19,11 +19,12 @@
 };
 
 /* False when memory is short; to be freed in either case. */
-bool rp_round_input_build(struct rp_round *r, struct rp_round_input *x, struct timespec now);
-void rp_round_input_free(struct rp_round_input *x);
+bool rp_round_input_build(struct rp_round *scheduler, struct rp_round_input *input,
+                          struct timespec now);
+void rp_round_input_free(struct rp_round_input *input);
 
-static inline const struct rp_catalog *rp_round_catalog(const struct rp_round *r) {
-    return r->fleet->catalog;
+static inline const struct rp_catalog *rp_round_catalog(const struct rp_round *scheduler) {
+    return scheduler->fleet->catalog;
 }
 
 #endif
--- a/src/scheduler/planner.c
+++ b/src/scheduler/planner.c
@@ -155,12 +155,12 @@
     return share;
 }
 
-static double group_key(const struct rp_plan_group *g, enum rp_job_order order, size_t position,
+static double group_key(const struct rp_plan_group *group, enum rp_job_order order, size_t position,
                         const struct rp_resources *fleet, double weight) {
-    double size = g->each.cpus + 8 * g->each.gpus + g->each.memory_gb / 8;
+    double size = group->each.cpus + 8 * group->each.gpus + group->each.memory_gb / 8;
     switch (order) {
     case RP_FCFS:
-        return -g->age_s;
+        return -group->age_s;
     case RP_RR:
         return (double)position; /* the input alternates between teams */
     case RP_LJF:
@@ -168,31 +168,31 @@
     case RP_SJF:
         return size;
     case RP_LTJF:
-        return -g->run_s;
+        return -group->run_s;
     case RP_STJF:
-        return g->run_s;
+        return group->run_s;
     case RP_EDF:
-        return g->slack_s;
+        return group->slack_s;
     case RP_SRW:
-        return size * g->n * g->run_s;
+        return size * group->n * group->run_s;
     case RP_ESW:
-        return g->slack_s - ESW_LONG * g->run_s +
-               weight * g->n * g->run_s * fleet_share(&g->each, fleet);
+        return group->slack_s - ESW_LONG * group->run_s +
+               weight * group->n * group->run_s * fleet_share(&group->each, fleet);
     }
     return 0;
 }
 
 /* The part of the machine that is free, by its main resource. */
-static double room_share(const struct rp_plan_machine *m) {
-    if (m->capacity.gpus > 0)
-        return m->room.gpus / m->capacity.gpus;
-    return m->capacity.cpus > 0 ? m->room.cpus / m->capacity.cpus : 0;
+static double room_share(const struct rp_plan_machine *machine) {
+    if (machine->capacity.gpus > 0)
+        return machine->room.gpus / machine->capacity.gpus;
+    return machine->capacity.cpus > 0 ? machine->room.cpus / machine->capacity.cpus : 0;
 }
 
-static double machine_key(const struct rp_plan_machine *m, enum rp_machine_order order,
+static double machine_key(const struct rp_plan_machine *machine, enum rp_machine_order order,
                           double unit_s, gsl_rng *rng) {
-    double size = m->capacity.cpus + 8 * m->capacity.gpus;
-    double into_unit = fmod(m->age_s, unit_s);
+    double size = machine->capacity.cpus + 8 * machine->capacity.gpus;
+    double into_unit = fmod(machine->age_s, unit_s);
     switch (order) {
     case RP_RND:
         return gsl_rng_uniform(rng);
@@ -201,25 +201,25 @@
     case RP_SM:
         return size;
     case RP_LA:
-        return m->last_arrival_s;
+        return machine->last_arrival_s;
     case RP_EA:
-        return -m->first_arrival_s;
+        return -machine->first_arrival_s;
     case RP_LD:
-        return -m->busy_s;
+        return -machine->busy_s;
     case RP_ED:
-        return m->busy_s;
+        return machine->busy_s;
     case RP_LAA:
-        return m->mean_arrival_s;
+        return machine->mean_arrival_s;
     case RP_EAA:
-        return -m->mean_arrival_s;
+        return -machine->mean_arrival_s;
     case RP_CFH:
         return -into_unit;
     case RP_FFH:
         return into_unit;
     case RP_BF:
-        return room_share(m);
+        return room_share(machine);
     case RP_CP:
-        return m->price / fmax(1, size);
+        return machine->price / fmax(1, size);
     }
     return 0;
 }
@@ -239,39 +239,40 @@
         order[i] = sorted[i].item;
 }
 
-static bool allowed(const struct rp_plan_group *g, int type, int zone, bool spot);
+static bool allowed(const struct rp_plan_group *group, int type, int zone, bool spot);
 
 /* What a fetch would delay the group by: nothing if a machine with room holds its image. */
-static double fetch_ahead_s(const struct run *r, size_t group) {
-    const struct rp_plan_group *g = &r->in->groups[group];
-    const struct listing *l = &r->listings[r->group_listing[group]];
+static double fetch_ahead_s(const struct run *run, size_t group) {
+    const struct rp_plan_group *g = &run->in->groups[group];
+    const struct listing *listing = &run->listings[run->group_listing[group]];
     double fetch = 0;
-    for (size_t i = 0; i < l->n[ROOM_NOW]; i++) {
-        size_t at = l->at[ROOM_NOW][i];
-        const struct rp_plan_machine *m = &r->in->machines[at];
-        if (!allowed(g, m->type, m->zone, m->spot) || m->fetch_gb_per_s <= 0 ||
-            (m->kept && m->kept != g->ref) || !fits(&g->each, &m->room, 1))
+    for (size_t i = 0; i < listing->n[ROOM_NOW]; i++) {
+        size_t at = listing->at[ROOM_NOW][i];
+        const struct rp_plan_machine *machine = &run->in->machines[at];
+        if (!allowed(g, machine->type, machine->zone, machine->spot) ||
+            machine->fetch_gb_per_s <= 0 || (machine->kept && machine->kept != g->ref) ||
+            !fits(&g->each, &machine->room, 1))
             continue;
         if (g->has_image && g->has_image[at])
             return 0;
-        fetch = fmax(fetch, g->image_gb / m->fetch_gb_per_s);
+        fetch = fmax(fetch, g->image_gb / machine->fetch_gb_per_s);
     }
     return fetch;
 }
 
 /* ---- who can be in time, when not all can ---- */
 
-static bool on_gpus(const struct rp_plan_group *g) {
-    return g->each.gpus > 0;
+static bool on_gpus(const struct rp_plan_group *group) {
+    return group->each.gpus > 0;
 }
 
 /* What the machines can do in a second, and what is under way on them; returns how many they are.
  */
-static double pool_load(const struct run *r, bool gpus, double *capacity, double *work) {
+static double pool_load(const struct run *run, bool gpus, double *capacity, double *work) {
     double machines = 0;
     *capacity = *work = 0;
-    for (size_t i = 0; i < r->n_pools; i++) {
-        const struct pool *pool = &r->pools[i];
+    for (size_t i = 0; i < run->n_pools; i++) {
+        const struct pool *pool = &run->pools[i];
         double each = gpus ? pool->capacity->gpus : pool->capacity->cpus;
         if (!gpus && pool->capacity->gpus > 0)
             continue;
@@ -282,8 +283,8 @@
     return machines;
 }
 
-static double group_work(const struct rp_plan_group *g) {
-    return g->n * g->run_s * (on_gpus(g) ? g->each.gpus : g->each.cpus);
+static double group_work(const struct rp_plan_group *group) {
+    return group->n * group->run_s * (on_gpus(group) ? group->each.gpus : group->each.cpus);
 }
 
 static int by_key(const void *a, const void *b) {
@@ -294,25 +295,26 @@
 /* Aims count shares of a class: one job of few is a larger share of its class than one of many.
  * Returns how much the job's work counts against it, from 0 for the only unfinished job of a class
  * to 1 for the most numerous class and those with RARE_JOBS and more. */
-static double class_factor(const struct run *r, const struct rp_plan_group *g) {
-    if (g->class_jobs >= r->class_jobs_most[g->priority][on_gpus(g)] || g->class_jobs == 0)
+static double class_factor(const struct run *run, const struct rp_plan_group *group) {
+    if (group->class_jobs >= run->class_jobs_most[group->priority][on_gpus(group)] ||
+        group->class_jobs == 0)
         return 1;
-    return fmin(1, (g->class_jobs - 1) / RARE_JOBS);
+    return fmin(1, (group->class_jobs - 1) / RARE_JOBS);
 }
 
 /* Of the first `n` groups in the order, the one that takes most work for its share of its class and
  * isn't given up. Gangs never are: what a whole gang gains isn't told by its work, and they are
  * few. */
-static const struct rp_plan_group *largest_kept(const struct run *r, size_t n) {
+static const struct rp_plan_group *largest_kept(const struct run *run, size_t n) {
     const struct rp_plan_group *largest = NULL;
     double largest_work = 0;
     for (size_t k = 0; k < n; k++) {
-        const struct rp_plan_group *g = &r->in->groups[r->sorted[k].item];
-        double work = group_work(g) * class_factor(r, g);
-        if (g->kind != RP_ARRAY || r->given_up[r->sorted[k].item] ||
+        const struct rp_plan_group *group = &run->in->groups[run->sorted[k].item];
+        double work = group_work(group) * class_factor(run, group);
+        if (group->kind != RP_ARRAY || run->given_up[run->sorted[k].item] ||
             (largest && work <= largest_work))
             continue;
-        largest = g;
+        largest = group;
         largest_work = work;
     }
     return largest;
@@ -321,209 +323,212 @@
 /* Moore's rule: in the order of due times, whenever the work taken so far can't be done by then,
  * its largest job is given up. So the most jobs are in time; without it, under a load that lasts,
  * those about to be late take the room of those that still can be in time, and all are late. */
-static void give_up(struct run *r, enum rp_priority priority, bool gpus, double capacity,
+static void give_up(struct run *run, enum rp_priority priority, bool gpus, double capacity,
                     double *work) {
     size_t n = 0;
-    for (size_t i = 0; i < r->in->n_groups; i++) {
-        const struct rp_plan_group *g = &r->in->groups[i];
-        if (g->priority == priority && on_gpus(g) == gpus && g->slack_s < RP_NO_AIM_S)
-            r->sorted[n++] = (struct sorted){.item = i, .key = g->slack_s, .rank = 0};
+    for (size_t i = 0; i < run->in->n_groups; i++) {
+        const struct rp_plan_group *group = &run->in->groups[i];
+        if (group->priority == priority && on_gpus(group) == gpus && group->slack_s < RP_NO_AIM_S)
+            run->sorted[n++] = (struct sorted){.item = i, .key = group->slack_s, .rank = 0};
     }
-    qsort(r->sorted, n, sizeof *r->sorted, by_key);
+    qsort(run->sorted, n, sizeof *run->sorted, by_key);
     for (size_t i = 0; i < n; i++) {
-        const struct rp_plan_group *g = &r->in->groups[r->sorted[i].item];
-        if (g->late)
+        const struct rp_plan_group *group = &run->in->groups[run->sorted[i].item];
+        if (group->late)
             continue;
-        *work += group_work(g);
-        if (*work <= capacity * g->slack_s)
+        *work += group_work(group);
+        if (*work <= capacity * group->slack_s)
             continue;
-        const struct rp_plan_group *largest = largest_kept(r, i + 1);
+        const struct rp_plan_group *largest = largest_kept(run, i + 1);
         if (!largest)
             continue;
-        r->given_up[largest - r->in->groups] = true;
-        r->plan->short_of_room[gpus] = true;
+        run->given_up[largest - run->in->groups] = true;
+        run->plan->short_of_room[gpus] = true;
         *work -= group_work(largest);
     }
-    for (size_t i = 0; i < n && r->plan->short_of_room[gpus]; i++)
-        if (r->in->groups[r->sorted[i].item].late)
-            r->given_up[r->sorted[i].item] = r->in->groups[r->sorted[i].item].kind == RP_ARRAY;
+    for (size_t i = 0; i < n && run->plan->short_of_room[gpus]; i++)
+        if (run->in->groups[run->sorted[i].item].late)
+            run->given_up[run->sorted[i].item] =
+                run->in->groups[run->sorted[i].item].kind == RP_ARRAY;
 }
 
-static void give_up_all(struct run *r) {
+static void give_up_all(struct run *run) {
     for (int gpus = 0; gpus < 2; gpus++) {
         double capacity, work;
-        double machines = pool_load(r, gpus, &capacity, &work);
+        double machines = pool_load(run, gpus, &capacity, &work);
         if (machines > 0)
             capacity *= GIVE_UP_AT + GIVE_UP_FEW / machines;
         for (int p = RP_PRODUCTION; p >= RP_LOW && capacity > 0; p--)
-            give_up(r, (enum rp_priority)p, gpus, capacity, &work);
+            give_up(run, (enum rp_priority)p, gpus, capacity, &work);
     }
 }
 
-static int group_rank(const struct run *r, size_t group) {
-    const struct rp_plan_group *g = &r->in->groups[group];
+static int group_rank(const struct run *run, size_t group) {
+    const struct rp_plan_group *g = &run->in->groups[group];
     if (g->guaranteed)
         return -3 * (RP_PRODUCTION + 1);
     /* Priority comes before every order: work never waits for work of a lower priority. */
-    return -3 * (int)g->priority + (g->begin && r->plan->short_of_room[on_gpus(g)] ? 0
-                                    : r->given_up[group]                           ? 2
-                                                                                   : 1);
+    return -3 * (int)g->priority + (g->begin && run->plan->short_of_room[on_gpus(g)] ? 0
+                                    : run->given_up[group]                           ? 2
+                                                                                     : 1);
 }
 
-static void count_classes(struct run *r) {
-    for (size_t i = 0; i < r->in->n_groups; i++) {
-        const struct rp_plan_group *g = &r->in->groups[i];
-        uint32_t *most = &r->class_jobs_most[g->priority][on_gpus(g)];
-        if (g->kind == RP_ARRAY && g->slack_s < RP_NO_AIM_S && g->class_jobs > *most)
-            *most = g->class_jobs;
+static void count_classes(struct run *run) {
+    for (size_t i = 0; i < run->in->n_groups; i++) {
+        const struct rp_plan_group *group = &run->in->groups[i];
+        uint32_t *most = &run->class_jobs_most[group->priority][on_gpus(group)];
+        if (group->kind == RP_ARRAY && group->slack_s < RP_NO_AIM_S && group->class_jobs > *most)
+            *most = group->class_jobs;
     }
 }
 
 /* The only job of a class isn't kept behind all smaller ones: on the contrary, its work has to be
  * begun earlier by the time that it takes, beside other work. */
-static double small_first_weight(const struct run *r, const struct rp_plan_group *g,
+static double small_first_weight(const struct run *run, const struct rp_plan_group *group,
                                  double weight) {
-    double factor = class_factor(r, g);
+    double factor = class_factor(run, group);
     return weight * factor - ESW_RARE * (1 - factor);
 }
 
-static void sort_groups(struct run *r, enum rp_job_order order) {
-    size_t n = r->in->n_groups;
+static void sort_groups(struct run *run, enum rp_job_order order) {
+    size_t n = run->in->n_groups;
     struct rp_resources fleet = {0};
-    for (size_t i = 0; i < r->in->n_machines; i++)
-        take(&fleet, &r->in->machines[i].capacity, -1);
+    for (size_t i = 0; i < run->in->n_machines; i++)
+        take(&fleet, &run->in->machines[i].capacity, -1);
     double short_weight =
-        ESW_WEIGHT * ESW_SHORT * fmax(1, (double)r->in->n_machines / ESW_SHORT_FLEET);
-    count_classes(r);
+        ESW_WEIGHT * ESW_SHORT * fmax(1, (double)run->in->n_machines / ESW_SHORT_FLEET);
+    count_classes(run);
     if (order == RP_ESW)
-        give_up_all(r);
+        give_up_all(run);
     for (size_t i = 0; i < n; i++) {
-        const struct rp_plan_group *g = &r->in->groups[i];
+        const struct rp_plan_group *group = &run->in->groups[i];
         /* Gangs are never given up: behind all smaller arrays they would wait too long. */
-        bool small_first = g->kind == RP_ARRAY && r->plan->short_of_room[on_gpus(g)];
-        double weight = small_first ? small_first_weight(r, g, short_weight) : ESW_WEIGHT;
-        double key = group_key(g, order, i, &fleet, weight);
+        bool small_first = group->kind == RP_ARRAY && run->plan->short_of_room[on_gpus(group)];
+        double weight = small_first ? small_first_weight(run, group, short_weight) : ESW_WEIGHT;
+        double key = group_key(group, order, i, &fleet, weight);
         if (order == RP_ESW)
-            key += ESW_FETCH * fetch_ahead_s(r, i) - (g->spot ? 0 : ESW_FEW);
-        r->sorted[i] = (struct sorted){.item = i, .rank = group_rank(r, i), .key = key};
+            key += ESW_FETCH * fetch_ahead_s(run, i) - (group->spot ? 0 : ESW_FEW);
+        run->sorted[i] = (struct sorted){.item = i, .rank = group_rank(run, i), .key = key};
     }
-    sort_into(r->group_order, r->sorted, n);
+    sort_into(run->group_order, run->sorted, n);
 }
 
 /* A machine that holds not even the least demanding task is looked at by no group. */
-static bool of_use(const struct run *r, const struct listing *l, enum room_kind kind, size_t at) {
-    const struct slot *slot = &r->slots[at];
+static bool of_use(const struct run *run, const struct listing *listing, enum room_kind kind,
+                   size_t at) {
+    const struct slot *slot = &run->slots[at];
     const struct rp_resources *room = kind == ROOM_NOW     ? &slot->room
                                       : kind == ROOM_LATER ? &slot->later
                                                            : &slot->spare;
-    return (l->types >> r->in->machines[at].type & 1) && fits(&l->least, room, 1) > 0;
+    return (listing->types >> run->in->machines[at].type & 1) && fits(&listing->least, room, 1) > 0;
 }
 
-static void thin_out(struct run *r, struct listing *l) {
-    if (!l->filled)
+static void thin_out(struct run *run, struct listing *listing) {
+    if (!listing->filled)
         return;
     for (int kind = 0; kind < ROOM_KINDS; kind++) {
         size_t kept = 0;
-        for (size_t i = 0; i < l->n[kind]; i++)
-            if (of_use(r, l, (enum room_kind)kind, l->at[kind][i]))
-                l->at[kind][kept++] = l->at[kind][i];
-        l->n[kind] = kept;
+        for (size_t i = 0; i < listing->n[kind]; i++)
+            if (of_use(run, listing, (enum room_kind)kind, listing->at[kind][i]))
+                listing->at[kind][kept++] = listing->at[kind][i];
+        listing->n[kind] = kept;
     }
-    l->filled = false;
+    listing->filled = false;
 }
 
-static void note_least(struct listing *l, const struct rp_resources *each) {
-    l->least.cpus = fmin(l->least.cpus, each->cpus);
-    l->least.gpus = fmin(l->least.gpus, each->gpus);
-    l->least.memory_gb = fmin(l->least.memory_gb, each->memory_gb);
+static void note_least(struct listing *listing, const struct rp_resources *each) {
+    listing->least.cpus = fmin(listing->least.cpus, each->cpus);
+    listing->least.gpus = fmin(listing->least.gpus, each->gpus);
+    listing->least.memory_gb = fmin(listing->least.memory_gb, each->memory_gb);
 }
 
-static size_t listing_for(struct run *r, uint32_t types, const struct rp_resources *each) {
+static size_t listing_for(struct run *run, uint32_t types, const struct rp_resources *each) {
     size_t at = 0;
-    while (at < r->n_listings && r->listings[at].types != types)
+    while (at < run->n_listings && run->listings[at].types != types)
         at++;
     if (at >= LISTINGS_MAX) {
         at = LISTINGS_MAX - 1;
-        r->listings[at].types |= types;
-    } else if (at == r->n_listings) {
-        r->listings[r->n_listings++] = (struct listing){
+        run->listings[at].types |= types;
+    } else if (at == run->n_listings) {
+        run->listings[run->n_listings++] = (struct listing){
             .types = types, .filled = true, .least = {INFINITY, INFINITY, INFINITY}};
     }
-    note_least(&r->listings[at], each);
+    note_least(&run->listings[at], each);
     return at;
 }
 
 /* Which machines each group is to look at, by the types that it may use. */
-static void find_listings(struct run *r) {
-    for (size_t i = 0; i < r->in->n_groups; i++) {
-        const struct rp_plan_group *g = &r->in->groups[i];
-        r->group_listing[i] = listing_for(r, g->types, &g->each);
-        r->spare_listing[i] =
-            g->spare_types ? listing_for(r, g->spare_types, &g->each) : r->group_listing[i];
+static void find_listings(struct run *run) {
+    for (size_t i = 0; i < run->in->n_groups; i++) {
+        const struct rp_plan_group *group = &run->in->groups[i];
+        run->group_listing[i] = listing_for(run, group->types, &group->each);
+        run->spare_listing[i] = group->spare_types
+                                    ? listing_for(run, group->spare_types, &group->each)
+                                    : run->group_listing[i];
     }
 }
 
 /* Fills the lists in the heuristic's order; spare room is looked at in the machines' own order.
  * Returns false when memory is short. */
-static bool fill_listings(struct run *r) {
-    size_t n = r->in->n_machines;
-    for (size_t k = 0; k < r->n_listings; k++) {
-        struct listing *l = &r->listings[k];
+static bool fill_listings(struct run *run) {
+    size_t n = run->in->n_machines;
+    for (size_t k = 0; k < run->n_listings; k++) {
+        struct listing *listing = &run->listings[k];
         for (int kind = 0; kind < ROOM_KINDS; kind++) {
-            l->at[kind] = malloc((n + 1) * sizeof(size_t));
-            if (!l->at[kind])
+            listing->at[kind] = malloc((n + 1) * sizeof(size_t));
+            if (!listing->at[kind])
                 return false;
             for (size_t i = 0; i < n; i++) {
-                size_t at = kind == ROOM_SPARE ? i : r->machine_order[i];
-                if (of_use(r, l, (enum room_kind)kind, at))
-                    l->at[kind][l->n[kind]++] = at;
+                size_t at = kind == ROOM_SPARE ? i : run->machine_order[i];
+                if (of_use(run, listing, (enum room_kind)kind, at))
+                    listing->at[kind][listing->n[kind]++] = at;
             }
         }
-        l->filled = false;
+        listing->filled = false;
     }
     return true;
 }
 
-static void note_filled(struct run *r, size_t machine) {
-    int type = r->in->machines[machine].type;
-    for (size_t k = 0; k < r->n_listings; k++)
-        r->listings[k].filled |= r->listings[k].types >> type & 1;
+static void note_filled(struct run *run, size_t machine) {
+    int type = run->in->machines[machine].type;
+    for (size_t k = 0; k < run->n_listings; k++)
+        run->listings[k].filled |= run->listings[k].types >> type & 1;
 }
 
-static void sort_machines(struct run *r, enum rp_machine_order order) {
-    size_t n = r->in->n_machines;
+static void sort_machines(struct run *run, enum rp_machine_order order) {
+    size_t n = run->in->n_machines;
     gsl_rng *rng = order == RP_RND ? gsl_rng_alloc(gsl_rng_taus2) : NULL;
     if (rng)
-        gsl_rng_set(rng, r->in->seed);
+        gsl_rng_set(rng, run->in->seed);
     for (size_t i = 0; i < n; i++) {
         bool no_luck = order == RP_RND && !rng;
-        double key = no_luck ? 0 : machine_key(&r->in->machines[i], order, r->in->unit_s, rng);
-        r->sorted[i] = (struct sorted){.item = i, .key = key};
+        double key = no_luck ? 0 : machine_key(&run->in->machines[i], order, run->in->unit_s, rng);
+        run->sorted[i] = (struct sorted){.item = i, .key = key};
     }
-    sort_into(r->machine_order, r->sorted, n);
+    sort_into(run->machine_order, run->sorted, n);
     if (rng)
         gsl_rng_free(rng);
 }
 
 /* ---- placing ---- */
 
-static bool allowed(const struct rp_plan_group *g, int type, int zone, bool spot) {
-    return (g->types >> type & 1) && (g->zones >> zone & 1) && (!spot || g->spot);
+static bool allowed(const struct rp_plan_group *group, int type, int zone, bool spot) {
+    return (group->types >> type & 1) && (group->zones >> zone & 1) && (!spot || group->spot);
 }
 
-static bool add_put(struct run *r, size_t group, size_t machine, uint32_t count, bool now) {
-    struct rp_plan *p = r->plan;
-    if (p->n_puts == p->cap_puts) {
-        size_t cap = p->cap_puts ? p->cap_puts * 2 : 64;
-        struct rp_plan_put *puts = realloc(p->puts, cap * sizeof *puts);
+static bool add_put(struct run *run, size_t group, size_t machine, uint32_t count, bool now) {
+    struct rp_plan *plan = run->plan;
+    if (plan->n_puts == plan->cap_puts) {
+        size_t cap = plan->cap_puts ? plan->cap_puts * 2 : 64;
+        struct rp_plan_put *puts = realloc(plan->puts, cap * sizeof *puts);
         if (!puts) {
-            p->failed = true;
+            plan->failed = true;
             return false;
         }
-        p->puts = puts;
-        p->cap_puts = cap;
+        plan->puts = puts;
+        plan->cap_puts = cap;
     }
-    p->puts[p->n_puts++] =
+    plan->puts[plan->n_puts++] =
         (struct rp_plan_put){.group = group, .machine = machine, .count = count, .now = now};
     return true;
 }
@@ -538,160 +543,168 @@
     size_t first_put;
 };
 
-static uint32_t zone_room(const struct placing *pl, int zone) {
-    if (pl->g->one_zone && pl->zone >= 0 && pl->zone != zone)
+static uint32_t zone_room(const struct placing *placement, int zone) {
+    if (placement->g->one_zone && placement->zone >= 0 && placement->zone != zone)
         return 0;
-    if (!pl->g->spread)
-        return pl->left;
-    uint32_t used = pl->zone_used[zone];
-    uint32_t room = pl->g->spread_max > used ? pl->g->spread_max - used : 0;
-    return room < pl->left ? room : pl->left;
+    if (!placement->g->spread)
+        return placement->left;
+    uint32_t used = placement->zone_used[zone];
+    uint32_t room = placement->g->spread_max > used ? placement->g->spread_max - used : 0;
+    return room < placement->left ? room : placement->left;
 }
 
-static int slot_zone(const struct run *r, size_t slot) {
-    return slot < r->in->n_machines ? r->in->machines[slot].zone
-                                    : r->in->kinds[r->plan->fresh[slot - r->in->n_machines]].zone;
+static int slot_zone(const struct run *run, size_t slot) {
+    return slot < run->in->n_machines
+               ? run->in->machines[slot].zone
+               : run->in->kinds[run->plan->fresh[slot - run->in->n_machines]].zone;
 }
 
-static int slot_type(const struct run *r, size_t slot) {
-    return slot < r->in->n_machines ? r->in->machines[slot].type
-                                    : r->in->kinds[r->plan->fresh[slot - r->in->n_machines]].type;
+static int slot_type(const struct run *run, size_t slot) {
+    return slot < run->in->n_machines
+               ? run->in->machines[slot].type
+               : run->in->kinds[run->plan->fresh[slot - run->in->n_machines]].type;
 }
 
-static const struct rp_resources *slot_capacity(const struct run *r, size_t slot) {
-    return slot < r->in->n_machines
-               ? &r->in->machines[slot].capacity
-               : &r->in->kinds[r->plan->fresh[slot - r->in->n_machines]].capacity;
+static const struct rp_resources *slot_capacity(const struct run *run, size_t slot) {
+    return slot < run->in->n_machines
+               ? &run->in->machines[slot].capacity
+               : &run->in->kinds[run->plan->fresh[slot - run->in->n_machines]].capacity;
 }
 
-static void put(struct run *r, struct placing *pl, size_t at, uint32_t count, bool now,
+static void put(struct run *run, struct placing *placement, size_t at, uint32_t count, bool now,
                 double end_s) {
-    struct slot *slot = &r->slots[at];
-    int zone = slot_zone(r, at);
-    if (!add_put(r, pl->index, at, count, now))
+    struct slot *slot = &run->slots[at];
+    int zone = slot_zone(run, at);
+    if (!add_put(run, placement->index, at, count, now))
         return;
-    take(&slot->later, &pl->g->each, count);
+    take(&slot->later, &placement->g->each, count);
     if (now)
-        take(&slot->room, &pl->g->each, count);
+        take(&slot->room, &placement->g->each, count);
     if (now)
-        take(&slot->spare, &pl->g->each, count);
+        take(&slot->spare, &placement->g->each, count);
     slot->end_s = fmax(slot->end_s, end_s);
     slot->used = true;
-    if (at < r->in->n_machines)
-        note_filled(r, at);
-    int type = slot_type(r, at);
-    r->queued_s[type] += count * pl->g->run_s * rp_plan_part(&pl->g->each, slot_capacity(r, at));
-    pl->left -= count;
-    pl->zone_used[zone] += count;
-    if (pl->g->one_zone)
-        pl->zone = zone;
+    if (at < run->in->n_machines)
+        note_filled(run, at);
+    int type = slot_type(run, at);
+    run->queued_s[type] +=
+        count * placement->g->run_s * rp_plan_part(&placement->g->each, slot_capacity(run, at));
+    placement->left -= count;
+    placement->zone_used[zone] += count;
+    if (placement->g->one_zone)
+        placement->zone = zone;
 }
 
-static double fetch_s(const struct rp_plan_group *g, double rate, bool has) {
-    return has || rate <= 0 ? 0 : g->image_gb / rate;
+static double fetch_s(const struct rp_plan_group *group, double rate, bool has) {
+    return has || rate <= 0 ? 0 : group->image_gb / rate;
 }
 
 /* Puts what fits on a machine now; `later`: into the room it will have. */
-static void try_machine(struct run *r, struct placing *pl, size_t at, bool later) {
-    const struct rp_plan_machine *m = &r->in->machines[at];
-    const struct rp_plan_group *g = pl->g;
-    if (!allowed(g, m->type, m->zone, m->spot) || (m->kept && m->kept != g->ref))
+static void try_machine(struct run *run, struct placing *placement, size_t at, bool later) {
+    const struct rp_plan_machine *machine = &run->in->machines[at];
+    const struct rp_plan_group *group = placement->g;
+    if (!allowed(group, machine->type, machine->zone, machine->spot) ||
+        (machine->kept && machine->kept != group->ref))
         return;
-    uint32_t most = zone_room(pl, m->zone);
-    most = fits(&g->each, &r->slots[at].later, most);
+    uint32_t most = zone_room(placement, machine->zone);
+    most = fits(&group->each, &run->slots[at].later, most);
     if (!later)
-        most = fits(&g->each, &r->slots[at].room, most);
+        most = fits(&group->each, &run->slots[at].room, most);
     if (most == 0)
         return;
-    double end = (later ? m->wait_s : 0) + g->run_s +
-                 fetch_s(g, m->fetch_gb_per_s, g->has_image && g->has_image[at]);
-    put(r, pl, at, most, !later, end);
+    double end = (later ? machine->wait_s : 0) + group->run_s +
+                 fetch_s(group, machine->fetch_gb_per_s, group->has_image && group->has_image[at]);
+    put(run, placement, at, most, !later, end);
 }
 
-double rp_plan_fits_after(const struct rp_plan_machine *m, const struct rp_resources *each) {
-    struct rp_resources room = m->room;
+double rp_plan_fits_after(const struct rp_plan_machine *machine, const struct rp_resources *each) {
+    struct rp_resources room = machine->room;
     if (fits(each, &room, 1))
         return 0;
-    for (size_t i = 0; i < m->n_ends; i++) {
-        take(&room, &m->ends[i].gives, -1);
+    for (size_t i = 0; i < machine->n_ends; i++) {
+        take(&room, &machine->ends[i].gives, -1);
         if (fits(each, &room, 1))
-            return m->ends[i].s;
+            return machine->ends[i].s;
     }
     return INFINITY;
 }
 
 /* Machines that have the image and will have room before a fetch elsewhere could be over: waiting
  * for them costs no time, and the fetch's time isn't paid for. */
-static void try_image_holders(struct run *r, struct placing *pl) {
-    const struct rp_plan_group *g = pl->g;
+static void try_image_holders(struct run *run, struct placing *placement) {
+    const struct rp_plan_group *group = placement->g;
     /* Urgent work has room made for it rather than wait (measured: it lost by waiting). */
-    if (g->priority >= RP_HIGH)
+    if (group->priority >= RP_HIGH)
         return;
-    const struct listing *l = &r->listings[r->group_listing[pl->index]];
-    for (size_t i = 0; i < l->n[ROOM_LATER] && pl->left > 0; i++) {
-        size_t at = l->at[ROOM_LATER][i];
-        r->plan->n_looks++;
-        const struct rp_plan_machine *m = &r->in->machines[at];
+    const struct listing *listing = &run->listings[run->group_listing[placement->index]];
+    for (size_t i = 0; i < listing->n[ROOM_LATER] && placement->left > 0; i++) {
+        size_t at = listing->at[ROOM_LATER][i];
+        run->plan->n_looks++;
+        const struct rp_plan_machine *machine = &run->in->machines[at];
         /* The cheap look first: under overload nearly no machine has any room left. */
-        if (g->has_image && g->has_image[at] && fits(&g->each, &r->slots[at].later, 1) &&
-            rp_plan_fits_after(m, &g->each) < HOLDER_SHARE * fetch_s(g, m->fetch_gb_per_s, false))
-            try_machine(r, pl, at, true);
+        if (group->has_image && group->has_image[at] &&
+            fits(&group->each, &run->slots[at].later, 1) &&
+            rp_plan_fits_after(machine, &group->each) <
+                HOLDER_SHARE * fetch_s(group, machine->fetch_gb_per_s, false))
+            try_machine(run, placement, at, true);
     }
 }
 
 /* Machines that have the image come first: a fetch costs a good part of a short task's time. */
-static void try_machines(struct run *r, struct placing *pl, bool later) {
-    const struct listing *l = &r->listings[r->group_listing[pl->index]];
+static void try_machines(struct run *run, struct placing *placement, bool later) {
+    const struct listing *listing = &run->listings[run->group_listing[placement->index]];
     enum room_kind kind = later ? ROOM_LATER : ROOM_NOW;
     for (int with_image = 1; with_image >= 0; with_image--) {
         if (!later && !with_image)
-            try_image_holders(r, pl);
-        for (size_t i = 0; i < l->n[kind] && pl->left > 0; i++) {
-            size_t at = l->at[kind][i];
-            r->plan->n_looks++;
-            bool has = pl->g->has_image && pl->g->has_image[at];
+            try_image_holders(run, placement);
+        for (size_t i = 0; i < listing->n[kind] && placement->left > 0; i++) {
+            size_t at = listing->at[kind][i];
+            run->plan->n_looks++;
+            bool has = placement->g->has_image && placement->g->has_image[at];
             if (has == (with_image == 1))
-                try_machine(r, pl, at, later);
+                try_machine(run, placement, at, later);
         }
     }
 }
 
-static void try_fresh(struct run *r, struct placing *pl) {
-    for (size_t i = 0; i < r->plan->n_fresh && pl->left > 0; i++) {
-        const struct rp_plan_kind *k = &r->in->kinds[r->plan->fresh[i]];
-        size_t at = r->in->n_machines + i;
-        if (!allowed(pl->g, k->type, k->zone, k->spot))
+static void try_fresh(struct run *run, struct placing *placement) {
+    for (size_t i = 0; i < run->plan->n_fresh && placement->left > 0; i++) {
+        const struct rp_plan_kind *kind = &run->in->kinds[run->plan->fresh[i]];
+        size_t at = run->in->n_machines + i;
+        if (!allowed(placement->g, kind->type, kind->zone, kind->spot))
             continue;
-        uint32_t most = fits(&pl->g->each, &r->slots[at].later, zone_room(pl, k->zone));
+        uint32_t most =
+            fits(&placement->g->each, &run->slots[at].later, zone_room(placement, kind->zone));
         if (most)
-            put(r, pl, at, most, false,
-                k->boot_s + pl->g->run_s + fetch_s(pl->g, k->fetch_gb_per_s, false));
+            put(run, placement, at, most, false,
+                kind->boot_s + placement->g->run_s +
+                    fetch_s(placement->g, kind->fetch_gb_per_s, false));
     }
 }
 
 /* Capacity per price on the main resource: the one of which a task takes the largest part. */
-static double value_of(const struct rp_plan_group *g, const struct rp_plan_kind *k) {
-    const struct rp_resources *c = &k->capacity;
-    double cpu = c->cpus > 0 ? g->each.cpus / c->cpus : 0;
-    double gpu = c->gpus > 0 ? g->each.gpus / c->gpus : 0;
-    double mem = c->memory_gb > 0 ? g->each.memory_gb / c->memory_gb : 0;
+static double value_of(const struct rp_plan_group *group, const struct rp_plan_kind *kind) {
+    const struct rp_resources *c = &kind->capacity;
+    double cpu = c->cpus > 0 ? group->each.cpus / c->cpus : 0;
+    double gpu = c->gpus > 0 ? group->each.gpus / c->gpus : 0;
+    double mem = c->memory_gb > 0 ? group->each.memory_gb / c->memory_gb : 0;
     double capacity = gpu >= cpu && gpu >= mem ? c->gpus : cpu >= mem ? c->cpus : c->memory_gb;
     /* In tasks, so that types whose main resource differs can be compared. */
-    double need = gpu >= cpu && gpu >= mem ? g->each.gpus
-                  : cpu >= mem             ? g->each.cpus
-                                           : g->each.memory_gb;
-    return need > 0 && k->price > 0 ? capacity / need / k->price : capacity;
+    double need = gpu >= cpu && gpu >= mem ? group->each.gpus
+                  : cpu >= mem             ? group->each.cpus
+                                           : group->each.memory_gb;
+    return need > 0 && kind->price > 0 ? capacity / need / kind->price : capacity;
 }
 
-static int best_kind(const struct run *r, const struct placing *pl) {
+static int best_kind(const struct run *run, const struct placing *placement) {
     int best = -1;
     double best_value = -1;
-    for (size_t i = 0; i < r->in->n_kinds; i++) {
-        const struct rp_plan_kind *k = &r->in->kinds[i];
-        if (k->refused || !allowed(pl->g, k->type, k->zone, k->spot) ||
-            zone_room(pl, k->zone) == 0 || !fits(&pl->g->each, &k->capacity, 1))
+    for (size_t i = 0; i < run->in->n_kinds; i++) {
+        const struct rp_plan_kind *kind = &run->in->kinds[i];
+        if (kind->refused || !allowed(placement->g, kind->type, kind->zone, kind->spot) ||
+            zone_room(placement, kind->zone) == 0 || !fits(&placement->g->each, &kind->capacity, 1))
             continue;
-        double value = value_of(pl->g, k);
+        double value = value_of(placement->g, kind);
         if (value > best_value + EPS) {
             best_value = value;
             best = (int)i;
@@ -700,94 +713,94 @@
     return best;
 }
 
-static bool rent(struct run *r, size_t kind) {
-    struct rp_plan *p = r->plan;
-    if (p->n_fresh == r->in->new_max)
+static bool rent(struct run *run, size_t kind) {
+    struct rp_plan *plan = run->plan;
+    if (plan->n_fresh == run->in->new_max)
         return false;
-    if (p->n_fresh == p->cap_fresh) {
-        size_t cap = p->cap_fresh ? p->cap_fresh * 2 : 16;
-        size_t *fresh = realloc(p->fresh, cap * sizeof *fresh);
+    if (plan->n_fresh == plan->cap_fresh) {
+        size_t cap = plan->cap_fresh ? plan->cap_fresh * 2 : 16;
+        size_t *fresh = realloc(plan->fresh, cap * sizeof *fresh);
         if (!fresh) {
-            p->failed = true;
+            plan->failed = true;
             return false;
         }
-        p->fresh = fresh;
-        p->cap_fresh = cap;
+        plan->fresh = fresh;
+        plan->cap_fresh = cap;
     }
-    struct slot *slot = &r->slots[r->in->n_machines + p->n_fresh];
-    *slot = (struct slot){.later = r->in->kinds[kind].capacity};
-    p->fresh[p->n_fresh++] = kind;
+    struct slot *slot = &run->slots[run->in->n_machines + plan->n_fresh];
+    *slot = (struct slot){.later = run->in->kinds[kind].capacity};
+    plan->fresh[plan->n_fresh++] = kind;
     return true;
 }
 
-static uint32_t quota(const struct run *r, const struct rp_plan_group *g) {
-    uint32_t most = g->n;
-    if (g->team < 0)
+static uint32_t quota(const struct run *run, const struct rp_plan_group *group) {
+    uint32_t most = group->n;
+    if (group->team < 0)
         return most;
-    most = fit_one(r->cpus_left[g->team], g->each.cpus, most);
-    return fit_one(r->gpus_left[g->team], g->each.gpus, most);
+    most = fit_one(run->cpus_left[group->team], group->each.cpus, most);
+    return fit_one(run->gpus_left[group->team], group->each.gpus, most);
 }
 
 /* Takes back everything put for the group, and the machines rented for it. */
-static void roll_back(struct run *r, struct placing *pl, size_t fresh_before) {
-    struct rp_plan *p = r->plan;
-    while (p->n_puts > pl->first_put) {
-        const struct rp_plan_put *u = &p->puts[--p->n_puts];
-        struct slot *slot = &r->slots[u->machine];
-        take(&slot->later, &pl->g->each, -(double)u->count);
-        if (u->now)
-            take(&slot->room, &pl->g->each, -(double)u->count);
-        if (u->now)
-            take(&slot->spare, &pl->g->each, -(double)u->count);
-    }
-    p->n_fresh = fresh_before;
-    pl->left = pl->g->kind == RP_GANG ? pl->g->n : pl->left;
-    pl->zone = pl->g->fixed_zone;
-    memcpy(pl->zone_used, pl->g->zone_used, sizeof pl->zone_used);
-}
-
-static void begin(struct run *r, struct placing *pl, size_t index) {
-    pl->g = &r->in->groups[index];
-    pl->index = index;
-    pl->zone = pl->g->fixed_zone;
-    pl->first_put = r->plan->n_puts;
-    memcpy(pl->zone_used, pl->g->zone_used, sizeof pl->zone_used);
+static void roll_back(struct run *run, struct placing *placement, size_t fresh_before) {
+    struct rp_plan *plan = run->plan;
+    while (plan->n_puts > placement->first_put) {
+        const struct rp_plan_put *put = &plan->puts[--plan->n_puts];
+        struct slot *slot = &run->slots[put->machine];
+        take(&slot->later, &placement->g->each, -(double)put->count);
+        if (put->now)
+            take(&slot->room, &placement->g->each, -(double)put->count);
+        if (put->now)
+            take(&slot->spare, &placement->g->each, -(double)put->count);
+    }
+    plan->n_fresh = fresh_before;
+    placement->left = placement->g->kind == RP_GANG ? placement->g->n : placement->left;
+    placement->zone = placement->g->fixed_zone;
+    memcpy(placement->zone_used, placement->g->zone_used, sizeof placement->zone_used);
+}
+
+static void begin(struct run *run, struct placing *placement, size_t index) {
+    placement->g = &run->in->groups[index];
+    placement->index = index;
+    placement->zone = placement->g->fixed_zone;
+    placement->first_put = run->plan->n_puts;
+    memcpy(placement->zone_used, placement->g->zone_used, sizeof placement->zone_used);
 }
 
 /* Whether the machines at hand get to the rest of the group while its job has time to spare: then
  * it waits for them, and nothing is rented. */
-static bool can_wait(struct run *r, struct placing *pl) {
-    const struct rp_plan_group *g = pl->g;
+static bool can_wait(struct run *run, struct placing *placement) {
+    const struct rp_plan_group *group = placement->g;
     double machines = 0, work = 0, part = 0;
     uint32_t types = 0;
-    if (g->slack_s >= RP_NO_AIM_S || WAIT_SHARE <= 0)
+    if (group->slack_s >= RP_NO_AIM_S || WAIT_SHARE <= 0)
         return false;
-    for (size_t i = 0; i < r->n_pools; i++) {
-        const struct pool *pool = &r->pools[i];
-        if (!allowed(g, pool->type, pool->zone, pool->spot))
+    for (size_t i = 0; i < run->n_pools; i++) {
+        const struct pool *pool = &run->pools[i];
+        if (!allowed(group, pool->type, pool->zone, pool->spot))
             continue;
         machines += pool->machines;
         work += pool->work_s;
-        part = rp_plan_part(&g->each, pool->capacity);
+        part = rp_plan_part(&group->each, pool->capacity);
         types |= 1u << pool->type;
     }
-    for (size_t i = 0; i < r->plan->n_fresh; i++) {
-        const struct rp_plan_kind *k = &r->in->kinds[r->plan->fresh[i]];
-        if (!allowed(g, k->type, k->zone, k->spot))
+    for (size_t i = 0; i < run->plan->n_fresh; i++) {
+        const struct rp_plan_kind *kind = &run->in->kinds[run->plan->fresh[i]];
+        if (!allowed(group, kind->type, kind->zone, kind->spot))
             continue;
         machines++;
-        part = rp_plan_part(&g->each, &k->capacity);
-        types |= 1u << k->type;
+        part = rp_plan_part(&group->each, &kind->capacity);
+        types |= 1u << kind->type;
     }
     for (int t = 0; t < RP_TYPES_MAX; t++)
         if (types >> t & 1)
-            work += r->queued_s[t];
-    double own = pl->left * part * g->run_s;
-    if (machines == 0 || (work + own) / machines > WAIT_SHARE * g->slack_s)
+            work += run->queued_s[t];
+    double own = placement->left * part * group->run_s;
+    if (machines == 0 || (work + own) / machines > WAIT_SHARE * group->slack_s)
         return false;
     for (int t = 0; t < RP_TYPES_MAX; t++)
         if (types >> t & 1) {
-            r->queued_s[t] += own;
+            run->queued_s[t] += own;
             break;
         }
     return true;
@@ -797,102 +810,105 @@
  * the GPUs may take that, where it is over before the machine's own work. (Measured by all work on
  * the machine, such work drew more of its like after it, and kept a third of the GPU machines for
  * minutes after the last GPU task had ended.) */
-static void try_spare(struct run *r, struct placing *pl) {
-    const struct rp_plan_group *g = pl->g;
-    const struct listing *l = &r->listings[r->spare_listing[pl->index]];
-    if (!g->spare_types)
+static void try_spare(struct run *run, struct placing *placement) {
+    const struct rp_plan_group *group = placement->g;
+    const struct listing *listing = &run->listings[run->spare_listing[placement->index]];
+    if (!group->spare_types)
         return;
     for (int with_image = 1; with_image >= 0; with_image--)
-        for (size_t i = 0; i < l->n[ROOM_SPARE] && pl->left > 0; i++) {
-            size_t at = l->at[ROOM_SPARE][i];
-            r->plan->n_looks++;
-            const struct rp_plan_machine *m = &r->in->machines[at];
-            bool has = g->has_image && g->has_image[at];
-            if (has != (with_image == 1) || !(g->spare_types >> m->type & 1) ||
-                !(g->zones >> m->zone & 1) || (m->spot && !g->spot) || m->kept ||
-                m->own_busy_s < SPARE_SHARE * (g->run_s + fetch_s(g, m->fetch_gb_per_s, has)))
+        for (size_t i = 0; i < listing->n[ROOM_SPARE] && placement->left > 0; i++) {
+            size_t at = listing->at[ROOM_SPARE][i];
+            run->plan->n_looks++;
+            const struct rp_plan_machine *machine = &run->in->machines[at];
+            bool has = group->has_image && group->has_image[at];
+            if (has != (with_image == 1) || !(group->spare_types >> machine->type & 1) ||
+                !(group->zones >> machine->zone & 1) || (machine->spot && !group->spot) ||
+                machine->kept ||
+                machine->own_busy_s <
+                    SPARE_SHARE * (group->run_s + fetch_s(group, machine->fetch_gb_per_s, has)))
                 continue;
-            uint32_t most = fits(&g->each, &r->slots[at].spare, zone_room(pl, m->zone));
-            most = fits(&g->each, &r->slots[at].room, most);
+            uint32_t most =
+                fits(&group->each, &run->slots[at].spare, zone_room(placement, machine->zone));
+            most = fits(&group->each, &run->slots[at].room, most);
             if (most > 0)
-                put(r, pl, at, most, true, 0);
+                put(run, placement, at, most, true, 0);
         }
 }
 
-static void place_everywhere(struct run *r, struct placing *pl) {
-    try_machines(r, pl, false);
-    try_spare(r, pl);
-    try_machines(r, pl, true);
-    try_fresh(r, pl);
-    if (pl->left > 0 && !pl->g->guaranteed && can_wait(r, pl))
+static void place_everywhere(struct run *run, struct placing *placement) {
+    try_machines(run, placement, false);
+    try_spare(run, placement);
+    try_machines(run, placement, true);
+    try_fresh(run, placement);
+    if (placement->left > 0 && !placement->g->guaranteed && can_wait(run, placement))
         return;
-    while (pl->left > 0 && !r->plan->failed) {
-        int kind = best_kind(r, pl);
-        uint32_t before = pl->left;
-        if (kind < 0 || !rent(r, (size_t)kind))
+    while (placement->left > 0 && !run->plan->failed) {
+        int kind = best_kind(run, placement);
+        uint32_t before = placement->left;
+        if (kind < 0 || !rent(run, (size_t)kind))
             return;
-        try_fresh(r, pl);
-        if (pl->left == before)
+        try_fresh(run, placement);
+        if (placement->left == before)
             return;
     }
 }
 
 /* A gang of one zone may fit in one zone and not in another: each is tried. True once all of it has
  * its room. */
-static bool place_gang_in(struct run *r, struct placing *pl, bool now) {
-    size_t fresh = r->plan->n_fresh;
-    int zones = pl->g->one_zone && pl->zone < 0 ? RP_ZONES_MAX : 1;
+static bool place_gang_in(struct run *run, struct placing *placement, bool now) {
+    size_t fresh = run->plan->n_fresh;
+    int zones = placement->g->one_zone && placement->zone < 0 ? RP_ZONES_MAX : 1;
     for (int z = 0; z < zones; z++) {
-        if (zones > 1 && !(pl->g->zones >> z & 1))
+        if (zones > 1 && !(placement->g->zones >> z & 1))
             continue;
         if (zones > 1)
-            pl->zone = z;
+            placement->zone = z;
         if (now)
-            try_machines(r, pl, false);
+            try_machines(run, placement, false);
         else
-            place_everywhere(r, pl);
-        if (pl->left == 0)
+            place_everywhere(run, placement);
+        if (placement->left == 0)
             return true;
-        roll_back(r, pl, fresh);
+        roll_back(run, placement, fresh);
     }
     return false;
 }
 
-static void place_gang(struct run *r, struct placing *pl) {
-    if (!place_gang_in(r, pl, true) && !pl->g->held)
-        place_gang_in(r, pl, false);
+static void place_gang(struct run *run, struct placing *placement) {
+    if (!place_gang_in(run, placement, true) && !placement->g->held)
+        place_gang_in(run, placement, false);
 }
 
-static void place_group(struct run *r, size_t index) {
-    struct placing pl;
-    thin_out(r, &r->listings[r->group_listing[index]]);
-    thin_out(r, &r->listings[r->spare_listing[index]]);
-    begin(r, &pl, index);
-    const struct rp_plan_group *g = pl.g;
-    uint32_t want = quota(r, g);
-    if (g->kind == RP_GANG && want < g->n)
+static void place_group(struct run *run, size_t index) {
+    struct placing placement;
+    thin_out(run, &run->listings[run->group_listing[index]]);
+    thin_out(run, &run->listings[run->spare_listing[index]]);
+    begin(run, &placement, index);
+    const struct rp_plan_group *group = placement.g;
+    uint32_t want = quota(run, group);
+    if (group->kind == RP_GANG && want < group->n)
         return; /* over the limit: the gang waits whole */
-    pl.left = want;
-    if (g->kind == RP_GANG)
-        place_gang(r, &pl);
+    placement.left = want;
+    if (group->kind == RP_GANG)
+        place_gang(run, &placement);
     else
-        place_everywhere(r, &pl);
-    if (g->held) {
-        r->plan->n_wait += pl.left;
-        pl.left = 0;
-    }
-    uint32_t placed = want - pl.left;
-    if (g->team >= 0) {
-        r->cpus_left[g->team] -= placed * g->each.cpus;
-        r->gpus_left[g->team] -= placed * g->each.gpus;
-    }
-    double weight = (g->each.cpus + 8 * g->each.gpus + 0.01) * g->run_s;
-    r->plan->left += pl.left * weight * pow(100, (double)g->priority);
-    for (size_t i = pl.first_put; i < r->plan->n_puts; i++) {
-        if (r->plan->puts[i].now)
-            r->plan->n_now += r->plan->puts[i].count;
+        place_everywhere(run, &placement);
+    if (group->held) {
+        run->plan->n_wait += placement.left;
+        placement.left = 0;
+    }
+    uint32_t placed = want - placement.left;
+    if (group->team >= 0) {
+        run->cpus_left[group->team] -= placed * group->each.cpus;
+        run->gpus_left[group->team] -= placed * group->each.gpus;
+    }
+    double weight = (group->each.cpus + 8 * group->each.gpus + 0.01) * group->run_s;
+    run->plan->left += placement.left * weight * pow(100, (double)group->priority);
+    for (size_t i = placement.first_put; i < run->plan->n_puts; i++) {
+        if (run->plan->puts[i].now)
+            run->plan->n_now += run->plan->puts[i].count;
         else
-            r->plan->n_wait += r->plan->puts[i].count;
+            run->plan->n_wait += run->plan->puts[i].count;
     }
 }
 
@@ -901,88 +917,93 @@
     return price / 3600 * fmax(charged, RP_MIN_CHARGE_S);
 }
 
-static void price_plan(struct run *r) {
-    for (size_t i = 0; i < r->in->n_machines; i++) {
-        const struct rp_plan_machine *m = &r->in->machines[i];
-        r->plan->cost += rp_plan_cost(m->price, m->age_s, r->slots[i].end_s, r->in->unit_s);
+static void price_plan(struct run *run) {
+    for (size_t i = 0; i < run->in->n_machines; i++) {
+        const struct rp_plan_machine *machine = &run->in->machines[i];
+        run->plan->cost +=
+            rp_plan_cost(machine->price, machine->age_s, run->slots[i].end_s, run->in->unit_s);
     }
-    for (size_t i = 0; i < r->plan->n_fresh; i++)
-        r->plan->cost += rp_plan_cost(r->in->kinds[r->plan->fresh[i]].price, 0,
-                                      r->slots[r->in->n_machines + i].end_s, r->in->unit_s);
+    for (size_t i = 0; i < run->plan->n_fresh; i++)
+        run->plan->cost += rp_plan_cost(run->in->kinds[run->plan->fresh[i]].price, 0,
+                                        run->slots[run->in->n_machines + i].end_s, run->in->unit_s);
 }
 
 /* Machines at hand, with the work on them; one that still boots has its boot to do. */
-static void fill_pools(struct run *r) {
-    for (size_t i = 0; i < r->in->n_machines; i++) {
-        const struct rp_plan_machine *m = &r->in->machines[i];
-        struct pool *pool = r->pools, *end = r->pools + r->n_pools;
-        while (pool < end &&
-               !(pool->type == m->type && pool->zone == m->zone && pool->spot == m->spot))
+static void fill_pools(struct run *run) {
+    for (size_t i = 0; i < run->in->n_machines; i++) {
+        const struct rp_plan_machine *machine = &run->in->machines[i];
+        struct pool *pool = run->pools, *end = run->pools + run->n_pools;
+        while (pool < end && !(pool->type == machine->type && pool->zone == machine->zone &&
+                               pool->spot == machine->spot))
             pool++;
         if (pool == end) {
-            r->n_pools++;
-            *pool = (struct pool){
-                .type = m->type, .zone = m->zone, .spot = m->spot, .capacity = &m->capacity};
+            run->n_pools++;
+            *pool = (struct pool){.type = machine->type,
+                                  .zone = machine->zone,
+                                  .spot = machine->spot,
+                                  .capacity = &machine->capacity};
         }
-        bool up = m->room.cpus > 0 || m->n_ends > 0;
-        pool->machines += fmax(0, 1 - m->taken);
-        pool->work_s += m->work_s + (up ? 0 : m->wait_s);
+        bool up = machine->room.cpus > 0 || machine->n_ends > 0;
+        pool->machines += fmax(0, 1 - machine->taken);
+        pool->work_s += machine->work_s + (up ? 0 : machine->wait_s);
     }
 }
 
-void rp_plan_by(const struct rp_plan_input *in, struct rp_heuristic h, struct rp_plan *out) {
-    size_t most = in->n_groups > in->n_machines ? in->n_groups : in->n_machines;
-    struct run r = {.in = in, .plan = out};
+void rp_plan_by(const struct rp_plan_input *input, struct rp_heuristic heuristic,
+                struct rp_plan *out) {
+    size_t most = input->n_groups > input->n_machines ? input->n_groups : input->n_machines;
+    struct run run = {.in = input, .plan = out};
     memset(out, 0, sizeof *out);
-    r.slots = calloc(in->n_machines + in->new_max + 1, sizeof *r.slots);
-    r.group_order = calloc(in->n_groups + 1, sizeof(size_t));
-    r.machine_order = calloc(in->n_machines + 1, sizeof(size_t));
-    r.sorted = calloc(most + 1, sizeof *r.sorted);
-    r.given_up = calloc(in->n_groups + 1, sizeof *r.given_up);
-    r.group_listing = calloc(in->n_groups + 1, sizeof(size_t));
-    r.spare_listing = calloc(in->n_groups + 1, sizeof(size_t));
-    r.pools = calloc(in->n_machines + 1, sizeof *r.pools);
-    r.cpus_left = calloc(in->n_teams + 1, sizeof(double));
-    r.gpus_left = calloc(in->n_teams + 1, sizeof(double));
-    if (!r.slots || !r.group_order || !r.machine_order || !r.sorted || !r.pools || !r.given_up ||
-        !r.group_listing || !r.spare_listing || !r.cpus_left || !r.gpus_left) {
+    run.slots = calloc(input->n_machines + input->new_max + 1, sizeof *run.slots);
+    run.group_order = calloc(input->n_groups + 1, sizeof(size_t));
+    run.machine_order = calloc(input->n_machines + 1, sizeof(size_t));
+    run.sorted = calloc(most + 1, sizeof *run.sorted);
+    run.given_up = calloc(input->n_groups + 1, sizeof *run.given_up);
+    run.group_listing = calloc(input->n_groups + 1, sizeof(size_t));
+    run.spare_listing = calloc(input->n_groups + 1, sizeof(size_t));
+    run.pools = calloc(input->n_machines + 1, sizeof *run.pools);
+    run.cpus_left = calloc(input->n_teams + 1, sizeof(double));
+    run.gpus_left = calloc(input->n_teams + 1, sizeof(double));
+    if (!run.slots || !run.group_order || !run.machine_order || !run.sorted || !run.pools ||
+        !run.given_up || !run.group_listing || !run.spare_listing || !run.cpus_left ||
+        !run.gpus_left) {
         out->failed = true;
         goto out;
     }
-    for (size_t i = 0; i < in->n_machines; i++)
-        r.slots[i] = (struct slot){.room = in->machines[i].room,
-                                   .later = in->machines[i].later,
-                                   .spare = in->machines[i].spare,
-                                   .end_s = in->machines[i].busy_s};
-    for (size_t i = 0; i < in->n_teams; i++) {
-        r.cpus_left[i] = in->teams[i].cpus_left;
-        r.gpus_left[i] = in->teams[i].gpus_left;
-    }
-    find_listings(&r);
-    fill_pools(&r);
-    sort_machines(&r, h.machines);
-    if (!fill_listings(&r)) {
+    for (size_t i = 0; i < input->n_machines; i++)
+        run.slots[i] = (struct slot){.room = input->machines[i].room,
+                                     .later = input->machines[i].later,
+                                     .spare = input->machines[i].spare,
+                                     .end_s = input->machines[i].busy_s};
+    for (size_t i = 0; i < input->n_teams; i++) {
+        run.cpus_left[i] = input->teams[i].cpus_left;
+        run.gpus_left[i] = input->teams[i].gpus_left;
+    }
+    find_listings(&run);
+    fill_pools(&run);
+    sort_machines(&run, heuristic.machines);
+    if (!fill_listings(&run)) {
         out->failed = true;
         goto out;
     }
-    sort_groups(&r, h.jobs);
-    for (size_t i = 0; i < in->n_groups && !out->failed; i++)
-        place_group(&r, r.group_order[i]);
-    price_plan(&r);
+    sort_groups(&run, heuristic.jobs);
+    for (size_t i = 0; i < input->n_groups && !out->failed; i++)
+        place_group(&run, run.group_order[i]);
+    price_plan(&run);
 out:
-    free(r.slots);
-    free(r.group_order);
-    free(r.machine_order);
-    free(r.sorted);
-    free(r.pools);
-    free(r.given_up);
-    free(r.group_listing);
-    free(r.spare_listing);
-    for (size_t k = 0; k < r.n_listings; k++)
+    free(run.slots);
+    free(run.group_order);
+    free(run.machine_order);
+    free(run.sorted);
+    free(run.pools);
+    free(run.given_up);
+    free(run.group_listing);
+    free(run.spare_listing);
+    for (size_t k = 0; k < run.n_listings; k++)
         for (int kind = 0; kind < ROOM_KINDS; kind++)
-            free(r.listings[k].at[kind]);
-    free(r.cpus_left);
-    free(r.gpus_left);
+            free(run.listings[k].at[kind]);
+    free(run.cpus_left);
+    free(run.gpus_left);
 }
 
 bool rp_plan_better(const struct rp_plan *a, const struct rp_plan *b) {
@@ -997,13 +1018,13 @@
     return a->n_now > b->n_now;
 }
 
-size_t rp_plan_best(const struct rp_plan_input *in, const struct rp_heuristic *hs, size_t n,
-                    struct rp_plan *out) {
+size_t rp_plan_best(const struct rp_plan_input *input, const struct rp_heuristic *heuristics,
+                    size_t n, struct rp_plan *out) {
     size_t best = 0;
-    rp_plan_by(in, hs[0], out);
+    rp_plan_by(input, heuristics[0], out);
     for (size_t i = 1; i < n; i++) {
         struct rp_plan plan;
-        rp_plan_by(in, hs[i], &plan);
+        rp_plan_by(input, heuristics[i], &plan);
         if (rp_plan_better(&plan, out)) {
             rp_plan_free(out);
             *out = plan;
--- a/src/scheduler/planner.h
+++ b/src/scheduler/planner.h
@@ -139,15 +139,16 @@
 };
 
 void rp_plan_free(struct rp_plan *plan);
-void rp_plan_by(const struct rp_plan_input *in, struct rp_heuristic h, struct rp_plan *out);
+void rp_plan_by(const struct rp_plan_input *input, struct rp_heuristic heuristic,
+                struct rp_plan *out);
 /* The portfolio: the plan that leaves least undone, and of these the cheapest. Returns the index of
  * the winner in `hs`. */
-size_t rp_plan_best(const struct rp_plan_input *in, const struct rp_heuristic *hs, size_t n,
-                    struct rp_plan *out);
+size_t rp_plan_best(const struct rp_plan_input *input, const struct rp_heuristic *heuristics,
+                    size_t n, struct rp_plan *out);
 /* The part of the machine that a task takes, by the resource of which it takes most. */
 double rp_plan_part(const struct rp_resources *need, const struct rp_resources *capacity);
 /* Until one task of this size fits on the machine, by its work's estimated ends. */
-double rp_plan_fits_after(const struct rp_plan_machine *m, const struct rp_resources *each);
+double rp_plan_fits_after(const struct rp_plan_machine *machine, const struct rp_resources *each);
 bool rp_plan_better(const struct rp_plan *a, const struct rp_plan *b);
 /* Cost of a machine by formula (1): price times the units from its start to the end of its work. */
 double rp_plan_cost(double price, double age_s, double end_s, double unit_s);
