--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -15,56 +15,64 @@
     struct rp_resources *of;
 };
 
-static bool counts(const struct rp_allocation *a) {
-    return a->state != RP_ALLOCATION_EXITED && !a->stop && a->job->team >= 0;
+static bool counts(const struct rp_allocation *allocation) {
+    return allocation->state != RP_ALLOCATION_EXITED && !allocation->stop &&
+           allocation->job->team >= 0;
 }
 
-static bool surplus_fill(const struct rp_round *r, struct surplus *surplus) {
-    surplus->of = calloc(r->settings->n_teams + 1, sizeof *surplus->of);
+static bool surplus_fill(const struct rp_round *scheduler, struct surplus *surplus) {
+    surplus->of = calloc(scheduler->settings->n_teams + 1, sizeof *surplus->of);
     if (!surplus->of)
         return false;
-    for (size_t i = 0; i < r->settings->n_teams; i++) {
-        surplus->of[i].cpus = -r->settings->teams[i].cpus;
-        surplus->of[i].gpus = -r->settings->teams[i].gpus;
+    for (size_t i = 0; i < scheduler->settings->n_teams; i++) {
+        surplus->of[i].cpus = -scheduler->settings->teams[i].cpus;
+        surplus->of[i].gpus = -scheduler->settings->teams[i].gpus;
     }
-    for (const struct rp_machine *m = r->cluster->first; m; m = m->next)
-        for (size_t i = 0; i < m->n_allocations; i++)
-            if (counts(&m->allocations[i]))
-                rp_resources_add(&surplus->of[m->allocations[i].job->team],
-                                 &m->allocations[i].job->spec.each);
+    for (const struct rp_machine *machine = scheduler->cluster->first; machine;
+         machine = machine->next)
+        for (size_t i = 0; i < machine->n_allocations; i++)
+            if (counts(&machine->allocations[i]))
+                rp_resources_add(&surplus->of[machine->allocations[i].job->team],
+                                 &machine->allocations[i].job->spec.each);
     return true;
 }
 
 /* Whether the task belongs to another team that stays at its guarantee without it. */
-static bool may_stop(const struct surplus *surplus, const struct rp_allocation *a,
+static bool may_stop(const struct surplus *surplus, const struct rp_allocation *allocation,
                      const struct rp_job *job) {
-    if (!counts(a) || a->job->team == job->team || a->job->spec.kind != RP_ARRAY)
+    if (!counts(allocation) || allocation->job->team == job->team ||
+        allocation->job->spec.kind != RP_ARRAY)
         return false;
-    const struct rp_resources *over = &surplus->of[a->job->team], *each = &a->job->spec.each;
+    const struct rp_resources *over = &surplus->of[allocation->job->team],
+                              *each = &allocation->job->spec.each;
     return over->cpus >= each->cpus - EPS && over->gpus >= each->gpus - EPS;
 }
 
 /* The machine's room once what is being stopped there has ended. */
-static struct rp_resources room_soon(const struct rp_round *r, const struct rp_machine *m) {
-    struct rp_resources room = rp_machine_free(r->cluster, m);
-    for (size_t i = 0; i < m->n_allocations; i++)
-        if (m->allocations[i].state != RP_ALLOCATION_EXITED && m->allocations[i].stop)
-            rp_resources_add(&room, &m->allocations[i].job->spec.each);
+static struct rp_resources room_soon(const struct rp_round *scheduler,
+                                     const struct rp_machine *machine) {
+    struct rp_resources room = rp_machine_free(scheduler->cluster, machine);
+    for (size_t i = 0; i < machine->n_allocations; i++)
+        if (machine->allocations[i].state != RP_ALLOCATION_EXITED && machine->allocations[i].stop)
+            rp_resources_add(&room, &machine->allocations[i].job->spec.each);
     return room;
 }
 
-static bool usable_for(const struct rp_round *r, const struct rp_machine *m,
+static bool usable_for(const struct rp_round *scheduler, const struct rp_machine *machine,
                        const struct rp_job *job) {
-    return rp_machine_usable(m) && !rp_room_reserved_for(r, m) &&
-           rp_cluster_allows(r->cluster, &job->spec, m->type, m->zone, m->spot);
+    return rp_machine_usable(machine) && !rp_room_reserved_for(scheduler, machine) &&
+           rp_cluster_allows(scheduler->cluster, &job->spec, machine->type, machine->zone,
+                             machine->spot);
 }
 
 /* Tasks of the job that find room where other work is being stopped already. */
-static uint32_t coming(const struct rp_round *r, const struct rp_job *job) {
+static uint32_t coming(const struct rp_round *scheduler, const struct rp_job *job) {
     uint32_t tasks = 0;
-    for (const struct rp_machine *m = r->cluster->first; m; m = m->next) {
-        struct rp_resources now = rp_machine_free(r->cluster, m), soon = room_soon(r, m);
-        if (!usable_for(r, m, job))
+    for (const struct rp_machine *machine = scheduler->cluster->first; machine;
+         machine = machine->next) {
+        struct rp_resources now = rp_machine_free(scheduler->cluster, machine),
+                            soon = room_soon(scheduler, machine);
+        if (!usable_for(scheduler, machine, job))
             continue;
         for (; rp_resources_fit(&job->spec.each, &soon); tasks++)
             rp_resources_sub(&soon, &job->spec.each);
@@ -76,57 +84,61 @@
 
 /* Run time that is lost if one task of the job is given room on the machine; negative: it can't be.
  */
-static double stop_cost(const struct rp_round *r, const struct surplus *surplus,
-                        const struct rp_machine *m, const struct rp_job *job, struct timespec now) {
-    struct rp_resources room = room_soon(r, m);
+static double stop_cost(const struct rp_round *scheduler, const struct surplus *surplus,
+                        const struct rp_machine *machine, const struct rp_job *job,
+                        struct timespec now) {
+    struct rp_resources room = room_soon(scheduler, machine);
     double cost = 0;
     if (rp_resources_fit(&job->spec.each, &room))
         return -1; /* it has room already, or will have */
-    for (size_t i = 0; i < m->n_allocations && !rp_resources_fit(&job->spec.each, &room); i++) {
-        const struct rp_allocation *a = &m->allocations[i];
-        if (!may_stop(surplus, a, job))
+    for (size_t i = 0; i < machine->n_allocations && !rp_resources_fit(&job->spec.each, &room);
+         i++) {
+        const struct rp_allocation *allocation = &machine->allocations[i];
+        if (!may_stop(surplus, allocation, job))
             continue;
-        double ran = rp_ts_zero(a->running) ? 0 : rp_ts_since(now, a->running);
-        cost += a->job->spec.checkpoint_s > 0 ? fmin(ran, KEPT_PROGRESS_S) : ran;
-        rp_resources_add(&room, &a->job->spec.each);
+        double ran = rp_ts_zero(allocation->running) ? 0 : rp_ts_since(now, allocation->running);
+        cost += allocation->job->spec.checkpoint_s > 0 ? fmin(ran, KEPT_PROGRESS_S) : ran;
+        rp_resources_add(&room, &allocation->job->spec.each);
     }
     return rp_resources_fit(&job->spec.each, &room) ? cost : -1;
 }
 
-static void stop_work(struct rp_round *r, struct surplus *surplus, struct rp_machine *m,
-                      const struct rp_job *job) {
-    struct rp_resources room = room_soon(r, m);
-    for (size_t i = m->n_allocations; i-- > 0 && !rp_resources_fit(&job->spec.each, &room);) {
-        struct rp_allocation *a = &m->allocations[i];
-        const struct rp_job_spec *spec = &a->job->spec;
-        if (!may_stop(surplus, a, job))
+static void stop_work(struct rp_round *scheduler, struct surplus *surplus,
+                      struct rp_machine *machine, const struct rp_job *job) {
+    struct rp_resources room = room_soon(scheduler, machine);
+    for (size_t i = machine->n_allocations; i-- > 0 && !rp_resources_fit(&job->spec.each, &room);) {
+        struct rp_allocation *allocation = &machine->allocations[i];
+        const struct rp_job_spec *spec = &allocation->job->spec;
+        if (!may_stop(surplus, allocation, job))
             continue;
         rp_resources_add(&room, &spec->each);
-        surplus->of[a->job->team].cpus -= spec->each.cpus;
-        surplus->of[a->job->team].gpus -= spec->each.gpus;
-        if (a->state == RP_ALLOCATION_PLANNED) {
-            rp_allocation_drop(r->cluster, m, i);
+        surplus->of[allocation->job->team].cpus -= spec->each.cpus;
+        surplus->of[allocation->job->team].gpus -= spec->each.gpus;
+        if (allocation->state == RP_ALLOCATION_PLANNED) {
+            rp_allocation_drop(scheduler->cluster, machine, i);
             continue;
         }
-        rp_allocation_stop(a, spec->checkpoint_s > 0 ? spec->save_s * GRACE_SLACK + 1 : 0);
-        r->n_preempted++;
+        rp_allocation_stop(allocation, spec->checkpoint_s > 0 ? spec->save_s * GRACE_SLACK + 1 : 0);
+        scheduler->n_preempted++;
     }
 }
 
 /* Frees the machine where least is lost; false when there is none. */
-static bool free_one(struct rp_round *r, struct surplus *surplus, const struct rp_job *job,
+static bool free_one(struct rp_round *scheduler, struct surplus *surplus, const struct rp_job *job,
                      struct timespec now) {
     struct rp_machine *best = NULL;
     double best_cost = 0;
-    for (struct rp_machine *m = r->cluster->first; m; m = m->next) {
-        double cost = usable_for(r, m, job) ? stop_cost(r, surplus, m, job, now) : -1;
+    for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next) {
+        double cost = usable_for(scheduler, machine, job)
+                          ? stop_cost(scheduler, surplus, machine, job, now)
+                          : -1;
         if (cost >= 0 && (!best || cost < best_cost)) {
-            best = m;
+            best = machine;
             best_cost = cost;
         }
     }
     if (best)
-        stop_work(r, surplus, best, job);
+        stop_work(scheduler, surplus, best, job);
     return best;
 }
 
@@ -140,23 +152,23 @@
     return placed < group->n ? group->n - placed : 0;
 }
 
-void rp_guarantees_enforce(struct rp_round *r, const struct rp_round_input *x,
+void rp_guarantees_enforce(struct rp_round *scheduler, const struct rp_round_input *input,
                            const struct rp_plan *plan, struct timespec now) {
     struct surplus surplus = {0};
     unsigned stops = 0;
-    if (!r->settings->tuning.preemption || !rp_cluster_settled(r->cluster))
+    if (!scheduler->settings->tuning.preemption || !rp_cluster_settled(scheduler->cluster))
         return;
-    for (size_t g = 0; g < x->in.n_groups && stops < STOPS_MOST; g++) {
-        const struct rp_plan_group *group = &x->groups[g];
+    for (size_t g = 0; g < input->in.n_groups && stops < STOPS_MOST; g++) {
+        const struct rp_plan_group *group = &input->groups[g];
         const struct rp_job *job = group->ref;
         if (!group->guaranteed || (group->kind == RP_GANG && job->spec.n_tasks > 1))
             continue;
-        uint32_t want = missing(plan, group, g), soon = want > 0 ? coming(r, job) : 0;
-        if (want <= soon || (!surplus.of && !surplus_fill(r, &surplus)))
+        uint32_t want = missing(plan, group, g), soon = want > 0 ? coming(scheduler, job) : 0;
+        if (want <= soon || (!surplus.of && !surplus_fill(scheduler, &surplus)))
             continue;
         unsigned before = stops;
         for (uint32_t i = soon; i < want && stops < STOPS_MOST; i++) {
-            if (!free_one(r, &surplus, job, now))
+            if (!free_one(scheduler, &surplus, job, now))
                 break;
             stops++;
         }
--- a/src/scheduler/room.c
+++ b/src/scheduler/room.c
@@ -26,30 +26,33 @@
     return job->spec.kind == RP_GANG && (job->spec.n_tasks > 1 || job->spec.priority < RP_HIGH);
 }
 
-static void reserve(const struct rp_round *r, struct rp_machine *m, const struct rp_job *job,
-                    double for_s) {
-    strcpy(m->reserved, job->spec.id);
-    m->reserved_until = rp_ts_after(rp_loop_now(r->loop), for_s + RESERVE_SLACK_S);
+static void reserve(const struct rp_round *scheduler, struct rp_machine *machine,
+                    const struct rp_job *job, double for_s) {
+    strcpy(machine->reserved, job->spec.id);
+    machine->reserved_until = rp_ts_after(rp_loop_now(scheduler->loop), for_s + RESERVE_SLACK_S);
 }
 
 /* The job that room is kept for on this machine, while it is still waited for. */
-struct rp_job *rp_room_reserved_for(const struct rp_round *r, const struct rp_machine *m) {
-    struct rp_job *job = *m->reserved ? rp_jobs_find(r->jobs, m->reserved) : NULL;
-    if (!job || job->state != RP_JOB_OPEN || !rp_machine_usable(m) ||
+struct rp_job *rp_room_reserved_for(const struct rp_round *scheduler,
+                                    const struct rp_machine *machine) {
+    struct rp_job *job =
+        *machine->reserved ? rp_jobs_find(scheduler->jobs, machine->reserved) : NULL;
+    if (!job || job->state != RP_JOB_OPEN || !rp_machine_usable(machine) ||
         job->n_counted >= (rp_room_whole(job) ? job->spec.n_tasks : 1) ||
-        rp_ts_reached(rp_loop_now(r->loop), m->reserved_until))
+        rp_ts_reached(rp_loop_now(scheduler->loop), machine->reserved_until))
         return NULL;
     if (rp_room_whole(job))
         return job;
-    struct rp_resources room = rp_machine_free(r->cluster, m);
+    struct rp_resources room = rp_machine_free(scheduler->cluster, machine);
     return rp_resources_fit(&job->spec.each, &room) ? NULL : job;
 }
 
-void rp_room_mark_held(const struct rp_round *r) {
-    for (const struct rp_machine *m = r->cluster->first; m; m = m->next) {
-        struct rp_job *job = rp_room_reserved_for(r, m);
+void rp_room_mark_held(const struct rp_round *scheduler) {
+    for (const struct rp_machine *machine = scheduler->cluster->first; machine;
+         machine = machine->next) {
+        struct rp_job *job = rp_room_reserved_for(scheduler, machine);
         if (job)
-            job->held_round = r->n_rounds;
+            job->held_round = scheduler->n_rounds;
     }
 }
 
@@ -62,11 +65,12 @@
     struct timespec since; /* when its first allocation was planned */
 };
 
-static struct attempt attempt_of(const struct rp_round *r, const struct rp_job *job) {
+static struct attempt attempt_of(const struct rp_round *scheduler, const struct rp_job *job) {
     struct attempt a = {0};
-    for (const struct rp_machine *m = r->cluster->first; m; m = m->next)
-        for (size_t i = 0; i < m->n_allocations; i++) {
-            const struct rp_allocation *allocation = &m->allocations[i];
+    for (const struct rp_machine *machine = scheduler->cluster->first; machine;
+         machine = machine->next)
+        for (size_t i = 0; i < machine->n_allocations; i++) {
+            const struct rp_allocation *allocation = &machine->allocations[i];
             if (allocation->job != job || allocation->state == RP_ALLOCATION_EXITED)
                 continue;
             /* Of two attempts at once the older one is ending: nothing can join it. */
@@ -82,38 +86,39 @@
 
 /* Where the task of this attempt has just exited: until its removal is confirmed, starting the same
  * attempt there again would do nothing. */
-static struct rp_machine *left_on(const struct rp_round *r, const struct rp_job *job, uint32_t task,
-                                  uint64_t attempt) {
-    for (struct rp_machine *m = r->cluster->first; m; m = m->next)
-        for (size_t i = 0; i < m->n_allocations; i++)
-            if (m->allocations[i].job == job && m->allocations[i].task == task &&
-                m->allocations[i].attempt == attempt)
-                return m;
+static struct rp_machine *left_on(const struct rp_round *scheduler, const struct rp_job *job,
+                                  uint32_t task, uint64_t attempt) {
+    for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next)
+        for (size_t i = 0; i < machine->n_allocations; i++)
+            if (machine->allocations[i].job == job && machine->allocations[i].task == task &&
+                machine->allocations[i].attempt == attempt)
+                return machine;
     return NULL;
 }
 
 /* Returns false when no machine can take the task now. */
-static bool replace_task(struct rp_round *r, struct rp_job *job, uint32_t task, uint64_t attempt) {
-    struct rp_machine *last = left_on(r, job, task, attempt), *best = NULL;
+static bool replace_task(struct rp_round *scheduler, struct rp_job *job, uint32_t task,
+                         uint64_t attempt) {
+    struct rp_machine *last = left_on(scheduler, job, task, attempt), *best = NULL;
     if (last) {
         /* It holds the image by now: it is kept for the task. */
-        reserve(r, last, job, 0);
+        reserve(scheduler, last, job, 0);
         return false;
     }
-    for (struct rp_machine *m = r->cluster->first; m; m = m->next) {
-        const struct rp_job *kept = rp_room_reserved_for(r, m);
-        if ((kept && kept != job) || !rp_cluster_may_start(r->cluster, job, task, m))
+    for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next) {
+        const struct rp_job *kept = rp_room_reserved_for(scheduler, machine);
+        if ((kept && kept != job) || !rp_cluster_may_start(scheduler->cluster, job, task, machine))
             continue;
-        bool has = rp_machine_has_image(m, job->image_hash);
+        bool has = rp_machine_has_image(machine, job->image_hash);
         if (!best || (has && !rp_machine_has_image(best, job->image_hash)))
-            best = m;
+            best = machine;
         if (kept == job)
-            best = m;
+            best = machine;
         if (kept == job || has)
             break;
     }
     if (best)
-        rp_allocation_add(r->cluster, best, job, task, attempt, RP_ALLOCATION_PLANNED);
+        rp_allocation_add(scheduler->cluster, best, job, task, attempt, RP_ALLOCATION_PLANNED);
     return best;
 }
 
@@ -121,9 +126,9 @@
  * with the same attempt number. So a task that waits on a machine with the image may exit as alone
  * after gang_wait_s, while another fetches for longer: stopping all of them, as for a gang that
  * runs, gave the fetches up, and a gang with a large image never began. */
-static void mend_gang(struct rp_round *r, struct rp_job *job, struct timespec now) {
-    struct attempt a = attempt_of(r, job);
-    double patience = r->settings->gang_wait_s * MEND_WAITS;
+static void mend_gang(struct rp_round *scheduler, struct rp_job *job, struct timespec now) {
+    struct attempt a = attempt_of(scheduler, job);
+    double patience = scheduler->settings->gang_wait_s * MEND_WAITS;
     bool missing = false;
     if (job->gang_attempt != a.number) {
         /* Not the oldest allocation's time: each that exits as alone is followed by a new one. */
@@ -131,32 +136,32 @@
         job->gang_since = a.since;
     }
     if (a.begun || rp_ts_since(now, job->gang_since) > patience) {
-        rp_cluster_stop_job(r->cluster, job, 0);
+        rp_cluster_stop_job(scheduler->cluster, job, 0);
         return;
     }
     for (uint32_t task = 0; task < job->spec.n_tasks; task++)
         if (rp_job_allocations(job, task) == 0)
-            missing |= !replace_task(r, job, task, a.number);
+            missing |= !replace_task(scheduler, job, task, a.number);
     if (!missing)
         job->machine_missing_since = (struct timespec){0};
     else if (rp_ts_zero(job->machine_missing_since))
         job->machine_missing_since = now;
-    else if (rp_ts_since(now, job->machine_missing_since) > r->settings->gang_wait_s)
+    else if (rp_ts_since(now, job->machine_missing_since) > scheduler->settings->gang_wait_s)
         /* Machines are rented only for what a plan places, and a gang that holds some is in none:
          * with no other work about it waited for ever. Stopped, it is planned anew as a whole. */
-        rp_cluster_stop_job(r->cluster, job, 0);
+        rp_cluster_stop_job(scheduler->cluster, job, 0);
 }
 
 /* After a takeover a gang's tasks are heard of one by one: those not heard of yet are no reason to
  * stop the others (every takeover stopped every gang of several tasks). */
-void rp_room_mend_gangs(struct rp_round *r, struct timespec now) {
-    for (struct rp_job *job = r->jobs->first; job; job = job->next)
+void rp_room_mend_gangs(struct rp_round *scheduler, struct timespec now) {
+    for (struct rp_job *job = scheduler->jobs->first; job; job = job->next)
         if (job->spec.kind != RP_GANG || job->state != RP_JOB_OPEN)
             continue;
         else if (job->n_counted == 0 || job->n_counted == job->spec.n_tasks)
             job->machine_missing_since = (struct timespec){0};
-        else if (rp_cluster_job_settled(r->cluster, job))
-            mend_gang(r, job, now);
+        else if (rp_cluster_job_settled(scheduler->cluster, job))
+            mend_gang(scheduler, job, now);
 }
 
 /* ---- room for higher priorities ---- */
@@ -168,12 +173,13 @@
 
 /* Work that is lost, and that is kept waiting, if the machine's lower tasks are stopped for one
  * task of the job; negative when that wouldn't do. */
-static double stop_price(const struct rp_round *r, const struct rp_machine *m,
+static double stop_price(const struct rp_round *scheduler, const struct rp_machine *machine,
                          const struct rp_job *job, struct timespec now) {
-    struct rp_resources room = rp_machine_free(r->cluster, m);
+    struct rp_resources room = rp_machine_free(scheduler->cluster, machine);
     double price = 1;
-    for (size_t i = 0; i < m->n_allocations && !rp_resources_fit(&job->spec.each, &room); i++) {
-        const struct rp_allocation *allocation = &m->allocations[i];
+    for (size_t i = 0; i < machine->n_allocations && !rp_resources_fit(&job->spec.each, &room);
+         i++) {
+        const struct rp_allocation *allocation = &machine->allocations[i];
         if (!may_stop(allocation, job->spec.priority))
             continue;
         rp_resources_add(&room, &allocation->job->spec.each);
@@ -187,47 +193,49 @@
     return rp_resources_fit(&job->spec.each, &room) ? price : -1;
 }
 
-static void stop_for(struct rp_round *r, struct rp_machine *m, const struct rp_job *job) {
-    struct rp_resources room = rp_machine_free(r->cluster, m);
+static void stop_for(struct rp_round *scheduler, struct rp_machine *machine,
+                     const struct rp_job *job) {
+    struct rp_resources room = rp_machine_free(scheduler->cluster, machine);
     unsigned stopped = 0;
     double longest = 0;
-    for (size_t i = 0; i < m->n_allocations; i++)
-        if (m->allocations[i].stop && may_stop(&m->allocations[i], job->spec.priority))
-            rp_resources_add(&room, &m->allocations[i].job->spec.each);
-    for (size_t i = m->n_allocations; i-- > 0 && !rp_resources_fit(&job->spec.each, &room);) {
-        struct rp_allocation *allocation = &m->allocations[i];
+    for (size_t i = 0; i < machine->n_allocations; i++)
+        if (machine->allocations[i].stop && may_stop(&machine->allocations[i], job->spec.priority))
+            rp_resources_add(&room, &machine->allocations[i].job->spec.each);
+    for (size_t i = machine->n_allocations; i-- > 0 && !rp_resources_fit(&job->spec.each, &room);) {
+        struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->stop || !may_stop(allocation, job->spec.priority))
             continue;
         rp_resources_add(&room, &allocation->job->spec.each);
         stopped++;
         if (allocation->state == RP_ALLOCATION_PLANNED) {
-            rp_allocation_drop(r->cluster, m, i);
+            rp_allocation_drop(scheduler->cluster, machine, i);
             continue;
         }
         const struct rp_job_spec *spec = &allocation->job->spec;
         double grace = spec->checkpoint_s > 0 ? spec->save_s * 1.2 + 1 : 0;
         rp_allocation_stop(allocation, grace);
         longest = fmax(longest, grace);
-        r->n_preempted++;
+        scheduler->n_preempted++;
     }
-    reserve(r, m, job, longest);
+    reserve(scheduler, machine, job, longest);
     if (stopped)
-        rp_info("job %s gets room on %s: tasks stopped=%u", job->spec.id, m->name, stopped);
+        rp_info("job %s gets room on %s: tasks stopped=%u", job->spec.id, machine->name, stopped);
 }
 
 /* The machine where room for the job costs least; of those that hold its image, if asked so. */
-static struct rp_machine *cheapest_stop(struct rp_round *r, const struct rp_job *job,
+static struct rp_machine *cheapest_stop(struct rp_round *scheduler, const struct rp_job *job,
                                         bool with_image, struct timespec now) {
     struct rp_machine *best = NULL;
     double best_price = 0;
-    for (struct rp_machine *m = r->cluster->first; m; m = m->next) {
-        if (!rp_machine_usable(m) || rp_room_reserved_for(r, m) ||
-            (with_image && !rp_machine_has_image(m, job->image_hash)) ||
-            !rp_cluster_allows(r->cluster, &job->spec, m->type, m->zone, m->spot))
+    for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next) {
+        if (!rp_machine_usable(machine) || rp_room_reserved_for(scheduler, machine) ||
+            (with_image && !rp_machine_has_image(machine, job->image_hash)) ||
+            !rp_cluster_allows(scheduler->cluster, &job->spec, machine->type, machine->zone,
+                               machine->spot))
             continue;
-        double price = stop_price(r, m, job, now);
+        double price = stop_price(scheduler, machine, job, now);
         if (price >= 0 && (!best || price < best_price)) {
-            best = m;
+            best = machine;
             best_price = price;
         }
     }
@@ -241,51 +249,54 @@
 /* An urgent gang that would have to fetch its image, though another machine holds it and only has
  * to be freed of lower work, has that machine freed: saving that work takes less than the fetch,
  * which a whole machine would stand idle for. */
-void rp_room_prefer_holders(struct rp_round *r, const struct rp_round_input *x,
+void rp_room_prefer_holders(struct rp_round *scheduler, const struct rp_round_input *input,
                             struct rp_plan *plan, struct timespec now) {
-    if (!r->settings->tuning.preemption || !rp_cluster_settled(r->cluster))
+    if (!scheduler->settings->tuning.preemption || !rp_cluster_settled(scheduler->cluster))
         return;
     for (size_t i = 0; i < plan->n_puts; i++) {
         struct rp_plan_put *put = &plan->puts[i];
-        const struct rp_job *job = x->groups[put->group].ref;
-        const struct rp_machine *m =
-            put->machine < x->in.n_machines ? x->machines[put->machine].ref : NULL;
-        if (!put->now || !m || !may_preempt(job) || rp_machine_has_image(m, job->image_hash))
+        const struct rp_job *job = input->groups[put->group].ref;
+        const struct rp_machine *machine =
+            put->machine < input->in.n_machines ? input->machines[put->machine].ref : NULL;
+        if (!put->now || !machine || !may_preempt(job) ||
+            rp_machine_has_image(machine, job->image_hash))
             continue;
-        double rate = rp_round_catalog(r)->types[m->type].fetch_gb_per_s;
+        double rate = rp_round_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
         if (rate <= 0 || job->spec.image_gb / rate < HOLDER_WORTH_S)
             continue;
-        struct rp_machine *holder = cheapest_stop(r, job, true, now);
+        struct rp_machine *holder = cheapest_stop(scheduler, job, true, now);
         if (!holder)
             continue;
-        stop_for(r, holder, job);
+        stop_for(scheduler, holder, job);
         put->count = 0;
     }
 }
 
 /* Only gangs of one task are given room this way, one machine at a time: what is stopped for a
  * larger gang would stand empty until the last of its machines is free. */
-void rp_room_preempt(struct rp_round *r, const struct rp_round_input *x, const struct rp_plan *plan,
-                     struct timespec now) {
-    if (!r->settings->tuning.preemption || !rp_cluster_settled(r->cluster))
+void rp_room_preempt(struct rp_round *scheduler, const struct rp_round_input *input,
+                     const struct rp_plan *plan, struct timespec now) {
+    if (!scheduler->settings->tuning.preemption || !rp_cluster_settled(scheduler->cluster))
         return;
-    for (size_t g = 0; g < x->in.n_groups; g++) {
-        const struct rp_job *job = x->groups[g].ref;
+    for (size_t g = 0; g < input->in.n_groups; g++) {
+        const struct rp_job *job = input->groups[g].ref;
         bool now_placed = false, soon = false;
-        if (x->groups[g].held || !may_preempt(job))
+        if (input->groups[g].held || !may_preempt(job))
             continue;
         for (size_t p = 0; p < plan->n_puts; p++) {
             const struct rp_plan_put *put = &plan->puts[p];
             if (put->group != g)
                 continue;
             now_placed |= put->now;
-            const struct rp_machine *m =
-                put->machine < x->in.n_machines ? x->machines[put->machine].ref : NULL;
-            soon |= m && m->state == RP_MACHINE_UP && x->machines[put->machine].busy_s < SOON_S;
+            const struct rp_machine *machine =
+                put->machine < input->in.n_machines ? input->machines[put->machine].ref : NULL;
+            soon |= machine && machine->state == RP_MACHINE_UP &&
+                    input->machines[put->machine].busy_s < SOON_S;
         }
-        struct rp_machine *m = now_placed || soon ? NULL : cheapest_stop(r, job, false, now);
-        if (m)
-            stop_for(r, m, job);
+        struct rp_machine *machine =
+            now_placed || soon ? NULL : cheapest_stop(scheduler, job, false, now);
+        if (machine)
+            stop_for(scheduler, machine, job);
     }
 }
 
@@ -300,42 +311,46 @@
 };
 
 static int by_start(const void *a, const void *b) {
-    const struct candidate *x = a, *y = b;
-    return x->start_s < y->start_s ? -1 : x->start_s > y->start_s;
+    const struct candidate *left = a, *right = b;
+    return left->start_s < right->start_s ? -1 : left->start_s > right->start_s;
 }
 
-static bool candidate_for(struct rp_round *r, const struct rp_job *job,
-                          const struct rp_plan_machine *m, struct candidate *c,
+static bool candidate_for(struct rp_round *scheduler, const struct rp_job *job,
+                          const struct rp_plan_machine *machine, struct candidate *c,
                           struct timespec now) {
-    *c = (struct candidate){.machine = m->ref};
-    if (!m->ref || m->kept || !rp_machine_usable(m->ref) || rp_room_reserved_for(r, m->ref) ||
-        !rp_cluster_allows(r->cluster, &job->spec, m->type, m->zone, m->spot) ||
-        rp_plan_part(&job->spec.each, &m->capacity) <= 0.5)
+    *c = (struct candidate){.machine = machine->ref};
+    if (!machine->ref || machine->kept || !rp_machine_usable(machine->ref) ||
+        rp_room_reserved_for(scheduler, machine->ref) ||
+        !rp_cluster_allows(scheduler->cluster, &job->spec, machine->type, machine->zone,
+                           machine->spot) ||
+        rp_plan_part(&job->spec.each, &machine->capacity) <= 0.5)
         return false;
-    c->free_s = rp_plan_fits_after(m, &job->spec.each);
-    if (c->free_s > SOON_S && job->spec.priority >= RP_HIGH && r->settings->tuning.preemption &&
-        stop_price(r, m->ref, job, now) >= 0) {
+    c->free_s = rp_plan_fits_after(machine, &job->spec.each);
+    if (c->free_s > SOON_S && job->spec.priority >= RP_HIGH &&
+        scheduler->settings->tuning.preemption &&
+        stop_price(scheduler, machine->ref, job, now) >= 0) {
         c->stop = true;
         c->free_s = SOON_S;
     }
-    bool has = rp_machine_has_image(m->ref, job->image_hash);
+    bool has = rp_machine_has_image(machine->ref, job->image_hash);
     c->start_s =
-        c->free_s + (has || m->fetch_gb_per_s <= 0 ? 0 : job->spec.image_gb / m->fetch_gb_per_s);
+        c->free_s +
+        (has || machine->fetch_gb_per_s <= 0 ? 0 : job->spec.image_gb / machine->fetch_gb_per_s);
     return c->free_s < GATHER_MAX_S;
 }
 
 /* The machines, of one zone if need be, that could start the gang soonest; false if there aren't
  * enough of them. They are the first of `list`. */
-static bool soonest(struct rp_round *r, const struct rp_round_input *x, const struct rp_job *job,
-                    struct candidate *list, struct timespec now) {
-    size_t n_zones = job->spec.one_zone ? rp_round_catalog(r)->n_zones : 1;
+static bool soonest(struct rp_round *scheduler, const struct rp_round_input *input,
+                    const struct rp_job *job, struct candidate *list, struct timespec now) {
+    size_t n_zones = job->spec.one_zone ? rp_round_catalog(scheduler)->n_zones : 1;
     struct candidate *best = calloc(job->spec.n_tasks, sizeof *best);
     bool found = false;
     for (size_t z = 0; best && z < n_zones; z++) {
         size_t n = 0, want = job->spec.n_tasks;
-        for (size_t i = 0; i < x->in.n_machines; i++)
-            if (n_zones == 1 || x->machines[i].zone == (int)z)
-                n += candidate_for(r, job, &x->machines[i], &list[n], now);
+        for (size_t i = 0; i < input->in.n_machines; i++)
+            if (n_zones == 1 || input->machines[i].zone == (int)z)
+                n += candidate_for(scheduler, job, &input->machines[i], &list[n], now);
         qsort(list, n, sizeof *list, by_start);
         if (n < want || (found && list[want - 1].start_s >= best[want - 1].start_s))
             continue;
@@ -348,14 +363,15 @@
     return found;
 }
 
-static void gather_for(struct rp_round *r, struct rp_job *job, const struct candidate *list) {
+static void gather_for(struct rp_round *scheduler, struct rp_job *job,
+                       const struct candidate *list) {
     double longest = 0;
     for (uint32_t i = 0; i < job->spec.n_tasks; i++)
         longest = fmax(longest, list[i].free_s);
     for (uint32_t i = 0; i < job->spec.n_tasks; i++) {
         if (list[i].stop)
-            stop_for(r, list[i].machine, job);
-        reserve(r, list[i].machine, job, longest + GATHER_SLACK_S);
+            stop_for(scheduler, list[i].machine, job);
+        reserve(scheduler, list[i].machine, job, longest + GATHER_SLACK_S);
     }
     rp_info("job %s: machines=%u are kept for it, free in %.0fs", job->spec.id, job->spec.n_tasks,
             longest);
@@ -363,18 +379,19 @@
 
 /* Whether the plan has room for all of the gang, either now or on machines still to come up.
  */
-static bool gang_served(const struct rp_round_input *x, const struct rp_plan *plan, size_t group) {
+static bool gang_served(const struct rp_round_input *input, const struct rp_plan *plan,
+                        size_t group) {
     bool all_now = true, fresh = false;
     size_t puts = 0;
     for (size_t p = 0; p < plan->n_puts; p++) {
         const struct rp_plan_put *put = &plan->puts[p];
         if (put->group != group)
             continue;
-        const struct rp_machine *m =
-            put->machine < x->in.n_machines ? x->machines[put->machine].ref : NULL;
+        const struct rp_machine *machine =
+            put->machine < input->in.n_machines ? input->machines[put->machine].ref : NULL;
         puts++;
         all_now &= put->now;
-        fresh |= !m || m->state == RP_MACHINE_BOOTING;
+        fresh |= !machine || machine->state == RP_MACHINE_BOOTING;
     }
     return puts > 0 && (all_now || fresh);
 }
@@ -382,41 +399,44 @@
 /* A task that takes a whole machine mostly finds one soon. Where it doesn't, on few machines that
  * smaller work of its priority keeps full, it waited for ever (incident f8f1). It needs no more
  * than one machine, so several such gangs can have one kept at the same time. */
-static void gather_ones(struct rp_round *r, const struct rp_round_input *x,
+static void gather_ones(struct rp_round *scheduler, const struct rp_round_input *input,
                         const struct rp_plan *plan, struct candidate *list, struct timespec now) {
-    size_t kept = 0, most = 1 + x->in.n_machines / ONES_OF;
-    for (size_t g = 0; g < x->in.n_groups; g++) {
-        const struct rp_job *job = x->groups[g].ref;
-        kept += rp_room_whole(job) && job->spec.n_tasks == 1 && x->groups[g].held;
+    size_t kept = 0, most = 1 + input->in.n_machines / ONES_OF;
+    for (size_t g = 0; g < input->in.n_groups; g++) {
+        const struct rp_job *job = input->groups[g].ref;
+        kept += rp_room_whole(job) && job->spec.n_tasks == 1 && input->groups[g].held;
     }
-    for (size_t g = 0; g < x->in.n_groups && kept < most; g++) {
-        const struct rp_plan_group *group = &x->groups[g];
+    for (size_t g = 0; g < input->in.n_groups && kept < most; g++) {
+        const struct rp_plan_group *group = &input->groups[g];
         struct rp_job *job = group->ref;
         if (!rp_room_whole(job) || job->spec.n_tasks != 1 || group->held ||
-            group->age_s < GATHER_ONE_S || gang_served(x, plan, g) ||
-            !rp_cluster_job_settled(r->cluster, job) || !soonest(r, x, job, list, now))
+            group->age_s < GATHER_ONE_S || gang_served(input, plan, g) ||
+            !rp_cluster_job_settled(scheduler->cluster, job) ||
+            !soonest(scheduler, input, job, list, now))
             continue;
-        gather_for(r, job, list);
+        gather_for(scheduler, job, list);
         kept++;
     }
 }
 
 /* The gang of several tasks that waits longest, of the highest priority, for machines that no plan
  * has for it; n_groups: there is none, or machines are being kept for one. */
-static size_t gang_to_gather(struct rp_round *r, const struct rp_round_input *x,
+static size_t gang_to_gather(struct rp_round *scheduler, const struct rp_round_input *input,
                              const struct rp_plan *plan) {
-    size_t chosen = x->in.n_groups;
-    for (size_t g = 0; g < x->in.n_groups; g++) {
-        const struct rp_plan_group *group = &x->groups[g];
+    size_t chosen = input->in.n_groups;
+    for (size_t g = 0; g < input->in.n_groups; g++) {
+        const struct rp_plan_group *group = &input->groups[g];
         const struct rp_job *job = group->ref;
         if (!rp_room_whole(job) || job->spec.n_tasks == 1)
             continue;
         if (group->held)
-            return x->in.n_groups; /* one at a time */
-        bool before = chosen == x->in.n_groups || group->priority > x->groups[chosen].priority ||
-                      (group->priority == x->groups[chosen].priority &&
-                       group->age_s > x->groups[chosen].age_s);
-        if (before && rp_cluster_job_settled(r->cluster, job) && !gang_served(x, plan, g))
+            return input->in.n_groups; /* one at a time */
+        bool before = chosen == input->in.n_groups ||
+                      group->priority > input->groups[chosen].priority ||
+                      (group->priority == input->groups[chosen].priority &&
+                       group->age_s > input->groups[chosen].age_s);
+        if (before && rp_cluster_job_settled(scheduler->cluster, job) &&
+            !gang_served(input, plan, g))
             chosen = g;
     }
     return chosen;
@@ -426,15 +446,16 @@
  * needs less: on a full fleet a gang of several whole machines would never find them free together.
  * The machines that can be free soonest are kept for one gang at a time; all of them at once, so
  * that no two gangs hold a part each of what both need, and for a bounded time. */
-void rp_room_gather(struct rp_round *r, const struct rp_round_input *x, const struct rp_plan *plan,
-                    struct timespec now) {
-    struct candidate *list = calloc(x->in.n_machines + 1, sizeof *list);
-    size_t chosen = gang_to_gather(r, x, plan);
+void rp_room_gather(struct rp_round *scheduler, const struct rp_round_input *input,
+                    const struct rp_plan *plan, struct timespec now) {
+    struct candidate *list = calloc(input->in.n_machines + 1, sizeof *list);
+    size_t chosen = gang_to_gather(scheduler, input, plan);
     if (!list)
         return;
-    if (chosen < x->in.n_groups && soonest(r, x, x->groups[chosen].ref, list, now))
-        gather_for(r, x->groups[chosen].ref, list);
-    gather_ones(r, x, plan, list, now);
+    if (chosen < input->in.n_groups &&
+        soonest(scheduler, input, input->groups[chosen].ref, list, now))
+        gather_for(scheduler, input->groups[chosen].ref, list);
+    gather_ones(scheduler, input, plan, list, now);
     free(list);
 }
 
@@ -452,12 +473,13 @@
 }
 
 /* Until the allocation is free by itself. */
-static double stays_s(const struct rp_round *r, const struct rp_machine *m,
+static double stays_s(const struct rp_round *scheduler, const struct rp_machine *machine,
                       const struct rp_allocation *allocation, struct timespec now) {
     if (allocation->state == RP_ALLOCATION_EXITED)
         return 0;
-    return allocation->job->spec.kind == RP_SERVICE ? STAYS_S
-                                                    : rp_allocation_left_s(r, m, allocation, now);
+    return allocation->job->spec.kind == RP_SERVICE
+               ? STAYS_S
+               : rp_allocation_left_s(scheduler, machine, allocation, now);
 }
 
 /* The room of every machine, in the order of the cluster's list, as it is used up by tasks that are
@@ -470,33 +492,36 @@
 };
 
 /* What one_zone and spread say of the task in another zone, once it has left its own. */
-static bool zone_takes(const struct rp_machine *from, const struct rp_machine *to,
+static bool zone_takes(const struct rp_machine *from, const struct rp_machine *target,
                        const struct rp_job *job) {
-    if (from->zone == to->zone || (!job->spec.one_zone && !job->spec.spread))
+    if (from->zone == target->zone || (!job->spec.one_zone && !job->spec.spread))
         return true;
-    return !job->spec.one_zone && job->zone_count[to->zone] + 1 <= (job->spec.n_tasks + 1) / 2;
+    return !job->spec.one_zone && job->zone_count[target->zone] + 1 <= (job->spec.n_tasks + 1) / 2;
 }
 
 /* The machine that has to be kept least longer for a task that moves to it; -1 when none has room.
  */
-static double cheapest_move(const struct rp_round *r, const struct rooms *rooms,
+static double cheapest_move(const struct rp_round *scheduler, const struct rooms *rooms,
                             const struct rp_machine *from, const struct rp_allocation *allocation,
                             size_t *where, struct timespec now) {
-    double left = stays_s(r, from, allocation, now) + MOVE_S + allocation->job->spec.save_s;
+    double left = stays_s(scheduler, from, allocation, now) + MOVE_S + allocation->job->spec.save_s;
     double best = -1;
     size_t at = 0;
-    for (const struct rp_machine *o = r->cluster->first; o; o = o->next, at++) {
-        if (o == from || rooms->source[at] || !rp_machine_usable(o) || rp_room_reserved_for(r, o) ||
-            rp_machine_idle(o) ||
-            !rp_cluster_allows(r->cluster, &allocation->job->spec, o->type, o->zone, o->spot) ||
-            !zone_takes(from, o, allocation->job) ||
+    for (const struct rp_machine *other = scheduler->cluster->first; other;
+         other = other->next, at++) {
+        if (other == from || rooms->source[at] || !rp_machine_usable(other) ||
+            rp_room_reserved_for(scheduler, other) || rp_machine_idle(other) ||
+            !rp_cluster_allows(scheduler->cluster, &allocation->job->spec, other->type, other->zone,
+                               other->spot) ||
+            !zone_takes(from, other, allocation->job) ||
             !rp_resources_fit(&allocation->job->spec.each, &rooms->free[at]) ||
-            !rp_machine_has_image(o, allocation->job->image_hash))
+            !rp_machine_has_image(other, allocation->job->image_hash))
             continue;
         double busy = 0;
-        for (size_t k = 0; k < o->n_allocations; k++)
-            busy = fmax(busy, stays_s(r, o, &o->allocations[k], now));
-        double more = fmax(0, left - busy) * rp_fleet_price(rp_round_catalog(r), o->type, o->spot);
+        for (size_t k = 0; k < other->n_allocations; k++)
+            busy = fmax(busy, stays_s(scheduler, other, &other->allocations[k], now));
+        double more = fmax(0, left - busy) *
+                      rp_fleet_price(rp_round_catalog(scheduler), other->type, other->spot);
         if (best < 0 || more < best) {
             best = more;
             *where = at;
@@ -507,63 +532,68 @@
 
 /* Takes the room for all tasks of `m` on other machines; returns how much longer these have to be
  * kept for them, in money, or a negative number when there is no room: then none is taken. */
-static double move_price(const struct rp_round *r, struct rooms *rooms, const struct rp_machine *m,
-                         struct timespec now) {
+static double move_price(const struct rp_round *scheduler, struct rooms *rooms,
+                         const struct rp_machine *machine, struct timespec now) {
     double price = 0;
-    size_t *to = calloc(m->n_allocations + 1, sizeof *to), n = 0;
+    size_t *to = calloc(machine->n_allocations + 1, sizeof *to), n = 0;
     if (!to)
         return -1;
-    for (; n < m->n_allocations && price >= 0; n++) {
+    for (; n < machine->n_allocations && price >= 0; n++) {
         to[n] = rooms->n;
-        if (m->allocations[n].state == RP_ALLOCATION_EXITED)
+        if (machine->allocations[n].state == RP_ALLOCATION_EXITED)
             continue;
-        double more = cheapest_move(r, rooms, m, &m->allocations[n], &to[n], now);
+        double more =
+            cheapest_move(scheduler, rooms, machine, &machine->allocations[n], &to[n], now);
         if (more < 0) {
             price = -1;
             break;
         }
-        rp_resources_sub(&rooms->free[to[n]], &m->allocations[n].job->spec.each);
+        rp_resources_sub(&rooms->free[to[n]], &machine->allocations[n].job->spec.each);
         price = fmax(price, more);
     }
     for (size_t i = 0; price < 0 && i < n; i++)
         if (to[i] < rooms->n)
-            rp_resources_add(&rooms->free[to[i]], &m->allocations[i].job->spec.each);
+            rp_resources_add(&rooms->free[to[i]], &machine->allocations[i].job->spec.each);
     free(to);
     return price;
 }
 
-static bool type_wanted(const struct rp_round_input *x, int type) {
-    for (size_t g = 0; g < x->in.n_groups; g++)
-        if (x->groups[g].types >> type & 1)
+static bool type_wanted(const struct rp_round_input *input, int type) {
+    for (size_t g = 0; g < input->in.n_groups; g++)
+        if (input->groups[g].types >> type & 1)
             return true;
     return false;
 }
 
 /* What is saved if the machine's tasks go elsewhere; negative when they can't, or needn't. */
-static double drain_saving(const struct rp_round *r, const struct rp_round_input *x,
-                           struct rooms *rooms, const struct rp_machine *m, struct timespec now) {
-    double price = rp_fleet_price(rp_round_catalog(r), m->type, m->spot), busy = 0;
-    if (!rp_machine_usable(m) || rp_machine_idle(m) || m->draining || type_wanted(x, m->type) ||
-        rp_room_reserved_for(r, m))
+static double drain_saving(const struct rp_round *scheduler, const struct rp_round_input *input,
+                           struct rooms *rooms, const struct rp_machine *machine,
+                           struct timespec now) {
+    double price = rp_fleet_price(rp_round_catalog(scheduler), machine->type, machine->spot),
+           busy = 0;
+    if (!rp_machine_usable(machine) || rp_machine_idle(machine) || machine->draining ||
+        type_wanted(input, machine->type) || rp_room_reserved_for(scheduler, machine))
         return -1;
-    const struct rp_resources *capacity = &rp_round_catalog(r)->types[m->type].capacity;
-    bool ready = capacity->gpus <= 0 && !m->spot;
+    const struct rp_resources *capacity =
+        &rp_round_catalog(scheduler)->types[machine->type].capacity;
+    bool ready = capacity->gpus <= 0 && !machine->spot;
     double replicas = 0;
-    for (size_t i = 0; i < m->n_allocations; i++) {
-        if (m->allocations[i].state == RP_ALLOCATION_EXITED)
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        if (machine->allocations[i].state == RP_ALLOCATION_EXITED)
             continue;
-        if (!movable(&m->allocations[i], now))
+        if (!movable(&machine->allocations[i], now))
             return -1;
-        busy = fmax(busy, stays_s(r, m, &m->allocations[i], now));
-        if (m->allocations[i].job->spec.kind == RP_SERVICE)
-            replicas += rp_plan_part(&m->allocations[i].job->spec.each, capacity);
+        busy = fmax(busy, stays_s(scheduler, machine, &machine->allocations[i], now));
+        if (machine->allocations[i].job->spec.kind == RP_SERVICE)
+            replicas += rp_plan_part(&machine->allocations[i].job->spec.each, capacity);
     }
     /* A move is a moment without the replica, and the machine that it frees costs little. */
     if (replicas > MOVE_PART ||
-        (replicas > 0 && rp_ts_since(now, r->replicas_moved) < MOVE_EVERY_S))
+        (replicas > 0 && rp_ts_since(now, scheduler->replicas_moved) < MOVE_EVERY_S))
         return -1;
-    if (ready && rooms->ready_cpus - rp_services_ready_cpus_of(r->services, m) <
-                     rp_services_reserve_cpus(r->services) + capacity->cpus - RP_READY_SLACK_CPUS)
+    if (ready &&
+        rooms->ready_cpus - rp_services_ready_cpus_of(scheduler->services, machine) <
+            rp_services_reserve_cpus(scheduler->services) + capacity->cpus - RP_READY_SLACK_CPUS)
         return -1;
     if (busy <= 2 * MOVE_S)
         return -1;
@@ -571,7 +601,7 @@
     if (!before)
         return -1;
     memcpy(before, rooms->free, rooms->n * sizeof *before);
-    double more = move_price(r, rooms, m, now);
+    double more = move_price(scheduler, rooms, machine, now);
     memcpy(rooms->free, before, rooms->n * sizeof *before);
     free(before);
     double saving = price * (busy - MOVE_S) - more;
@@ -580,36 +610,40 @@
 
 /* The room now, less what the machines being drained already move elsewhere: the room found for one
  * machine's tasks must not be found twice. Returns how many these are. */
-static size_t rooms_fill(const struct rp_round *r, struct rooms *rooms, struct timespec now) {
+static size_t rooms_fill(const struct rp_round *scheduler, struct rooms *rooms,
+                         struct timespec now) {
     size_t at = 0, moving = 0;
-    rooms->ready_cpus = rp_services_ready_cpus(r->services);
-    for (const struct rp_machine *m = r->cluster->first; m; m = m->next, at++) {
-        rooms->free[at] = rp_machine_free(r->cluster, m);
-        rooms->source[at] = m->draining;
-        moving += m->draining;
+    rooms->ready_cpus = rp_services_ready_cpus(scheduler->services);
+    for (const struct rp_machine *machine = scheduler->cluster->first; machine;
+         machine = machine->next, at++) {
+        rooms->free[at] = rp_machine_free(scheduler->cluster, machine);
+        rooms->source[at] = machine->draining;
+        moving += machine->draining;
     }
-    for (const struct rp_machine *m = r->cluster->first; m; m = m->next)
-        if (m->draining)
-            (void)move_price(r, rooms, m, now);
+    for (const struct rp_machine *machine = scheduler->cluster->first; machine;
+         machine = machine->next)
+        if (machine->draining)
+            (void)move_price(scheduler, rooms, machine, now);
     return moving;
 }
 
-static void drain_one(struct rp_round *r, struct rooms *rooms, struct rp_machine *m, size_t at,
-                      struct timespec now) {
-    rp_info("machine %s is emptied: tasks=%zu fit elsewhere", m->name, m->n_allocations);
-    (void)move_price(r, rooms, m, now);
+static void drain_one(struct rp_round *scheduler, struct rooms *rooms, struct rp_machine *machine,
+                      size_t at, struct timespec now) {
+    rp_info("machine %s is emptied: tasks=%zu fit elsewhere", machine->name,
+            machine->n_allocations);
+    (void)move_price(scheduler, rooms, machine, now);
     rooms->source[at] = true;
-    rooms->ready_cpus -= rp_services_ready_cpus_of(r->services, m);
-    m->draining = true;
-    for (size_t i = 0; i < m->n_allocations; i++) {
-        const struct rp_job_spec *spec = &m->allocations[i].job->spec;
-        if (m->allocations[i].state == RP_ALLOCATION_EXITED)
+    rooms->ready_cpus -= rp_services_ready_cpus_of(scheduler->services, machine);
+    machine->draining = true;
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        const struct rp_job_spec *spec = &machine->allocations[i].job->spec;
+        if (machine->allocations[i].state == RP_ALLOCATION_EXITED)
             continue;
         /* Replicas are moved one by one (services.c). */
         if (spec->kind == RP_SERVICE)
-            r->replicas_moved = now;
+            scheduler->replicas_moved = now;
         else
-            rp_allocation_stop(&m->allocations[i], spec->save_s * 1.2 + 1);
+            rp_allocation_stop(&machine->allocations[i], spec->save_s * 1.2 + 1);
     }
 }
 
@@ -617,29 +651,30 @@
  * they fit on machines that are kept anyway, and nothing waits for the room, they are stopped with
  * their progress saved, and the machine goes back: one at a time of a small fleet, more of a large
  * one. */
-void rp_room_drain_machines(struct rp_round *r, const struct rp_round_input *x,
+void rp_room_drain_machines(struct rp_round *scheduler, const struct rp_round_input *input,
                             struct timespec now) {
-    struct rooms rooms = {.n = r->cluster->n_machines};
+    struct rooms rooms = {.n = scheduler->cluster->n_machines};
     rooms.free = calloc(rooms.n + 1, sizeof *rooms.free);
     rooms.source = calloc(rooms.n + 1, sizeof *rooms.source);
     if (!rooms.free || !rooms.source)
         goto out;
-    size_t most = 1 + rooms.n / DRAINING_OF, moving = rooms_fill(r, &rooms, now);
+    size_t most = 1 + rooms.n / DRAINING_OF, moving = rooms_fill(scheduler, &rooms, now);
     while (moving < most) {
         struct rp_machine *best = NULL;
         double best_saving = 0;
         size_t best_at = 0, at = 0;
-        for (struct rp_machine *m = r->cluster->first; m; m = m->next, at++) {
-            double saving = drain_saving(r, x, &rooms, m, now);
+        for (struct rp_machine *machine = scheduler->cluster->first; machine;
+             machine = machine->next, at++) {
+            double saving = drain_saving(scheduler, input, &rooms, machine, now);
             if (saving > best_saving) {
-                best = m;
+                best = machine;
                 best_saving = saving;
                 best_at = at;
             }
         }
         if (!best)
             break;
-        drain_one(r, &rooms, best, best_at, now);
+        drain_one(scheduler, &rooms, best, best_at, now);
         moving++;
     }
 out:
--- a/src/scheduler/services.c
+++ b/src/scheduler/services.c
@@ -31,28 +31,29 @@
 
 static void watch_due(void *arg);
 
-void rp_services_init(struct rp_services *s, struct rp_loop *loop, struct rp_cluster *cluster,
-                      struct rp_jobs *jobs, struct rp_workers *workers, struct rp_fleet *fleet,
-                      const struct rp_settings *settings, const struct rp_catalog *catalog) {
-    memset(s, 0, sizeof *s);
-    s->fleet = fleet;
-    s->watch = (struct rp_timer){.fn = watch_due, .arg = s};
-    s->loop = loop;
-    s->cluster = cluster;
-    s->jobs = jobs;
-    s->workers = workers;
-    s->settings = settings;
-    s->catalog = catalog;
+void rp_services_init(struct rp_services *services, struct rp_loop *loop,
+                      struct rp_cluster *cluster, struct rp_jobs *jobs, struct rp_workers *workers,
+                      struct rp_fleet *fleet, const struct rp_settings *settings,
+                      const struct rp_catalog *catalog) {
+    memset(services, 0, sizeof *services);
+    services->fleet = fleet;
+    services->watch = (struct rp_timer){.fn = watch_due, .arg = services};
+    services->loop = loop;
+    services->cluster = cluster;
+    services->jobs = jobs;
+    services->workers = workers;
+    services->settings = settings;
+    services->catalog = catalog;
 }
 
-void rp_services_start(struct rp_services *s) {
-    s->flow = (struct rp_service_flow){0};
-    s->counted = 0;
-    rp_timer_set(s->loop, &s->watch, WATCH_S);
+void rp_services_start(struct rp_services *services) {
+    services->flow = (struct rp_service_flow){0};
+    services->counted = 0;
+    rp_timer_set(services->loop, &services->watch, WATCH_S);
 }
 
-void rp_services_stop(struct rp_services *s) {
-    rp_timer_cancel(s->loop, &s->watch);
+void rp_services_stop(struct rp_services *services) {
+    rp_timer_cancel(services->loop, &services->watch);
 }
 
 /* ---- room that lower work gives ---- */
@@ -87,21 +88,21 @@
 }
 
 /* What stops under way on the machine give back before anything that is started there now. */
-static struct rp_freed freed_already(const struct rp_machine *m, const struct rp_job *job) {
+static struct rp_freed freed_already(const struct rp_machine *machine, const struct rp_job *job) {
     struct rp_freed freed = {0};
-    for (size_t i = 0; i < m->n_allocations; i++)
-        if (going(&m->allocations[i]))
-            free_allocation(&freed, &m->allocations[i], job);
+    for (size_t i = 0; i < machine->n_allocations; i++)
+        if (going(&machine->allocations[i]))
+            free_allocation(&freed, &machine->allocations[i], job);
     return freed;
 }
 
 enum lack { LACK_NOTHING, LACK_ROOM, LACK_QUOTA };
 
 /* What one more task of the job still lacks on the machine. */
-static enum lack lacking(const struct rp_services *s, const struct rp_machine *m,
+static enum lack lacking(const struct rp_services *services, const struct rp_machine *machine,
                          const struct rp_job *job, const struct rp_freed *freed) {
-    struct rp_resources room = rp_machine_free(s->cluster, m);
-    struct rp_resources over = rp_cluster_over_quota(s->cluster, job);
+    struct rp_resources room = rp_machine_free(services->cluster, machine);
+    struct rp_resources over = rp_cluster_over_quota(services->cluster, job);
     rp_resources_add(&room, &freed->room);
     if (!rp_resources_fit(&job->spec.each, &room))
         return LACK_ROOM;
@@ -110,12 +111,12 @@
 }
 
 /* The room that costs least to take; where the team's limit is in the way, one of its own. */
-static struct rp_allocation *cheapest(struct rp_machine *m, const struct rp_job *job,
+static struct rp_allocation *cheapest(struct rp_machine *machine, const struct rp_job *job,
                                       enum lack lack, const bool *taken, struct timespec now) {
     struct rp_allocation *best = NULL;
     double best_worth = 0;
-    for (size_t i = 0; i < m->n_allocations; i++) {
-        struct rp_allocation *allocation = &m->allocations[i];
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        struct rp_allocation *allocation = &machine->allocations[i];
         if ((taken && taken[i]) || !may_go(allocation, job) ||
             (lack == LACK_QUOTA && allocation->job->team != job->team))
             continue;
@@ -131,20 +132,20 @@
 #define ALLOCATIONS_MAX 1024
 
 /* Seconds of work that are lost if the machine makes room for one task; negative: it can't. */
-static double room_price(const struct rp_services *s, struct rp_machine *m,
+static double room_price(const struct rp_services *services, struct rp_machine *machine,
                          const struct rp_job *job, struct timespec now) {
-    struct rp_freed freed = freed_already(m, job);
+    struct rp_freed freed = freed_already(machine, job);
     bool taken[ALLOCATIONS_MAX] = {false};
-    enum lack lack = lacking(s, m, job, &freed);
+    enum lack lack = lacking(services, machine, job, &freed);
     double price = 0;
     if (lack != LACK_NOTHING &&
-        (!s->settings->tuning.preemption || m->n_allocations > ALLOCATIONS_MAX))
+        (!services->settings->tuning.preemption || machine->n_allocations > ALLOCATIONS_MAX))
         return -1;
-    for (; lack != LACK_NOTHING; lack = lacking(s, m, job, &freed)) {
-        struct rp_allocation *allocation = cheapest(m, job, lack, taken, now);
+    for (; lack != LACK_NOTHING; lack = lacking(services, machine, job, &freed)) {
+        struct rp_allocation *allocation = cheapest(machine, job, lack, taken, now);
         if (!allocation)
             return -1;
-        taken[allocation - m->allocations] = true;
+        taken[allocation - machine->allocations] = true;
         free_allocation(&freed, allocation, job);
         price += worth(allocation, now);
     }
@@ -152,16 +153,17 @@
 }
 
 /* Returns what is given back by the time of the start. */
-static struct rp_freed make_room(struct rp_services *s, struct rp_machine *m,
+static struct rp_freed make_room(struct rp_services *services, struct rp_machine *machine,
                                  const struct rp_job *job, struct timespec now) {
-    struct rp_freed freed = freed_already(m, job);
-    for (enum lack lack; (lack = lacking(s, m, job, &freed)) != LACK_NOTHING;) {
-        struct rp_allocation *allocation = cheapest(m, job, lack, NULL, now);
+    struct rp_freed freed = freed_already(machine, job);
+    for (enum lack lack; (lack = lacking(services, machine, job, &freed)) != LACK_NOTHING;) {
+        struct rp_allocation *allocation = cheapest(machine, job, lack, NULL, now);
         if (!allocation)
             break;
-        s->n_made_room++;
+        services->n_made_room++;
         if (allocation->state == RP_ALLOCATION_PLANNED) {
-            rp_allocation_drop(s->cluster, m, (size_t)(allocation - m->allocations));
+            rp_allocation_drop(services->cluster, machine,
+                               (size_t)(allocation - machine->allocations));
             continue; /* its room is free, and its team's part, as counted anew */
         }
         rp_allocation_stop(allocation, 0);
@@ -173,22 +175,22 @@
 /* ---- the best machine ---- */
 
 /* Until the image is there. Images fetched at the same time may share the machine's rate. */
-static double fetch_s(const struct rp_services *s, const struct rp_machine *m,
+static double fetch_s(const struct rp_services *services, const struct rp_machine *machine,
                       const struct rp_job *job, struct timespec now) {
-    double rate = s->catalog->types[m->type].fetch_gb_per_s;
+    double rate = services->catalog->types[machine->type].fetch_gb_per_s;
     uint64_t others[8];
     size_t n = 0;
-    if (rp_machine_has_image(m, job->image_hash) || rate <= 0)
+    if (rp_machine_has_image(machine, job->image_hash) || rate <= 0)
         return 0;
     double own = job->spec.image_gb / rate;
-    for (size_t i = 0; i < m->n_allocations; i++) {
-        const struct rp_allocation *allocation = &m->allocations[i];
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state == RP_ALLOCATION_EXITED || allocation->task_state != RP_TASK_FETCHING)
             continue;
         uint64_t hash = allocation->job->image_hash;
         if (hash == job->image_hash)
             return fmax(FETCH_LEFT_S, own - rp_ts_since(now, allocation->since));
-        bool known = rp_machine_has_image(m, hash);
+        bool known = rp_machine_has_image(machine, hash);
         for (size_t k = 0; k < n; k++)
             known |= others[k] == hash;
         if (!known && n < sizeof others / sizeof others[0])
@@ -197,79 +199,82 @@
     return own * (double)(1 + n);
 }
 
-static bool fresh(const struct rp_services *s, const struct rp_machine *m, struct timespec now) {
-    return !m->unreached &&
-           rp_ts_since(now, m->last_heard) < 1.25 * s->settings->report_s + SILENT_SLACK_S;
+static bool fresh(const struct rp_services *services, const struct rp_machine *machine,
+                  struct timespec now) {
+    return !machine->unreached && rp_ts_since(now, machine->last_heard) <
+                                      1.25 * services->settings->report_s + SILENT_SLACK_S;
 }
 
 /* Its room is kept for a gang. */
-static bool kept(const struct rp_machine *m, struct timespec now) {
-    return *m->reserved && !rp_ts_reached(now, m->reserved_until);
+static bool kept(const struct rp_machine *machine, struct timespec now) {
+    return *machine->reserved && !rp_ts_reached(now, machine->reserved_until);
 }
 
 /* How many more of the job's replicas the zone would have than an even part of them. */
-static double zone_excess(const struct rp_services *s, const struct rp_job *job, int zone) {
-    double even = ceil((double)job->spec.n_tasks / fmax(1, (double)s->catalog->n_zones));
+static double zone_excess(const struct rp_services *services, const struct rp_job *job, int zone) {
+    double even = ceil((double)job->spec.n_tasks / fmax(1, (double)services->catalog->n_zones));
     return fmin(fmax(0, job->zone_count[zone] + 1 - even), SAME_MOST);
 }
 
 /* What speaks against the machine, in seconds; negative: it can't take the task. */
-static double price_of(const struct rp_services *s, struct rp_machine *m, const struct rp_job *job,
-                       struct timespec now) {
-    if (!rp_machine_usable(m) || m->draining || kept(m, now) || !fresh(s, m, now) ||
-        !rp_cluster_allows(s->cluster, &job->spec, m->type, m->zone, m->spot))
+static double price_of(const struct rp_services *services, struct rp_machine *machine,
+                       const struct rp_job *job, struct timespec now) {
+    if (!rp_machine_usable(machine) || machine->draining || kept(machine, now) ||
+        !fresh(services, machine, now) ||
+        !rp_cluster_allows(services->cluster, &job->spec, machine->type, machine->zone,
+                           machine->spot))
         return -1;
-    double lost = room_price(s, m, job, now);
+    double lost = room_price(services, machine, job, now);
     if (lost < 0)
         return -1;
-    const struct rp_resources *capacity = &s->catalog->types[m->type].capacity;
+    const struct rp_resources *capacity = &services->catalog->types[machine->type].capacity;
     bool gpus = capacity->gpus > 0 && job->spec.each.gpus <= 0;
     bool serves = false;
-    double price = fetch_s(s, m, job, now) + lost * LOST_WORK_SHARE;
+    double price = fetch_s(services, machine, job, now) + lost * LOST_WORK_SHARE;
     unsigned same = 0;
-    for (size_t i = 0; i < m->n_allocations; i++) {
-        const struct rp_allocation *allocation = &m->allocations[i];
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state == RP_ALLOCATION_EXITED)
             continue;
         serves |= allocation->job->spec.kind == RP_SERVICE;
         same += allocation->job == job && same < SAME_MOST;
     }
-    price += same * SAME_MACHINE_S + zone_excess(s, job, m->zone) * SAME_ZONE_S;
+    price += same * SAME_MACHINE_S + zone_excess(services, job, machine->zone) * SAME_ZONE_S;
     for (unsigned i = 0; i < job->n_error_on; i++)
-        price += strcmp(job->error_on[i], m->name) == 0 ? FAILED_HERE_S : 0;
-    price += rp_workers_direct_full(m) ? NEXT_REPORT_S : 0;
-    price += ERROR_S * m->errors_row + (m->spot ? SPOT_S : 0) + (gpus ? GPU_S : 0);
+        price += strcmp(job->error_on[i], machine->name) == 0 ? FAILED_HERE_S : 0;
+    price += rp_workers_direct_full(machine) ? NEXT_REPORT_S : 0;
+    price += ERROR_S * machine->errors_row + (machine->spot ? SPOT_S : 0) + (gpus ? GPU_S : 0);
     return price + (serves ? 0 : KEPT_S);
 }
 
 /* The machine on which the task, which is on none, runs soonest; NULL: on none. */
-static struct rp_machine *best_for(const struct rp_services *s, const struct rp_job *job,
+static struct rp_machine *best_for(const struct rp_services *services, const struct rp_job *job,
                                    uint32_t task, struct timespec now) {
     static const struct rp_freed all = {{1e12, 1e12, 1e12}, {1e12, 1e12, 1e12}};
     struct rp_machine *best = NULL;
     double best_price = 0;
-    for (struct rp_machine *m = s->cluster->first; m; m = m->next) {
-        double price = price_of(s, m, job, now);
+    for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next) {
+        double price = price_of(services, machine, job, now);
         if (price < 0 || (best && price >= best_price) ||
-            !rp_cluster_may_start_over(s->cluster, job, task, m, &all))
+            !rp_cluster_may_start_over(services->cluster, job, task, machine, &all))
             continue;
-        best = m;
+        best = machine;
         best_price = price;
     }
     return best;
 }
 
-static bool place_task(struct rp_services *s, struct rp_job *job, uint32_t task,
+static bool place_task(struct rp_services *services, struct rp_job *job, uint32_t task,
                        struct timespec now) {
-    struct rp_machine *best = best_for(s, job, task, now);
+    struct rp_machine *best = best_for(services, job, task, now);
     if (!best)
         return false;
-    struct rp_freed freed = make_room(s, best, job, now);
-    if (!rp_cluster_may_start_over(s->cluster, job, task, best, &freed))
+    struct rp_freed freed = make_room(services, best, job, now);
+    if (!rp_cluster_may_start_over(services->cluster, job, task, best, &freed))
         return false;
-    rp_allocation_add(s->cluster, best, job, task, rp_cluster_attempt(s->cluster),
+    rp_allocation_add(services->cluster, best, job, task, rp_cluster_attempt(services->cluster),
                       RP_ALLOCATION_PLANNED);
-    s->n_placed++;
+    services->n_placed++;
     return true;
 }
 
@@ -281,14 +286,16 @@
 
 /* What the team of the job lacks for its missing replicas, once all that is being stopped is gone.
  */
-static struct rp_resources quota_lack(const struct rp_services *s, const struct rp_job *job) {
-    struct rp_resources over = rp_cluster_over_quota(s->cluster, job);
+static struct rp_resources quota_lack(const struct rp_services *services,
+                                      const struct rp_job *job) {
+    struct rp_resources over = rp_cluster_over_quota(services->cluster, job);
     double more = job->spec.n_tasks - job->n_counted - 1.0;
     over.cpus += more * job->spec.each.cpus;
     over.gpus += more * job->spec.each.gpus;
-    for (const struct rp_machine *m = s->cluster->first; m; m = m->next)
-        for (size_t i = 0; i < m->n_allocations; i++) {
-            const struct rp_allocation *allocation = &m->allocations[i];
+    for (const struct rp_machine *machine = services->cluster->first; machine;
+         machine = machine->next)
+        for (size_t i = 0; i < machine->n_allocations; i++) {
+            const struct rp_allocation *allocation = &machine->allocations[i];
             if (allocation->state == RP_ALLOCATION_EXITED || !allocation->stop ||
                 allocation->job->team != job->team)
                 continue;
@@ -300,16 +307,18 @@
 
 /* A team at its limit, whose lower work sits where a replica can't go (on spot machines, say),
  * would have no machine rented for it either: that work makes way wherever it is. */
-static void free_quota(struct rp_services *s, const struct rp_job *job, struct timespec now) {
-    struct rp_resources over = quota_lack(s, job);
+static void free_quota(struct rp_services *services, const struct rp_job *job,
+                       struct timespec now) {
+    struct rp_resources over = quota_lack(services, job);
     while (isfinite(over.cpus) && isfinite(over.gpus) && beyond(&over)) {
         struct rp_machine *from = NULL;
         struct rp_allocation *best = NULL;
-        for (struct rp_machine *m = s->cluster->first; m; m = m->next) {
-            struct rp_allocation *allocation = cheapest(m, job, LACK_QUOTA, NULL, now);
+        for (struct rp_machine *machine = services->cluster->first; machine;
+             machine = machine->next) {
+            struct rp_allocation *allocation = cheapest(machine, job, LACK_QUOTA, NULL, now);
             if (allocation && (!best || worth(allocation, now) < worth(best, now))) {
                 best = allocation;
-                from = m;
+                from = machine;
             }
         }
         if (!best)
@@ -317,9 +326,9 @@
         const struct rp_job_spec *spec = &best->job->spec;
         over.cpus -= spec->each.cpus;
         over.gpus -= spec->each.gpus;
-        s->n_made_room++;
+        services->n_made_room++;
         if (best->state == RP_ALLOCATION_PLANNED)
-            rp_allocation_drop(s->cluster, from, (size_t)(best - from->allocations));
+            rp_allocation_drop(services->cluster, from, (size_t)(best - from->allocations));
         else
             rp_allocation_stop(best, spec->checkpoint_s > 0 ? spec->save_s * 1.2 + 1 : 0);
     }
@@ -327,42 +336,45 @@
 
 /* ---- what arrives ---- */
 
-static void note_arrival(struct rp_services *s, const struct rp_job *job, struct timespec now) {
-    struct rp_service_flow *f = &s->flow;
+static void note_arrival(struct rp_services *services, const struct rp_job *job,
+                         struct timespec now) {
+    struct rp_service_flow *flow = &services->flow;
     double cpus = job->spec.n_tasks * job->spec.each.cpus;
-    double decay = rp_ts_zero(f->at) ? 0 : exp(-rp_ts_since(now, f->at) / FLOW_S);
-    f->cpus_per_s = f->cpus_per_s * decay + cpus / FLOW_S;
-    f->largest = fmax(f->largest * decay, cpus);
-    f->at = now;
+    double decay = rp_ts_zero(flow->at) ? 0 : exp(-rp_ts_since(now, flow->at) / FLOW_S);
+    flow->cpus_per_s = flow->cpus_per_s * decay + cpus / FLOW_S;
+    flow->largest = fmax(flow->largest * decay, cpus);
+    flow->at = now;
 }
 
-static double longest_boot_s(const struct rp_catalog *c) {
+static double longest_boot_s(const struct rp_catalog *catalog) {
     double boot = 0;
-    for (size_t t = 0; t < c->n_types; t++)
-        if (c->types[t].capacity.gpus <= 0)
-            boot = fmax(boot, c->types[t].boot_s);
+    for (size_t t = 0; t < catalog->n_types; t++)
+        if (catalog->types[t].capacity.gpus <= 0)
+            boot = fmax(boot, catalog->types[t].boot_s);
     return boot;
 }
 
-double rp_services_reserve_cpus(const struct rp_services *s) {
-    const struct rp_service_flow *f = &s->flow;
-    if (rp_ts_zero(f->at))
+double rp_services_reserve_cpus(const struct rp_services *services) {
+    const struct rp_service_flow *flow = &services->flow;
+    if (rp_ts_zero(flow->at))
         return 0;
-    double decay = exp(-rp_ts_since(rp_loop_now(s->loop), f->at) / FLOW_S);
-    double arriving = f->cpus_per_s * longest_boot_s(s->catalog);
-    return s->settings->tuning.service_reserve * (arriving + f->largest) * decay;
+    double decay = exp(-rp_ts_since(rp_loop_now(services->loop), flow->at) / FLOW_S);
+    double arriving = flow->cpus_per_s * longest_boot_s(services->catalog);
+    return services->settings->tuning.service_reserve * (arriving + flow->largest) * decay;
 }
 
-double rp_services_ready_cpus_of(const struct rp_services *s, const struct rp_machine *m) {
-    if (m->type < 0 || m->spot || m->draining || s->catalog->types[m->type].capacity.gpus > 0)
+double rp_services_ready_cpus_of(const struct rp_services *services,
+                                 const struct rp_machine *machine) {
+    if (machine->type < 0 || machine->spot || machine->draining ||
+        services->catalog->types[machine->type].capacity.gpus > 0)
         return 0;
-    if (m->state == RP_MACHINE_BOOTING)
-        return s->catalog->types[m->type].capacity.cpus;
-    if (!rp_machine_usable(m))
+    if (machine->state == RP_MACHINE_BOOTING)
+        return services->catalog->types[machine->type].capacity.cpus;
+    if (!rp_machine_usable(machine))
         return 0;
-    double room = rp_machine_free(s->cluster, m).cpus;
-    for (size_t i = 0; i < m->n_allocations; i++) {
-        const struct rp_allocation *allocation = &m->allocations[i];
+    double room = rp_machine_free(services->cluster, machine).cpus;
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state != RP_ALLOCATION_EXITED && allocation->job->spec.kind == RP_ARRAY &&
             allocation->job->spec.priority < RP_PRODUCTION)
             room += allocation->job->spec.each.cpus;
@@ -370,10 +382,11 @@
     return fmax(0, room);
 }
 
-double rp_services_ready_cpus(const struct rp_services *s) {
+double rp_services_ready_cpus(const struct rp_services *services) {
     double cpus = 0;
-    for (const struct rp_machine *m = s->cluster->first; m; m = m->next)
-        cpus += rp_services_ready_cpus_of(s, m);
+    for (const struct rp_machine *machine = services->cluster->first; machine;
+         machine = machine->next)
+        cpus += rp_services_ready_cpus_of(services, machine);
     return cpus;
 }
 
@@ -387,77 +400,80 @@
             (going(allocation) && rp_ts_zero(allocation->stop_sent)));
 }
 
-void rp_services_send(struct rp_services *s) {
-    for (struct rp_machine *m = s->cluster->first; m; m = m->next)
-        for (size_t i = 0; i < m->n_allocations; i++)
-            if (to_send(&m->allocations[i])) {
-                rp_workers_direct(s->workers, m);
+void rp_services_send(struct rp_services *services) {
+    for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next)
+        for (size_t i = 0; i < machine->n_allocations; i++)
+            if (to_send(&machine->allocations[i])) {
+                rp_workers_direct(services->workers, machine);
                 break;
             }
 }
 
-static void place_job(struct rp_services *s, struct rp_job *job, struct timespec now) {
-    if (!rp_cluster_job_settled(s->cluster, job))
+static void place_job(struct rp_services *services, struct rp_job *job, struct timespec now) {
+    if (!rp_cluster_job_settled(services->cluster, job))
         return;
     for (uint32_t task = 0; task < job->spec.n_tasks; task++)
-        if (rp_job_allocations(job, task) == 0 && !place_task(s, job, task, now)) {
-            if (s->settings->tuning.preemption)
-                free_quota(s, job, now);
+        if (rp_job_allocations(job, task) == 0 && !place_task(services, job, task, now)) {
+            if (services->settings->tuning.preemption)
+                free_quota(services, job, now);
             return;
         }
 }
 
-void rp_services_run(struct rp_services *s) {
-    struct timespec now = rp_loop_now(s->loop);
-    uint64_t newest = s->counted;
-    if (s->jobs->n_services == 0 || !rp_jobs_may_start(s->jobs))
+void rp_services_run(struct rp_services *services) {
+    struct timespec now = rp_loop_now(services->loop);
+    uint64_t newest = services->counted;
+    if (services->jobs->n_services == 0 || !rp_jobs_may_start(services->jobs))
         return;
-    for (struct rp_job *job = s->jobs->first; job; job = job->next) {
+    for (struct rp_job *job = services->jobs->first; job; job = job->next) {
         if (job->spec.kind != RP_SERVICE || job->state != RP_JOB_OPEN)
             continue;
-        if (job->created > s->counted)
-            note_arrival(s, job, now);
+        if (job->created > services->counted)
+            note_arrival(services, job, now);
         newest = job->created > newest ? job->created : newest;
         if (job->n_counted < job->spec.n_tasks && rp_ts_reached(now, job->held_until))
-            place_job(s, job, now);
+            place_job(services, job, now);
     }
-    s->counted = newest;
-    rp_services_send(s);
+    services->counted = newest;
+    rp_services_send(services);
 }
 
 /* ---- replicas that are moved ---- */
 
-static bool holds_replicas(const struct rp_machine *m) {
-    for (size_t i = 0; i < m->n_allocations; i++)
-        if (m->allocations[i].state != RP_ALLOCATION_EXITED &&
-            m->allocations[i].job->spec.kind == RP_SERVICE)
+static bool holds_replicas(const struct rp_machine *machine) {
+    for (size_t i = 0; i < machine->n_allocations; i++)
+        if (machine->allocations[i].state != RP_ALLOCATION_EXITED &&
+            machine->allocations[i].job->spec.kind == RP_SERVICE)
             return true;
     return false;
 }
 
 /* Whether some replica is missing, being stopped, or not running yet. */
-static bool any_unsteady(const struct rp_services *s) {
-    for (const struct rp_job *job = s->jobs->first; job; job = job->next)
+static bool any_unsteady(const struct rp_services *services) {
+    for (const struct rp_job *job = services->jobs->first; job; job = job->next)
         if (job->spec.kind == RP_SERVICE && job->state == RP_JOB_OPEN &&
             job->n_running < job->spec.n_tasks)
             return true;
-    for (const struct rp_machine *m = s->cluster->first; m; m = m->next)
-        for (size_t i = 0; i < m->n_allocations; i++)
-            if (m->allocations[i].job->spec.kind == RP_SERVICE && going(&m->allocations[i]))
+    for (const struct rp_machine *machine = services->cluster->first; machine;
+         machine = machine->next)
+        for (size_t i = 0; i < machine->n_allocations; i++)
+            if (machine->allocations[i].job->spec.kind == RP_SERVICE &&
+                going(&machine->allocations[i]))
                 return true;
     return false;
 }
 
 /* Whether the replica could go on at once on another machine. */
-static bool could_go(const struct rp_services *s, const struct rp_machine *from,
+static bool could_go(const struct rp_services *services, const struct rp_machine *from,
                      const struct rp_allocation *allocation, struct timespec now) {
     struct rp_job *job = allocation->job;
-    for (struct rp_machine *m = s->cluster->first; m; m = m->next) {
-        bool zone = m->zone == from->zone ||
-                    (!job->spec.one_zone && (!job->spec.spread || job->zone_count[m->zone] + 1 <=
-                                                                      (job->spec.n_tasks + 1) / 2));
-        double price = m == from || !zone ? -1 : price_of(s, m, job, now);
-        if (price >= 0 && price < MOVE_PRICE_S && rp_machine_has_image(m, job->image_hash))
+    for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next) {
+        bool zone =
+            machine->zone == from->zone ||
+            (!job->spec.one_zone && (!job->spec.spread || job->zone_count[machine->zone] + 1 <=
+                                                              (job->spec.n_tasks + 1) / 2));
+        double price = machine == from || !zone ? -1 : price_of(services, machine, job, now);
+        if (price >= 0 && price < MOVE_PRICE_S && rp_machine_has_image(machine, job->image_hash))
             return true;
     }
     return false;
@@ -467,28 +483,29 @@
  * once all are running again, and only if another machine holds its image and has room. (Stopped
  * all together, by the room that a round had seen, the last ones found it taken, and waited for a
  * machine to boot.) */
-static void drain(struct rp_services *s, struct rp_machine *m, struct timespec now) {
-    for (size_t i = 0; i < m->n_allocations; i++) {
-        struct rp_allocation *allocation = &m->allocations[i];
+static void drain(struct rp_services *services, struct rp_machine *machine, struct timespec now) {
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state != RP_ALLOCATION_SEEN || allocation->stop ||
             allocation->job->spec.kind != RP_SERVICE)
             continue;
-        if (could_go(s, m, allocation, now)) {
+        if (could_go(services, machine, allocation, now)) {
             rp_allocation_stop(allocation, 0);
-            s->n_moved++;
+            services->n_moved++;
         } else {
-            m->draining = false; /* it stays */
+            machine->draining = false; /* it stays */
         }
         return;
     }
 }
 
-static void drain_one(struct rp_services *s, struct timespec now) {
-    if (any_unsteady(s))
+static void drain_one(struct rp_services *services, struct timespec now) {
+    if (any_unsteady(services))
         return;
-    for (struct rp_machine *m = s->cluster->first; m; m = m->next)
-        if (m->state == RP_MACHINE_UP && (m->draining || m->faulty) && holds_replicas(m)) {
-            drain(s, m, now);
+    for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next)
+        if (machine->state == RP_MACHINE_UP && (machine->draining || machine->faulty) &&
+            holds_replicas(machine)) {
+            drain(services, machine, now);
             return;
         }
 }
@@ -499,14 +516,15 @@
  * machines that hang or have died; all of them where that holds for the whole fleet. At the
  * beginning of a zone's cut its machines fall silent within one report's time, before the first is
  * given back. */
-static uint32_t zones_in_doubt(const struct rp_services *s, struct timespec now) {
+static uint32_t zones_in_doubt(const struct rp_services *services, struct timespec now) {
     double known[RP_ZONES_MAX] = {0}, silent[RP_ZONES_MAX] = {0}, all = 0, all_silent = 0;
     uint32_t zones = 0;
-    for (const struct rp_machine *m = s->cluster->first; m; m = m->next) {
-        if (m->session == 0 || m->zone < 0 || m->state == RP_MACHINE_RETURNING)
+    for (const struct rp_machine *machine = services->cluster->first; machine;
+         machine = machine->next) {
+        if (machine->session == 0 || machine->zone < 0 || machine->state == RP_MACHINE_RETURNING)
             continue;
-        known[m->zone]++;
-        silent[m->zone] += !fresh(s, m, now);
+        known[machine->zone]++;
+        silent[machine->zone] += !fresh(services, machine, now);
     }
     for (int z = 0; z < RP_ZONES_MAX; z++) {
         all += known[z];
@@ -521,48 +539,51 @@
  * before its lease is over, unless it is certainly gone: the cloud's answer to its deletion makes
  * that certain within a moment. So one that neither reports nor answers questions is given back.
  * Not where many are silent: then it is the network, behind which they go on. */
-static void watch_machine(struct rp_services *s, struct rp_machine *m, uint32_t doubt,
+static void watch_machine(struct rp_services *services, struct rp_machine *machine, uint32_t doubt,
                           struct timespec now) {
-    if (m->state != RP_MACHINE_UP || !holds_replicas(m))
+    if (machine->state != RP_MACHINE_UP || !holds_replicas(machine))
         return;
-    double silent = rp_ts_since(now, m->last_heard) - 1.25 * s->settings->report_s;
+    double silent = rp_ts_since(now, machine->last_heard) - 1.25 * services->settings->report_s;
     if (silent < PROBE_SLACK_S) {
-        m->probes_failed = 0;
+        machine->probes_failed = 0;
         return;
     }
-    bool cut = m->zone >= 0 && (doubt >> m->zone & 1);
-    if (m->probes_failed >= PROBES && !cut && !rp_fleet_zone_out(s->fleet, m->zone) &&
-        rp_ts_since(now, s->fleet->led_since) > s->settings->report_s * 1.25 + LED_S)
-        rp_fleet_return(s->fleet, m, "silent, and replicas wait for it");
+    bool cut = machine->zone >= 0 && (doubt >> machine->zone & 1);
+    if (machine->probes_failed >= PROBES && !cut &&
+        !rp_fleet_zone_out(services->fleet, machine->zone) &&
+        rp_ts_since(now, services->fleet->led_since) > services->settings->report_s * 1.25 + LED_S)
+        rp_fleet_return(services->fleet, machine, "silent, and replicas wait for it");
     else
-        rp_workers_probe(s->workers, m);
+        rp_workers_probe(services->workers, machine);
 }
 
 /* Ended attempts that were started directly stay in their machines' reports for as long as the
  * token is ours (workers.c). Over days of services that come and go they would fill the reports:
  * once there are many, another term begins, under which workers may forget them. */
-static bool much_to_forget(const struct rp_services *s) {
+static bool much_to_forget(const struct rp_services *services) {
     size_t kept = 0;
-    for (const struct rp_machine *m = s->cluster->first; m; m = m->next)
-        for (size_t i = 0; i < m->n_allocations; i++)
-            kept += m->allocations[i].state == RP_ALLOCATION_EXITED && m->allocations[i].direct;
-    return kept > KEPT_LEAST && kept > KEPT_EACH * s->cluster->n_machines;
+    for (const struct rp_machine *machine = services->cluster->first; machine;
+         machine = machine->next)
+        for (size_t i = 0; i < machine->n_allocations; i++)
+            kept += machine->allocations[i].state == RP_ALLOCATION_EXITED &&
+                    machine->allocations[i].direct;
+    return kept > KEPT_LEAST && kept > KEPT_EACH * services->cluster->n_machines;
 }
 
 static void watch_due(void *arg) {
-    struct rp_services *s = arg;
-    struct timespec now = rp_loop_now(s->loop);
-    rp_timer_set(s->loop, &s->watch, WATCH_S);
-    if (s->jobs->n_services == 0 || !rp_election_valid(s->workers->election, now))
+    struct rp_services *services = arg;
+    struct timespec now = rp_loop_now(services->loop);
+    rp_timer_set(services->loop, &services->watch, WATCH_S);
+    if (services->jobs->n_services == 0 || !rp_election_valid(services->workers->election, now))
         return;
-    if (much_to_forget(s)) {
+    if (much_to_forget(services)) {
         rp_info("many ended attempts are kept known: another term lets workers forget them");
-        rp_election_resign(s->workers->election, 0);
+        rp_election_resign(services->workers->election, 0);
         return;
     }
-    uint32_t doubt = zones_in_doubt(s, now);
-    for (struct rp_machine *m = s->cluster->first; m; m = m->next)
-        watch_machine(s, m, doubt, now);
-    drain_one(s, now);
-    rp_services_run(s);
+    uint32_t doubt = zones_in_doubt(services, now);
+    for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next)
+        watch_machine(services, machine, doubt, now);
+    drain_one(services, now);
+    rp_services_run(services);
 }
--- a/src/standby/machine_directory.c
+++ b/src/standby/machine_directory.c
@@ -8,10 +8,10 @@
 }
 
 static struct rp_replica_machine **position_of(struct rp_replica *replica, const char *machine) {
-    struct rp_replica_machine **at = &replica->buckets[bucket_of(machine)];
-    while (*at && strcmp((*at)->machine, machine) != 0)
-        at = &(*at)->next;
-    return at;
+    struct rp_replica_machine **link = &replica->buckets[bucket_of(machine)];
+    while (*link && strcmp((*link)->machine, machine) != 0)
+        link = &(*link)->next;
+    return link;
 }
 
 const struct rp_replica_machine *rp_replica_find(const struct rp_replica *replica,
@@ -23,27 +23,27 @@
 }
 
 static void put(struct rp_replica *replica, const struct rp_change *change) {
-    struct rp_replica_machine **at = position_of(replica, change->machine);
-    if (!*at) {
-        *at = calloc(1, sizeof **at);
-        if (!*at)
+    struct rp_replica_machine **link = position_of(replica, change->machine);
+    if (!*link) {
+        *link = calloc(1, sizeof **link);
+        if (!*link)
             abort(); /* out of memory: a restart is the honest answer */
-        strcpy((*at)->machine, change->machine);
+        strcpy((*link)->machine, change->machine);
         replica->n_machines++;
     }
-    (*at)->returning = change->kind == RP_CHANGE_MACHINE_RETURNING;
-    if ((*at)->returning)
+    (*link)->returning = change->kind == RP_CHANGE_MACHINE_RETURNING;
+    if ((*link)->returning)
         return; /* where it could be reached last stays known */
-    strcpy((*at)->addr, change->addr);
-    (*at)->session = change->session;
+    strcpy((*link)->addr, change->addr);
+    (*link)->session = change->session;
 }
 
 static void drop(struct rp_replica *replica, const char *machine) {
-    struct rp_replica_machine **at = position_of(replica, machine), *gone = *at;
+    struct rp_replica_machine **link = position_of(replica, machine), *gone = *link;
     rp_gone_machines_add(&replica->gone, machine);
     if (!gone)
         return;
-    *at = gone->next;
+    *link = gone->next;
     replica->n_machines--;
     free(gone);
 }
@@ -51,9 +51,9 @@
 void rp_replica_clear(struct rp_replica *replica) {
     for (size_t i = 0; i < RP_REPLICA_BUCKETS; i++)
         while (replica->buckets[i]) {
-            struct rp_replica_machine *m = replica->buckets[i];
-            replica->buckets[i] = m->next;
-            free(m);
+            struct rp_replica_machine *machine = replica->buckets[i];
+            replica->buckets[i] = machine->next;
+            free(machine);
         }
     replica->n_machines = 0;
     replica->term = replica->index = 0;
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -30,7 +30,7 @@
 
 static void tick(void *arg);
 static void fence_due(void *arg);
-static void on_machine(void *arg, const struct rp_machine *m, bool gone);
+static void on_machine(void *arg, const struct rp_machine *machine, bool gone);
 
 int rp_standby_init(struct rp_standby *standby, struct rp_loop *loop, struct rp_net net,
                     struct rp_election *election, struct rp_cluster *cluster,
@@ -87,18 +87,18 @@
 /* ---- the leader's side ---- */
 
 /* What a standby has to know of the machine as it is now. */
-static struct rp_change change_of(const struct rp_machine *m) {
-    struct rp_change change = {.kind = RP_CHANGE_MACHINE_UP, .session = m->session};
-    if (m->state == RP_MACHINE_RETURNING)
+static struct rp_change change_of(const struct rp_machine *machine) {
+    struct rp_change change = {.kind = RP_CHANGE_MACHINE_UP, .session = machine->session};
+    if (machine->state == RP_MACHINE_RETURNING)
         change.kind = RP_CHANGE_MACHINE_RETURNING;
-    strcpy(change.machine, m->name);
-    strcpy(change.addr, m->addr);
+    strcpy(change.machine, machine->name);
+    strcpy(change.addr, machine->addr);
     return change;
 }
 
-static void on_machine(void *arg, const struct rp_machine *m, bool gone) {
+static void on_machine(void *arg, const struct rp_machine *machine, bool gone) {
     struct rp_standby *standby = arg;
-    struct rp_change change = change_of(m);
+    struct rp_change change = change_of(machine);
     if (!standby->settings->tuning.standby)
         return;
     if (gone)
@@ -114,10 +114,10 @@
         abort(); /* out of memory: a restart is the honest answer */
     rp_change_log_gone(&standby->log, out->changes);
     out->n_changes = n_gone;
-    for (const struct rp_machine *m = cluster->first; m; m = m->next) {
-        bool reachable = *m->addr && m->session > 0;
-        if (reachable || m->state == RP_MACHINE_RETURNING)
-            out->changes[out->n_changes++] = change_of(m);
+    for (const struct rp_machine *machine = cluster->first; machine; machine = machine->next) {
+        bool reachable = *machine->addr && machine->session > 0;
+        if (reachable || machine->state == RP_MACHINE_RETURNING)
+            out->changes[out->n_changes++] = change_of(machine);
     }
     out->term = standby->log.term;
     out->index = standby->log.index;
@@ -389,12 +389,13 @@
 static void fence_some(struct rp_standby *standby) {
     while (standby->n_fencing < FENCE_WINDOW && standby->next_to_fence < standby->n_to_fence) {
         const char *name = standby->to_fence[standby->next_to_fence++];
-        struct rp_machine *m = rp_machine_find(standby->cluster, name);
+        struct rp_machine *machine = rp_machine_find(standby->cluster, name);
         const struct rp_replica_machine *known = rp_replica_find(&standby->replica, name);
-        if (!m || !known || !*known->addr || m->state != RP_MACHINE_UNKNOWN)
+        if (!machine || !known || !*known->addr || machine->state != RP_MACHINE_UNKNOWN)
             continue;
         standby->n_fencing++;
-        rp_workers_fence(standby->workers, m, known->addr, known->session, machine_fenced, standby);
+        rp_workers_fence(standby->workers, machine, known->addr, known->session, machine_fenced,
+                         standby);
     }
 }
 
@@ -406,18 +407,20 @@
     standby->n_to_fence = standby->next_to_fence = 0;
     if (!standby->to_fence)
         return; /* their reports do the same, later */
-    for (const struct rp_machine *m = cluster->first; m; m = m->next)
-        if (m->state == RP_MACHINE_UNKNOWN && (answered_too || rp_ts_zero(m->first_answer)))
-            strcpy(standby->to_fence[standby->n_to_fence++], m->name);
+    for (const struct rp_machine *machine = cluster->first; machine; machine = machine->next)
+        if (machine->state == RP_MACHINE_UNKNOWN &&
+            (answered_too || rp_ts_zero(machine->first_answer)))
+            strcpy(standby->to_fence[standby->n_to_fence++], machine->name);
 }
 
 /* What the leader before has given back, or had begun to, may still stand in a record, and nothing
  * else would tell for seconds that it is gone: the cloud's answer to the same request does. */
 static void return_again(struct rp_standby *standby) {
-    for (struct rp_machine *m = standby->cluster->first; m; m = m->next) {
-        const struct rp_replica_machine *known = rp_replica_find(&standby->replica, m->name);
-        if ((known && known->returning) || rp_gone_machines_has(&standby->replica.gone, m->name))
-            rp_fleet_return(standby->workers->fleet, m, "the leader before gave it back");
+    for (struct rp_machine *machine = standby->cluster->first; machine; machine = machine->next) {
+        const struct rp_replica_machine *known = rp_replica_find(&standby->replica, machine->name);
+        if ((known && known->returning) ||
+            rp_gone_machines_has(&standby->replica.gone, machine->name))
+            rp_fleet_return(standby->workers->fleet, machine, "the leader before gave it back");
     }
 }
 
--- a/src/standby/stream_message.c
+++ b/src/standby/stream_message.c
@@ -78,15 +78,15 @@
 }
 
 char *rp_stream_encode(const struct rp_stream_message *message) {
-    json_t *v = json_pack("{s:i,s:I,s:I,s:s,s:f}", "v", RP_STREAM_VERSION, "term",
-                          (json_int_t)message->term, "index", (json_int_t)message->index, "leader",
-                          message->leader, "silent_s", message->silent_s);
+    json_t *value = json_pack("{s:i,s:I,s:I,s:s,s:f}", "v", RP_STREAM_VERSION, "term",
+                              (json_int_t)message->term, "index", (json_int_t)message->index,
+                              "leader", message->leader, "silent_s", message->silent_s);
     json_t *list = changes_json(message->changes, message->n_changes);
-    int failed = message->snapshot ? json_object_set_new(v, "snapshot", pack(list))
-                                   : json_object_set(v, "changes", list);
-    char *text = failed ? NULL : json_dumps(v, JSON_COMPACT);
+    int failed = message->snapshot ? json_object_set_new(value, "snapshot", pack(list))
+                                   : json_object_set(value, "changes", list);
+    char *text = failed ? NULL : json_dumps(value, JSON_COMPACT);
     json_decref(list);
-    json_decref(v);
+    json_decref(value);
     return text;
 }
 
@@ -97,43 +97,44 @@
     return false;
 }
 
-static bool read_count(const json_t *in, const char *field, uint64_t *out,
+static bool read_count(const json_t *object, const char *field, uint64_t *out,
                        struct rp_stream_error *error) {
-    const json_t *v = json_object_get(in, field);
-    if (!json_is_integer(v) || json_integer_value(v) < 0)
+    const json_t *value = json_object_get(object, field);
+    if (!json_is_integer(value) || json_integer_value(value) < 0)
         return fail(error, RP_STREAM_BAD_FIELD, field);
-    *out = (uint64_t)json_integer_value(v);
+    *out = (uint64_t)json_integer_value(value);
     return true;
 }
 
-static bool read_text(const json_t *in, char *out, size_t size) {
-    const char *text = json_string_value(in);
+static bool read_text(const json_t *object, char *out, size_t size) {
+    const char *text = json_string_value(object);
     if (!text || strlen(text) >= size)
         return false;
     strcpy(out, text);
     return true;
 }
 
-static bool read_change(const json_t *in, struct rp_change *out, struct rp_stream_error *error) {
+static bool read_change(const json_t *object, struct rp_change *out,
+                        struct rp_stream_error *error) {
     static const enum rp_change_kind kinds[] = {RP_CHANGE_MACHINE_GONE, RP_CHANGE_MACHINE_RETURNING,
                                                 RP_CHANGE_MACHINE_UP};
-    size_t n = json_array_size(in);
+    size_t n = json_array_size(object);
     memset(out, 0, sizeof *out);
     if (n < 1 || n > sizeof kinds / sizeof kinds[0])
         return fail(error, RP_STREAM_BAD_FIELD, "changes");
     out->kind = kinds[n - 1];
-    if (!read_text(json_array_get(in, 0), out->machine, sizeof out->machine) || !*out->machine)
+    if (!read_text(json_array_get(object, 0), out->machine, sizeof out->machine) || !*out->machine)
         return fail(error, RP_STREAM_BAD_FIELD, "machine");
     if (out->kind == RP_CHANGE_MACHINE_GONE)
         return true;
     if (out->kind == RP_CHANGE_MACHINE_RETURNING) {
-        const char *word = json_string_value(json_array_get(in, 1));
+        const char *word = json_string_value(json_array_get(object, 1));
         return (word && strcmp(word, RETURNING) == 0) ||
                fail(error, RP_STREAM_BAD_FIELD, "returning");
     }
-    if (!read_text(json_array_get(in, 1), out->addr, sizeof out->addr) || !*out->addr)
+    if (!read_text(json_array_get(object, 1), out->addr, sizeof out->addr) || !*out->addr)
         return fail(error, RP_STREAM_BAD_FIELD, "addr");
-    const json_t *session = json_array_get(in, 2);
+    const json_t *session = json_array_get(object, 2);
     if (!json_is_integer(session) || json_integer_value(session) < 1)
         return fail(error, RP_STREAM_BAD_FIELD, "session");
     out->session = (uint64_t)json_integer_value(session);
@@ -212,27 +213,28 @@
     return read;
 }
 
-static bool read_message(const json_t *v, struct rp_stream_message *out,
+static bool read_message(const json_t *value, struct rp_stream_message *out,
                          struct rp_stream_error *error) {
-    const json_t *silent = json_object_get(v, "silent_s");
+    const json_t *silent = json_object_get(value, "silent_s");
     uint64_t version;
-    if (!json_is_object(v))
+    if (!json_is_object(value))
         return fail(error, RP_STREAM_NOT_JSON, "");
-    if (!read_count(v, "v", &version, error))
+    if (!read_count(value, "v", &version, error))
         return false;
     if (version != RP_STREAM_VERSION)
         return fail(error, RP_STREAM_OTHER_VERSION, "v");
-    if (!read_count(v, "term", &out->term, error) || !read_count(v, "index", &out->index, error))
+    if (!read_count(value, "term", &out->term, error) ||
+        !read_count(value, "index", &out->index, error))
         return false;
-    if (!read_text(json_object_get(v, "leader"), out->leader, sizeof out->leader))
+    if (!read_text(json_object_get(value, "leader"), out->leader, sizeof out->leader))
         return fail(error, RP_STREAM_BAD_FIELD, "leader");
     out->silent_s = json_number_value(silent);
     if (!json_is_number(silent) || !(out->silent_s >= 0))
         return fail(error, RP_STREAM_BAD_FIELD, "silent_s");
-    const json_t *snapshot = json_object_get(v, "snapshot");
+    const json_t *snapshot = json_object_get(value, "snapshot");
     if (snapshot)
         return read_snapshot(snapshot, out, error);
-    if (!read_changes(json_object_get(v, "changes"), RP_STREAM_CHANGES_MAX, out, error))
+    if (!read_changes(json_object_get(value, "changes"), RP_STREAM_CHANGES_MAX, out, error))
         return false;
     if (out->n_changes <= out->index)
         return true;
@@ -242,10 +244,10 @@
 
 bool rp_stream_decode(const char *text, size_t len, struct rp_stream_message *out,
                       struct rp_stream_error *error) {
-    json_t *v = json_loadb(text, len, 0, NULL);
+    json_t *value = json_loadb(text, len, 0, NULL);
     memset(out, 0, sizeof *out);
     *error = (struct rp_stream_error){.fault = RP_STREAM_SOUND, .field = ""};
-    bool read = read_message(v, out, error);
-    json_decref(v);
+    bool read = read_message(value, out, error);
+    json_decref(value);
     return read;
 }
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -39,43 +39,43 @@
 static void pump_due(void *arg);
 
 /* What is left of a bucket stays in it. */
-static void set_rate(struct rp_bucket *b, double rate, double depth, struct timespec now) {
-    double level = b->depth > 0 ? fmin(b->level, depth) : depth;
-    rp_bucket_init(b, rate, depth, now);
-    b->level = level;
+static void set_rate(struct rp_bucket *bucket, double rate, double depth, struct timespec now) {
+    double level = bucket->depth > 0 ? fmin(bucket->level, depth) : depth;
+    rp_bucket_init(bucket, rate, depth, now);
+    bucket->level = level;
 }
 
-void rp_state_client_limits(struct rp_state_client *c, double rps, double write_rps) {
-    struct timespec now = rp_loop_now(c->loop);
+void rp_state_client_limits(struct rp_state_client *client, double rps, double write_rps) {
+    struct timespec now = rp_loop_now(client->loop);
     /* The shares of all nodes together stay below the service's limits: one leader, and on each
      * node its users. A node may use half as much again as its even part, since the load
      * balancer never spreads evenly. */
-    double users = 1.0 - c->leader_write_share;
-    double part = EVEN_SHARE / (double)c->n_nodes;
-    double changes = users * SUBMISSIONS_SHARE / (double)c->n_nodes;
-    set_rate(&c->requests[RP_SHARE_LEADER], rps * 0.3, rps * 0.25, now);
-    set_rate(&c->writes[RP_SHARE_LEADER], write_rps * c->leader_write_share * 0.9,
-             fmax(write_rps * c->leader_write_share * 0.6, LEADER_BURST), now);
-    set_rate(&c->requests[RP_SHARE_QUERIES], rps * 0.45 * part, rps * 0.35 * part, now);
-    set_rate(&c->requests[RP_SHARE_SUBMISSIONS], rps * 0.1 * part, rps * 0.05, now);
+    double users = 1.0 - client->leader_write_share;
+    double part = EVEN_SHARE / (double)client->n_nodes;
+    double changes = users * SUBMISSIONS_SHARE / (double)client->n_nodes;
+    set_rate(&client->requests[RP_SHARE_LEADER], rps * 0.3, rps * 0.25, now);
+    set_rate(&client->writes[RP_SHARE_LEADER], write_rps * client->leader_write_share * 0.9,
+             fmax(write_rps * client->leader_write_share * 0.6, LEADER_BURST), now);
+    set_rate(&client->requests[RP_SHARE_QUERIES], rps * 0.45 * part, rps * 0.35 * part, now);
+    set_rate(&client->requests[RP_SHARE_SUBMISSIONS], rps * 0.1 * part, rps * 0.05, now);
     /* Submissions come in bursts, and no node knows of the others': a node may let a quarter of a
      * second's worth of changes go at once, however many nodes there are, and rely on the service
      * to refuse what is too much, which is then tried again. */
-    set_rate(&c->writes[RP_SHARE_SUBMISSIONS], write_rps * changes,
+    set_rate(&client->writes[RP_SHARE_SUBMISSIONS], write_rps * changes,
              write_rps * fmax(changes, BURST_SHARE), now);
 }
 
-void rp_state_client_init(struct rp_state_client *c, struct rp_loop *loop, struct rp_net net,
+void rp_state_client_init(struct rp_state_client *client, struct rp_loop *loop, struct rp_net net,
                           const char *addr, double rps, double write_rps, size_t n_nodes,
                           double leader_write_share) {
-    memset(c, 0, sizeof *c);
-    c->loop = loop;
-    c->net = net;
-    c->addr = addr;
-    c->n_nodes = n_nodes;
-    c->leader_write_share = leader_write_share;
-    c->pump = (struct rp_timer){.fn = pump_due, .arg = c};
-    rp_state_client_limits(c, rps, write_rps);
+    memset(client, 0, sizeof *client);
+    client->loop = loop;
+    client->net = net;
+    client->addr = addr;
+    client->n_nodes = n_nodes;
+    client->leader_write_share = leader_write_share;
+    client->pump = (struct rp_timer){.fn = pump_due, .arg = client};
+    rp_state_client_limits(client, rps, write_rps);
 }
 
 static void call_free(struct rp_state_call *call) {
@@ -86,12 +86,12 @@
     free(call);
 }
 
-void rp_state_client_close(struct rp_state_client *c) {
-    rp_timer_cancel(c->loop, &c->pump);
+void rp_state_client_close(struct rp_state_client *client) {
+    rp_timer_cancel(client->loop, &client->pump);
     for (int s = 0; s < RP_SHARES; s++)
-        while (c->first[s]) {
-            struct rp_state_call *call = c->first[s];
-            c->first[s] = call->next;
+        while (client->first[s]) {
+            struct rp_state_call *call = client->first[s];
+            client->first[s] = call->next;
             call_free(call);
         }
 }
@@ -125,17 +125,17 @@
     }
 }
 
-static void note_health(struct rp_state_client *c, enum rp_state_outcome outcome, int status) {
-    struct timespec now = rp_loop_now(c->loop);
+static void note_health(struct rp_state_client *client, enum rp_state_outcome outcome, int status) {
+    struct timespec now = rp_loop_now(client->loop);
     if (outcome == RP_STATE_UNKNOWN || status == 503) {
-        if (c->failing_since.tv_sec == 0 && c->failing_since.tv_nsec == 0)
-            c->failing_since = now;
+        if (client->failing_since.tv_sec == 0 && client->failing_since.tv_nsec == 0)
+            client->failing_since = now;
     } else {
-        c->failing_since = (struct timespec){0};
-        c->n_ok++;
+        client->failing_since = (struct timespec){0};
+        client->n_ok++;
     }
-    c->n_refused += outcome == RP_STATE_REFUSED;
-    c->n_unknown += outcome == RP_STATE_UNKNOWN;
+    client->n_refused += outcome == RP_STATE_REFUSED;
+    client->n_unknown += outcome == RP_STATE_UNKNOWN;
 }
 
 static void enqueue(struct rp_state_call *call);
@@ -146,80 +146,80 @@
 
 /* The service took less than we thought that it would: its limits have come down, or other nodes
  * used them up. What was refused is paid for once more, so that the pace goes down with it. */
-static void too_fast(struct rp_state_client *c, const struct rp_state_call *call) {
-    struct rp_bucket *writes = &c->writes[call->share];
-    if (c->n_too_fast++ % 100 == 0)
+static void too_fast(struct rp_state_client *client, const struct rp_state_call *call) {
+    struct rp_bucket *writes = &client->writes[call->share];
+    if (client->n_too_fast++ % 100 == 0)
         rp_info("state service refuses more requests or changes a second, so far %lu times",
-                c->n_too_fast);
+                client->n_too_fast);
     if (writes->level > -writes->depth)
         rp_bucket_take(writes, call->writes);
 }
 
 static void answered(void *arg, const struct rp_answer *answer) {
     struct rp_state_call *call = arg;
-    struct rp_state_client *c = call->client;
+    struct rp_state_client *client = call->client;
     enum rp_state_outcome outcome = outcome_of(answer->status);
     json_t *body = NULL;
-    note_health(c, outcome, answer->status);
+    note_health(client, outcome, answer->status);
     if (answer->status == 429)
-        too_fast(c, call);
+        too_fast(client, call);
     if (answer->status == 429 && ++call->tries < TRIES_429) {
-        rp_timer_set(c->loop, &call->again, 0.1 * call->tries);
+        rp_timer_set(client->loop, &call->again, 0.1 * call->tries);
         return;
     }
     if (answer->len)
         body = rp_wire_parse(answer->body, answer->len);
     if (outcome == RP_STATE_OK && answer->len && !body)
         outcome = RP_STATE_UNKNOWN;
-    c->n_bad += outcome == RP_STATE_BAD;
+    client->n_bad += outcome == RP_STATE_BAD;
     if (outcome == RP_STATE_BAD)
         rp_error("state service refused %s %s: %.200s", call->method, call->target, answer->body);
     finish(call, outcome, body);
 }
 
 static void send_call(struct rp_state_call *call) {
-    struct rp_state_client *c = call->client;
-    rp_bucket_take(&c->requests[call->share], 1);
-    rp_bucket_take(&c->writes[call->share], call->writes);
-    c->net.call(c->net.ctx, c->addr, call->method, call->target, call->body, call->timeout_s,
-                answered, call);
+    struct rp_state_client *client = call->client;
+    rp_bucket_take(&client->requests[call->share], 1);
+    rp_bucket_take(&client->writes[call->share], call->writes);
+    client->net.call(client->net.ctx, client->addr, call->method, call->target, call->body,
+                     call->timeout_s, answered, call);
 }
 
-static bool may_send(struct rp_state_client *c, const struct rp_state_call *call) {
-    struct timespec now = rp_loop_now(c->loop);
+static bool may_send(struct rp_state_client *client, const struct rp_state_call *call) {
+    struct timespec now = rp_loop_now(client->loop);
     if (call->share == RP_SHARE_LEADERSHIP)
         return true;
-    return rp_bucket_has(&c->requests[call->share], 1, now) &&
-           (call->writes == 0 || rp_bucket_has(&c->writes[call->share], call->writes, now));
+    return rp_bucket_has(&client->requests[call->share], 1, now) &&
+           (call->writes == 0 || rp_bucket_has(&client->writes[call->share], call->writes, now));
 }
 
 /* Tells which budget is too small, at most once in SHED_LOG_EVERY_S for each share. */
-static void log_shed(struct rp_state_client *c, enum rp_state_share share) {
-    struct timespec now = rp_loop_now(c->loop);
-    c->n_shed++;
-    c->shed_unlogged[share]++;
-    if (!rp_ts_zero(c->shed_logged[share]) &&
-        rp_ts_since(now, c->shed_logged[share]) < SHED_LOG_EVERY_S)
+static void log_shed(struct rp_state_client *client, enum rp_state_share share) {
+    struct timespec now = rp_loop_now(client->loop);
+    client->n_shed++;
+    client->shed_unlogged[share]++;
+    if (!rp_ts_zero(client->shed_logged[share]) &&
+        rp_ts_since(now, client->shed_logged[share]) < SHED_LOG_EVERY_S)
         return;
     rp_info("requests refused for lack of the state service's budget: share=%s requests=%lu",
-            share_names[share], c->shed_unlogged[share]);
-    c->shed_unlogged[share] = 0;
-    c->shed_logged[share] = now;
+            share_names[share], client->shed_unlogged[share]);
+    client->shed_unlogged[share] = 0;
+    client->shed_logged[share] = now;
 }
 
-static void pump_share(struct rp_state_client *c, enum rp_state_share share) {
+static void pump_share(struct rp_state_client *client, enum rp_state_share share) {
     double patience = share == RP_SHARE_LEADER ? QUEUE_LEADER_S : QUEUE_USERS_S;
-    while (c->first[share]) {
-        struct rp_state_call *call = c->first[share];
-        bool late = rp_ts_since(rp_loop_now(c->loop), call->queued) > patience;
-        if (!late && !may_send(c, call))
+    while (client->first[share]) {
+        struct rp_state_call *call = client->first[share];
+        bool late = rp_ts_since(rp_loop_now(client->loop), call->queued) > patience;
+        if (!late && !may_send(client, call))
             return;
-        c->first[share] = call->next;
+        client->first[share] = call->next;
         if (!call->next)
-            c->last[share] = NULL;
+            client->last[share] = NULL;
         call->next = NULL;
         if (late) {
-            log_shed(c, share);
+            log_shed(client, share);
             finish(call, RP_STATE_REFUSED, NULL);
         } else {
             send_call(call);
@@ -228,46 +228,46 @@
 }
 
 static void pump_due(void *arg) {
-    struct rp_state_client *c = arg;
+    struct rp_state_client *client = arg;
     bool waiting = false;
     for (int s = 0; s < RP_SHARES; s++) {
-        pump_share(c, (enum rp_state_share)s);
-        waiting |= c->first[s] != NULL;
+        pump_share(client, (enum rp_state_share)s);
+        waiting |= client->first[s] != NULL;
     }
     if (waiting)
-        rp_timer_set(c->loop, &c->pump, 0.02);
+        rp_timer_set(client->loop, &client->pump, 0.02);
 }
 
 static void enqueue(struct rp_state_call *call) {
-    struct rp_state_client *c = call->client;
-    if (!c->first[call->share] && may_send(c, call)) {
+    struct rp_state_client *client = call->client;
+    if (!client->first[call->share] && may_send(client, call)) {
         send_call(call);
         return;
     }
-    if (c->last[call->share])
-        c->last[call->share]->next = call;
+    if (client->last[call->share])
+        client->last[call->share]->next = call;
     else
-        c->first[call->share] = call;
-    c->last[call->share] = call;
-    if (!c->pump.heap_index)
-        rp_timer_set(c->loop, &c->pump, 0.02);
+        client->first[call->share] = call;
+    client->last[call->share] = call;
+    if (!client->pump.heap_index)
+        rp_timer_set(client->loop, &client->pump, 0.02);
 }
 
 /* Takes `body` over. */
-static void start(struct rp_state_client *c, enum rp_state_share share, const char *method,
+static void start(struct rp_state_client *client, enum rp_state_share share, const char *method,
                   char *target, char *body, double timeout_s, unsigned writes, rp_state_fn fn,
                   void *arg) {
     struct rp_state_call *call = calloc(1, sizeof *call);
     if (!call || !target)
         abort(); /* out of memory: a restart is the honest answer */
-    *call = (struct rp_state_call){.client = c,
+    *call = (struct rp_state_call){.client = client,
                                    .share = share,
                                    .method = strdup(method),
                                    .target = target,
                                    .body = body,
                                    .timeout_s = timeout_s,
                                    .writes = writes,
-                                   .queued = rp_loop_now(c->loop),
+                                   .queued = rp_loop_now(client->loop),
                                    .fn = fn,
                                    .arg = arg};
     call->again = (struct rp_timer){.fn = again_due, .arg = call};
@@ -284,60 +284,61 @@
     return n < 0 ? NULL : text;
 }
 
-void rp_state_get(struct rp_state_client *c, enum rp_state_share share, const char *key,
+void rp_state_get(struct rp_state_client *client, enum rp_state_share share, const char *key,
                   rp_state_fn fn, void *arg) {
-    start(c, share, "GET", format("/kv/%s", key), NULL, ANSWER_S, 0, fn, arg);
+    start(client, share, "GET", format("/kv/%s", key), NULL, ANSWER_S, 0, fn, arg);
 }
 
-void rp_state_list(struct rp_state_client *c, enum rp_state_share share, const char *prefix,
+void rp_state_list(struct rp_state_client *client, enum rp_state_share share, const char *prefix,
                    const char *after, unsigned limit, rp_state_fn fn, void *arg) {
     char *target = after ? format("/kv?prefix=%s&from=%s&limit=%u", prefix, after, limit)
                          : format("/kv?prefix=%s&limit=%u", prefix, limit);
-    start(c, share, "GET", target, NULL, ANSWER_S * 2, 0, fn, arg);
+    start(client, share, "GET", target, NULL, ANSWER_S * 2, 0, fn, arg);
 }
 
-void rp_state_txn(struct rp_state_client *c, enum rp_state_share share, json_t *txn, rp_state_fn fn,
-                  void *arg) {
+void rp_state_txn(struct rp_state_client *client, enum rp_state_share share, json_t *txn,
+                  rp_state_fn fn, void *arg) {
     unsigned writes = (unsigned)rp_wire_txn_ops(txn);
     char *body = json_dumps(txn, JSON_COMPACT);
     json_decref(txn);
-    start(c, share, "POST", format("/txn"), body, ANSWER_S, writes, fn, arg);
+    start(client, share, "POST", format("/txn"), body, ANSWER_S, writes, fn, arg);
 }
 
-void rp_state_lease(struct rp_state_client *c, double ttl_s, rp_state_fn fn, void *arg) {
-    start(c, RP_SHARE_LEADERSHIP, "POST", format("/leases"), rp_wire_lease_request(ttl_s), ANSWER_S,
-          0, fn, arg);
+void rp_state_lease(struct rp_state_client *client, double ttl_s, rp_state_fn fn, void *arg) {
+    start(client, RP_SHARE_LEADERSHIP, "POST", format("/leases"), rp_wire_lease_request(ttl_s),
+          ANSWER_S, 0, fn, arg);
 }
 
-void rp_state_touch(struct rp_state_client *c, uint64_t lease, rp_state_fn fn, void *arg) {
-    start(c, RP_SHARE_LEADERSHIP, "POST", format("/leases/%llu/touch", (unsigned long long)lease),
-          NULL, ANSWER_S, 0, fn, arg);
+void rp_state_touch(struct rp_state_client *client, uint64_t lease, rp_state_fn fn, void *arg) {
+    start(client, RP_SHARE_LEADERSHIP, "POST",
+          format("/leases/%llu/touch", (unsigned long long)lease), NULL, ANSWER_S, 0, fn, arg);
 }
 
-void rp_state_lease_end(struct rp_state_client *c, uint64_t lease, rp_state_fn fn, void *arg) {
-    start(c, RP_SHARE_LEADERSHIP, "DELETE", format("/leases/%llu", (unsigned long long)lease), NULL,
-          ANSWER_S, 0, fn, arg);
+void rp_state_lease_end(struct rp_state_client *client, uint64_t lease, rp_state_fn fn, void *arg) {
+    start(client, RP_SHARE_LEADERSHIP, "DELETE", format("/leases/%llu", (unsigned long long)lease),
+          NULL, ANSWER_S, 0, fn, arg);
 }
 
-void rp_state_follow(struct rp_state_client *c, const char *prefix, uint64_t from, double hold_s,
-                     rp_state_fn fn, void *arg) {
-    start(c, RP_SHARE_LEADERSHIP, "GET",
+void rp_state_follow(struct rp_state_client *client, const char *prefix, uint64_t from,
+                     double hold_s, rp_state_fn fn, void *arg) {
+    start(client, RP_SHARE_LEADERSHIP, "GET",
           format("/follow?prefix=%s&from=%llu&hold_ms=%d", prefix, (unsigned long long)from,
                  (int)(hold_s * 1000)),
           NULL, hold_s + ANSWER_S, 0, fn, arg);
 }
 
-double rp_state_room(struct rp_state_client *c, enum rp_state_share share) {
-    rp_bucket_fill(&c->writes[share], rp_loop_now(c->loop));
-    return c->first[share] ? 0 : c->writes[share].level;
+double rp_state_room(struct rp_state_client *client, enum rp_state_share share) {
+    rp_bucket_fill(&client->writes[share], rp_loop_now(client->loop));
+    return client->first[share] ? 0 : client->writes[share].level;
 }
 
-bool rp_state_must_wait(struct rp_state_client *c, enum rp_state_share share) {
-    return c->first[share] || !rp_bucket_has(&c->requests[share], 1, rp_loop_now(c->loop));
+bool rp_state_must_wait(struct rp_state_client *client, enum rp_state_share share) {
+    return client->first[share] ||
+           !rp_bucket_has(&client->requests[share], 1, rp_loop_now(client->loop));
 }
 
-double rp_state_failing_s(const struct rp_state_client *c) {
-    if (c->failing_since.tv_sec == 0 && c->failing_since.tv_nsec == 0)
+double rp_state_failing_s(const struct rp_state_client *client) {
+    if (client->failing_since.tv_sec == 0 && client->failing_since.tv_nsec == 0)
         return 0;
-    return rp_ts_since(rp_loop_now(c->loop), c->failing_since) + 1e-3;
+    return rp_ts_since(rp_loop_now(client->loop), client->failing_since) + 1e-3;
 }
--- a/src/store/kv_client.h
+++ b/src/store/kv_client.h
@@ -54,30 +54,30 @@
     struct timespec shed_logged[RP_SHARES]; /* when that was; zero: never */
 };
 
-void rp_state_client_init(struct rp_state_client *c, struct rp_loop *loop, struct rp_net net,
+void rp_state_client_init(struct rp_state_client *client, struct rp_loop *loop, struct rp_net net,
                           const char *addr, double rps, double write_rps, size_t n_nodes,
                           double leader_write_share);
 /* Other limits of the service hold from now on. */
-void rp_state_client_limits(struct rp_state_client *c, double rps, double write_rps);
-void rp_state_client_close(struct rp_state_client *c);
+void rp_state_client_limits(struct rp_state_client *client, double rps, double write_rps);
+void rp_state_client_close(struct rp_state_client *client);
 
-void rp_state_get(struct rp_state_client *c, enum rp_state_share share, const char *key,
+void rp_state_get(struct rp_state_client *client, enum rp_state_share share, const char *key,
                   rp_state_fn fn, void *arg);
-void rp_state_list(struct rp_state_client *c, enum rp_state_share share, const char *prefix,
+void rp_state_list(struct rp_state_client *client, enum rp_state_share share, const char *prefix,
                    const char *after, unsigned limit, rp_state_fn fn, void *arg);
 /* Takes the transaction over. */
-void rp_state_txn(struct rp_state_client *c, enum rp_state_share share, json_t *txn, rp_state_fn fn,
-                  void *arg);
-void rp_state_lease(struct rp_state_client *c, double ttl_s, rp_state_fn fn, void *arg);
-void rp_state_touch(struct rp_state_client *c, uint64_t lease, rp_state_fn fn, void *arg);
-void rp_state_lease_end(struct rp_state_client *c, uint64_t lease, rp_state_fn fn, void *arg);
-void rp_state_follow(struct rp_state_client *c, const char *prefix, uint64_t from, double hold_s,
-                     rp_state_fn fn, void *arg);
+void rp_state_txn(struct rp_state_client *client, enum rp_state_share share, json_t *txn,
+                  rp_state_fn fn, void *arg);
+void rp_state_lease(struct rp_state_client *client, double ttl_s, rp_state_fn fn, void *arg);
+void rp_state_touch(struct rp_state_client *client, uint64_t lease, rp_state_fn fn, void *arg);
+void rp_state_lease_end(struct rp_state_client *client, uint64_t lease, rp_state_fn fn, void *arg);
+void rp_state_follow(struct rp_state_client *client, const char *prefix, uint64_t from,
+                     double hold_s, rp_state_fn fn, void *arg);
 /* Changes that the leader's budget would let through now. */
-double rp_state_room(struct rp_state_client *c, enum rp_state_share share);
+double rp_state_room(struct rp_state_client *client, enum rp_state_share share);
 /* Whether a request that changes nothing would have to wait for the share's budget. */
-bool rp_state_must_wait(struct rp_state_client *c, enum rp_state_share share);
+bool rp_state_must_wait(struct rp_state_client *client, enum rp_state_share share);
 /* How long requests have failed without a good one in between; 0 when they do not. */
-double rp_state_failing_s(const struct rp_state_client *c);
+double rp_state_failing_s(const struct rp_state_client *client);
 
 #endif
--- a/src/store/records.c
+++ b/src/store/records.c
@@ -59,18 +59,18 @@
 
 /* ---- formats ---- */
 
-unsigned rp_record_format(const json_t *v) {
-    json_int_t f = json_integer_value(json_object_get(v, "f"));
+unsigned rp_record_format(const json_t *value) {
+    json_int_t f = json_integer_value(json_object_get(value, "f"));
     return f > 0 ? (unsigned)f : 1;
 }
 
-json_t *rp_record_mark(json_t *v) {
-    json_object_set_new(v, "f", json_integer(RP_FORMAT));
-    return v;
+json_t *rp_record_mark(json_t *value) {
+    json_object_set_new(value, "f", json_integer(RP_FORMAT));
+    return value;
 }
 
-size_t rp_record_size(const json_t *v) {
-    return json_dumpb(v, NULL, 0, JSON_COMPACT);
+size_t rp_record_size(const json_t *value) {
+    return json_dumpb(value, NULL, 0, JSON_COMPACT);
 }
 
 /* How much of the text, which is plain ASCII, fits into a JSON string of so many bytes. */
@@ -107,15 +107,15 @@
     return n;
 }
 
-size_t rp_record_parts(const json_t *v) {
-    json_int_t n = json_integer_value(json_object_get(v, "parts"));
+size_t rp_record_parts(const json_t *value) {
+    json_int_t n = json_integer_value(json_object_get(value, "parts"));
     return n > 0 && n < RP_PARTS_MAX ? (size_t)n : 0;
 }
 
 json_t *rp_record_join(json_t *const *pieces, size_t n) {
     char *text = NULL;
     size_t len = 0;
-    json_t *v = NULL;
+    json_t *value = NULL;
     for (size_t i = 0; i < n; i++) {
         const char *piece = json_string_value(json_object_get(pieces[i], "text"));
         char *longer = piece ? realloc(text, len + strlen(piece) + 1) : NULL;
@@ -125,10 +125,10 @@
         strcpy(text + len, piece);
         len += strlen(piece);
     }
-    v = text ? json_loads(text, 0, NULL) : NULL;
+    value = text ? json_loads(text, 0, NULL) : NULL;
 out:
     free(text);
-    return v;
+    return value;
 }
 
 json_t *rp_record_version(const char *node) {
@@ -145,20 +145,20 @@
     return json_pack("{s:o,s:f}", "spec", rp_wire_spec_json(spec), "at", rp_ts_s(accepted));
 }
 
-bool rp_record_open_read(json_t *v, struct rp_job_spec *spec, struct timespec *accepted) {
+bool rp_record_open_read(json_t *value, struct rp_job_spec *spec, struct timespec *accepted) {
     char why[128];
-    if (rp_record_format(v) > RP_FORMAT)
+    if (rp_record_format(value) > RP_FORMAT)
         return false;
-    *accepted = rp_ts(json_number_value(json_object_get(v, "at")));
-    return rp_wire_spec_read(json_object_get(v, "spec"), spec, why);
+    *accepted = rp_ts(json_number_value(json_object_get(value, "at")));
+    return rp_wire_spec_read(json_object_get(value, "spec"), spec, why);
 }
 
 json_t *rp_record_over(enum rp_job_word word) {
     return json_pack("{s:s}", "end", word == RP_JOB_DONE ? "done" : "cancelled");
 }
 
-bool rp_record_over_read(json_t *v, enum rp_job_word *word) {
-    const char *end = json_string_value(json_object_get(v, "end"));
+bool rp_record_over_read(json_t *value, enum rp_job_word *word) {
+    const char *end = json_string_value(json_object_get(value, "end"));
     *word = end && strcmp(end, "done") == 0 ? RP_JOB_DONE : RP_JOB_CANCELLED;
     return end && (*word == RP_JOB_DONE || strcmp(end, "cancelled") == 0);
 }
@@ -183,10 +183,10 @@
     return c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
 }
 
-bool rp_record_progress_read(json_t *v, uint8_t *bits, size_t n_bytes) {
-    const char *hex = json_string_value(json_object_get(v, "done"));
+bool rp_record_progress_read(json_t *value, uint8_t *bits, size_t n_bytes) {
+    const char *hex = json_string_value(json_object_get(value, "done"));
     size_t len = hex ? strlen(hex) : 1;
-    if (rp_record_format(v) > RP_FORMAT || len % 2 || len / 2 > n_bytes)
+    if (rp_record_format(value) > RP_FORMAT || len % 2 || len / 2 > n_bytes)
         return false;
     for (size_t i = 0; i < len / 2; i++) {
         int high = hex_digit(hex[2 * i]), low = hex_digit(hex[2 * i + 1]);
@@ -197,38 +197,38 @@
     return true;
 }
 
-static void put_lease(json_t *v, const char *name, const struct rp_deposed_lease *lease) {
+static void put_lease(json_t *value, const char *name, const struct rp_deposed_lease *lease) {
     if (lease->lease)
         json_object_set_new(
-            v, name,
+            value, name,
             json_pack("{s:I,s:f}", "lease", (json_int_t)lease->lease, "ttl", lease->ttl_s));
 }
 
 /* A lease without a sensible length is none: nobody takes over from its holder. */
-static struct rp_deposed_lease read_lease(const json_t *v, const char *name) {
-    const json_t *in = json_object_get(v, name);
-    json_int_t id = json_integer_value(json_object_get(in, "lease"));
-    double ttl_s = json_number_value(json_object_get(in, "ttl"));
+static struct rp_deposed_lease read_lease(const json_t *value, const char *name) {
+    const json_t *object = json_object_get(value, name);
+    json_int_t id = json_integer_value(json_object_get(object, "lease"));
+    double ttl_s = json_number_value(json_object_get(object, "ttl"));
     if (id <= 0 || !(ttl_s > 0))
         return (struct rp_deposed_lease){0};
     return (struct rp_deposed_lease){.lease = (uint64_t)id, .ttl_s = ttl_s};
 }
 
 json_t *rp_record_leader(const struct rp_leader_record *record) {
-    json_t *v = json_pack("{s:s}", "node", record->node);
-    put_lease(v, "own", &record->own);
-    put_lease(v, "deposed", &record->deposed);
-    return v;
+    json_t *value = json_pack("{s:s}", "node", record->node);
+    put_lease(value, "own", &record->own);
+    put_lease(value, "deposed", &record->deposed);
+    return value;
 }
 
-bool rp_record_leader_read(const json_t *v, struct rp_leader_record *out) {
-    const char *node = json_string_value(json_object_get(v, "node"));
+bool rp_record_leader_read(const json_t *value, struct rp_leader_record *out) {
+    const char *node = json_string_value(json_object_get(value, "node"));
     memset(out, 0, sizeof *out);
     if (!node || strlen(node) >= sizeof out->node)
         return false;
     strcpy(out->node, node);
-    out->own = read_lease(v, "own");
-    out->deposed = read_lease(v, "deposed");
+    out->own = read_lease(value, "own");
+    out->deposed = read_lease(value, "deposed");
     return true;
 }
 
@@ -237,25 +237,26 @@
     return json_pack("{s:s}", "node", node);
 }
 
-json_t *rp_record_rental(const struct rp_rental_record *r, const char *const *names, const bool *up,
-                         size_t n) {
-    json_t *v = json_pack("{s:s,s:s,s:b,s:i,s:f}", "type", r->type, "zone", r->zone, "spot",
-                          r->spot, "count", (int)r->count, "asked", rp_ts_s(r->asked));
-    if (!r->answered)
-        return v;
+json_t *rp_record_rental(const struct rp_rental_record *record, const char *const *names,
+                         const bool *up, size_t n) {
+    json_t *value =
+        json_pack("{s:s,s:s,s:b,s:i,s:f}", "type", record->type, "zone", record->zone, "spot",
+                  record->spot, "count", (int)record->count, "asked", rp_ts_s(record->asked));
+    if (!record->answered)
+        return value;
     json_t *list = json_array(), *ups = json_array();
     for (size_t i = 0; i < n; i++) {
         json_array_append_new(list, json_string(names[i]));
         if (up[i])
             json_array_append_new(ups, json_string(names[i]));
     }
-    json_object_set_new(v, "machines", list);
-    json_object_set_new(v, "up", ups);
-    return v;
+    json_object_set_new(value, "machines", list);
+    json_object_set_new(value, "up", ups);
+    return value;
 }
 
-bool rp_record_rental_up(json_t *v, const char *name) {
-    json_t *ups = json_object_get(v, "up");
+bool rp_record_rental_up(json_t *value, const char *name) {
+    json_t *ups = json_object_get(value, "up");
     for (size_t i = 0; i < json_array_size(ups); i++) {
         const char *up = json_string_value(json_array_get(ups, i));
         if (up && strcmp(up, name) == 0)
@@ -264,27 +265,27 @@
     return false;
 }
 
-bool rp_record_rental_read(json_t *v, struct rp_rental_record *out) {
-    const char *type = json_string_value(json_object_get(v, "type"));
-    const char *zone = json_string_value(json_object_get(v, "zone"));
+bool rp_record_rental_read(json_t *value, struct rp_rental_record *out) {
+    const char *type = json_string_value(json_object_get(value, "type"));
+    const char *zone = json_string_value(json_object_get(value, "zone"));
     memset(out, 0, sizeof *out);
-    if (rp_record_format(v) > RP_FORMAT)
+    if (rp_record_format(value) > RP_FORMAT)
         return false;
     if (!type || strlen(type) >= RP_TEXT_MAX || !zone || strlen(zone) >= RP_TEXT_MAX)
         return false;
     strcpy(out->type, type);
     strcpy(out->zone, zone);
-    out->spot = json_is_true(json_object_get(v, "spot"));
-    out->count = (unsigned)json_integer_value(json_object_get(v, "count"));
-    out->asked = rp_ts(json_number_value(json_object_get(v, "asked")));
-    out->answered = json_is_array(json_object_get(v, "machines"));
+    out->spot = json_is_true(json_object_get(value, "spot"));
+    out->count = (unsigned)json_integer_value(json_object_get(value, "count"));
+    out->asked = rp_ts(json_number_value(json_object_get(value, "asked")));
+    out->answered = json_is_array(json_object_get(value, "machines"));
     return true;
 }
 
-size_t rp_record_rental_names(json_t *v) {
-    return json_array_size(json_object_get(v, "machines"));
+size_t rp_record_rental_names(json_t *value) {
+    return json_array_size(json_object_get(value, "machines"));
 }
 
-const char *rp_record_rental_name(json_t *v, size_t i) {
-    return json_string_value(json_array_get(json_object_get(v, "machines"), i));
+const char *rp_record_rental_name(json_t *value, size_t i) {
+    return json_string_value(json_array_get(json_object_get(value, "machines"), i));
 }
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -47,23 +47,23 @@
 bool rp_key_part_read(const char *key, char job[RP_ID_MAX], unsigned *part);
 
 /* The format that a record names; 1 when it names none. */
-unsigned rp_record_format(const json_t *v);
+unsigned rp_record_format(const json_t *value);
 /* Marks a record with the format of today; for use once it is activated. */
-json_t *rp_record_mark(json_t *v);
-size_t rp_record_size(const json_t *v);
+json_t *rp_record_mark(json_t *value);
+size_t rp_record_size(const json_t *value);
 /* Cuts a record into pieces of at most `most` bytes; returns how many, 0 if `max` aren't enough.
  * The first takes the record's key and tells how many others there are. */
 size_t rp_record_cut(const json_t *record, size_t most, json_t **pieces, size_t max);
 /* How many other pieces belong to this one; 0: it is whole. */
-size_t rp_record_parts(const json_t *v);
+size_t rp_record_parts(const json_t *value);
 json_t *rp_record_join(json_t *const *pieces, size_t n);
 
 json_t *rp_record_open(const struct rp_job_spec *spec, struct timespec accepted);
-bool rp_record_open_read(json_t *v, struct rp_job_spec *spec, struct timespec *accepted);
+bool rp_record_open_read(json_t *value, struct rp_job_spec *spec, struct timespec *accepted);
 json_t *rp_record_over(enum rp_job_word word);
-bool rp_record_over_read(json_t *v, enum rp_job_word *word);
+bool rp_record_over_read(json_t *value, enum rp_job_word *word);
 json_t *rp_record_progress(const uint8_t *bits, size_t n_bytes);
-bool rp_record_progress_read(json_t *v, uint8_t *bits, size_t n_bytes);
+bool rp_record_progress_read(json_t *value, uint8_t *bits, size_t n_bytes);
 json_t *rp_record_version(const char *node);
 json_t *rp_record_activation(void);
 
@@ -82,7 +82,7 @@
 };
 /* Without `own` and `deposed` the record is that of the version in production. */
 json_t *rp_record_leader(const struct rp_leader_record *record);
-bool rp_record_leader_read(const json_t *v, struct rp_leader_record *out);
+bool rp_record_leader_read(const json_t *value, struct rp_leader_record *out);
 json_t *rp_record_fence(const char *node);
 
 struct rp_rental_record {
@@ -93,11 +93,11 @@
     bool answered;         /* the names are known */
 };
 /* `up[i]`: the machine has reported, and may hold tasks. */
-json_t *rp_record_rental(const struct rp_rental_record *r, const char *const *names, const bool *up,
-                         size_t n);
-bool rp_record_rental_read(json_t *v, struct rp_rental_record *out);
-size_t rp_record_rental_names(json_t *v);
-const char *rp_record_rental_name(json_t *v, size_t i);
-bool rp_record_rental_up(json_t *v, const char *name);
+json_t *rp_record_rental(const struct rp_rental_record *record, const char *const *names,
+                         const bool *up, size_t n);
+bool rp_record_rental_read(json_t *value, struct rp_rental_record *out);
+size_t rp_record_rental_names(json_t *value);
+const char *rp_record_rental_name(json_t *value, size_t i);
+bool rp_record_rental_up(json_t *value, const char *name);
 
 #endif
--- a/src/upgrade/format_upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -11,105 +11,106 @@
 
 static void tick(void *arg);
 
-void rp_upgrade_init(struct rp_upgrade *u, struct rp_loop *loop, struct rp_state_client *state,
-                     struct rp_election *election, const struct rp_settings *settings,
-                     void (*on_change)(void *arg), void *arg) {
-    memset(u, 0, sizeof *u);
-    u->loop = loop;
-    u->state = state;
-    u->election = election;
-    u->settings = settings;
-    u->on_change = on_change;
-    u->arg = arg;
-    u->timer = (struct rp_timer){.fn = tick, .arg = u};
+void rp_upgrade_init(struct rp_upgrade *upgrade, struct rp_loop *loop,
+                     struct rp_state_client *state, struct rp_election *election,
+                     const struct rp_settings *settings, void (*on_change)(void *arg), void *arg) {
+    memset(upgrade, 0, sizeof *upgrade);
+    upgrade->loop = loop;
+    upgrade->state = state;
+    upgrade->election = election;
+    upgrade->settings = settings;
+    upgrade->on_change = on_change;
+    upgrade->arg = arg;
+    upgrade->timer = (struct rp_timer){.fn = tick, .arg = upgrade};
 }
 
-bool rp_upgrade_active(const struct rp_upgrade *u) {
-    return u->at == RP_UPGRADE_ACTIVE;
+bool rp_upgrade_active(const struct rp_upgrade *upgrade) {
+    return upgrade->at == RP_UPGRADE_ACTIVE;
 }
 
-const char *rp_upgrade_word(const struct rp_upgrade *u) {
+const char *rp_upgrade_word(const struct rp_upgrade *upgrade) {
     static const char *const words[] = {"looking",   "leasing", "announcing",
                                         "announced", "active",  "too old"};
-    return words[u->at];
+    return words[upgrade->at];
 }
 
-static void dropped(void *arg, const struct rp_state_result *r) {
+static void dropped(void *arg, const struct rp_state_result *result) {
     (void)arg;
-    (void)r;
+    (void)result;
 }
 
 /* The one place where it changes its state. What is active stays so. */
-static void set_state(struct rp_upgrade *u, enum rp_upgrade_state at) {
-    if (u->at == at || u->at >= RP_UPGRADE_ACTIVE)
+static void set_state(struct rp_upgrade *upgrade, enum rp_upgrade_state at) {
+    if (upgrade->at == at || upgrade->at >= RP_UPGRADE_ACTIVE)
         return;
-    u->at = at;
+    upgrade->at = at;
     if (at < RP_UPGRADE_ACTIVE)
         return;
-    rp_timer_cancel(u->loop, &u->timer);
-    if (u->lease)
-        rp_state_lease_end(u->state, u->lease, dropped, NULL);
-    u->lease = 0;
+    rp_timer_cancel(upgrade->loop, &upgrade->timer);
+    if (upgrade->lease)
+        rp_state_lease_end(upgrade->state, upgrade->lease, dropped, NULL);
+    upgrade->lease = 0;
     if (at == RP_UPGRADE_ACTIVE)
         rp_info("format %d is active", RP_FORMAT);
     else
         rp_error("a format later than %d is active: this version keeps away", RP_FORMAT);
-    u->on_change(u->arg);
+    upgrade->on_change(upgrade->arg);
 }
 
-void rp_upgrade_read(struct rp_upgrade *u, const json_t *record) {
+void rp_upgrade_read(struct rp_upgrade *upgrade, const json_t *record) {
     if (record && rp_record_format(record) >= RP_FORMAT)
-        set_state(u, rp_record_format(record) > RP_FORMAT ? RP_UPGRADE_TOO_OLD : RP_UPGRADE_ACTIVE);
+        set_state(upgrade,
+                  rp_record_format(record) > RP_FORMAT ? RP_UPGRADE_TOO_OLD : RP_UPGRADE_ACTIVE);
 }
 
 /* ---- this node's record ---- */
 
-static void announced(void *arg, const struct rp_state_result *r) {
-    struct rp_upgrade *u = arg;
-    if (u->at != RP_UPGRADE_ANNOUNCING)
+static void announced(void *arg, const struct rp_state_result *result) {
+    struct rp_upgrade *upgrade = arg;
+    if (upgrade->at != RP_UPGRADE_ANNOUNCING)
         return;
-    if (r->outcome == RP_STATE_BAD)
-        u->lease = 0; /* it has ended meanwhile */
-    set_state(u, r->outcome == RP_STATE_OK ? RP_UPGRADE_ANNOUNCED : RP_UPGRADE_LOOKING);
+    if (result->outcome == RP_STATE_BAD)
+        upgrade->lease = 0; /* it has ended meanwhile */
+    set_state(upgrade, result->outcome == RP_STATE_OK ? RP_UPGRADE_ANNOUNCED : RP_UPGRADE_LOOKING);
 }
 
-static void announce(struct rp_upgrade *u) {
+static void announce(struct rp_upgrade *upgrade) {
     char key[RP_KEY_MAX];
     json_t *txn = rp_wire_txn();
-    rp_key(key, RP_KEY_VERSION, u->settings->node);
-    rp_wire_txn_put(txn, key, rp_record_version(u->settings->node), u->lease);
-    set_state(u, RP_UPGRADE_ANNOUNCING);
-    rp_state_txn(u->state, RP_SHARE_LEADERSHIP, txn, announced, u);
+    rp_key(key, RP_KEY_VERSION, upgrade->settings->node);
+    rp_wire_txn_put(txn, key, rp_record_version(upgrade->settings->node), upgrade->lease);
+    set_state(upgrade, RP_UPGRADE_ANNOUNCING);
+    rp_state_txn(upgrade->state, RP_SHARE_LEADERSHIP, txn, announced, upgrade);
 }
 
-static void leased(void *arg, const struct rp_state_result *r) {
-    struct rp_upgrade *u = arg;
-    if (u->at != RP_UPGRADE_LEASING)
+static void leased(void *arg, const struct rp_state_result *result) {
+    struct rp_upgrade *upgrade = arg;
+    if (upgrade->at != RP_UPGRADE_LEASING)
         return;
-    set_state(u, RP_UPGRADE_LOOKING);
-    if (r->outcome != RP_STATE_OK || !rp_wire_lease(r->body))
+    set_state(upgrade, RP_UPGRADE_LOOKING);
+    if (result->outcome != RP_STATE_OK || !rp_wire_lease(result->body))
         return;
-    u->lease = rp_wire_lease(r->body);
-    u->touched = rp_loop_now(u->loop);
-    announce(u);
+    upgrade->lease = rp_wire_lease(result->body);
+    upgrade->touched = rp_loop_now(upgrade->loop);
+    announce(upgrade);
 }
 
-static void touched(void *arg, const struct rp_state_result *r) {
-    struct rp_upgrade *u = arg;
-    if (r->outcome != RP_STATE_MISSING || u->at != RP_UPGRADE_ANNOUNCED)
+static void touched(void *arg, const struct rp_state_result *result) {
+    struct rp_upgrade *upgrade = arg;
+    if (result->outcome != RP_STATE_MISSING || upgrade->at != RP_UPGRADE_ANNOUNCED)
         return;
-    u->lease = 0;
-    set_state(u, RP_UPGRADE_LOOKING);
+    upgrade->lease = 0;
+    set_state(upgrade, RP_UPGRADE_LOOKING);
 }
 
 /* ---- the activation ---- */
 
-static void activated(void *arg, const struct rp_state_result *r) {
-    struct rp_upgrade *u = arg;
-    u->activating = false;
-    if (r->outcome == RP_STATE_OK) {
+static void activated(void *arg, const struct rp_state_result *result) {
+    struct rp_upgrade *upgrade = arg;
+    upgrade->activating = false;
+    if (result->outcome == RP_STATE_OK) {
         rp_info("every node knows format %d: activated", RP_FORMAT);
-        set_state(u, RP_UPGRADE_ACTIVE);
+        set_state(upgrade, RP_UPGRADE_ACTIVE);
     }
 }
 
@@ -127,85 +128,88 @@
 
 /* The transaction that activates, or NULL while some node counts as old. Where the service takes
  * fewer conditions than there are nodes, the rest of them is known from the list just read. */
-static json_t *activation(struct rp_upgrade *u, json_t *body) {
-    const struct rp_settings *s = u->settings;
+static json_t *activation(struct rp_upgrade *upgrade, json_t *body) {
+    const struct rp_settings *settings = upgrade->settings;
     bool more;
-    size_t n = rp_wire_items(body, &more), room = 4 * s->state_fit.txn_ops - 2;
+    size_t n = rp_wire_items(body, &more), room = 4 * settings->state_fit.txn_ops - 2;
     char key[RP_KEY_MAX];
     json_t *txn = rp_wire_txn();
-    rp_election_guard(u->election, txn);
+    rp_election_guard(upgrade->election, txn);
     rp_wire_txn_if(txn, RP_KEY_FORMAT, 0);
-    u->n_known = 0;
-    for (size_t i = 0; i <= s->n_peers; i++) {
-        const char *node = i < s->n_peers ? s->peers[i].name : s->node;
+    upgrade->n_known = 0;
+    for (size_t i = 0; i <= settings->n_peers; i++) {
+        const char *node = i < settings->n_peers ? settings->peers[i].name : settings->node;
         uint64_t version = known_as(body, n, node);
-        u->n_known += version > 0;
+        upgrade->n_known += version > 0;
         rp_key(key, RP_KEY_VERSION, node);
         if (room > 0 && room-- > 0)
             rp_wire_txn_if(txn, key, version);
     }
     rp_wire_txn_put(txn, RP_KEY_FORMAT, rp_record_activation(), 0);
-    if (u->n_known == s->n_peers + 1)
+    if (upgrade->n_known == settings->n_peers + 1)
         return txn;
     json_decref(txn);
     return NULL;
 }
 
-static void listed(void *arg, const struct rp_state_result *r) {
-    struct rp_upgrade *u = arg;
-    u->activating = false;
-    if (r->outcome != RP_STATE_OK || u->at != RP_UPGRADE_ANNOUNCED ||
-        !rp_election_valid(u->election, rp_loop_now(u->loop)))
+static void listed(void *arg, const struct rp_state_result *result) {
+    struct rp_upgrade *upgrade = arg;
+    upgrade->activating = false;
+    if (result->outcome != RP_STATE_OK || upgrade->at != RP_UPGRADE_ANNOUNCED ||
+        !rp_election_valid(upgrade->election, rp_loop_now(upgrade->loop)))
         return;
-    json_t *txn = activation(u, r->body);
+    json_t *txn = activation(upgrade, result->body);
     if (!txn)
         return;
-    u->activating = true;
-    rp_state_txn(u->state, RP_SHARE_LEADERSHIP, txn, activated, u);
+    upgrade->activating = true;
+    rp_state_txn(upgrade->state, RP_SHARE_LEADERSHIP, txn, activated, upgrade);
 }
 
-static void looked(void *arg, const struct rp_state_result *r) {
-    struct rp_upgrade *u = arg;
+static void looked(void *arg, const struct rp_state_result *result) {
+    struct rp_upgrade *upgrade = arg;
     struct rp_item item;
-    bool first = !u->looked;
-    if (u->at >= RP_UPGRADE_ACTIVE)
+    bool first = !upgrade->looked;
+    if (upgrade->at >= RP_UPGRADE_ACTIVE)
         return;
-    u->looked |= r->outcome == RP_STATE_OK || r->outcome == RP_STATE_MISSING;
-    if (r->outcome == RP_STATE_OK && rp_wire_item(r->body, &item)) {
-        rp_upgrade_read(u, item.value);
+    upgrade->looked |= result->outcome == RP_STATE_OK || result->outcome == RP_STATE_MISSING;
+    if (result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item)) {
+        rp_upgrade_read(upgrade, item.value);
         return;
     }
-    if (first && u->looked)
-        u->on_change(u->arg);
+    if (first && upgrade->looked)
+        upgrade->on_change(upgrade->arg);
     /* A node that keeps to the old forms says nothing, and so counts as old. */
-    if (r->outcome != RP_STATE_MISSING || u->settings->tuning.keep_old_forms)
+    if (result->outcome != RP_STATE_MISSING || upgrade->settings->tuning.keep_old_forms)
         return;
-    struct timespec now = rp_loop_now(u->loop);
-    if (u->at == RP_UPGRADE_LOOKING && u->lease) {
-        announce(u);
-    } else if (u->at == RP_UPGRADE_LOOKING) {
-        set_state(u, RP_UPGRADE_LEASING);
-        rp_state_lease(u->state, LEASE_S, leased, u);
-    } else if (u->at == RP_UPGRADE_ANNOUNCED && rp_ts_since(now, u->touched) >= TOUCH_S) {
-        u->touched = now;
-        rp_state_touch(u->state, u->lease, touched, u);
+    struct timespec now = rp_loop_now(upgrade->loop);
+    if (upgrade->at == RP_UPGRADE_LOOKING && upgrade->lease) {
+        announce(upgrade);
+    } else if (upgrade->at == RP_UPGRADE_LOOKING) {
+        set_state(upgrade, RP_UPGRADE_LEASING);
+        rp_state_lease(upgrade->state, LEASE_S, leased, upgrade);
+    } else if (upgrade->at == RP_UPGRADE_ANNOUNCED &&
+               rp_ts_since(now, upgrade->touched) >= TOUCH_S) {
+        upgrade->touched = now;
+        rp_state_touch(upgrade->state, upgrade->lease, touched, upgrade);
     }
-    if (u->at == RP_UPGRADE_ANNOUNCED && !u->activating && rp_election_valid(u->election, now)) {
-        u->activating = true;
-        rp_state_list(u->state, RP_SHARE_LEADERSHIP, RP_KEY_VERSION, NULL, 1000, listed, u);
+    if (upgrade->at == RP_UPGRADE_ANNOUNCED && !upgrade->activating &&
+        rp_election_valid(upgrade->election, now)) {
+        upgrade->activating = true;
+        rp_state_list(upgrade->state, RP_SHARE_LEADERSHIP, RP_KEY_VERSION, NULL, 1000, listed,
+                      upgrade);
     }
 }
 
 static void tick(void *arg) {
-    struct rp_upgrade *u = arg;
-    rp_timer_set(u->loop, &u->timer, TICK_S);
-    rp_state_get(u->state, RP_SHARE_LEADERSHIP, RP_KEY_FORMAT, looked, u);
+    struct rp_upgrade *upgrade = arg;
+    rp_timer_set(upgrade->loop, &upgrade->timer, TICK_S);
+    rp_state_get(upgrade->state, RP_SHARE_LEADERSHIP, RP_KEY_FORMAT, looked, upgrade);
 }
 
-void rp_upgrade_start(struct rp_upgrade *u) {
-    rp_timer_set(u->loop, &u->timer, 0);
+void rp_upgrade_start(struct rp_upgrade *upgrade) {
+    rp_timer_set(upgrade->loop, &upgrade->timer, 0);
 }
 
-void rp_upgrade_stop(struct rp_upgrade *u) {
-    rp_timer_cancel(u->loop, &u->timer);
+void rp_upgrade_stop(struct rp_upgrade *upgrade) {
+    rp_timer_cancel(upgrade->loop, &upgrade->timer);
 }
--- a/src/upgrade/format_upgrade.h
+++ b/src/upgrade/format_upgrade.h
@@ -33,14 +33,14 @@
     void *arg;
 };
 
-void rp_upgrade_init(struct rp_upgrade *u, struct rp_loop *loop, struct rp_state_client *state,
-                     struct rp_election *election, const struct rp_settings *settings,
-                     void (*on_change)(void *arg), void *arg);
-void rp_upgrade_start(struct rp_upgrade *u);
-void rp_upgrade_stop(struct rp_upgrade *u);
-bool rp_upgrade_active(const struct rp_upgrade *u);
+void rp_upgrade_init(struct rp_upgrade *upgrade, struct rp_loop *loop,
+                     struct rp_state_client *state, struct rp_election *election,
+                     const struct rp_settings *settings, void (*on_change)(void *arg), void *arg);
+void rp_upgrade_start(struct rp_upgrade *upgrade);
+void rp_upgrade_stop(struct rp_upgrade *upgrade);
+bool rp_upgrade_active(const struct rp_upgrade *upgrade);
 /* Somebody has read the activation's record; NULL: there is none. */
-void rp_upgrade_read(struct rp_upgrade *u, const json_t *record);
-const char *rp_upgrade_word(const struct rp_upgrade *u);
+void rp_upgrade_read(struct rp_upgrade *upgrade, const json_t *record);
+const char *rp_upgrade_word(const struct rp_upgrade *upgrade);
 
 #endif
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -38,31 +38,31 @@
         n_over_bounds; /* tasks of unknown jobs beyond RP_UNKNOWN_TASKS_KEPT on a machine */
 };
 
-void rp_workers_init(struct rp_workers *w, struct rp_loop *loop, struct rp_election *election,
+void rp_workers_init(struct rp_workers *workers, struct rp_loop *loop, struct rp_election *election,
                      struct rp_cluster *cluster, struct rp_jobs *jobs, struct rp_fleet *fleet,
                      const struct rp_settings *settings, struct rp_metrics *metrics,
                      struct rp_net net);
-void rp_workers_report(struct rp_workers *w, struct rp_request *req);
+void rp_workers_report(struct rp_workers *workers, struct rp_request *req);
 /* Sends the machine at once, not with the answer to its next report, what room for services takes:
  * stops that give no time to save, then the starts of replicas. */
-void rp_workers_direct(struct rp_workers *w, struct rp_machine *m);
+void rp_workers_direct(struct rp_workers *workers, struct rp_machine *machine);
 /* The machine has to keep so many ended attempts known that it gets no more direct starts. */
-bool rp_workers_direct_full(const struct rp_machine *m);
+bool rp_workers_direct_full(const struct rp_machine *machine);
 /* Asks a machine that has been silent whether it is there. */
-void rp_workers_probe(struct rp_workers *w, struct rp_machine *m);
+void rp_workers_probe(struct rp_workers *workers, struct rp_machine *machine);
 typedef void (*rp_workers_fenced_fn)(void *arg, bool fenced);
 /* Shows this leader's token to a machine that may hold tasks of an earlier one, by a direct command
  * that does nothing else; `fn` is told, later, whether the machine is known by its answer now. The
  * worker's session is corrected by its answer if it is another one. */
-void rp_workers_fence(struct rp_workers *w, struct rp_machine *m, const char *addr,
+void rp_workers_fence(struct rp_workers *workers, struct rp_machine *machine, const char *addr,
                       uint64_t session, rp_workers_fenced_fn fn, void *arg);
 /* Sends what has been planned for machines that are known by such an answer alone: their workers
  * may still wait for the leader before, for up to four seconds, and report only then. */
-void rp_workers_send_fenced(struct rp_workers *w);
+void rp_workers_send_fenced(struct rp_workers *workers);
 /* A round has been run, or none will be: the reports that waited for it are answered. */
-void rp_workers_answer_held(struct rp_workers *w);
+void rp_workers_answer_held(struct rp_workers *workers);
 /* Forgets them unanswered: the process ends. */
-void rp_workers_close(struct rp_workers *w);
+void rp_workers_close(struct rp_workers *workers);
 /* How long after an answer the machine's tasks may still live, on our clock. */
 double rp_workers_lease_s(const struct rp_settings *settings);
 
--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -65,13 +65,15 @@
 }
 
 static void state_asked(void *arg, struct rp_request *req) {
-    struct world *w = arg;
-    sim_remote_request(w->sim, "state", req->method, req->target, req->body, answer_request, req);
+    struct world *world = arg;
+    sim_remote_request(world->sim, "state", req->method, req->target, req->body, answer_request,
+                       req);
 }
 
 static void cloud_asked(void *arg, struct rp_request *req) {
-    struct world *w = arg;
-    sim_remote_request(w->sim, "cloud", req->method, req->target, req->body, answer_request, req);
+    struct world *world = arg;
+    sim_remote_request(world->sim, "cloud", req->method, req->target, req->body, answer_request,
+                       req);
 }
 
 static void worker_asked(void *arg, struct rp_request *req) {
@@ -86,23 +88,23 @@
 
 static void call_node(void *ctx, int node, const char *method, const char *target, const char *body,
                       rp_answer_fn answered, void *arg) {
-    struct world *w = ctx;
-    struct rp_net net = rp_http_client_net(&w->client);
-    net.call_once(net.ctx, w->nodes[node].client, method, target, body, 5, answered, arg);
+    struct world *world = ctx;
+    struct rp_net net = rp_http_client_net(&world->client);
+    net.call_once(net.ctx, world->nodes[node].client, method, target, body, 5, answered, arg);
 }
 
 static const char *worker_addr(void *ctx, int worker) {
-    struct world *w = ctx;
-    return w->workers[worker].addr;
+    struct world *world = ctx;
+    return world->workers[worker].addr;
 }
 
-static void open_server(struct world *w, struct rp_http_server *server, char addr[32],
+static void open_server(struct world *world, struct rp_http_server *server, char addr[32],
                         rp_request_fn fn, void *arg) {
     static const struct rp_http_limits limits = {
         .max_conns = 500, .body_max = 1 << 20, .idle_s = 300, .receive_s = 10, .send_s = 10};
     for (int tries = 0; tries < 200; tries++) {
-        snprintf(addr, 32, "127.0.0.1:%d", w->port++);
-        if (rp_http_server_open(server, &w->loop, addr, &limits, fn, arg) == 0)
+        snprintf(addr, 32, "127.0.0.1:%d", world->port++);
+        if (rp_http_server_open(server, &world->loop, addr, &limits, fn, arg) == 0)
             return;
     }
     fprintf(stderr, "no free port\n");
@@ -111,232 +113,237 @@
 
 /* ---- the processes ---- */
 
-static void node_spawn(struct world *w, int index) {
-    struct process *p = &w->nodes[index];
+static void node_spawn(struct world *world, int index) {
+    struct process *process = &world->nodes[index];
     char log[160];
-    snprintf(log, sizeof log, "%s/node-%d.log", w->folder, index);
-    p->pid = fork();
-    if (p->pid == 0) {
+    snprintf(log, sizeof log, "%s/node-%d.log", world->folder, index);
+    process->pid = fork();
+    if (process->pid == 0) {
         int fd = open(log, O_WRONLY | O_CREAT | O_APPEND, 0644);
         if (fd >= 0)
             dup2(fd, STDERR_FILENO);
-        execl(w->program, w->program, "--operator", w->operator_file, "--config", p->settings,
-              (char *)NULL);
+        execl(world->program, world->program, "--operator", world->operator_file, "--config",
+              process->settings, (char *)NULL);
         _exit(127);
     }
-    if (p->pid < 0) {
+    if (process->pid < 0) {
         perror("fork");
         exit(2);
     }
 }
 
-static void node_kill(struct process *p) {
-    if (p->pid == 0)
+static void node_kill(struct process *process) {
+    if (process->pid == 0)
         return;
-    kill(p->pid, SIGKILL);
-    while (waitpid(p->pid, NULL, 0) < 0 && errno == EINTR)
+    kill(process->pid, SIGKILL);
+    while (waitpid(process->pid, NULL, 0) < 0 && errno == EINTR)
         ;
-    p->pid = 0;
-    p->stopped = false;
+    process->pid = 0;
+    process->stopped = false;
 }
 
-static void write_settings(struct world *w, const char *state, const char *cloud) {
+static void write_settings(struct world *world, const char *state, const char *cloud) {
     char peer[NODES][32];
     for (int i = 0; i < NODES; i++) {
-        snprintf(w->nodes[i].client, sizeof w->nodes[i].client, "127.0.0.1:%d", w->port++);
-        snprintf(peer[i], sizeof peer[i], "127.0.0.1:%d", w->port++);
+        snprintf(world->nodes[i].client, sizeof world->nodes[i].client, "127.0.0.1:%d",
+                 world->port++);
+        snprintf(peer[i], sizeof peer[i], "127.0.0.1:%d", world->port++);
     }
     for (int i = 0; i < NODES; i++) {
-        json_t *v = json_loads(w->sim->nodes[i].settings, 0, NULL), *seed;
+        json_t *value = json_loads(world->sim->nodes[i].settings, 0, NULL), *seed;
         size_t k;
-        json_object_set_new(v, "client_listen", json_string(w->nodes[i].client));
-        json_object_set_new(v, "peer_listen", json_string(peer[i]));
-        json_object_set_new(v, "external", json_pack("{s:s,s:s}", "cloud", cloud, "state", state));
-        json_array_foreach(json_object_get(v, "seeds"), k, seed) {
+        json_object_set_new(value, "client_listen", json_string(world->nodes[i].client));
+        json_object_set_new(value, "peer_listen", json_string(peer[i]));
+        json_object_set_new(value, "external",
+                            json_pack("{s:s,s:s}", "cloud", cloud, "state", state));
+        json_array_foreach(json_object_get(value, "seeds"), k, seed) {
             const char *name = json_string_value(json_object_get(seed, "node_name"));
             json_object_set_new(seed, "addr", json_string(peer[name[1] - '0']));
         }
-        snprintf(w->nodes[i].settings, sizeof w->nodes[i].settings, "%s/node-%d.json", w->folder,
-                 i);
-        if (json_dump_file(v, w->nodes[i].settings, JSON_INDENT(1)) < 0) {
-            perror(w->nodes[i].settings);
+        snprintf(world->nodes[i].settings, sizeof world->nodes[i].settings, "%s/node-%d.json",
+                 world->folder, i);
+        if (json_dump_file(value, world->nodes[i].settings, JSON_INDENT(1)) < 0) {
+            perror(world->nodes[i].settings);
             exit(2);
         }
-        json_decref(v);
+        json_decref(value);
     }
 }
 
 /* ---- the course of a run ---- */
 
-static int key_holder(const struct world *w) {
-    const json_t *key = sim_stored(w->sim, RP_KEY_LEADER);
+static int key_holder(const struct world *world) {
+    const json_t *key = sim_stored(world->sim, RP_KEY_LEADER);
     const char *node = json_string_value(json_object_get(key, "node"));
     return node ? node[1] - '0' : -1;
 }
 
-static void enter(struct world *w, enum phase phase) {
-    w->phase = phase;
-    w->phase_since = w->sim->now;
+static void enter(struct world *world, enum phase phase) {
+    world->phase = phase;
+    world->phase_since = world->sim->now;
 }
 
-static void submit_more(struct world *w) {
-    struct sim *s = w->sim;
-    if (s->now < w->next_job || s->n_jobs >= SIM_JOBS - 8 || w->phase == QUIET)
+static void submit_more(struct world *world) {
+    struct sim *sim = world->sim;
+    if (sim->now < world->next_job || sim->n_jobs >= SIM_JOBS - 8 || world->phase == QUIET)
         return;
-    w->next_job = s->now + JOB_EVERY_S;
-    int n = s->n_jobs;
-    double cancel_at = n % 6 == 5 ? s->now + 2 + n % 4 : 0;
+    world->next_job = sim->now + JOB_EVERY_S;
+    int n = sim->n_jobs;
+    double cancel_at = n % 6 == 5 ? sim->now + 2 + n % 4 : 0;
     if (n == 0)
-        (void)sim_submit(s, s->now, "service", 2, 1, 0, 0);
+        (void)sim_submit(sim, sim->now, "service", 2, 1, 0, 0);
     else if (n % 9 == 4)
-        (void)sim_submit(s, s->now, "ensemble", 2 + (unsigned)(n % 2), 2, 4, cancel_at);
+        (void)sim_submit(sim, sim->now, "ensemble", 2 + (unsigned)(n % 2), 2, 4, cancel_at);
     else
-        (void)sim_submit(s, s->now, "sweep", 2 + (unsigned)(n % 4), 1, 2.5, cancel_at);
+        (void)sim_submit(sim, sim->now, "sweep", 2 + (unsigned)(n % 4), 1, 2.5, cancel_at);
 }
 
-static void end_leader(struct world *w, int leader) {
-    struct process *p = &w->nodes[leader];
-    w->stop_it = w->away_s == 0 && (w->done + (int)w->seed) % 4 == 3;
-    w->ended_token = w->sim->started_token;
-    w->ended_at = w->sim->now;
-    w->claimed_at = 0;
-    if (w->stop_it) {
-        kill(p->pid, SIGSTOP);
-        p->stopped = true;
-        p->goes_on_at = w->sim->now + 6 + w->done % 5;
-        w->n_stopped++;
+static void end_leader(struct world *world, int leader) {
+    struct process *process = &world->nodes[leader];
+    world->stop_it = world->away_s == 0 && (world->done + (int)world->seed) % 4 == 3;
+    world->ended_token = world->sim->started_token;
+    world->ended_at = world->sim->now;
+    world->claimed_at = 0;
+    if (world->stop_it) {
+        kill(process->pid, SIGSTOP);
+        process->stopped = true;
+        process->goes_on_at = world->sim->now + 6 + world->done % 5;
+        world->n_stopped++;
     } else {
-        node_kill(p);
-        p->goes_on_at = w->sim->now + (w->away_s > 0 ? w->away_s : 4 + w->done % 3);
+        node_kill(process);
+        process->goes_on_at =
+            world->sim->now + (world->away_s > 0 ? world->away_s : 4 + world->done % 3);
     }
-    enter(w, LEADERLESS);
+    enter(world, LEADERLESS);
 }
 
 /* Back after a while: a process that is started anew, or one that goes on where it stood still. */
-static void bring_back(struct world *w) {
+static void bring_back(struct world *world) {
     for (int i = 0; i < NODES; i++) {
-        struct process *p = &w->nodes[i];
-        if (p->pid && !p->stopped && waitpid(p->pid, NULL, WNOHANG) == p->pid) {
+        struct process *process = &world->nodes[i];
+        if (process->pid && !process->stopped &&
+            waitpid(process->pid, NULL, WNOHANG) == process->pid) {
             fprintf(stderr, "node %d ended by itself\n", i);
             exit(1);
         }
-        if (w->sim->now < p->goes_on_at)
+        if (world->sim->now < process->goes_on_at)
             continue;
-        if (p->stopped) {
-            kill(p->pid, SIGCONT);
-            p->stopped = false;
-        } else if (p->pid == 0) {
-            node_spawn(w, i);
+        if (process->stopped) {
+            kill(process->pid, SIGCONT);
+            process->stopped = false;
+        } else if (process->pid == 0) {
+            node_spawn(world, i);
         }
     }
 }
 
-static bool all_back(const struct world *w) {
+static bool all_back(const struct world *world) {
     for (int i = 0; i < NODES; i++)
-        if (!w->nodes[i].pid || w->nodes[i].stopped)
+        if (!world->nodes[i].pid || world->nodes[i].stopped)
             return false;
     return true;
 }
 
-static void finish(struct world *w, int rc) {
+static void finish(struct world *world, int rc) {
     for (int i = 0; i < NODES; i++) {
-        if (w->nodes[i].stopped)
-            kill(w->nodes[i].pid, SIGCONT);
-        node_kill(&w->nodes[i]);
+        if (world->nodes[i].stopped)
+            kill(world->nodes[i].pid, SIGCONT);
+        node_kill(&world->nodes[i]);
     }
-    printf("world seed=%lu ends=%d stopped=%d jobs=%d done=%lu starts=%lu rules=%s\n", w->seed,
-           w->done, w->n_stopped, w->sim->n_jobs, w->sim->n_done_jobs, w->sim->n_starts,
-           *w->sim->broken ? w->sim->broken : "kept");
+    printf("world seed=%lu ends=%d stopped=%d jobs=%d done=%lu starts=%lu rules=%s\n", world->seed,
+           world->done, world->n_stopped, world->sim->n_jobs, world->sim->n_done_jobs,
+           world->sim->n_starts, *world->sim->broken ? world->sim->broken : "kept");
     fflush(stdout);
     exit(rc);
 }
 
-static void note_takeover(struct world *w) {
-    struct sim *s = w->sim;
-    if (w->claimed_at == 0 && key_holder(w) >= 0 && !w->nodes[key_holder(w)].stopped &&
-        w->nodes[key_holder(w)].pid)
-        w->claimed_at = s->now;
-    if (s->started_token > w->ended_token) {
-        printf("end seed=%lu n=%d how=%s claimed_s=%.2f first_start_s=%.2f\n", w->seed, w->done,
-               w->stop_it ? "stop" : "kill", w->claimed_at - w->ended_at,
-               s->started_at - w->ended_at);
+static void note_takeover(struct world *world) {
+    struct sim *sim = world->sim;
+    if (world->claimed_at == 0 && key_holder(world) >= 0 &&
+        !world->nodes[key_holder(world)].stopped && world->nodes[key_holder(world)].pid)
+        world->claimed_at = sim->now;
+    if (sim->started_token > world->ended_token) {
+        printf("end seed=%lu n=%d how=%s claimed_s=%.2f first_start_s=%.2f\n", world->seed,
+               world->done, world->stop_it ? "stop" : "kill", world->claimed_at - world->ended_at,
+               sim->started_at - world->ended_at);
         fflush(stdout);
-        w->done++;
-        enter(w, w->done == w->wanted ? QUIET : STEADY);
-    } else if (s->now - w->ended_at > GIVE_UP_S) {
-        printf("end seed=%lu n=%d how=%s no start for %d s\n", w->seed, w->done,
-               w->stop_it ? "stop" : "kill", GIVE_UP_S);
-        finish(w, 1);
+        world->done++;
+        enter(world, world->done == world->wanted ? QUIET : STEADY);
+    } else if (sim->now - world->ended_at > GIVE_UP_S) {
+        printf("end seed=%lu n=%d how=%s no start for %d s\n", world->seed, world->done,
+               world->stop_it ? "stop" : "kill", GIVE_UP_S);
+        finish(world, 1);
     }
 }
 
 static void step(void *arg) {
-    struct world *w = arg;
-    struct sim *s = w->sim;
-    rp_timer_set(&w->loop, &w->timer, STEP_S);
-    submit_more(w);
-    sim_step(s, rp_ts_since(rp_loop_now(&w->loop), w->began));
-    bring_back(w);
-    if (*s->broken)
-        finish(w, 1);
-    switch (w->phase) {
+    struct world *world = arg;
+    struct sim *sim = world->sim;
+    rp_timer_set(&world->loop, &world->timer, STEP_S);
+    submit_more(world);
+    sim_step(sim, rp_ts_since(rp_loop_now(&world->loop), world->began));
+    bring_back(world);
+    if (*sim->broken)
+        finish(world, 1);
+    switch (world->phase) {
     case STARTING:
-        if (s->started_token > 0 && s->now > 20)
-            enter(w, STEADY);
+        if (sim->started_token > 0 && sim->now > 20)
+            enter(world, STEADY);
         break;
     case STEADY:
-        if (all_back(w) && s->now > w->phase_since + STEADY_S && key_holder(w) >= 0)
-            end_leader(w, key_holder(w));
+        if (all_back(world) && sim->now > world->phase_since + STEADY_S && key_holder(world) >= 0)
+            end_leader(world, key_holder(world));
         break;
     case LEADERLESS:
-        note_takeover(w);
+        note_takeover(world);
         break;
     case QUIET:
-        if (s->calm_since == 0) {
-            sim_calm(s);
-            s->jobs[0].cancel_at = s->now; /* the service ends only so */
+        if (sim->calm_since == 0) {
+            sim_calm(sim);
+            sim->jobs[0].cancel_at = sim->now; /* the service ends only so */
         }
-        if (!sim_all_over(s) && s->now < w->phase_since + QUIET_S)
+        if (!sim_all_over(sim) && sim->now < world->phase_since + QUIET_S)
             break;
-        sim_check_served(s);
-        finish(w, *s->broken ? 1 : 0);
+        sim_check_served(sim);
+        finish(world, *sim->broken ? 1 : 0);
         break;
     }
 }
 
 int main(int argc, char **argv) {
     static const struct sim_size size = {WORKERS, 6, 2, 14, 39, 200, 20, 5};
-    static struct world w;
+    static struct world world;
     if (argc < 7 || argc > 8) {
         fprintf(stderr, "usage: takeovers PROGRAM OPERATOR_FILE FOLDER PORT SEED ENDS [AWAY_S]\n");
         return 2;
     }
-    w.program = argv[1];
-    w.operator_file = argv[2];
-    w.folder = argv[3];
-    w.port = atoi(argv[4]);
-    w.seed = strtoul(argv[5], NULL, 10);
-    w.wanted = atoi(argv[6]);
-    w.away_s = argc > 7 ? strtod(argv[7], NULL) : 0;
-    const struct sim_remote remote = {.ctx = &w, .call = call_node, .worker_addr = worker_addr};
+    world.program = argv[1];
+    world.operator_file = argv[2];
+    world.folder = argv[3];
+    world.port = atoi(argv[4]);
+    world.seed = strtoul(argv[5], NULL, 10);
+    world.wanted = atoi(argv[6]);
+    world.away_s = argc > 7 ? strtod(argv[7], NULL) : 0;
+    const struct sim_remote remote = {.ctx = &world, .call = call_node, .worker_addr = worker_addr};
     char state[32], cloud[32];
     signal(SIGPIPE, SIG_IGN);
     rp_log_setup("world", rp_log_level_named("error"));
-    if (rp_loop_init(&w.loop, false) < 0)
+    if (rp_loop_init(&world.loop, false) < 0)
         return 2;
-    rp_http_client_init(&w.client, &w.loop, 64, 400, 1 << 20);
-    w.sim = sim_new_remote(w.seed, NODES, &size, &remote);
-    open_server(&w, &w.state, state, state_asked, &w);
-    open_server(&w, &w.cloud, cloud, cloud_asked, &w);
+    rp_http_client_init(&world.client, &world.loop, 64, 400, 1 << 20);
+    world.sim = sim_new_remote(world.seed, NODES, &size, &remote);
+    open_server(&world, &world.state, state, state_asked, &world);
+    open_server(&world, &world.cloud, cloud, cloud_asked, &world);
     for (int i = 0; i < WORKERS; i++) {
-        w.workers[i].world = &w;
-        open_server(&w, &w.workers[i].server, w.workers[i].addr, worker_asked, &w.workers[i]);
+        world.workers[i].world = &world;
+        open_server(&world, &world.workers[i].server, world.workers[i].addr, worker_asked,
+                    &world.workers[i]);
     }
-    write_settings(&w, state, cloud);
+    write_settings(&world, state, cloud);
     for (int i = 0; i < NODES; i++)
-        node_spawn(&w, i);
-    w.began = rp_loop_now(&w.loop);
-    w.timer = (struct rp_timer){.fn = step, .arg = &w};
-    rp_timer_set(&w.loop, &w.timer, STEP_S);
-    return rp_loop_run(&w.loop) < 0 ? 2 : 0;
+        node_spawn(&world, i);
+    world.began = rp_loop_now(&world.loop);
+    world.timer = (struct rp_timer){.fn = step, .arg = &world};
+    rp_timer_set(&world.loop, &world.timer, STEP_S);
+    return rp_loop_run(&world.loop) < 0 ? 2 : 0;
 }
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -256,41 +256,41 @@
  * they ask the state service ("state"), the cloud ("cloud") or a worker (by its name). */
 struct sim *sim_new_remote(unsigned long seed, int n_nodes, const struct sim_size *size,
                            const struct sim_remote *remote);
-void sim_step(struct sim *s, double now);
-void sim_remote_request(struct sim *s, const char *addr, const char *method, const char *target,
+void sim_step(struct sim *sim, double now);
+void sim_remote_request(struct sim *sim, const char *addr, const char *method, const char *target,
                         const char *body, rp_answer_fn fn, void *arg);
 /* Ends all troubles: from now on every accepted job must be known and begin in time. */
-void sim_calm(struct sim *s);
+void sim_calm(struct sim *sim);
 /* At the end of a day: notes a broken rule if under half of a class or of its largest jobs has been
  * served. */
-void sim_check_served(struct sim *s);
-void sim_free(struct sim *s);
+void sim_check_served(struct sim *sim);
+void sim_free(struct sim *sim);
 /* Lets the world go on; stops early when a rule breaks. */
-void sim_run(struct sim *s, double seconds);
+void sim_run(struct sim *sim, double seconds);
 /* Submits a job at a time; returns its index. Gangs are urgent, but for "ensemble:low". */
-int sim_submit(struct sim *s, double at, const char *kind, unsigned tasks, double cpus,
+int sim_submit(struct sim *sim, double at, const char *kind, unsigned tasks, double cpus,
                double run_s, double cancel_at);
 /* Another value for a field of a job that is still to be submitted. */
-void sim_change(struct sim *s, int index, const char *field, json_t *value);
+void sim_change(struct sim *sim, int index, const char *field, json_t *value);
 /* An array whose description is longer than the lowered limits let one value be. */
-int sim_submit_long(struct sim *s, double at, unsigned tasks, double run_s);
+int sim_submit_long(struct sim *sim, double at, unsigned tasks, double run_s);
 /* Users call off so many jobs that run, at once; with `hang_s`, some of their machines hang. */
-void sim_cancel_now(struct sim *s, int count, double hang_s);
-bool sim_all_over(const struct sim *s);
+void sim_cancel_now(struct sim *sim, int count, double hang_s);
+bool sim_all_over(const struct sim *sim);
 /* Kills a node's process; it comes back `back_s` later. */
-void sim_crash(struct sim *s, int node, double back_s);
+void sim_crash(struct sim *sim, int node, double back_s);
 /* The same, and from then on it is of this version. */
-void sim_upgrade(struct sim *s, int node, double back_s);
+void sim_upgrade(struct sim *sim, int node, double back_s);
 /* Makes all nodes of the version before, at the beginning of a day. */
-void sim_all_old(struct sim *s);
+void sim_all_old(struct sim *sim);
 /* The state service takes less from now on: what the settings announce. */
-void sim_lower_limits(struct sim *s);
+void sim_lower_limits(struct sim *sim);
 /* A record that stands in the state service from before. */
-void sim_store(struct sim *s, const char *key, const char *text);
-const json_t *sim_stored(struct sim *s, const char *key);
+void sim_store(struct sim *sim, const char *key, const char *text);
+const json_t *sim_stored(struct sim *sim, const char *key);
 /* Whether some record of progress holds the task's result. */
-bool sim_saved(struct sim *s, const char *job, uint32_t task);
-size_t sim_count_stored(struct sim *s, const char *prefix);
-int sim_leader(const struct sim *s);
+bool sim_saved(struct sim *sim, const char *job, uint32_t task);
+size_t sim_count_stored(struct sim *sim, const char *prefix);
+int sim_leader(const struct sim *sim);
 
 #endif
--- a/tests/sim_parts.h
+++ b/tests/sim_parts.h
@@ -46,31 +46,31 @@
 extern const struct sim_machine_type sim_types[2];
 extern const char *const sim_zones[2];
 
-double sim_uniform(struct sim *s);
-bool sim_chance(struct sim *s, double p);
+double sim_uniform(struct sim *sim);
+bool sim_chance(struct sim *sim, double p);
 /* Notes the first rule that breaks. */
-void sim_broken(struct sim *s, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
-struct sim_event *sim_event_new(struct sim *s, enum event_kind kind, double after);
-bool sim_on_machine(const struct sim_task *t);
+void sim_broken(struct sim *sim, const char *fmt, ...) __attribute__((format(printf, 2, 3)));
+struct sim_event *sim_event_new(struct sim *sim, enum event_kind kind, double after);
+bool sim_on_machine(const struct sim_task *task);
 
 /* What a node is asked by a user, and where its answer goes. */
-void sim_ask(struct sim *s, int node, const char *method, const char *target, const char *body,
+void sim_ask(struct sim *sim, int node, const char *method, const char *target, const char *body,
              enum event_kind answer, int index, enum sim_user_op op);
-void sim_user_send(struct sim *s, int job, enum sim_user_op op, int node);
+void sim_user_send(struct sim *sim, int job, enum sim_user_op op, int node);
 
 /* The troubles of a step, and what users do that is odd. */
-void sim_trouble_step(struct sim *s);
+void sim_trouble_step(struct sim *sim);
 /* What happens to a transaction, or a report, on its way. */
-void sim_trouble_txn(struct sim *s, struct sim_event *e);
-void sim_trouble_report(struct sim *s, const struct sim_event *e);
-void sim_look_closely(struct sim *s, int job);
+void sim_trouble_txn(struct sim *sim, struct sim_event *event);
+void sim_trouble_report(struct sim *sim, const struct sim_event *event);
+void sim_look_closely(struct sim *sim, int job);
 
 /* The rules, at a start, at an answer, and after each step. */
-void sim_check_start(struct sim *s, const struct sim_worker *w, const struct sim_task *t);
-void sim_check_command(struct sim *s, const struct sim_job *job);
-void sim_check_renewal(struct sim *s, const struct sim_worker *w);
-void sim_check_done(struct sim *s, const struct sim_job *job);
-void sim_check_odd(struct sim *s, const struct sim_event *e);
-void sim_check_step(struct sim *s);
+void sim_check_start(struct sim *sim, const struct sim_worker *worker, const struct sim_task *task);
+void sim_check_command(struct sim *sim, const struct sim_job *job);
+void sim_check_renewal(struct sim *sim, const struct sim_worker *worker);
+void sim_check_done(struct sim *sim, const struct sim_job *job);
+void sim_check_odd(struct sim *sim, const struct sim_event *event);
+void sim_check_step(struct sim *sim);
 
 #endif
--- a/tests/test_election.c
+++ b/tests/test_election.c
@@ -17,12 +17,12 @@
 }
 
 static void holding_alone_is_not_enough(void **state) {
-    struct rp_election e = {.at = RP_HOLDING, .valid_until = rp_ts(50)};
+    struct rp_election election = {.at = RP_HOLDING, .valid_until = rp_ts(50)};
     (void)state;
-    assert_true(rp_election_valid(&e, rp_ts(49.9)));
-    assert_false(rp_election_valid(&e, rp_ts(50)));
-    e.at = RP_FOLLOWING;
-    assert_false(rp_election_valid(&e, rp_ts(49.9)));
+    assert_true(rp_election_valid(&election, rp_ts(49.9)));
+    assert_false(rp_election_valid(&election, rp_ts(50)));
+    election.at = RP_FOLLOWING;
+    assert_false(rp_election_valid(&election, rp_ts(49.9)));
 }
 
 struct fired {
@@ -32,66 +32,66 @@
 };
 
 static void fire(void *arg) {
-    struct fired *f = arg;
-    f->at[f->n++] = rp_ts_s(rp_loop_now(f->loop));
+    struct fired *fired = arg;
+    fired->at[fired->n++] = rp_ts_s(rp_loop_now(fired->loop));
 }
 
 static void timers_in_order(void **state) {
     struct rp_loop loop;
-    struct fired f = {.loop = &loop};
+    struct fired fired = {.loop = &loop};
     struct rp_timer t[5];
     static const double due[] = {3, 1, 2, 5, 4};
     (void)state;
     assert_int_equal(rp_loop_init(&loop, true), 0);
     for (int i = 0; i < 5; i++) {
-        t[i] = (struct rp_timer){.fn = fire, .arg = &f};
+        t[i] = (struct rp_timer){.fn = fire, .arg = &fired};
         assert_int_equal(rp_timer_set(&loop, &t[i], due[i]), 0);
     }
     rp_timer_cancel(&loop, &t[3]);
     assert_int_equal(rp_timer_set(&loop, &t[1], 2.5), 0);
     rp_loop_advance(&loop, rp_ts(10));
-    assert_int_equal(f.n, 4);
-    assert_true(f.at[0] == 2 && f.at[1] == 2.5 && f.at[2] == 3 && f.at[3] == 4);
+    assert_int_equal(fired.n, 4);
+    assert_true(fired.at[0] == 2 && fired.at[1] == 2.5 && fired.at[2] == 3 && fired.at[3] == 4);
     rp_loop_close(&loop);
 }
 
 static void bucket_keeps_its_rate(void **state) {
-    struct rp_bucket b;
+    struct rp_bucket bucket;
     double taken = 0;
     (void)state;
-    rp_bucket_init(&b, 10, 5, rp_ts(0));
+    rp_bucket_init(&bucket, 10, 5, rp_ts(0));
     for (int i = 0; i <= 1000; i++)
-        while (rp_bucket_has(&b, 1, rp_ts(i * 0.01))) {
-            rp_bucket_take(&b, 1);
+        while (rp_bucket_has(&bucket, 1, rp_ts(i * 0.01))) {
+            rp_bucket_take(&bucket, 1);
             taken++;
         }
     assert_true(taken >= 100 && taken <= 106);
     /* More than the bucket ever holds passes when it is full, and is paid back. */
-    assert_true(rp_bucket_has(&b, 50, rp_ts(100)));
-    rp_bucket_take(&b, 50);
-    assert_false(rp_bucket_has(&b, 1, rp_ts(104)));
-    assert_true(rp_bucket_has(&b, 1, rp_ts(105)));
+    assert_true(rp_bucket_has(&bucket, 50, rp_ts(100)));
+    rp_bucket_take(&bucket, 50);
+    assert_false(rp_bucket_has(&bucket, 1, rp_ts(104)));
+    assert_true(rp_bucket_has(&bucket, 1, rp_ts(105)));
 }
 
 /* Knowledge of a leader goes stale: a node cut from the state service sent workers round in
  * circles. */
 static void stale_leader_is_not_named(void **state) {
-    struct rp_election e = {
+    struct rp_election election = {
         .at = RP_FOLLOWING, .node = "n0", .leader = "n1", .ttl_s = 10, .looked_at = rp_ts(50)};
     (void)state;
-    assert_string_equal(rp_election_leader(&e, rp_ts(55)), "n1");
-    assert_null(rp_election_leader(&e, rp_ts(63)));
+    assert_string_equal(rp_election_leader(&election, rp_ts(55)), "n1");
+    assert_null(rp_election_leader(&election, rp_ts(63)));
     /* One that doesn't answer isn't named, until it must have lost the key and hasn't. */
     struct rp_loop loop = {.is_virtual = true, .virtual_now = rp_ts(51)};
-    e.loop = &loop;
-    rp_election_note_answer(&e, false);
-    assert_null(rp_election_leader(&e, rp_ts(52)));
-    e.looked_at = rp_ts(61);
-    assert_string_equal(rp_election_leader(&e, rp_ts(61.6)), "n1");
-    rp_election_note_answer(&e, true);
-    assert_string_equal(rp_election_leader(&e, rp_ts(62)), "n1");
-    e.at = RP_HOLDING;
-    assert_null(rp_election_leader(&e, rp_ts(62)));
+    election.loop = &loop;
+    rp_election_note_answer(&election, false);
+    assert_null(rp_election_leader(&election, rp_ts(52)));
+    election.looked_at = rp_ts(61);
+    assert_string_equal(rp_election_leader(&election, rp_ts(61.6)), "n1");
+    rp_election_note_answer(&election, true);
+    assert_string_equal(rp_election_leader(&election, rp_ts(62)), "n1");
+    election.at = RP_HOLDING;
+    assert_null(rp_election_leader(&election, rp_ts(62)));
 }
 
 /* A state service that keeps what it is asked. */
@@ -104,19 +104,19 @@
 
 static void keep_call(void *ctx, const char *addr, const char *method, const char *target,
                       const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
-    struct asked *a = ctx;
+    struct asked *asked = ctx;
     (void)addr, (void)target, (void)body, (void)timeout_s;
-    assert_true(a->reads + a->writes < 64);
-    a->fn[a->reads + a->writes] = fn;
-    a->arg[a->reads + a->writes] = arg;
+    assert_true(asked->reads + asked->writes < 64);
+    asked->fn[asked->reads + asked->writes] = fn;
+    asked->arg[asked->reads + asked->writes] = arg;
     if (strcmp(method, "POST") == 0)
-        a->writes++;
+        asked->writes++;
     else
-        a->reads++;
+        asked->reads++;
 }
 
-static void count_refusal(void *arg, const struct rp_state_result *r) {
-    *(int *)arg += r->outcome == RP_STATE_REFUSED;
+static void count_refusal(void *arg, const struct rp_state_result *result) {
+    *(int *)arg += result->outcome == RP_STATE_REFUSED;
 }
 
 static json_t *one_write(void) {
@@ -127,31 +127,31 @@
  * through at once. Each has its own queue, a burst passes, and what waits too long is refused. */
 static void queries_dont_delay_submissions(void **state) {
     struct rp_loop loop;
-    struct rp_state_client c;
+    struct rp_state_client client;
     struct asked asked = {0};
     struct rp_net net = {.ctx = &asked, .call = keep_call};
     int refused = 0;
     (void)state;
     assert_int_equal(rp_loop_init(&loop, true), 0);
     loop.virtual_now = rp_ts(100);
-    rp_state_client_init(&c, &loop, net, "state", 200, 20, 5, 0.6);
+    rp_state_client_init(&client, &loop, net, "state", 200, 20, 5, 0.6);
     for (int i = 0; i < 200; i++)
-        rp_state_get(&c, RP_SHARE_QUERIES, "a/b", count_refusal, &refused);
+        rp_state_get(&client, RP_SHARE_QUERIES, "a/b", count_refusal, &refused);
     assert_true(asked.reads < 40);
     for (int i = 0; i < 5; i++)
-        rp_state_txn(&c, RP_SHARE_SUBMISSIONS, one_write(), count_refusal, &refused);
+        rp_state_txn(&client, RP_SHARE_SUBMISSIONS, one_write(), count_refusal, &refused);
     assert_int_equal(asked.writes, 5);
     for (int i = 0; i < 20; i++)
-        rp_state_txn(&c, RP_SHARE_SUBMISSIONS, one_write(), count_refusal, &refused);
+        rp_state_txn(&client, RP_SHARE_SUBMISSIONS, one_write(), count_refusal, &refused);
     assert_int_equal(asked.writes, 5);
     assert_int_equal(refused, 0);
     for (int i = 0; i < 50; i++)
         rp_loop_advance(&loop, rp_ts(100 + i * 0.02));
     assert_true(refused > 150);
-    assert_int_equal(c.n_shed, refused);
+    assert_int_equal(client.n_shed, refused);
     for (int i = 0; i < asked.reads + asked.writes; i++)
         asked.fn[i](asked.arg[i], &(struct rp_answer){.status = 404, .body = ""});
-    rp_state_client_close(&c);
+    rp_state_client_close(&client);
     rp_loop_close(&loop);
 }
 
@@ -160,24 +160,24 @@
  * of incident 5bf9. */
 static void submissions_use_what_is_left(void **state) {
     struct rp_loop loop;
-    struct rp_state_client c;
+    struct rp_state_client client;
     struct asked asked = {0};
     struct rp_net net = {.ctx = &asked, .call = keep_call};
     int refused = 0;
     (void)state;
     assert_int_equal(rp_loop_init(&loop, true), 0);
     loop.virtual_now = rp_ts(100);
-    rp_state_client_init(&c, &loop, net, "state", 200, 20, 5, 0.6);
+    rp_state_client_init(&client, &loop, net, "state", 200, 20, 5, 0.6);
     for (int i = 0; i < 45; i++) {
         rp_loop_advance(&loop, rp_ts(100 + i / 3.0));
-        rp_state_txn(&c, RP_SHARE_SUBMISSIONS, one_write(), count_refusal, &refused);
+        rp_state_txn(&client, RP_SHARE_SUBMISSIONS, one_write(), count_refusal, &refused);
     }
     rp_loop_advance(&loop, rp_ts(116));
     assert_int_equal(refused, 0);
     assert_int_equal(asked.writes, 45);
     for (int i = 0; i < asked.writes; i++)
         asked.fn[i](asked.arg[i], &(struct rp_answer){.status = 200, .body = ""});
-    rp_state_client_close(&c);
+    rp_state_client_close(&client);
     rp_loop_close(&loop);
 }
 
@@ -185,27 +185,27 @@
     ++*(int *)arg;
 }
 
-static void answer_call(struct asked *a, int call, int status, const char *body) {
-    a->answered[call] = true;
-    a->fn[call](a->arg[call], &(struct rp_answer){status, false, body, strlen(body)});
+static void answer_call(struct asked *asked, int call, int status, const char *body) {
+    asked->answered[call] = true;
+    asked->fn[call](asked->arg[call], &(struct rp_answer){status, false, body, strlen(body)});
 }
 
-static void answer_last(struct asked *a, int status, const char *body) {
-    answer_call(a, a->reads + a->writes - 1, status, body);
+static void answer_last(struct asked *asked, int status, const char *body) {
+    answer_call(asked, asked->reads + asked->writes - 1, status, body);
 }
 
 /* What was asked and got no answer times out. */
-static void time_out_rest(struct asked *a) {
-    for (int i = 0; i < a->reads + a->writes; i++)
-        if (!a->answered[i])
-            answer_call(a, i, 0, "");
+static void time_out_rest(struct asked *asked) {
+    for (int i = 0; i < asked->reads + asked->writes; i++)
+        if (!asked->answered[i])
+            answer_call(asked, i, 0, "");
 }
 
 /* The key is free, and the node takes it: its lease, and the key's revision. */
-static void take_key(struct asked *a, const char *lease, const char *revision) {
-    answer_last(a, 404, "{}");
-    answer_last(a, 200, lease);
-    answer_last(a, 200, revision);
+static void take_key(struct asked *asked, const char *lease, const char *revision) {
+    answer_last(asked, 404, "{}");
+    answer_last(asked, 200, lease);
+    answer_last(asked, 200, revision);
 }
 
 /* A node that has taken the key at 100 s with lease 7, by revision 5. */
@@ -217,68 +217,68 @@
     int changes;
 };
 
-static void led_open(struct led *l) {
-    struct rp_net net = {.ctx = &l->asked, .call = keep_call};
-    memset(l, 0, sizeof *l);
-    assert_int_equal(rp_loop_init(&l->loop, true), 0);
-    l->loop.virtual_now = rp_ts(100);
-    rp_state_client_init(&l->client, &l->loop, net, "state", 200, 20, 3, 0.6);
-    rp_election_init(&l->e, &l->loop, &l->client, "n0", 10, 1, note_change, note_change,
-                     &l->changes);
-    rp_election_start(&l->e);
-    rp_loop_advance(&l->loop, rp_ts(100.01));
-    take_key(&l->asked, "{\"lashing\":7}", "{\"ledger_rev\":5}");
-    assert_true(l->e.at == RP_HOLDING && l->e.token == 5);
+static void led_open(struct led *led) {
+    struct rp_net net = {.ctx = &led->asked, .call = keep_call};
+    memset(led, 0, sizeof *led);
+    assert_int_equal(rp_loop_init(&led->loop, true), 0);
+    led->loop.virtual_now = rp_ts(100);
+    rp_state_client_init(&led->client, &led->loop, net, "state", 200, 20, 3, 0.6);
+    rp_election_init(&led->e, &led->loop, &led->client, "n0", 10, 1, note_change, note_change,
+                     &led->changes);
+    rp_election_start(&led->e);
+    rp_loop_advance(&led->loop, rp_ts(100.01));
+    take_key(&led->asked, "{\"lashing\":7}", "{\"ledger_rev\":5}");
+    assert_true(led->e.at == RP_HOLDING && led->e.token == 5);
 }
 
-static void led_close(struct led *l) {
-    time_out_rest(&l->asked);
-    rp_election_stop(&l->e);
-    rp_state_client_close(&l->client);
-    rp_loop_close(&l->loop);
+static void led_close(struct led *led) {
+    time_out_rest(&led->asked);
+    rp_election_stop(&led->e);
+    rp_state_client_close(&led->client);
+    rp_loop_close(&led->loop);
 }
 
 /* The answer to a renewal of an earlier term's lease came during the next term, and was taken for
  * one to the renewal under way: it proved a lease that nobody had renewed, or ended a sound term.
  */
 static void late_renewal_proves_nothing(void **state) {
-    struct led l;
+    struct led led;
     (void)state;
-    led_open(&l);
-    rp_loop_advance(&l.loop, rp_ts(101));
-    int old = l.asked.reads + l.asked.writes - 1; /* the renewal of lease 7 */
-    rp_election_resign(&l.e, 0);
-    rp_loop_advance(&l.loop, rp_ts(102.5));
-    take_key(&l.asked, "{\"lashing\":8}", "{\"ledger_rev\":9}");
-    assert_true(l.e.at == RP_HOLDING && l.e.token == 9);
-    struct timespec until = l.e.valid_until;
-    rp_loop_advance(&l.loop, rp_ts(104)); /* the renewal of lease 8 is under way */
-    answer_call(&l.asked, old, 200, "{}");
-    assert_int_equal(rp_ts_cmp(l.e.valid_until, until), 0);
-    assert_int_equal(l.e.at, RP_HOLDING);
-    answer_last(&l.asked, 200, "{}");
-    assert_int_equal(rp_ts_cmp(l.e.valid_until, until), 1);
-    assert_int_equal(l.changes, 3);
-    led_close(&l);
+    led_open(&led);
+    rp_loop_advance(&led.loop, rp_ts(101));
+    int old = led.asked.reads + led.asked.writes - 1; /* the renewal of lease 7 */
+    rp_election_resign(&led.e, 0);
+    rp_loop_advance(&led.loop, rp_ts(102.5));
+    take_key(&led.asked, "{\"lashing\":8}", "{\"ledger_rev\":9}");
+    assert_true(led.e.at == RP_HOLDING && led.e.token == 9);
+    struct timespec until = led.e.valid_until;
+    rp_loop_advance(&led.loop, rp_ts(104)); /* the renewal of lease 8 is under way */
+    answer_call(&led.asked, old, 200, "{}");
+    assert_int_equal(rp_ts_cmp(led.e.valid_until, until), 0);
+    assert_int_equal(led.e.at, RP_HOLDING);
+    answer_last(&led.asked, 200, "{}");
+    assert_int_equal(rp_ts_cmp(led.e.valid_until, until), 1);
+    assert_int_equal(led.changes, 3);
+    led_close(&led);
 }
 
 /* A node that gave the key up claimed it over in its own name as long as the end of its lease
  * wasn't carried out: the others had no chance to lead. */
 static void stands_back_from_its_own_name(void **state) {
     static const char own[] = "{\"path\":\"rp/main/leader\",\"v\":{\"node\":\"n0\"},\"key_rev\":5}";
-    struct led l;
+    struct led led;
     (void)state;
-    led_open(&l);
-    rp_election_resign(&l.e, 5);
+    led_open(&led);
+    rp_election_resign(&led.e, 5);
     for (double t = 101.1; t < 104.9; t += 1.1) {
-        rp_loop_advance(&l.loop, rp_ts(t));
-        answer_last(&l.asked, 200, own);
-        assert_int_equal(l.e.at, RP_FOLLOWING);
+        rp_loop_advance(&led.loop, rp_ts(t));
+        answer_last(&led.asked, 200, own);
+        assert_int_equal(led.e.at, RP_FOLLOWING);
     }
-    rp_loop_advance(&l.loop, rp_ts(106.5));
-    answer_last(&l.asked, 200, own);
-    assert_int_equal(l.e.at, RP_LEASING);
-    led_close(&l);
+    rp_loop_advance(&led.loop, rp_ts(106.5));
+    answer_last(&led.asked, 200, own);
+    assert_int_equal(led.e.at, RP_LEASING);
+    led_close(&led);
 }
 
 int main(int argc, char **argv) {
