--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -10,14 +10,15 @@
 #include "http/http.h"
 #include "http/parser.h"
 
-static int parse(const char *text, size_t step, enum rp_http_role role, struct rp_http_parser *p) {
+static int parse(const char *text, size_t step, enum rp_http_role role,
+                 struct rp_http_parser *parser) {
     size_t len = strlen(text), at = 0;
-    rp_http_parser_init(p, role, 1000);
-    while (at < len && p->state != RP_HTTP_DONE && p->state != RP_HTTP_FAILED) {
+    rp_http_parser_init(parser, role, 1000);
+    while (at < len && parser->state != RP_HTTP_DONE && parser->state != RP_HTTP_FAILED) {
         size_t n = len - at < step ? len - at : step;
-        at += rp_http_parser_feed(p, text + at, n);
+        at += rp_http_parser_feed(parser, text + at, n);
     }
-    return p->state == RP_HTTP_FAILED ? p->error : p->state == RP_HTTP_DONE ? 0 : -1;
+    return parser->state == RP_HTTP_FAILED ? parser->error : parser->state == RP_HTTP_DONE ? 0 : -1;
 }
 
 static void whole_and_split(void **state) {
@@ -25,13 +26,13 @@
         "POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello";
     (void)state;
     for (size_t step = 1; step <= sizeof text; step++) {
-        struct rp_http_parser p;
-        assert_int_equal(parse(text, step, RP_HTTP_REQUEST, &p), 0);
-        assert_string_equal(p.method, "POST");
-        assert_string_equal(p.target, "/v1/jobs");
-        assert_string_equal(p.body, "hello");
-        assert_false(p.close);
-        rp_http_parser_free(&p);
+        struct rp_http_parser parser;
+        assert_int_equal(parse(text, step, RP_HTTP_REQUEST, &parser), 0);
+        assert_string_equal(parser.method, "POST");
+        assert_string_equal(parser.target, "/v1/jobs");
+        assert_string_equal(parser.body, "hello");
+        assert_false(parser.close);
+        rp_http_parser_free(&parser);
     }
 }
 
@@ -40,24 +41,24 @@
                                "4\r\nwiki\r\nA;x=y\r\n0123456789\r\n0\r\nX: y\r\n\r\n";
     (void)state;
     for (size_t step = 1; step <= sizeof text; step++) {
-        struct rp_http_parser p;
-        assert_int_equal(parse(text, step, RP_HTTP_RESPONSE, &p), 0);
-        assert_int_equal(p.status, 200);
-        assert_string_equal(p.body, "wiki0123456789");
-        rp_http_parser_free(&p);
+        struct rp_http_parser parser;
+        assert_int_equal(parse(text, step, RP_HTTP_RESPONSE, &parser), 0);
+        assert_int_equal(parser.status, 200);
+        assert_string_equal(parser.body, "wiki0123456789");
+        rp_http_parser_free(&parser);
     }
 }
 
 static void until_close(void **state) {
-    struct rp_http_parser p;
+    struct rp_http_parser parser;
     (void)state;
     assert_int_equal(
-        parse("HTTP/1.1 200 OK\r\nRetry-After: 7\r\n\r\nrest", 3, RP_HTTP_RESPONSE, &p), -1);
-    rp_http_parser_eof(&p);
-    assert_int_equal(p.state, RP_HTTP_DONE);
-    assert_string_equal(p.body, "rest");
-    assert_int_equal(p.retry_after, 7);
-    rp_http_parser_free(&p);
+        parse("HTTP/1.1 200 OK\r\nRetry-After: 7\r\n\r\nrest", 3, RP_HTTP_RESPONSE, &parser), -1);
+    rp_http_parser_eof(&parser);
+    assert_int_equal(parser.state, RP_HTTP_DONE);
+    assert_string_equal(parser.body, "rest");
+    assert_int_equal(parser.retry_after, 7);
+    rp_http_parser_free(&parser);
 }
 
 static void malformed(void **state) {
@@ -87,31 +88,31 @@
     (void)state;
     for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
         for (size_t step = 1; step < 100; step += 13) {
-            struct rp_http_parser p;
-            assert_int_equal(parse(cases[i].text, step, RP_HTTP_REQUEST, &p), cases[i].error);
-            rp_http_parser_free(&p);
+            struct rp_http_parser parser;
+            assert_int_equal(parse(cases[i].text, step, RP_HTTP_REQUEST, &parser), cases[i].error);
+            rp_http_parser_free(&parser);
         }
 }
 
 static void limits(void **state) {
     char *text = malloc(20000);
-    struct rp_http_parser p;
+    struct rp_http_parser parser;
     (void)state;
     assert_non_null(text);
     memset(text, 'a', 19999);
     text[19999] = '\0';
     memcpy(text, "GET /", 5);
-    assert_int_equal(parse(text, 512, RP_HTTP_REQUEST, &p), 414);
-    rp_http_parser_free(&p);
+    assert_int_equal(parse(text, 512, RP_HTTP_REQUEST, &parser), 414);
+    rp_http_parser_free(&parser);
     memcpy(text, "GET / HTTP/1.1\r\nX: ", 19);
-    assert_int_equal(parse(text, 512, RP_HTTP_REQUEST, &p), 431);
-    rp_http_parser_free(&p);
+    assert_int_equal(parse(text, 512, RP_HTTP_REQUEST, &parser), 431);
+    rp_http_parser_free(&parser);
     /* Many short headers together are too much as well. */
     size_t n = (size_t)sprintf(text, "GET / HTTP/1.1\r\n");
     while (n < 9000)
         n += (size_t)sprintf(text + n, "X: y\r\n");
-    assert_int_equal(parse(text, 512, RP_HTTP_REQUEST, &p), 431);
-    rp_http_parser_free(&p);
+    assert_int_equal(parse(text, 512, RP_HTTP_REQUEST, &parser), 431);
+    rp_http_parser_free(&parser);
     free(text);
 }
 
@@ -202,10 +203,10 @@
 };
 
 static void note_outcome(void *arg, const struct rp_answer *answer) {
-    struct outcome *o = arg;
-    o->status = answer->status;
-    o->unsent = answer->unsent;
-    rp_loop_stop(o->loop);
+    struct outcome *outcome = arg;
+    outcome->status = answer->status;
+    outcome->unsent = answer->unsent;
+    rp_loop_stop(outcome->loop);
 }
 
 static void answer_only(void *arg, struct rp_request *req) {
@@ -219,11 +220,11 @@
 
 static struct outcome call_once(struct rp_loop *loop, struct rp_net net, const char *addr,
                                 double timeout_s) {
-    struct outcome o = {.loop = loop};
-    net.call_once(net.ctx, addr, "POST", "/do", "{}", timeout_s, note_outcome, &o);
+    struct outcome outcome = {.loop = loop};
+    net.call_once(net.ctx, addr, "POST", "/do", "{}", timeout_s, note_outcome, &outcome);
     loop->stopping = false;
     assert_int_equal(rp_loop_run(loop), 0);
-    return o;
+    return outcome;
 }
 
 /* A start that was certainly not sent may be made elsewhere at once, any other may not: a refused
@@ -245,18 +246,18 @@
         rc = rp_http_server_open(&server, &loop, addr, &limits, answer_only, NULL);
     }
     assert_int_equal(rc, 0);
-    struct outcome o = call_once(&loop, net, addr, 30);
-    assert_true(o.status == 200 && !o.unsent);
+    struct outcome outcome = call_once(&loop, net, addr, 30);
+    assert_true(outcome.status == 200 && !outcome.unsent);
     assert_int_equal(client.n_open, 0); /* its connection isn't kept */
     server.fn = say_nothing;
     server.arg = &silent;
-    o = call_once(&loop, net, addr, 2);
-    assert_true(o.status == 0 && !o.unsent && silent);
+    outcome = call_once(&loop, net, addr, 2);
+    assert_true(outcome.status == 0 && !outcome.unsent && silent);
     // NOLINTNEXTLINE(clang-analyzer-core.NullDereference): the assertion ends the test
     silent->respond(silent, 200, "{}", 0);
     rp_http_server_close(&server);
-    o = call_once(&loop, net, addr, 30);
-    assert_true(o.status == 0 && o.unsent);
+    outcome = call_once(&loop, net, addr, 30);
+    assert_true(outcome.status == 0 && outcome.unsent);
     rp_http_client_close(&client);
     rp_loop_close(&loop);
 }
--- a/tests/test_lookup.c
+++ b/tests/test_lookup.c
@@ -46,22 +46,22 @@
     struct rp_job_lookup lookup;
 };
 
-static void world_open(struct world *w) {
-    struct rp_net net = {.ctx = &w->service, .call = keep_call};
-    memset(w, 0, sizeof *w);
-    w->settings.state_fit.txn_ops = 2;
-    assert_int_equal(rp_loop_init(&w->loop, true), 0);
-    w->loop.virtual_now = rp_ts(100);
-    rp_state_client_init(&w->state, &w->loop, net, "state", RPS, 10, 1, 0.6);
-    rp_job_lookup_init(&w->lookup, &w->loop, &w->state, &w->settings);
-    while (!rp_job_lookup_pays(&w->lookup))
-        rp_bucket_take(&w->state.requests[RP_SHARE_QUERIES], 1);
+static void world_open(struct world *world) {
+    struct rp_net net = {.ctx = &world->service, .call = keep_call};
+    memset(world, 0, sizeof *world);
+    world->settings.state_fit.txn_ops = 2;
+    assert_int_equal(rp_loop_init(&world->loop, true), 0);
+    world->loop.virtual_now = rp_ts(100);
+    rp_state_client_init(&world->state, &world->loop, net, "state", RPS, 10, 1, 0.6);
+    rp_job_lookup_init(&world->lookup, &world->loop, &world->state, &world->settings);
+    while (!rp_job_lookup_pays(&world->lookup))
+        rp_bucket_take(&world->state.requests[RP_SHARE_QUERIES], 1);
 }
 
-static void world_close(struct world *w) {
-    rp_job_lookup_close(&w->lookup);
-    rp_state_client_close(&w->state);
-    rp_loop_close(&w->loop);
+static void world_close(struct world *world) {
+    rp_job_lookup_close(&world->lookup);
+    rp_state_client_close(&world->state);
+    rp_loop_close(&world->loop);
 }
 
 static void keep_result(void *arg, enum rp_lookup_result result) {
@@ -70,66 +70,66 @@
 
 /* Questions wait for the budget together, and one request answers them all. */
 static void questions_share_a_request(void **state) {
-    struct world w;
+    struct world world;
     int results[3] = {-1, -1, -1};
     (void)state;
-    world_open(&w);
-    rp_job_lookup_add(&w.lookup, "j-000001", keep_result, &results[0]);
-    rp_job_lookup_add(&w.lookup, "j-000002", keep_result, &results[1]);
-    rp_job_lookup_add(&w.lookup, "j-000001", keep_result, &results[2]);
-    assert_int_equal(w.service.n, 0);
-    rp_loop_advance(&w.loop, rp_ts(101));
-    assert_int_equal(w.service.n, 1);
-    assert_int_equal(n_conditions(&w.service, 0), 2); /* a job asked about twice stands once */
-    answer(&w.service, 0, 409, "{\"failed\":[\"rp/main/open/j-000001\"],\"ledger_rev\":7}");
+    world_open(&world);
+    rp_job_lookup_add(&world.lookup, "j-000001", keep_result, &results[0]);
+    rp_job_lookup_add(&world.lookup, "j-000002", keep_result, &results[1]);
+    rp_job_lookup_add(&world.lookup, "j-000001", keep_result, &results[2]);
+    assert_int_equal(world.service.n, 0);
+    rp_loop_advance(&world.loop, rp_ts(101));
+    assert_int_equal(world.service.n, 1);
+    assert_int_equal(n_conditions(&world.service, 0), 2); /* a job asked about twice stands once */
+    answer(&world.service, 0, 409, "{\"failed\":[\"rp/main/open/j-000001\"],\"ledger_rev\":7}");
     assert_int_equal(results[0], RP_LOOKUP_OPEN);
     assert_int_equal(results[1], RP_LOOKUP_NOT_OPEN);
     assert_int_equal(results[2], RP_LOOKUP_OPEN);
-    world_close(&w);
+    world_close(&world);
 }
 
 /* A question that comes when a request is under way isn't answered by it: that answer may be older
  * than the question. */
 static void answers_are_never_older(void **state) {
-    struct world w;
+    struct world world;
     int early = -1, late = -1;
     (void)state;
-    world_open(&w);
-    rp_job_lookup_add(&w.lookup, "j-000001", keep_result, &early);
-    rp_loop_advance(&w.loop, rp_ts(101));
-    assert_int_equal(w.service.n, 1);
-    rp_job_lookup_add(&w.lookup, "j-000001", keep_result, &late);
-    answer(&w.service, 0, 200, "{\"ledger_rev\":7}");
+    world_open(&world);
+    rp_job_lookup_add(&world.lookup, "j-000001", keep_result, &early);
+    rp_loop_advance(&world.loop, rp_ts(101));
+    assert_int_equal(world.service.n, 1);
+    rp_job_lookup_add(&world.lookup, "j-000001", keep_result, &late);
+    answer(&world.service, 0, 200, "{\"ledger_rev\":7}");
     assert_int_equal(early, RP_LOOKUP_NOT_OPEN);
     assert_int_equal(late, -1);
-    rp_loop_advance(&w.loop, rp_ts(102));
-    assert_int_equal(w.service.n, 2);
-    answer(&w.service, 1, 409, "{\"failed\":[\"rp/main/open/j-000001\"]}");
+    rp_loop_advance(&world.loop, rp_ts(102));
+    assert_int_equal(world.service.n, 2);
+    answer(&world.service, 1, 409, "{\"failed\":[\"rp/main/open/j-000001\"]}");
     assert_int_equal(late, RP_LOOKUP_OPEN);
-    world_close(&w);
+    world_close(&world);
 }
 
 /* What a transaction can't hold goes with the next; refusals and silence say nothing of a job. */
 static void bounds_and_failures(void **state) {
-    struct world w;
+    struct world world;
     int results[9];
     char id[RP_ID_MAX];
     (void)state;
-    world_open(&w);
+    world_open(&world);
     for (int i = 0; i < 9; i++) {
         results[i] = -1;
         snprintf(id, sizeof id, "j-%06d", i);
-        rp_job_lookup_add(&w.lookup, id, keep_result, &results[i]);
+        rp_job_lookup_add(&world.lookup, id, keep_result, &results[i]);
     }
-    rp_loop_advance(&w.loop, rp_ts(101));
-    assert_int_equal(w.service.n, 2);
-    assert_int_equal(n_conditions(&w.service, 0), 8); /* four for each of the two changes */
-    assert_int_equal(n_conditions(&w.service, 1), 1);
-    answer(&w.service, 0, 503, "{}");
-    answer(&w.service, 1, 0, "");
+    rp_loop_advance(&world.loop, rp_ts(101));
+    assert_int_equal(world.service.n, 2);
+    assert_int_equal(n_conditions(&world.service, 0), 8); /* four for each of the two changes */
+    assert_int_equal(n_conditions(&world.service, 1), 1);
+    answer(&world.service, 0, 503, "{}");
+    answer(&world.service, 1, 0, "");
     for (int i = 0; i < 9; i++)
         assert_int_equal(results[i], RP_LOOKUP_UNAVAILABLE);
-    world_close(&w);
+    world_close(&world);
 }
 
 static void final_states_are_kept(void **state) {
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -11,59 +11,60 @@
 static const struct sim_faults none = {0};
 
 /* Ends all troubles, and lets everything that was accepted come to its end. */
-static void rest(struct sim *s) {
-    sim_calm(s);
-    sim_run(s, REST_S);
-    sim_check_served(s);
-    if (s->broken[0])
-        fail_msg("%s", s->broken);
-    assert_true(sim_all_over(s));
-    sim_free(s);
+static void rest(struct sim *sim) {
+    sim_calm(sim);
+    sim_run(sim, REST_S);
+    sim_check_served(sim);
+    if (sim->broken[0])
+        fail_msg("%s", sim->broken);
+    assert_true(sim_all_over(sim));
+    sim_free(sim);
 }
 
-static void run(struct sim *s, double seconds) {
-    sim_run(s, seconds);
-    if (s->broken[0])
-        fail_msg("%s", s->broken);
+static void run(struct sim *sim, double seconds) {
+    sim_run(sim, seconds);
+    if (sim->broken[0])
+        fail_msg("%s", sim->broken);
 }
 
-static struct rp_node *leader_of(const struct sim *s) {
-    assert_true(sim_leader(s) >= 0);
-    return s->nodes[sim_leader(s)].node;
+static struct rp_node *leader_of(const struct sim *sim) {
+    assert_true(sim_leader(sim) >= 0);
+    return sim->nodes[sim_leader(sim)].node;
 }
 
 /* Ends the leader's process; where nobody leads just then, the next one's. */
-static void crash_leader(struct sim *s, double back_s) {
-    for (int i = 0; i < 200 && sim_leader(s) < 0; i++)
-        run(s, 0.1);
-    assert_true(sim_leader(s) >= 0);
-    sim_crash(s, sim_leader(s), back_s);
+static void crash_leader(struct sim *sim, double back_s) {
+    for (int i = 0; i < 200 && sim_leader(sim) < 0; i++)
+        run(sim, 0.1);
+    assert_true(sim_leader(sim) >= 0);
+    sim_crash(sim, sim_leader(sim), back_s);
 }
 
-static int running_tasks(const struct sim *s, int job) {
+static int running_tasks(const struct sim *sim, int job) {
     int n = 0;
-    for (int i = 0; i < s->size.workers; i++)
-        for (int k = 0; s->workers[i].used && s->workers[i].alive && k < s->workers[i].n_tasks; k++)
-            n += s->workers[i].tasks[k].job_index == job &&
-                 s->workers[i].tasks[k].state == RP_TASK_RUNNING;
+    for (int i = 0; i < sim->size.workers; i++)
+        for (int k = 0;
+             sim->workers[i].used && sim->workers[i].alive && k < sim->workers[i].n_tasks; k++)
+            n += sim->workers[i].tasks[k].job_index == job &&
+                 sim->workers[i].tasks[k].state == RP_TASK_RUNNING;
     return n;
 }
 
-static int all_running(const struct sim *s) {
+static int all_running(const struct sim *sim) {
     int n = 0;
-    for (int j = 0; j < s->n_jobs; j++)
-        n += running_tasks(s, j);
+    for (int j = 0; j < sim->n_jobs; j++)
+        n += running_tasks(sim, j);
     return n;
 }
 
 /* Some work of every kind, long enough to be met by troubles. */
-static void submit_some(struct sim *s, double run_s) {
-    sim_submit(s, 1, "sweep", 20, 1, run_s, 0);
-    sim_submit(s, 1, "sweep", 40, 1, 8, 0);
-    sim_submit(s, 2, "ensemble", 3, 4, run_s / 2, 0);
-    sim_submit(s, 4, "sweep", 3, 1, run_s / 2, 0);
-    sim_submit(s, 20, "sweep", 30, 1, 6, 0);
-    sim_submit(s, 30, "ensemble", 2, 6, 10, 0);
+static void submit_some(struct sim *sim, double run_s) {
+    sim_submit(sim, 1, "sweep", 20, 1, run_s, 0);
+    sim_submit(sim, 1, "sweep", 40, 1, 8, 0);
+    sim_submit(sim, 2, "ensemble", 3, 4, run_s / 2, 0);
+    sim_submit(sim, 4, "sweep", 3, 1, run_s / 2, 0);
+    sim_submit(sim, 20, "sweep", 30, 1, 6, 0);
+    sim_submit(sim, 30, "ensemble", 2, 6, 10, 0);
 }
 
 /* ---- the state service refuses the leader alone, and then everybody ---- */
@@ -72,27 +73,27 @@
 
 static void refused_then_out(unsigned long seed, const struct sim_size *size, double refused_s,
                              double outage_after, double outage_s, double cancel_after) {
-    struct sim *s = sim_new_sized(seed, &none, SIM_SOUND, 3, size);
+    struct sim *sim = sim_new_sized(seed, &none, SIM_SOUND, 3, size);
     int confirmed = 0, running = 0;
     for (int i = 0; i < 5; i++)
-        sim_submit(s, 1, "sweep", 12, 1, 150, 0);
-    run(s, 45);
-    running = all_running(s);
+        sim_submit(sim, 1, "sweep", 12, 1, 150, 0);
+    run(sim, 45);
+    running = all_running(sim);
     assert_true(running >= 50);
-    int leader = sim_leader(s);
-    double start = s->now;
-    s->nodes[leader].refused_until = start + refused_s;
+    int leader = sim_leader(sim);
+    double start = sim->now;
+    sim->nodes[leader].refused_until = start + refused_s;
     for (int i = 0; i < 5; i++)
-        s->jobs[i].cancel_at = start + cancel_after;
-    run(s, outage_after);
+        sim->jobs[i].cancel_at = start + cancel_after;
+    run(sim, outage_after);
     for (int i = 0; i < 5; i++)
-        confirmed += s->jobs[i].told_cancelled;
+        confirmed += sim->jobs[i].told_cancelled;
     /* The meeting came about: users were told by others, the leader didn't hear of it. */
     assert_true(confirmed >= 1);
-    assert_true(rp_jobs_stale_s(&s->nodes[leader].node->jobs) > 0);
-    s->outage_until = s->now + outage_s;
-    run(s, fmax(s->size.cancel_s + 20, outage_s + 20));
-    rest(s);
+    assert_true(rp_jobs_stale_s(&sim->nodes[leader].node->jobs) > 0);
+    sim->outage_until = sim->now + outage_s;
+    run(sim, fmax(sim->size.cancel_s + 20, outage_s + 20));
+    rest(sim);
 }
 
 /* Refused alone for a moment, then an outage for longer than cancel_s; the refusal ends before the
@@ -117,58 +118,58 @@
 static void leader_refused_between_outages(void **state) {
     (void)state;
     for (unsigned long seed = 40; seed < 44; seed++) {
-        struct sim *s = sim_new_sized(seed, &none, SIM_SOUND, 3, &wide);
+        struct sim *sim = sim_new_sized(seed, &none, SIM_SOUND, 3, &wide);
         int confirmed = 0;
         for (int i = 0; i < 5; i++)
-            sim_submit(s, 1, "sweep", 12, 1, 150, 0);
-        run(s, 45);
-        int leader = sim_leader(s);
-        s->nodes[leader].refused_until = s->now + 5 * 9;
+            sim_submit(sim, 1, "sweep", 12, 1, 150, 0);
+        run(sim, 45);
+        int leader = sim_leader(sim);
+        sim->nodes[leader].refused_until = sim->now + 5 * 9;
         for (int i = 0; i < 5; i++)
-            s->jobs[i].cancel_at = s->now;
+            sim->jobs[i].cancel_at = sim->now;
         for (int round = 0; round < 5; round++) {
-            run(s, 3);
+            run(sim, 3);
             for (int i = 0; i < 5; i++)
-                confirmed += s->jobs[i].told_cancelled;
-            s->outage_until = s->now + 6;
-            run(s, 6);
+                confirmed += sim->jobs[i].told_cancelled;
+            sim->outage_until = sim->now + 6;
+            run(sim, 6);
         }
         assert_true(confirmed >= 1);
-        rest(s);
+        rest(sim);
     }
 }
 
 /* An old leader that is let in again after an outage, its lease alive, has heard nothing for long:
  * it answers no worker before it has read what was written. */
 static void leader_catches_up_before_it_answers(void **state) {
-    struct sim *s = sim_new_sized(50, &none, SIM_SOUND, 3, &wide);
+    struct sim *sim = sim_new_sized(50, &none, SIM_SOUND, 3, &wide);
     (void)state;
     for (int i = 0; i < 5; i++)
-        sim_submit(s, 1, "sweep", 12, 1, 200, 0);
-    run(s, 45);
-    int leader = sim_leader(s);
-    struct rp_node *n = s->nodes[leader].node;
-    unsigned long life = s->nodes[leader].life;
-    uint64_t token = n->election.token;
-    double most = rp_settings_news_s(n->settings);
-    s->nodes[leader].refused_until = s->now + 2;
-    s->jobs[0].cancel_at = s->now;
-    run(s, 1.9);
-    assert_true(s->jobs[0].told_cancelled);
-    s->outage_until = s->now + 18;
-    run(s, 17.9);
-    assert_true(rp_jobs_stale_s(&n->jobs) > most);
-    assert_false(rp_jobs_may_answer(&n->jobs));
-    for (int i = 0; i < 400 && !rp_jobs_may_answer(&n->jobs); i++)
-        run(s, 0.02);
+        sim_submit(sim, 1, "sweep", 12, 1, 200, 0);
+    run(sim, 45);
+    int leader = sim_leader(sim);
+    struct rp_node *node = sim->nodes[leader].node;
+    unsigned long life = sim->nodes[leader].life;
+    uint64_t token = node->election.token;
+    double most = rp_settings_news_s(node->settings);
+    sim->nodes[leader].refused_until = sim->now + 2;
+    sim->jobs[0].cancel_at = sim->now;
+    run(sim, 1.9);
+    assert_true(sim->jobs[0].told_cancelled);
+    sim->outage_until = sim->now + 18;
+    run(sim, 17.9);
+    assert_true(rp_jobs_stale_s(&node->jobs) > most);
+    assert_false(rp_jobs_may_answer(&node->jobs));
+    for (int i = 0; i < 400 && !rp_jobs_may_answer(&node->jobs); i++)
+        run(sim, 0.02);
     /* It leads on, knows of the cancellation before it answers, and no task of it is let run on. */
-    assert_true(s->nodes[leader].life == life && n->election.token == token);
-    const struct rp_job *job = rp_jobs_find(&n->jobs, s->jobs[0].spec.id);
+    assert_true(sim->nodes[leader].life == life && node->election.token == token);
+    const struct rp_job *job = rp_jobs_find(&node->jobs, sim->jobs[0].spec.id);
     assert_true(!job || job->state == RP_JOB_CLOSED);
-    run(s, 8);
-    assert_int_equal(running_tasks(s, 0), 0);
-    assert_true(n->election.token == token);
-    rest(s);
+    run(sim, 8);
+    assert_int_equal(running_tasks(sim, 0), 0);
+    assert_true(node->election.token == token);
+    rest(sim);
 }
 
 /* While other nodes confirm cancellations that the refused leader can't hear of, it starts nothing:
@@ -177,19 +178,19 @@
     int confirmed = 0;
     (void)state;
     for (unsigned long seed = 60; seed < 66; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
         for (int i = 0; i < 40; i++)
-            sim_submit(s, 1, "sweep", 12, 1, 4, 0);
-        run(s, 30);
-        s->nodes[sim_leader(s)].refused_until = s->now + 12;
+            sim_submit(sim, 1, "sweep", 12, 1, 4, 0);
+        run(sim, 30);
+        sim->nodes[sim_leader(sim)].refused_until = sim->now + 12;
         for (int i = 0; i < 40; i++)
-            s->jobs[i].cancel_at = s->now + 0.1;
-        run(s, 30);
+            sim->jobs[i].cancel_at = sim->now + 0.1;
+        run(sim, 30);
         for (int i = 0; i < 40; i++)
-            confirmed += s->jobs[i].told_cancelled;
+            confirmed += sim->jobs[i].told_cancelled;
         /* A look at the others takes 2 s at the most, a start's answer is on its way for less. */
-        assert_true(s->late_start_s < 2.6);
-        rest(s);
+        assert_true(sim->late_start_s < 2.6);
+        rest(sim);
     }
     assert_true(confirmed >= 60);
 }
@@ -202,24 +203,24 @@
     int confirmed = 0;
     (void)state;
     for (unsigned long seed = 100; seed < 108; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
         for (int i = 0; i < 10; i++)
-            sim_submit(s, 1, "sweep", 6, 1, 120, 0);
-        run(s, 40);
-        uint64_t token = leader_of(s)->election.token;
+            sim_submit(sim, 1, "sweep", 6, 1, 120, 0);
+        run(sim, 40);
+        uint64_t token = leader_of(sim)->election.token;
         for (int i = 0; i < 10; i++)
-            s->jobs[i].cancel_at = s->now - 0.5 + 0.5 * i;
+            sim->jobs[i].cancel_at = sim->now - 0.5 + 0.5 * i;
         if (seed % 3 == 0)
-            crash_leader(s, 3);
+            crash_leader(sim, 3);
         else if (seed % 3 == 1)
-            crash_leader(s, 0.2);
+            crash_leader(sim, 0.2);
         else
-            rp_election_resign(&leader_of(s)->election, 5);
-        run(s, 16);
-        assert_true(leader_of(s)->election.token > token);
+            rp_election_resign(&leader_of(sim)->election, 5);
+        run(sim, 16);
+        assert_true(leader_of(sim)->election.token > token);
         for (int i = 0; i < 10; i++)
-            confirmed += s->jobs[i].told_cancelled;
-        rest(s);
+            confirmed += sim->jobs[i].told_cancelled;
+        rest(sim);
     }
     assert_true(confirmed >= 70);
 }
@@ -232,82 +233,82 @@
     int hung = 0;
     (void)state;
     for (unsigned long seed = 110; seed < 116; seed++) {
-        struct sim *s = sim_new_sized(seed, &none, SIM_SOUND, 3, &wide);
+        struct sim *sim = sim_new_sized(seed, &none, SIM_SOUND, 3, &wide);
         for (int i = 0; i < 5; i++)
-            sim_submit(s, 1, "sweep", 12, 1, 100, 0);
-        run(s, 40);
-        int leader = sim_leader(s);
-        s->nodes[leader].refused_until = s->now + 60;
+            sim_submit(sim, 1, "sweep", 12, 1, 100, 0);
+        run(sim, 40);
+        int leader = sim_leader(sim);
+        sim->nodes[leader].refused_until = sim->now + 60;
         for (int i = 0; i < 3; i++)
-            s->jobs[i].cancel_at = s->now;
-        run(s, 2.5);
-        assert_true(s->jobs[0].told_cancelled || s->jobs[1].told_cancelled);
-        s->outage_until = s->now + 8;
-        run(s, 8);
-        for (int i = 0; i < 1000 && (sim_leader(s) < 0 || sim_leader(s) == leader); i++)
-            run(s, 0.02);
-        assert_true(sim_leader(s) != leader);
+            sim->jobs[i].cancel_at = sim->now;
+        run(sim, 2.5);
+        assert_true(sim->jobs[0].told_cancelled || sim->jobs[1].told_cancelled);
+        sim->outage_until = sim->now + 8;
+        run(sim, 8);
+        for (int i = 0; i < 1000 && (sim_leader(sim) < 0 || sim_leader(sim) == leader); i++)
+            run(sim, 0.02);
+        assert_true(sim_leader(sim) != leader);
         for (int i = 0; i < 150; i++) {
-            run(s, 0.02);
-            for (int k = 0; k < s->size.workers; k++) {
-                struct sim_worker *w = &s->workers[k];
+            run(sim, 0.02);
+            for (int k = 0; k < sim->size.workers; k++) {
+                struct sim_worker *worker = &sim->workers[k];
                 /* It hangs as soon as it has taken the new leader's first answer. */
-                if (w->used && w->up && w->n_tasks > 0 && w->hung_until <= 0 && w->session == 1 &&
-                    w->token == leader_of(s)->election.token) {
-                    w->hung_until = s->now + 21;
+                if (worker->used && worker->up && worker->n_tasks > 0 && worker->hung_until <= 0 &&
+                    worker->session == 1 && worker->token == leader_of(sim)->election.token) {
+                    worker->hung_until = sim->now + 21;
                     hung++;
                 }
             }
         }
-        run(s, 40);
-        rest(s);
+        run(sim, 40);
+        rest(sim);
     }
     assert_true(hung >= 20);
 }
 
 /* A machine that is about to go back was answered without stops, while the cloud didn't answer. */
 static void returning_machine_gets_stops(void **state) {
-    struct sim *s = sim_new(118, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(118, &none, SIM_SOUND, 3);
     (void)state;
     for (int i = 0; i < 5; i++)
-        sim_submit(s, 1, "sweep", 12, 1, 100, 0);
-    run(s, 40);
-    struct rp_node *n = leader_of(s);
+        sim_submit(sim, 1, "sweep", 12, 1, 100, 0);
+    run(sim, 40);
+    struct rp_node *node = leader_of(sim);
     int on_it = 0;
-    s->cloud_out_until = s->now + 60;
-    for (struct rp_machine *m = n->cluster.first; m; m = m->next)
-        if (m->state == RP_MACHINE_UP && m->n_allocations > 0) {
-            on_it += (int)m->n_allocations;
-            rp_fleet_return(&n->fleet, m, "to see what becomes of its tasks");
+    sim->cloud_out_until = sim->now + 60;
+    for (struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
+        if (machine->state == RP_MACHINE_UP && machine->n_allocations > 0) {
+            on_it += (int)machine->n_allocations;
+            rp_fleet_return(&node->fleet, machine, "to see what becomes of its tasks");
         }
     assert_true(on_it >= 50);
-    run(s, 1);
+    run(sim, 1);
     for (int i = 0; i < 5; i++)
-        s->jobs[i].cancel_at = s->now;
-    run(s, 8);
-    assert_int_equal(all_running(s), 0);
-    rest(s);
+        sim->jobs[i].cancel_at = sim->now;
+    run(sim, 8);
+    assert_int_equal(all_running(sim), 0);
+    rest(sim);
 }
 
 static void ten_leaders(void **state) {
     (void)state;
     for (unsigned long seed = 120; seed < 124; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
         unsigned changes = 0;
-        submit_some(s, 40);
-        run(s, 20);
+        submit_some(sim, 40);
+        run(sim, 20);
         for (int i = 0; i < 12; i++) {
-            s->jobs[i % s->n_jobs].cancel_at = i == 5 ? s->now : 0;
-            uint64_t token = sim_leader(s) >= 0 ? leader_of(s)->election.token : 0;
-            if (sim_leader(s) >= 0)
-                sim_crash(s, sim_leader(s), i % 2 ? 0.1 : 3);
+            sim->jobs[i % sim->n_jobs].cancel_at = i == 5 ? sim->now : 0;
+            uint64_t token = sim_leader(sim) >= 0 ? leader_of(sim)->election.token : 0;
+            if (sim_leader(sim) >= 0)
+                sim_crash(sim, sim_leader(sim), i % 2 ? 0.1 : 3);
             if (i == 6)
-                s->outage_until = s->now + 12;
-            run(s, 10);
-            changes += sim_leader(s) >= 0 && leader_of(s)->election.token != token;
+                sim->outage_until = sim->now + 12;
+            run(sim, 10);
+            changes += sim_leader(sim) >= 0 && leader_of(sim)->election.token != token;
         }
         assert_true(changes >= 10);
-        rest(s);
+        rest(sim);
     }
 }
 
@@ -315,22 +316,22 @@
 static void hand_over_and_back(void **state) {
     (void)state;
     for (unsigned long seed = 130; seed < 136; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
-        submit_some(s, 60);
-        run(s, 25);
-        int first = sim_leader(s);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
+        submit_some(sim, 60);
+        run(sim, 25);
+        int first = sim_leader(sim);
         for (int turn = 0; turn < 4; turn++) {
-            if (sim_leader(s) >= 0)
-                rp_election_resign(&leader_of(s)->election, 1);
-            run(s, 0.3 + 0.7 * (turn % 2));
-            s->jobs[turn].cancel_at = turn == 1 ? s->now : 0;
+            if (sim_leader(sim) >= 0)
+                rp_election_resign(&leader_of(sim)->election, 1);
+            run(sim, 0.3 + 0.7 * (turn % 2));
+            sim->jobs[turn].cancel_at = turn == 1 ? sim->now : 0;
         }
-        for (int i = 0; i < s->n_nodes; i++)
-            sim_crash(s, i, i == first ? 0.05 + 0.1 * (double)(seed % 8) : 25);
-        run(s, 13);                             /* another's key takes its lease to go */
-        assert_int_equal(sim_leader(s), first); /* alone, and back within a second */
-        run(s, 30);
-        rest(s);
+        for (int i = 0; i < sim->n_nodes; i++)
+            sim_crash(sim, i, i == first ? 0.05 + 0.1 * (double)(seed % 8) : 25);
+        run(sim, 13);                             /* another's key takes its lease to go */
+        assert_int_equal(sim_leader(sim), first); /* alone, and back within a second */
+        run(sim, 30);
+        rest(sim);
     }
 }
 
@@ -338,36 +339,36 @@
 static void all_nodes_away(void **state) {
     (void)state;
     for (unsigned long seed = 140; seed < 144; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
-        submit_some(s, 60);
-        run(s, 25);
-        s->jobs[0].cancel_at = s->now - 0.3;
-        run(s, 0.1);
-        for (int i = 0; i < s->n_nodes; i++)
-            sim_crash(s, i, s->size.lease_s + 3 + i);
-        run(s, s->size.lease_s + 2);
-        assert_int_equal(all_running(s), 0);
-        rest(s);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
+        submit_some(sim, 60);
+        run(sim, 25);
+        sim->jobs[0].cancel_at = sim->now - 0.3;
+        run(sim, 0.1);
+        for (int i = 0; i < sim->n_nodes; i++)
+            sim_crash(sim, i, sim->size.lease_s + 3 + i);
+        run(sim, sim->size.lease_s + 2);
+        assert_int_equal(all_running(sim), 0);
+        rest(sim);
     }
 }
 
 /* The tasks of a job end far apart, the leader changes in between, and writes come late: no result
  * is lost that a worker has forgotten. */
 static void tasks_that_end_far_apart(void **state) {
-    static const struct sim_faults f = {.late_write = 0.3};
+    static const struct sim_faults faults = {.late_write = 0.3};
     unsigned long late = 0;
     (void)state;
     for (unsigned long seed = 150; seed < 158; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
         for (int i = 0; i < 8; i++) {
-            int j = sim_submit(s, 1 + i, "sweep", 3, 1, 6, 0);
-            s->jobs[j].stagger_s = 25;
+            int j = sim_submit(sim, 1 + i, "sweep", 3, 1, 6, 0);
+            sim->jobs[j].stagger_s = 25;
         }
-        run(s, 30);
-        crash_leader(s, 3);
-        run(s, 60);
-        late += s->n_late_writes;
-        rest(s);
+        run(sim, 30);
+        crash_leader(sim, 3);
+        run(sim, 60);
+        late += sim->n_late_writes;
+        rest(sim);
     }
     assert_true(late >= 100);
 }
@@ -376,19 +377,19 @@
 
 /* No answer, and carried out seconds later, after newer ones of the same node. */
 static void late_transactions(void **state) {
-    static const struct sim_faults f = {.late_write = 0.15, .crash_s = 40};
+    static const struct sim_faults faults = {.late_write = 0.15, .crash_s = 40};
     unsigned long late = 0; /* counted, to show that the meeting came about */
     (void)state;
     for (unsigned long seed = 200; seed < 208; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
-        submit_some(s, 30);
-        s->jobs[0].cancel_at = 45;
-        s->jobs[1].cancel_on_acceptance = true;
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
+        submit_some(sim, 30);
+        sim->jobs[0].cancel_at = 45;
+        sim->jobs[1].cancel_on_acceptance = true;
         for (int i = 0; i < 20; i++)
-            sim_submit(s, 25 + i * 4, "sweep", 1 + (unsigned)i % 4, 1, 5, i % 5 ? 0 : 30 + i * 4);
-        run(s, 120);
-        late += s->n_late_writes;
-        rest(s);
+            sim_submit(sim, 25 + i * 4, "sweep", 1 + (unsigned)i % 4, 1, 5, i % 5 ? 0 : 30 + i * 4);
+        run(sim, 120);
+        late += sim->n_late_writes;
+        rest(sim);
     }
     assert_true(late >= 100);
 }
@@ -399,44 +400,44 @@
     unsigned long late = 0;
     (void)state;
     for (unsigned long seed = 210; seed < 216; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
-        int j = sim_submit(s, 1, "sweep", 40, 1, 5, 0);
-        s->jobs[j].stagger_s = 0.8;
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
+        int j = sim_submit(sim, 1, "sweep", 40, 1, 5, 0);
+        sim->jobs[j].stagger_s = 0.8;
         size_t most = 0;
-        run(s, 12);
-        s->faults.late_write = 0.4;
-        for (int i = 0; i < 300 && !s->jobs[j].told_done; i++) {
+        run(sim, 12);
+        sim->faults.late_write = 0.4;
+        for (int i = 0; i < 300 && !sim->jobs[j].told_done; i++) {
             size_t bits = 0;
-            run(s, 0.1);
+            run(sim, 0.1);
             for (uint32_t t = 0; t < 40; t++)
-                bits += sim_saved(s, s->jobs[j].spec.id, t);
+                bits += sim_saved(sim, sim->jobs[j].spec.id, t);
             /* (The record goes when the job is over.) */
-            if (bits > 0 || sim_count_stored(s, RP_KEY_OPEN) > 0)
+            if (bits > 0 || sim_count_stored(sim, RP_KEY_OPEN) > 0)
                 assert_true(bits >= most);
             most = bits > most ? bits : most;
         }
         assert_true(most >= 5);
-        late += s->n_late_writes;
-        rest(s);
+        late += sim->n_late_writes;
+        rest(sim);
     }
     assert_true(late >= 20);
 }
 
 /* Carried out at once, only the answer is lost, while others read what it wrote. */
 static void lost_answers(void **state) {
-    static const struct sim_faults f = {.lost_answer = 0.3, .crash_s = 50};
+    static const struct sim_faults faults = {.lost_answer = 0.3, .crash_s = 50};
     unsigned long lost = 0;
     (void)state;
     for (unsigned long seed = 220; seed < 228; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
-        s->close_looks = true;
-        submit_some(s, 30);
-        s->jobs[0].cancel_at = 40;
-        s->jobs[4].cancel_on_acceptance = true;
-        run(s, 100);
-        lost += s->n_lost_answers;
-        assert_true(s->n_looks >= 50);
-        rest(s);
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
+        sim->close_looks = true;
+        submit_some(sim, 30);
+        sim->jobs[0].cancel_at = 40;
+        sim->jobs[4].cancel_on_acceptance = true;
+        run(sim, 100);
+        lost += sim->n_lost_answers;
+        assert_true(sim->n_looks >= 50);
+        rest(sim);
     }
     assert_true(lost >= 150);
 }
@@ -446,20 +447,20 @@
 static void four_jobs_a_second(void **state) {
     (void)state;
     for (unsigned long seed = 300; seed < 302; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
         for (int i = 0; i < 480; i++)
-            sim_submit(s, 5 + 0.25 * i, "sweep", 1, 1, 4, i % 4 ? 0 : 5.5 + 0.25 * i + i % 7);
-        run(s, 60);
-        crash_leader(s, 3);
-        run(s, 70);
+            sim_submit(sim, 5 + 0.25 * i, "sweep", 1, 1, 4, i % 4 ? 0 : 5.5 + 0.25 * i + i % 7);
+        run(sim, 60);
+        crash_leader(sim, 3);
+        run(sim, 70);
         int over = 0, cancelled = 0;
-        for (int i = 0; i < s->n_jobs; i++) {
-            over += s->jobs[i].told_done || s->jobs[i].told_cancelled;
-            cancelled += s->jobs[i].told_cancelled;
+        for (int i = 0; i < sim->n_jobs; i++) {
+            over += sim->jobs[i].told_done || sim->jobs[i].told_cancelled;
+            cancelled += sim->jobs[i].told_cancelled;
         }
         assert_true(over >= 440);
         assert_true(cancelled >= 40);
-        rest(s);
+        rest(sim);
     }
 }
 
@@ -469,20 +470,20 @@
     unsigned long met = 0, done = 0, cancelled = 0;
     (void)state;
     for (unsigned long seed = 310; seed < 318; seed++) {
-        struct sim *s = sim_new(seed, seed % 2 ? &none : &troubled, SIM_SOUND, 3);
-        s->close_looks = true;
+        struct sim *sim = sim_new(seed, seed % 2 ? &none : &troubled, SIM_SOUND, 3);
+        sim->close_looks = true;
         for (int i = 0; i < 40; i++) {
-            int j = sim_submit(s, 1 + i * 2, "sweep", 1 + (unsigned)i % 3, 1, 2 + i % 5, 0);
-            s->jobs[j].cancel_at_end = i % 2;
-            s->jobs[j].cancel_again = true;
+            int j = sim_submit(sim, 1 + i * 2, "sweep", 1 + (unsigned)i % 3, 1, 2 + i % 5, 0);
+            sim->jobs[j].cancel_at_end = i % 2;
+            sim->jobs[j].cancel_again = true;
         }
-        run(s, 110);
-        met += s->n_cancelled_at_end;
-        for (int i = 0; i < s->n_jobs; i++) {
-            done += s->jobs[i].cancel_asked && s->jobs[i].told_done;
-            cancelled += s->jobs[i].told_cancelled;
+        run(sim, 110);
+        met += sim->n_cancelled_at_end;
+        for (int i = 0; i < sim->n_jobs; i++) {
+            done += sim->jobs[i].cancel_asked && sim->jobs[i].told_done;
+            cancelled += sim->jobs[i].told_cancelled;
         }
-        rest(s);
+        rest(sim);
     }
     assert_true(met >= 100);
     assert_true(done >= 10 && cancelled >= 10); /* both came first at times */
@@ -491,39 +492,39 @@
 /* Users look at all nodes within milliseconds after a job was accepted, ended or cancelled, and
  * submit it again; some cancel at once. */
 static void close_looks(void **state) {
-    static const struct sim_faults f = {
+    static const struct sim_faults faults = {
         .crash_s = 30, .refused_s = 30, .lose = 0.01, .repeat = 0.05, .slow = 0.1};
     (void)state;
     for (unsigned long seed = 320; seed < 326; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
-        s->close_looks = true;
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
+        sim->close_looks = true;
         for (int i = 0; i < 40; i++) {
-            int j = sim_submit(s, 1 + i * 2, "sweep", 1 + (unsigned)i % 4, 1, 3, 0);
-            s->jobs[j].cancel_on_acceptance = i % 3 == 0;
-            s->jobs[j].cancel_again = i % 2;
+            int j = sim_submit(sim, 1 + i * 2, "sweep", 1 + (unsigned)i % 4, 1, 3, 0);
+            sim->jobs[j].cancel_on_acceptance = i % 3 == 0;
+            sim->jobs[j].cancel_again = i % 2;
         }
-        run(s, 110);
-        assert_true(s->n_looks >= 40 * 9);
-        rest(s);
+        run(sim, 110);
+        assert_true(sim->n_looks >= 40 * 9);
+        rest(sim);
     }
 }
 
 /* What can't run, or lacks a field, is refused by every node, in trouble too, and never accepted;
  * a job that nobody submitted stays unknown. */
 static void odd_requests(void **state) {
-    static const struct sim_faults f = {
+    static const struct sim_faults faults = {
         .odd_s = 0.5, .crash_s = 30, .outage_s = 40, .refused_s = 40, .late_write = 0.03};
     unsigned long answered = 0, asked = 0;
     (void)state;
     for (unsigned long seed = 330; seed < 336; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
-        submit_some(s, 30);
-        run(s, 110);
-        assert_int_equal(sim_count_stored(s, RP_KEY_OPEN "j-9"), 0);
-        assert_int_equal(sim_count_stored(s, RP_KEY_OVER "j-9"), 0);
-        asked += s->n_odd;
-        answered += s->n_odd_answered;
-        rest(s);
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
+        submit_some(sim, 30);
+        run(sim, 110);
+        assert_int_equal(sim_count_stored(sim, RP_KEY_OPEN "j-9"), 0);
+        assert_int_equal(sim_count_stored(sim, RP_KEY_OVER "j-9"), 0);
+        asked += sim->n_odd;
+        answered += sim->n_odd_answered;
+        rest(sim);
     }
     assert_true(asked >= 1000 && answered * 2 > asked);
 }
@@ -534,64 +535,64 @@
 static void leader_ends_machines_out_of_reach(void **state) {
     (void)state;
     for (unsigned long seed = 400; seed < 409; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
         int out = 0;
         for (int i = 0; i < 8; i++)
-            sim_submit(s, 1, "sweep", 7, 1, 100, i % 2 ? 50 : 0);
-        run(s, 45);
-        double until = s->now + 5 + 5 * (double)(seed % 9);
-        for (int i = 0; i < s->size.workers; i++) {
-            struct sim_worker *w = &s->workers[i];
-            if (!w->used || !w->up || i % 2)
+            sim_submit(sim, 1, "sweep", 7, 1, 100, i % 2 ? 50 : 0);
+        run(sim, 45);
+        double until = sim->now + 5 + 5 * (double)(seed % 9);
+        for (int i = 0; i < sim->size.workers; i++) {
+            struct sim_worker *worker = &sim->workers[i];
+            if (!worker->used || !worker->up || i % 2)
                 continue;
             out++;
-            *(seed % 3 == 0   ? &w->mute_until
-              : seed % 3 == 1 ? &w->deaf_until
-                              : &w->hung_until) = until;
+            *(seed % 3 == 0   ? &worker->mute_until
+              : seed % 3 == 1 ? &worker->deaf_until
+                              : &worker->hung_until) = until;
         }
         assert_true(out >= 2);
-        crash_leader(s, 3);
-        run(s, 70);
-        rest(s);
+        crash_leader(sim, 3);
+        run(sim, 70);
+        rest(sim);
     }
 }
 
 /* New machines are up within two seconds and get work at once while writes lag, and the leader ends
  * before it has recorded them. */
 static void fast_machines_slow_writes(void **state) {
-    static const struct sim_faults f = {.fast_boot = 1, .late_write = 0.2, .slow = 0.5};
+    static const struct sim_faults faults = {.fast_boot = 1, .late_write = 0.2, .slow = 0.5};
     unsigned long late = 0;
     (void)state;
     for (unsigned long seed = 410; seed < 418; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
-        submit_some(s, 40);
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
+        submit_some(sim, 40);
         for (int i = 0; i < 6; i++) {
-            run(s, 4 + 0.37 * (double)(seed % 5));
-            sim_submit(s, s->now, "sweep", 12, 2, 20, 0);
-            run(s, 0.5 + 0.4 * i);
-            if (sim_leader(s) >= 0)
-                sim_crash(s, sim_leader(s), i % 2 ? 0.3 : 4);
-            run(s, 8);
+            run(sim, 4 + 0.37 * (double)(seed % 5));
+            sim_submit(sim, sim->now, "sweep", 12, 2, 20, 0);
+            run(sim, 0.5 + 0.4 * i);
+            if (sim_leader(sim) >= 0)
+                sim_crash(sim, sim_leader(sim), i % 2 ? 0.3 : 4);
+            run(sim, 8);
         }
-        late += s->n_late_writes;
-        rest(s);
+        late += sim->n_late_writes;
+        rest(sim);
     }
     assert_true(late >= 60);
 }
 
 /* Machines that reach no node while direct commands reach them, under services' direct starts. */
 static void mute_machines(void **state) {
-    static const struct sim_faults f = {.mute_s = 8, .crash_s = 50};
+    static const struct sim_faults faults = {.mute_s = 8, .crash_s = 50};
     unsigned long reached = 0;
     (void)state;
     for (unsigned long seed = 420; seed < 428; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
-        submit_some(s, 30);
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
+        submit_some(sim, 30);
         for (int i = 0; i < 8; i++)
-            sim_submit(s, 15 + i * 10, "service", 3, 1, 0, 45 + i * 10);
-        run(s, 120);
-        reached += s->n_direct_to_mute;
-        rest(s);
+            sim_submit(sim, 15 + i * 10, "service", 3, 1, 0, 45 + i * 10);
+        run(sim, 120);
+        reached += sim->n_direct_to_mute;
+        rest(sim);
     }
     assert_true(reached >= 10);
 }
@@ -599,19 +600,19 @@
 /* A command, or its answer, is held up with the machine, which then goes on; the job is cancelled
  * meanwhile, or its user's replicas are wanted elsewhere. */
 static void held_up_commands(void **state) {
-    static const struct sim_faults f = {.hang_s = 5};
+    static const struct sim_faults faults = {.hang_s = 5};
     unsigned long direct = 0;
     (void)state;
     for (unsigned long seed = 430; seed < 438; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
-        submit_some(s, 30);
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
+        submit_some(sim, 30);
         for (int i = 0; i < 10; i++)
-            sim_submit(s, 12 + i * 8, "service", 3, 1, 0, 12.6 + i * 8 + i % 4 * 7);
-        run(s, 60);
-        crash_leader(s, 0.2);
-        run(s, 60);
-        direct += s->n_direct;
-        rest(s);
+            sim_submit(sim, 12 + i * 8, "service", 3, 1, 0, 12.6 + i * 8 + i % 4 * 7);
+        run(sim, 60);
+        crash_leader(sim, 0.2);
+        run(sim, 60);
+        direct += sim->n_direct;
+        rest(sim);
     }
     assert_true(direct >= 100);
 }
@@ -622,17 +623,17 @@
     int confirmed = 0;
     (void)state;
     for (unsigned long seed = 440; seed < 448; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
         for (int i = 0; i < 8; i++)
-            sim_submit(s, 1, "sweep", 7, 1, 150, 0);
-        run(s, 40);
-        sim_cancel_now(s, 5, 4 + 4 * (double)(seed % 8));
+            sim_submit(sim, 1, "sweep", 7, 1, 150, 0);
+        run(sim, 40);
+        sim_cancel_now(sim, 5, 4 + 4 * (double)(seed % 8));
         if (seed % 2)
-            crash_leader(s, 3);
-        run(s, 60);
+            crash_leader(sim, 3);
+        run(sim, 60);
         for (int i = 0; i < 8; i++)
-            confirmed += s->jobs[i].told_cancelled;
-        rest(s);
+            confirmed += sim->jobs[i].told_cancelled;
+        rest(sim);
     }
     assert_int_equal(confirmed, 40);
 }
@@ -642,35 +643,35 @@
 static void full_team_meets_takeover(void **state) {
     (void)state;
     for (unsigned long seed = 450; seed < 458; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
         for (int i = 0; i < 10; i++)
-            sim_submit(s, 1 + i * 0.3, "sweep", 10, 1, 60, 0);
-        run(s, 40);
-        assert_true(all_running(s) >= 55); /* of 60 */
-        for (int i = 0; i < s->size.workers; i++)
-            if (s->workers[i].used && s->workers[i].up && i % 3 == 0)
-                *(seed % 2 ? &s->workers[i].hung_until : &s->workers[i].mute_until) =
-                    s->now + 4 + 4 * (double)(seed % 8);
-        sim_cancel_now(s, 4, 0);
-        crash_leader(s, seed % 4 ? 0.2 : 3);
-        run(s, 60);
-        rest(s);
+            sim_submit(sim, 1 + i * 0.3, "sweep", 10, 1, 60, 0);
+        run(sim, 40);
+        assert_true(all_running(sim) >= 55); /* of 60 */
+        for (int i = 0; i < sim->size.workers; i++)
+            if (sim->workers[i].used && sim->workers[i].up && i % 3 == 0)
+                *(seed % 2 ? &sim->workers[i].hung_until : &sim->workers[i].mute_until) =
+                    sim->now + 4 + 4 * (double)(seed % 8);
+        sim_cancel_now(sim, 4, 0);
+        crash_leader(sim, seed % 4 ? 0.2 : 3);
+        run(sim, 60);
+        rest(sim);
     }
 }
 
 /* Jobs that may run in one zone only lose machines, arrays too. */
 static void zone_bound_jobs_lose_machines(void **state) {
-    static const struct sim_faults f = {.death_s = 6, .take_s = 6, .crash_s = 60};
+    static const struct sim_faults faults = {.death_s = 6, .take_s = 6, .crash_s = 60};
     (void)state;
     for (unsigned long seed = 460; seed < 466; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
         for (int i = 0; i < 10; i++) {
-            int j = i % 3 ? sim_submit(s, 1 + i * 5, "sweep", 10, 1, 15, 0)
-                          : sim_submit(s, 1 + i * 5, "ensemble", 3, 4, 15, 0);
-            sim_change(s, j, "yard", json_string(i % 2 ? "a" : "b"));
+            int j = i % 3 ? sim_submit(sim, 1 + i * 5, "sweep", 10, 1, 15, 0)
+                          : sim_submit(sim, 1 + i * 5, "ensemble", 3, 4, 15, 0);
+            sim_change(sim, j, "yard", json_string(i % 2 ? "a" : "b"));
         }
-        run(s, 90);
-        rest(s);
+        run(sim, 90);
+        rest(sim);
     }
 }
 
@@ -679,22 +680,22 @@
 static void cut_zone_with_its_node(void **state) {
     (void)state;
     for (unsigned long seed = 470; seed < 478; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
         for (int i = 0; i < 8; i++)
-            sim_submit(s, 1, "sweep", 7, 1, 60, 0);
-        run(s, 40);
-        int inside = seed % 2 ? sim_leader(s) : (sim_leader(s) + 1) % s->n_nodes;
-        s->cut_zone = 1 + (int)(seed / 2 % 2);
-        s->cut_node = inside + 1;
-        s->nodes[inside].alone_until = s->now + 30;
+            sim_submit(sim, 1, "sweep", 7, 1, 60, 0);
+        run(sim, 40);
+        int inside = seed % 2 ? sim_leader(sim) : (sim_leader(sim) + 1) % sim->n_nodes;
+        sim->cut_zone = 1 + (int)(seed / 2 % 2);
+        sim->cut_node = inside + 1;
+        sim->nodes[inside].alone_until = sim->now + 30;
         for (int i = 0; i < 4; i++)
-            s->jobs[i].cancel_at = s->now + i;
-        run(s, 30);
-        s->cut_zone = s->cut_node = 0;
-        run(s, 30);
+            sim->jobs[i].cancel_at = sim->now + i;
+        run(sim, 30);
+        sim->cut_zone = sim->cut_node = 0;
+        run(sim, 30);
         for (int i = 0; i < 4; i++)
-            assert_true(s->jobs[i].told_cancelled);
-        rest(s);
+            assert_true(sim->jobs[i].told_cancelled);
+        rest(sim);
     }
 }
 
@@ -703,19 +704,19 @@
 /* Copies come after newer ones, from earlier sessions and attempts too, beyond a lease; others are
  * kept until the next leader acts, and come to every node just then. */
 static void old_reports(void **state) {
-    static const struct sim_faults f = {
+    static const struct sim_faults faults = {
         .copies = 0.1, .kept = 0.1, .hang_s = 25, .crash_s = 25, .blink_s = 30};
     unsigned long kept = 0, leaders = 0;
     (void)state;
     for (unsigned long seed = 500; seed < 510; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
-        submit_some(s, 25);
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
+        submit_some(sim, 25);
         for (int i = 0; i < 6; i++)
-            sim_submit(s, 20 + i * 10, "sweep", 10, 2, 12, i % 3 ? 0 : 40 + i * 10);
-        run(s, 120);
-        kept += s->n_kept_delivered;
-        leaders += s->n_leaders;
-        rest(s);
+            sim_submit(sim, 20 + i * 10, "sweep", 10, 2, 12, i % 3 ? 0 : 40 + i * 10);
+        run(sim, 120);
+        kept += sim->n_kept_delivered;
+        leaders += sim->n_leaders;
+        rest(sim);
     }
     assert_true(kept >= 200 && leaders >= 30);
 }
@@ -725,34 +726,34 @@
 static void lonely_leader_and_cancellations(void **state) {
     (void)state;
     for (unsigned long seed = 520; seed < 526; seed++) {
-        struct sim *s = sim_new_sized(seed, &none, SIM_SOUND, seed % 2 ? 3 : 5, &wide);
+        struct sim *sim = sim_new_sized(seed, &none, SIM_SOUND, seed % 2 ? 3 : 5, &wide);
         for (int i = 0; i < 8; i++)
-            sim_submit(s, 1, "sweep", 7, 1, 120, 0);
-        run(s, 40);
-        int leader = sim_leader(s);
-        s->nodes[leader].alone_until = s->now + 45;
+            sim_submit(sim, 1, "sweep", 7, 1, 120, 0);
+        run(sim, 40);
+        int leader = sim_leader(sim);
+        sim->nodes[leader].alone_until = sim->now + 45;
         for (int i = 0; i < 6; i++)
-            s->jobs[i].cancel_at = s->now + 3 * i;
-        run(s, 20);
-        assert_true(sim_leader(s) != leader);
-        run(s, 50);
-        rest(s);
+            sim->jobs[i].cancel_at = sim->now + 3 * i;
+        run(sim, 20);
+        assert_true(sim_leader(sim) != leader);
+        run(sim, 50);
+        rest(sim);
     }
 }
 
 /* More work than room, urgent and not, over slow links to the state service. */
 static void more_work_than_room(void **state) {
-    static const struct sim_faults f = {.slow = 0.3, .lose = 0.02};
+    static const struct sim_faults faults = {.slow = 0.3, .lose = 0.02};
     (void)state;
     for (unsigned long seed = 530; seed < 533; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
         for (int i = 0; i < 30; i++)
-            sim_submit(s, 1 + i * 2, i % 5 ? "sweep" : "ensemble", i % 5 ? 20 : 3, i % 5 ? 2 : 8,
+            sim_submit(sim, 1 + i * 2, i % 5 ? "sweep" : "ensemble", i % 5 ? 20 : 3, i % 5 ? 2 : 8,
                        15, i % 7 ? 0 : 40 + i);
-        run(s, 100);
-        sim_calm(s);
-        run(s, 200);
-        rest(s);
+        run(sim, 100);
+        sim_calm(sim);
+        run(sim, 200);
+        rest(sim);
     }
 }
 
@@ -762,14 +763,16 @@
 static void random_meetings(void **state) {
     (void)state;
     for (unsigned long seed = 600; seed < 630; seed++) {
-        struct sim_faults f = {0};
+        struct sim_faults faults = {0};
         gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
         gsl_rng_set(rng, seed);
-        double *const often[] = {&f.crash_s, &f.outage_s, &f.refused_s, &f.hang_s,
-                                 &f.death_s, &f.stall_s,  &f.take_s,    &f.deaf_s,
-                                 &f.mute_s,  &f.alone_s,  &f.blink_s,   &f.apart_s};
-        double *const shares[] = {&f.lose,       &f.late,        &f.repeat, &f.copies,   &f.slow,
-                                  &f.late_write, &f.lost_answer, &f.kept,   &f.fast_boot};
+        double *const often[] = {&faults.crash_s, &faults.outage_s, &faults.refused_s,
+                                 &faults.hang_s,  &faults.death_s,  &faults.stall_s,
+                                 &faults.take_s,  &faults.deaf_s,   &faults.mute_s,
+                                 &faults.alone_s, &faults.blink_s,  &faults.apart_s};
+        double *const shares[] = {&faults.lose,        &faults.late, &faults.repeat,
+                                  &faults.copies,      &faults.slow, &faults.late_write,
+                                  &faults.lost_answer, &faults.kept, &faults.fast_boot};
         for (unsigned long n = 2 + gsl_rng_uniform_int(rng, 3); n > 0; n--) {
             unsigned long k = gsl_rng_uniform_int(rng, 21);
             if (k < 12)
@@ -778,30 +781,30 @@
                 *shares[k - 12] = 0.02 + 0.2 * gsl_rng_uniform(rng) * gsl_rng_uniform(rng);
         }
         gsl_rng_free(rng);
-        f.odd_s = 5;
-        struct sim *s =
-            sim_new_sized(seed, &f, SIM_SOUND, seed % 3 ? 3 : 5,
+        faults.odd_s = 5;
+        struct sim *sim =
+            sim_new_sized(seed, &faults, SIM_SOUND, seed % 3 ? 3 : 5,
                           seed % 2 ? &wide : &(struct sim_size){64, 6, 2, 14, 39, 200, 20, 5});
-        s->close_looks = seed % 2;
-        submit_some(s, 40);
+        sim->close_looks = seed % 2;
+        submit_some(sim, 40);
         for (int i = 0; i < 20; i++) {
-            int j = sim_submit(s, 10 + i * 5, i % 6 ? "sweep" : "ensemble", 1 + (unsigned)i % 5, 2,
-                               5 + i * 2, i % 4 ? 0 : 14 + i * 6);
-            s->jobs[j].cancel_at_end = i % 5 == 1;
-            s->jobs[j].cancel_on_acceptance = i % 9 == 5;
+            int j = sim_submit(sim, 10 + i * 5, i % 6 ? "sweep" : "ensemble", 1 + (unsigned)i % 5,
+                               2, 5 + i * 2, i % 4 ? 0 : 14 + i * 6);
+            sim->jobs[j].cancel_at_end = i % 5 == 1;
+            sim->jobs[j].cancel_on_acceptance = i % 9 == 5;
         }
-        sim_submit(s, 30, "service", 3, 1, 0, 100);
-        sim_run(s, 70);
-        sim_cancel_now(s, 2, seed % 2 ? 10 : 0);
-        sim_run(s, 60);
-        sim_calm(s);
-        sim_run(s, REST_S);
-        sim_check_served(s);
-        if (s->broken[0])
-            fail_msg("seed %lu: %s", seed, s->broken);
-        if (!sim_all_over(s))
+        sim_submit(sim, 30, "service", 3, 1, 0, 100);
+        sim_run(sim, 70);
+        sim_cancel_now(sim, 2, seed % 2 ? 10 : 0);
+        sim_run(sim, 60);
+        sim_calm(sim);
+        sim_run(sim, REST_S);
+        sim_check_served(sim);
+        if (sim->broken[0])
+            fail_msg("seed %lu: %s", seed, sim->broken);
+        if (!sim_all_over(sim))
             fail_msg("seed %lu: work left undone", seed);
-        sim_free(s);
+        sim_free(sim);
     }
 }
 
--- a/tests/test_plan.c
+++ b/tests/test_plan.c
@@ -33,23 +33,24 @@
                                   .spread_max = (n + 1) / 2};
 }
 
-static struct rp_plan_input input(struct rp_plan_kind *k, size_t nk, struct rp_plan_machine *m,
-                                  size_t nm, struct rp_plan_group *g, size_t ng) {
-    return (struct rp_plan_input){.kinds = k,
+static struct rp_plan_input input(struct rp_plan_kind *kind, size_t nk,
+                                  struct rp_plan_machine *machine, size_t nm,
+                                  struct rp_plan_group *group, size_t ng) {
+    return (struct rp_plan_input){.kinds = kind,
                                   .n_kinds = nk,
-                                  .machines = m,
+                                  .machines = machine,
                                   .n_machines = nm,
-                                  .groups = g,
+                                  .groups = group,
                                   .n_groups = ng,
                                   .unit_s = 60,
                                   .new_max = 20};
 }
 
-static uint32_t put_on(const struct rp_plan *p, size_t group, size_t machine) {
+static uint32_t put_on(const struct rp_plan *plan, size_t group, size_t machine) {
     uint32_t n = 0;
-    for (size_t i = 0; i < p->n_puts; i++)
-        if (p->puts[i].group == group && p->puts[i].machine == machine)
-            n += p->puts[i].count;
+    for (size_t i = 0; i < plan->n_puts; i++)
+        if (plan->puts[i].group == group && plan->puts[i].machine == machine)
+            n += plan->puts[i].count;
     return n;
 }
 
@@ -62,114 +63,114 @@
 }
 
 static void first_with_room(void **state) {
-    struct rp_plan_machine m[] = {machine(1, 32, 32), machine(0, 8, 5)};
-    struct rp_plan_group g[] = {group(8, 1, 50)};
-    struct rp_plan_input in = input(NULL, 0, m, 2, g, 1);
-    struct rp_plan p;
+    struct rp_plan_machine machines[] = {machine(1, 32, 32), machine(0, 8, 5)};
+    struct rp_plan_group groups[] = {group(8, 1, 50)};
+    struct rp_plan_input in = input(NULL, 0, machines, 2, groups, 1);
+    struct rp_plan plan;
     (void)state;
-    rp_plan_by(&in, fcfs_sm, &p); /* the smaller machine first */
-    assert_int_equal(put_on(&p, 0, 1), 5);
-    assert_int_equal(put_on(&p, 0, 0), 3);
-    assert_int_equal(p.n_now, 8);
-    assert_int_equal(p.n_fresh, 0);
-    rp_plan_free(&p);
-    rp_plan_by(&in, (struct rp_heuristic){RP_FCFS, RP_LM}, &p);
-    assert_int_equal(put_on(&p, 0, 0), 8);
-    rp_plan_free(&p);
+    rp_plan_by(&in, fcfs_sm, &plan); /* the smaller machine first */
+    assert_int_equal(put_on(&plan, 0, 1), 5);
+    assert_int_equal(put_on(&plan, 0, 0), 3);
+    assert_int_equal(plan.n_now, 8);
+    assert_int_equal(plan.n_fresh, 0);
+    rp_plan_free(&plan);
+    rp_plan_by(&in, (struct rp_heuristic){RP_FCFS, RP_LM}, &plan);
+    assert_int_equal(put_on(&plan, 0, 0), 8);
+    rp_plan_free(&plan);
 }
 
 static void rents_most_capacity_per_price(void **state) {
-    struct rp_plan_kind k[] = {kind(0, false, 8, 0.5), kind(1, false, 32, 1.5),
-                               kind(1, true, 32, 0.4)};
-    struct rp_plan_group g[] = {group(40, 1, 50)};
-    struct rp_plan_input in = input(k, 3, NULL, 0, g, 1);
-    struct rp_plan p;
+    struct rp_plan_kind kinds[] = {kind(0, false, 8, 0.5), kind(1, false, 32, 1.5),
+                                   kind(1, true, 32, 0.4)};
+    struct rp_plan_group groups[] = {group(40, 1, 50)};
+    struct rp_plan_input in = input(kinds, 3, NULL, 0, groups, 1);
+    struct rp_plan plan;
     (void)state;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(p.n_fresh, 2);
-    assert_int_equal(p.fresh[0], 2); /* spot: 80 CPUs for 1 */
-    assert_int_equal(p.n_wait, 40);
-    rp_plan_free(&p);
-    g[0].spot = false;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(p.fresh[0], 1); /* 21 against 16 */
-    rp_plan_free(&p);
-    k[1].refused = true;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(p.n_fresh, 5); /* the next best, while the best is refused */
-    rp_plan_free(&p);
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(plan.n_fresh, 2);
+    assert_int_equal(plan.fresh[0], 2); /* spot: 80 CPUs for 1 */
+    assert_int_equal(plan.n_wait, 40);
+    rp_plan_free(&plan);
+    groups[0].spot = false;
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(plan.fresh[0], 1); /* 21 against 16 */
+    rp_plan_free(&plan);
+    kinds[1].refused = true;
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(plan.n_fresh, 5); /* the next best, while the best is refused */
+    rp_plan_free(&plan);
 }
 
 static void waits_rather_than_rents(void **state) {
-    struct rp_plan_kind k[] = {kind(0, false, 8, 0.5)};
-    struct rp_plan_machine m[] = {machine(0, 8, 0)};
-    struct rp_plan_group g[] = {group(8, 1, 50)};
-    struct rp_plan_input in = input(k, 1, m, 1, g, 1);
-    struct rp_plan p;
+    struct rp_plan_kind kinds[] = {kind(0, false, 8, 0.5)};
+    struct rp_plan_machine machines[] = {machine(0, 8, 0)};
+    struct rp_plan_group groups[] = {group(8, 1, 50)};
+    struct rp_plan_input in = input(kinds, 1, machines, 1, groups, 1);
+    struct rp_plan plan;
     (void)state;
-    m[0].later.cpus = 8; /* free before another machine could be up */
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(p.n_fresh, 0);
-    assert_int_equal(p.n_now, 0);
-    assert_int_equal(p.n_wait, 8);
-    rp_plan_free(&p);
+    machines[0].later.cpus = 8; /* free before another machine could be up */
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(plan.n_fresh, 0);
+    assert_int_equal(plan.n_now, 0);
+    assert_int_equal(plan.n_wait, 8);
+    rp_plan_free(&plan);
 }
 
 static void gangs_whole_only(void **state) {
-    struct rp_plan_machine m[] = {machine(0, 8, 8), machine(0, 8, 8)};
-    struct rp_plan_group g[] = {group(3, 8, 50), group(2, 8, 50)};
-    struct rp_plan_input in = input(NULL, 0, m, 2, g, 2);
-    struct rp_plan p;
+    struct rp_plan_machine machines[] = {machine(0, 8, 8), machine(0, 8, 8)};
+    struct rp_plan_group groups[] = {group(3, 8, 50), group(2, 8, 50)};
+    struct rp_plan_input in = input(NULL, 0, machines, 2, groups, 2);
+    struct rp_plan plan;
     (void)state;
-    g[0].kind = g[1].kind = RP_GANG;
-    g[0].age_s = 100;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(put_on(&p, 0, 0) + put_on(&p, 0, 1), 0);
-    assert_int_equal(put_on(&p, 1, 0) + put_on(&p, 1, 1), 2);
-    rp_plan_free(&p);
+    groups[0].kind = groups[1].kind = RP_GANG;
+    groups[0].age_s = 100;
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(put_on(&plan, 0, 0) + put_on(&plan, 0, 1), 0);
+    assert_int_equal(put_on(&plan, 1, 0) + put_on(&plan, 1, 1), 2);
+    rp_plan_free(&plan);
     /* In one zone: the second zone holds it, the first doesn't. */
-    m[1].zone = 1;
-    m[1].capacity.cpus = m[1].room.cpus = m[1].later.cpus = 16;
-    g[1].one_zone = true;
-    g[0].n = 9;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(put_on(&p, 1, 1), 2);
-    rp_plan_free(&p);
+    machines[1].zone = 1;
+    machines[1].capacity.cpus = machines[1].room.cpus = machines[1].later.cpus = 16;
+    groups[1].one_zone = true;
+    groups[0].n = 9;
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(put_on(&plan, 1, 1), 2);
+    rp_plan_free(&plan);
 }
 
 static void limits_and_spread(void **state) {
-    struct rp_plan_machine m[] = {machine(0, 64, 64), machine(0, 64, 64)};
-    struct rp_plan_group g[] = {group(9, 1, 50)};
+    struct rp_plan_machine machines[] = {machine(0, 64, 64), machine(0, 64, 64)};
+    struct rp_plan_group groups[] = {group(9, 1, 50)};
     struct rp_plan_team team[] = {{.cpus_left = 4, .gpus_left = 1e9}};
-    struct rp_plan_input in = input(NULL, 0, m, 2, g, 1);
-    struct rp_plan p;
+    struct rp_plan_input in = input(NULL, 0, machines, 2, groups, 1);
+    struct rp_plan plan;
     (void)state;
-    m[1].zone = 1;
-    g[0].spread = true;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(put_on(&p, 0, 0), 5);
-    assert_int_equal(put_on(&p, 0, 1), 4);
-    rp_plan_free(&p);
+    machines[1].zone = 1;
+    groups[0].spread = true;
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(put_on(&plan, 0, 0), 5);
+    assert_int_equal(put_on(&plan, 0, 1), 4);
+    rp_plan_free(&plan);
     in.teams = team;
     in.n_teams = 1;
-    g[0].team = 0;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(p.n_now, 4);
-    rp_plan_free(&p);
+    groups[0].team = 0;
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(plan.n_now, 4);
+    rp_plan_free(&plan);
 }
 
 static void priority_first(void **state) {
-    struct rp_plan_machine m[] = {machine(0, 8, 8)};
-    struct rp_plan_group g[] = {group(8, 1, 50), group(1, 8, 50)};
-    struct rp_plan_input in = input(NULL, 0, m, 1, g, 2);
-    struct rp_plan p;
+    struct rp_plan_machine machines[] = {machine(0, 8, 8)};
+    struct rp_plan_group groups[] = {group(8, 1, 50), group(1, 8, 50)};
+    struct rp_plan_input in = input(NULL, 0, machines, 1, groups, 2);
+    struct rp_plan plan;
     (void)state;
-    g[0].age_s = 1000;
-    g[1].priority = RP_HIGH;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(put_on(&p, 1, 0), 1);
-    assert_int_equal(put_on(&p, 0, 0), 0);
-    rp_plan_free(&p);
+    groups[0].age_s = 1000;
+    groups[1].priority = RP_HIGH;
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(put_on(&plan, 1, 0), 1);
+    assert_int_equal(put_on(&plan, 0, 0), 0);
+    rp_plan_free(&plan);
 }
 
 static void portfolio_takes_least_left_then_cheapest(void **state) {
@@ -188,70 +189,72 @@
     (void)state;
     gsl_rng_set(rng, 11);
     for (int round = 0; round < 400; round++) {
-        struct rp_plan_kind k[] = {kind(0, false, 8, 0.5), kind(1, false, 32, 1.5),
-                                   kind(1, true, 32, 0.4)};
-        struct rp_plan_machine m[12];
-        struct rp_plan_group g[20];
+        struct rp_plan_kind kinds[] = {kind(0, false, 8, 0.5), kind(1, false, 32, 1.5),
+                                       kind(1, true, 32, 0.4)};
+        struct rp_plan_machine machines[12];
+        struct rp_plan_group groups[20];
         struct rp_plan_team team[] = {{.cpus_left = gsl_rng_uniform(rng) * 100, .gpus_left = 1e9}};
         size_t nm = gsl_rng_uniform_int(rng, 13), ng = gsl_rng_uniform_int(rng, 21);
-        k[0].zone = (int)gsl_rng_uniform_int(rng, 2);
+        kinds[0].zone = (int)gsl_rng_uniform_int(rng, 2);
         for (size_t i = 0; i < nm; i++) {
             int t = (int)gsl_rng_uniform_int(rng, 2);
             double cpus = t ? 32 : 8;
-            m[i] = machine(t, cpus, floor(gsl_rng_uniform(rng) * cpus));
-            m[i].later.cpus += floor(gsl_rng_uniform(rng) * (cpus - m[i].room.cpus));
-            m[i].zone = (int)gsl_rng_uniform_int(rng, 2);
-            m[i].spot = gsl_rng_uniform(rng) < 0.3;
+            machines[i] = machine(t, cpus, floor(gsl_rng_uniform(rng) * cpus));
+            machines[i].later.cpus += floor(gsl_rng_uniform(rng) * (cpus - machines[i].room.cpus));
+            machines[i].zone = (int)gsl_rng_uniform_int(rng, 2);
+            machines[i].spot = gsl_rng_uniform(rng) < 0.3;
         }
         for (size_t i = 0; i < ng; i++) {
-            g[i] =
+            groups[i] =
                 group(1 + (uint32_t)gsl_rng_uniform_int(rng, 20), 1 + gsl_rng_uniform(rng) * 6, 30);
-            g[i].kind = gsl_rng_uniform(rng) < 0.3 ? RP_GANG : RP_ARRAY;
-            g[i].spot = gsl_rng_uniform(rng) < 0.5;
-            g[i].one_zone = gsl_rng_uniform(rng) < 0.3;
-            g[i].zones = 1 + (uint32_t)gsl_rng_uniform_int(rng, 3);
-            g[i].team = gsl_rng_uniform(rng) < 0.5 ? 0 : -1;
-            g[i].spread = !g[i].one_zone && gsl_rng_uniform(rng) < 0.3;
+            groups[i].kind = gsl_rng_uniform(rng) < 0.3 ? RP_GANG : RP_ARRAY;
+            groups[i].spot = gsl_rng_uniform(rng) < 0.5;
+            groups[i].one_zone = gsl_rng_uniform(rng) < 0.3;
+            groups[i].zones = 1 + (uint32_t)gsl_rng_uniform_int(rng, 3);
+            groups[i].team = gsl_rng_uniform(rng) < 0.5 ? 0 : -1;
+            groups[i].spread = !groups[i].one_zone && gsl_rng_uniform(rng) < 0.3;
         }
-        struct rp_plan_input in = input(k, 3, m, nm, g, ng);
-        struct rp_heuristic h = {(enum rp_job_order)gsl_rng_uniform_int(rng, 7),
-                                 (enum rp_machine_order)gsl_rng_uniform_int(rng, 11)};
+        struct rp_plan_input in = input(kinds, 3, machines, nm, groups, ng);
+        struct rp_heuristic heuristic = {(enum rp_job_order)gsl_rng_uniform_int(rng, 7),
+                                         (enum rp_machine_order)gsl_rng_uniform_int(rng, 11)};
         in.teams = team;
         in.n_teams = 1;
-        struct rp_plan p;
+        struct rp_plan plan;
         double now_used[40] = {0}, used[40] = {0}, team_used = 0;
         uint32_t placed[20] = {0}, zone_used[20][2] = {{0}};
-        rp_plan_by(&in, h, &p);
-        assert_false(p.failed);
-        for (size_t i = 0; i < p.n_puts; i++) {
-            const struct rp_plan_put *u = &p.puts[i];
-            bool fresh = u->machine >= nm;
-            const struct rp_plan_kind *kd = fresh ? &k[p.fresh[u->machine - nm]] : NULL;
-            int zone = fresh ? kd->zone : m[u->machine].zone;
-            bool spot = fresh ? kd->spot : m[u->machine].spot;
-            used[u->machine] += u->count * g[u->group].each.cpus;
-            now_used[u->machine] += u->now ? u->count * g[u->group].each.cpus : 0;
-            placed[u->group] += u->count;
-            zone_used[u->group][zone] += u->count;
-            team_used += g[u->group].team == 0 ? u->count * g[u->group].each.cpus : 0;
-            assert_true(g[u->group].zones >> zone & 1);
-            assert_true(!spot || g[u->group].spot);
-            assert_false(fresh && u->now);
+        rp_plan_by(&in, heuristic, &plan);
+        assert_false(plan.failed);
+        for (size_t i = 0; i < plan.n_puts; i++) {
+            const struct rp_plan_put *put = &plan.puts[i];
+            bool fresh = put->machine >= nm;
+            const struct rp_plan_kind *kd = fresh ? &kinds[plan.fresh[put->machine - nm]] : NULL;
+            int zone = fresh ? kd->zone : machines[put->machine].zone;
+            bool spot = fresh ? kd->spot : machines[put->machine].spot;
+            used[put->machine] += put->count * groups[put->group].each.cpus;
+            now_used[put->machine] += put->now ? put->count * groups[put->group].each.cpus : 0;
+            placed[put->group] += put->count;
+            zone_used[put->group][zone] += put->count;
+            team_used +=
+                groups[put->group].team == 0 ? put->count * groups[put->group].each.cpus : 0;
+            assert_true(groups[put->group].zones >> zone & 1);
+            assert_true(!spot || groups[put->group].spot);
+            assert_false(fresh && put->now);
         }
-        for (size_t i = 0; i < nm + p.n_fresh; i++) {
-            double later = i < nm ? m[i].later.cpus : k[p.fresh[i - nm]].capacity.cpus;
+        for (size_t i = 0; i < nm + plan.n_fresh; i++) {
+            double later =
+                i < nm ? machines[i].later.cpus : kinds[plan.fresh[i - nm]].capacity.cpus;
             assert_true(used[i] <= later + 1e-6);
-            assert_true(i >= nm || now_used[i] <= m[i].room.cpus + 1e-6);
+            assert_true(i >= nm || now_used[i] <= machines[i].room.cpus + 1e-6);
         }
         for (size_t i = 0; i < ng; i++) {
-            assert_true(placed[i] <= g[i].n);
-            assert_true(g[i].kind != RP_GANG || placed[i] == 0 || placed[i] == g[i].n);
-            assert_true(!g[i].one_zone || !zone_used[i][0] || !zone_used[i][1]);
+            assert_true(placed[i] <= groups[i].n);
+            assert_true(groups[i].kind != RP_GANG || placed[i] == 0 || placed[i] == groups[i].n);
+            assert_true(!groups[i].one_zone || !zone_used[i][0] || !zone_used[i][1]);
             for (int z = 0; z < 2; z++)
-                assert_true(!g[i].spread || zone_used[i][z] <= g[i].spread_max);
+                assert_true(!groups[i].spread || zone_used[i][z] <= groups[i].spread_max);
         }
         assert_true(team_used <= team[0].cpus_left + 1e-6);
-        rp_plan_free(&p);
+        rp_plan_free(&plan);
     }
     gsl_rng_free(rng);
 }
@@ -260,84 +263,84 @@
  * largest is given up instead, and its first task begins all the same. */
 static void gives_up_the_largest(void **state) {
     enum { MACHINES = 40 };
-    struct rp_plan_machine m[MACHINES];
-    struct rp_plan_group g[] = {group(4000, 1, 60), group(1, 1, 60), group(300, 1, 60),
-                                group(20, 1, 60)};
-    struct rp_plan p;
+    struct rp_plan_machine machines[MACHINES];
+    struct rp_plan_group groups[] = {group(4000, 1, 60), group(1, 1, 60), group(300, 1, 60),
+                                     group(20, 1, 60)};
+    struct rp_plan plan;
     (void)state;
     for (int i = 0; i < MACHINES; i++)
-        m[i] = machine(0, 8, 8);
+        machines[i] = machine(0, 8, 8);
     for (int i = 0; i < 4; i++)
-        g[i].slack_s = 100;
-    g[0].slack_s = 10; /* about to be late, and far too large to be in time */
-    g[1].begin = true; /* the first task of another large one */
-    struct rp_plan_input in = input(NULL, 0, m, MACHINES, g, 4);
-    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &p);
+        groups[i].slack_s = 100;
+    groups[0].slack_s = 10; /* about to be late, and far too large to be in time */
+    groups[1].begin = true; /* the first task of another large one */
+    struct rp_plan_input in = input(NULL, 0, machines, MACHINES, groups, 4);
+    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
     uint32_t placed[4] = {0};
-    for (size_t i = 0; i < p.n_puts; i++)
-        placed[p.puts[i].group] += p.puts[i].count;
-    assert_true(p.short_of_room[0] && !p.short_of_room[1]);
+    for (size_t i = 0; i < plan.n_puts; i++)
+        placed[plan.puts[i].group] += plan.puts[i].count;
+    assert_true(plan.short_of_room[0] && !plan.short_of_room[1]);
     assert_int_equal(placed[1], 1);
     assert_int_equal(placed[2], 299);
     assert_int_equal(placed[3], 20);
     assert_int_equal(placed[0], 0);
-    rp_plan_free(&p);
+    rp_plan_free(&plan);
     /* With time enough for all, nothing is given up. */
     for (int i = 0; i < 4; i++)
-        g[i].slack_s = 2000;
-    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &p);
-    assert_false(p.short_of_room[0]);
-    rp_plan_free(&p);
+        groups[i].slack_s = 2000;
+    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    assert_false(plan.short_of_room[0]);
+    rp_plan_free(&plan);
 }
 
 /* A machine kept for a gang is for nobody else; the gang itself starts once all of them have room.
  */
 static void kept_machines(void **state) {
-    struct rp_plan_machine m[] = {machine(0, 8, 8), machine(0, 8, 0), machine(0, 8, 8)};
-    struct rp_plan_group g[] = {group(2, 8, 50), group(5, 2, 50)};
-    struct rp_plan_input in = input(NULL, 0, m, 3, g, 2);
-    struct rp_plan p;
+    struct rp_plan_machine machines[] = {machine(0, 8, 8), machine(0, 8, 0), machine(0, 8, 8)};
+    struct rp_plan_group groups[] = {group(2, 8, 50), group(5, 2, 50)};
+    struct rp_plan_input in = input(NULL, 0, machines, 3, groups, 2);
+    struct rp_plan plan;
     int gang, other;
     (void)state;
-    g[0].kind = RP_GANG;
-    g[0].held = true;
-    g[0].ref = &gang;
-    g[1].ref = &other;
-    m[0].kept = m[1].kept = &gang;
-    m[2].room.cpus = m[2].later.cpus = 6;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(put_on(&p, 1, 0) + put_on(&p, 1, 1), 0);
-    assert_int_equal(put_on(&p, 1, 2), 3);
-    assert_int_equal(put_on(&p, 0, 0), 0);
-    rp_plan_free(&p);
-    m[1].room.cpus = m[1].later.cpus = 8;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(put_on(&p, 0, 0) + put_on(&p, 0, 1), 2);
-    assert_int_equal(put_on(&p, 1, 2), 3);
-    rp_plan_free(&p);
+    groups[0].kind = RP_GANG;
+    groups[0].held = true;
+    groups[0].ref = &gang;
+    groups[1].ref = &other;
+    machines[0].kept = machines[1].kept = &gang;
+    machines[2].room.cpus = machines[2].later.cpus = 6;
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(put_on(&plan, 1, 0) + put_on(&plan, 1, 1), 0);
+    assert_int_equal(put_on(&plan, 1, 2), 3);
+    assert_int_equal(put_on(&plan, 0, 0), 0);
+    rp_plan_free(&plan);
+    machines[1].room.cpus = machines[1].later.cpus = 8;
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(put_on(&plan, 0, 0) + put_on(&plan, 0, 1), 2);
+    assert_int_equal(put_on(&plan, 1, 2), 3);
+    rp_plan_free(&plan);
 }
 
 /* Work without GPUs takes what GPU work leaves of its machines, never the rest, and only while the
  * machine is in use anyway. */
 static void spare_room_of_gpu_machines(void **state) {
-    struct rp_plan_machine m[] = {machine(1, 24, 24), machine(1, 24, 24)};
-    struct rp_plan_group g[] = {group(10, 1, 40)};
-    struct rp_plan_input in = input(NULL, 0, m, 2, g, 1);
-    struct rp_plan p;
+    struct rp_plan_machine machines[] = {machine(1, 24, 24), machine(1, 24, 24)};
+    struct rp_plan_group groups[] = {group(10, 1, 40)};
+    struct rp_plan_input in = input(NULL, 0, machines, 2, groups, 1);
+    struct rp_plan plan;
     (void)state;
     for (int i = 0; i < 2; i++) {
-        m[i].capacity.gpus = m[i].room.gpus = m[i].later.gpus = 4;
-        m[i].spare = (struct rp_resources){3, 0, 20};
+        machines[i].capacity.gpus = machines[i].room.gpus = machines[i].later.gpus = 4;
+        machines[i].spare = (struct rp_resources){3, 0, 20};
     }
-    m[0].busy_s = m[0].own_busy_s = 60;
-    m[1].busy_s = 60; /* by such work itself: that would keep the machine for ever */
-    m[1].own_busy_s = 5;
-    g[0].types = 1;
-    g[0].spare_types = 2;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(put_on(&p, 0, 0), 3);
-    assert_int_equal(put_on(&p, 0, 1), 0);
-    rp_plan_free(&p);
+    machines[0].busy_s = machines[0].own_busy_s = 60;
+    machines[1].busy_s = 60; /* by such work itself: that would keep the machine for ever */
+    machines[1].own_busy_s = 5;
+    groups[0].types = 1;
+    groups[0].spare_types = 2;
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(put_on(&plan, 0, 0), 3);
+    assert_int_equal(put_on(&plan, 0, 1), 0);
+    rp_plan_free(&plan);
 }
 
 /* Under overload a round of hundreds of groups on a fleet without room looks at each machine a few
@@ -346,7 +349,7 @@
     enum { MACHINES = 1300, GROUPS = 600 };
     struct rp_plan_machine *m = calloc(MACHINES, sizeof *m);
     struct rp_plan_group *g = calloc(GROUPS, sizeof *g);
-    struct rp_plan p;
+    struct rp_plan plan;
     (void)state;
     for (int i = 0; i < MACHINES; i++) {
         m[i] = machine(0, 8, 8);
@@ -355,10 +358,10 @@
     for (int i = 0; i < GROUPS; i++)
         g[i] = group(100, 1, 30);
     struct rp_plan_input in = input(NULL, 0, m, MACHINES, g, GROUPS);
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(p.n_now, 320);
-    assert_true(p.n_looks > 0 && p.n_looks < 1000);
-    rp_plan_free(&p);
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(plan.n_now, 320);
+    assert_true(plan.n_looks > 0 && plan.n_looks < 1000);
+    rp_plan_free(&plan);
     free(m);
     free(g);
 }
@@ -366,80 +369,80 @@
 /* However many gangs there are, the only class of arrays has its small jobs first while there is
  * more work than can be in time. */
 static void gangs_make_no_class_rare(void **state) {
-    struct rp_plan_machine m[10];
-    struct rp_plan_group g[] = {group(400, 1, 60), group(160, 1, 10), group(8, 1, 10),
-                                group(1, 100, 60)};
-    struct rp_plan p;
+    struct rp_plan_machine machines[10];
+    struct rp_plan_group groups[] = {group(400, 1, 60), group(160, 1, 10), group(8, 1, 10),
+                                     group(1, 100, 60)};
+    struct rp_plan plan;
     uint32_t small = 0;
     (void)state;
     for (int i = 0; i < 10; i++)
-        m[i] = machine(0, 8, 8);
+        machines[i] = machine(0, 8, 8);
     for (int i = 0; i < 4; i++) {
-        g[i].slack_s = i == 0 ? 30 : i == 2 ? 60 : 50;
-        g[i].class_jobs = i == 3 ? 40 : 1;
+        groups[i].slack_s = i == 0 ? 30 : i == 2 ? 60 : 50;
+        groups[i].class_jobs = i == 3 ? 40 : 1;
     }
-    g[3].kind = RP_GANG;
-    struct rp_plan_input in = input(NULL, 0, m, 10, g, 4);
-    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &p);
-    assert_true(p.short_of_room[0]);
+    groups[3].kind = RP_GANG;
+    struct rp_plan_input in = input(NULL, 0, machines, 10, groups, 4);
+    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    assert_true(plan.short_of_room[0]);
     for (size_t i = 0; i < 10; i++)
-        small += put_on(&p, 2, i);
+        small += put_on(&plan, 2, i);
     assert_int_equal(small, 8);
-    rp_plan_free(&p);
+    rp_plan_free(&plan);
 }
 
 /* What fits a team's guarantee waits for no other team's work, whatever the priorities. */
 static void guaranteed_work_goes_first(void **state) {
-    struct rp_plan_machine m[] = {machine(0, 8, 8)};
-    struct rp_plan_group g[] = {group(8, 1, 50), group(6, 1, 50)};
-    struct rp_plan_input in = input(NULL, 0, m, 1, g, 2);
-    struct rp_plan p;
+    struct rp_plan_machine machines[] = {machine(0, 8, 8)};
+    struct rp_plan_group groups[] = {group(8, 1, 50), group(6, 1, 50)};
+    struct rp_plan_input in = input(NULL, 0, machines, 1, groups, 2);
+    struct rp_plan plan;
     (void)state;
-    g[0].priority = RP_PRODUCTION;
-    g[1].priority = RP_LOW;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(put_on(&p, 1, 0), 0);
-    rp_plan_free(&p);
-    g[1].guaranteed = true;
-    rp_plan_by(&in, fcfs_sm, &p);
-    assert_int_equal(put_on(&p, 1, 0), 6);
-    assert_int_equal(put_on(&p, 0, 0), 2);
-    rp_plan_free(&p);
+    groups[0].priority = RP_PRODUCTION;
+    groups[1].priority = RP_LOW;
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(put_on(&plan, 1, 0), 0);
+    rp_plan_free(&plan);
+    groups[1].guaranteed = true;
+    rp_plan_by(&in, fcfs_sm, &plan);
+    assert_int_equal(put_on(&plan, 1, 0), 6);
+    assert_int_equal(put_on(&plan, 0, 0), 2);
+    rp_plan_free(&plan);
 }
 
 /* More work than can be in time: of a class of forty jobs some are given up rather than the only
  * job of another class, though that is larger than any of them (incident 5bf9). */
 static void rare_classes_are_served(void **state) {
-    struct rp_plan_machine m[10];
-    struct rp_plan_group g[41];
-    struct rp_plan p;
+    struct rp_plan_machine machines[10];
+    struct rp_plan_group groups[41];
+    struct rp_plan plan;
     uint32_t rare = 0;
     (void)state;
     for (int i = 0; i < 10; i++)
-        m[i] = machine(0, 8, 8);
+        machines[i] = machine(0, 8, 8);
     for (int i = 0; i < 40; i++) {
-        g[i] = group(8, 1, 60);
-        g[i].slack_s = 40;
-        g[i].class_jobs = 40;
+        groups[i] = group(8, 1, 60);
+        groups[i].slack_s = 40;
+        groups[i].class_jobs = 40;
     }
-    g[40] = group(160, 1, 10);
-    g[40].slack_s = 60;
-    g[40].class_jobs = 1;
-    struct rp_plan_input in = input(NULL, 0, m, 10, g, 41);
-    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &p);
-    assert_true(p.short_of_room[0]);
+    groups[40] = group(160, 1, 10);
+    groups[40].slack_s = 60;
+    groups[40].class_jobs = 1;
+    struct rp_plan_input in = input(NULL, 0, machines, 10, groups, 41);
+    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    assert_true(plan.short_of_room[0]);
     for (size_t i = 0; i < 10; i++)
-        rare += put_on(&p, 40, i);
+        rare += put_on(&plan, 40, i);
     assert_int_equal(rare, 80);
-    rp_plan_free(&p);
+    rp_plan_free(&plan);
     /* As one job of many it is given up, as before. */
-    g[40].class_jobs = 40;
-    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &p);
+    groups[40].class_jobs = 40;
+    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
     rare = 0;
     for (size_t i = 0; i < 10; i++)
-        rare += put_on(&p, 40, i);
+        rare += put_on(&plan, 40, i);
     assert_int_equal(rare, 0);
-    rp_plan_free(&p);
+    rp_plan_free(&plan);
 }
 
 int main(int argc, char **argv) {
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -6,29 +6,29 @@
 
 static char told[4096];
 
-static int tune(const char *text, struct rp_tuning *t) {
+static int tune(const char *text, struct rp_tuning *tuning) {
     FILE *errors = fmemopen(told, sizeof told, "w");
     memset(told, 0, sizeof told);
-    rp_tuning_defaults(t);
-    int mistakes = rp_tuning_parse(t, text, "op", errors);
+    rp_tuning_defaults(tuning);
+    int mistakes = rp_tuning_parse(tuning, text, "op", errors);
     fclose(errors);
     return mistakes;
 }
 
 static void operators_file(void **state) {
-    struct rp_tuning t;
+    struct rp_tuning tuning;
     (void)state;
-    assert_int_equal(tune("", &t), 0);
-    assert_true(t.round_period_s > 0);
+    assert_int_equal(tune("", &tuning), 0);
+    assert_true(tuning.round_period_s > 0);
     assert_int_equal(tune("# a comment\nround_period_s: 4.5\npreemption: false;\n"
                           "heuristic: \"FCFS-SM\"\nheuristic: 'LTJF-CFH'\nfaulty_after: 3\n",
-                          &t),
+                          &tuning),
                      0);
-    assert_true(t.round_period_s == 4.5 && !t.preemption && t.faulty_after == 3);
-    assert_int_equal(t.n_heuristics, 2);
-    assert_string_equal(t.heuristics[1], "LTJF-CFH");
-    assert_int_equal(tune("heuristic: [\"FCFS-SM\", \"SJF-LM\"]", &t), 0);
-    assert_int_equal(t.n_heuristics, 2);
+    assert_true(tuning.round_period_s == 4.5 && !tuning.preemption && tuning.faulty_after == 3);
+    assert_int_equal(tuning.n_heuristics, 2);
+    assert_string_equal(tuning.heuristics[1], "LTJF-CFH");
+    assert_int_equal(tune("heuristic: [\"FCFS-SM\", \"SJF-LM\"]", &tuning), 0);
+    assert_int_equal(tuning.n_heuristics, 2);
 }
 
 static void operators_mistakes(void **state) {
@@ -56,8 +56,8 @@
     };
     (void)state;
     for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++) {
-        struct rp_tuning t;
-        assert_int_not_equal(tune(cases[i].text, &t), 0);
+        struct rp_tuning tuning;
+        assert_int_not_equal(tune(cases[i].text, &tuning), 0);
         if (!strstr(told, cases[i].told))
             fail_msg("'%s' told '%s'", cases[i].text, told);
     }
@@ -72,33 +72,34 @@
     "5,\"list_lag_s\":3},\"machine_limits\":{\"cpu_share\":0.1,\"mem_mb\":%s,\"max_connections\":"
     "800}}}";
 
-static int read_platform(double lease, double cancel, const char *memory, struct rp_settings *s) {
+static int read_platform(double lease, double cancel, const char *memory,
+                         struct rp_settings *settings) {
     char text[2048];
     FILE *errors = fmemopen(told, sizeof told, "w");
     memset(told, 0, sizeof told);
     snprintf(text, sizeof text, platform, lease, cancel, memory);
-    int mistakes = rp_settings_parse(s, text, "p", errors);
-    rp_settings_complete(s);
+    int mistakes = rp_settings_parse(settings, text, "p", errors);
+    rp_settings_complete(settings);
     if (!mistakes)
-        mistakes = rp_settings_check(s, errors);
+        mistakes = rp_settings_check(settings, errors);
     fclose(errors);
     return mistakes;
 }
 
 static void platform_file(void **state) {
-    struct rp_settings s;
+    struct rp_settings settings;
     (void)state;
-    assert_int_equal(read_platform(14, 39, "56", &s), 0);
-    assert_string_equal(s.node, "n0");
-    assert_int_equal(s.n_objectives, 0);
-    assert_true(s.tuning.leader_ttl_s == 10);
-    rp_settings_free(&s);
-    assert_int_equal(read_platform(14, 39, "\"x\"", &s), 1);
+    assert_int_equal(read_platform(14, 39, "56", &settings), 0);
+    assert_string_equal(settings.node, "n0");
+    assert_int_equal(settings.n_objectives, 0);
+    assert_true(settings.tuning.leader_ttl_s == 10);
+    rp_settings_free(&settings);
+    assert_int_equal(read_platform(14, 39, "\"x\"", &settings), 1);
     assert_non_null(strstr(told, "p: params.machine_limits.mem_mb: must be a number"));
-    rp_settings_free(&s);
-    assert_int_equal(read_platform(14, 39, "-1", &s), 1);
+    rp_settings_free(&settings);
+    assert_int_equal(read_platform(14, 39, "-1", &settings), 1);
     assert_non_null(strstr(told, "must lie between"));
-    rp_settings_free(&s);
+    rp_settings_free(&settings);
 }
 
 /* Limits of the state service that are to come: what fits both is used; a bad one is named. */
@@ -116,7 +117,7 @@
                  {"{\"write_rps\":-1}", "params.state.next.write_rps: must lie", 0}};
     (void)state;
     for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++) {
-        struct rp_settings s;
+        struct rp_settings settings;
         char text[2048], with[2400];
         snprintf(text, sizeof text, platform, 14.0, 39.0, "56");
         char *at = strstr(text, "\"txn_ops\":8") + strlen("\"txn_ops\":8");
@@ -124,54 +125,54 @@
                  at);
         FILE *errors = fmemopen(told, sizeof told, "w");
         memset(told, 0, sizeof told);
-        int mistakes = rp_settings_parse(&s, with, "p", errors);
+        int mistakes = rp_settings_parse(&settings, with, "p", errors);
         fclose(errors);
         if ((mistakes > 0) != (cases[i].told != NULL) ||
             (cases[i].told && !strstr(told, cases[i].told)))
             fail_msg("%s told '%s'", cases[i].next, told);
         if (!cases[i].told) {
-            assert_true(s.state.value_kb == 8 && s.state.txn_ops == 8);
-            assert_true(s.state_fit.value_kb == cases[i].value_kb);
+            assert_true(settings.state.value_kb == 8 && settings.state.txn_ops == 8);
+            assert_true(settings.state_fit.value_kb == cases[i].value_kb);
         }
-        rp_settings_free(&s);
+        rp_settings_free(&settings);
     }
 }
 
 /* A fixed leader lease contradicted short worker leases: nodes refused to start there. */
 static void leader_lease_fits(void **state) {
-    struct rp_settings s;
+    struct rp_settings settings;
     (void)state;
-    assert_int_equal(read_platform(6, 12, "56", &s), 0);
-    assert_true(s.tuning.leader_ttl_s < 2 && s.tuning.leader_ttl_s >= 1);
-    s.tuning.leader_ttl_s = 5;
+    assert_int_equal(read_platform(6, 12, "56", &settings), 0);
+    assert_true(settings.tuning.leader_ttl_s < 2 && settings.tuning.leader_ttl_s >= 1);
+    settings.tuning.leader_ttl_s = 5;
     FILE *errors = fmemopen(told, sizeof told, "w");
-    assert_int_not_equal(rp_settings_check(&s, errors), 0);
+    assert_int_not_equal(rp_settings_check(&settings, errors), 0);
     fclose(errors);
-    rp_settings_free(&s);
+    rp_settings_free(&settings);
 }
 
 /* What a leader that hears of no cancellation renews last is over within cancel_s of any that it
  * can't know of; and news that come as they should are never too old. */
 static void news_bound_keeps_cancellations(void **state) {
-    struct rp_settings s;
+    struct rp_settings settings;
     int sound = 0;
     (void)state;
     for (double lease = 4; lease < 60; lease *= 1.3)
         for (double more = 1; more < 60; more *= 1.2) {
-            if (read_platform(lease, lease + more, "56", &s) == 0) {
-                double news = rp_settings_news_s(&s);
+            if (read_platform(lease, lease + more, "56", &settings) == 0) {
+                double news = rp_settings_news_s(&settings);
                 sound++;
-                assert_true(news > s.tuning.leader_ttl_s);
+                assert_true(news > settings.tuning.leader_ttl_s);
                 assert_true((news + lease) * 1.001 + 3 < lease + more);
             } else {
                 assert_non_null(strstr(told, "cancel_s"));
             }
-            rp_settings_free(&s);
+            rp_settings_free(&settings);
         }
     assert_true(sound >= 100);
-    assert_int_equal(read_platform(14, 39, "56", &s), 0);
-    assert_true(rp_settings_news_s(&s) == s.tuning.leader_ttl_s + 4.5);
-    rp_settings_free(&s);
+    assert_int_equal(read_platform(14, 39, "56", &settings), 0);
+    assert_true(rp_settings_news_s(&settings) == settings.tuning.leader_ttl_s + 4.5);
+    rp_settings_free(&settings);
 }
 
 /* Whatever the text: read or refused, never a crash or a leak. */
@@ -201,11 +202,11 @@
     gsl_rng_set(rng, 13);
     for (int round = 0; round < 5000; round++) {
         char text[256] = "";
-        struct rp_tuning t;
+        struct rp_tuning tuning;
         for (int k = 0; k < 8; k++)
             strcat(text, pieces[gsl_rng_uniform_int(rng, sizeof pieces / sizeof pieces[0])]);
-        int mistakes = tune(text, &t);
-        assert_true(mistakes > 0 || (t.n_heuristics > 0 && t.round_period_s >= 0.5));
+        int mistakes = tune(text, &tuning);
+        assert_true(mistakes > 0 || (tuning.n_heuristics > 0 && tuning.round_period_s >= 0.5));
         assert_true((mistakes > 0) == (told[0] != '\0'));
     }
     gsl_rng_free(rng);
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -8,17 +8,17 @@
 #define DAY_S 150
 #define REST_S 250
 
-static void submit_some(struct sim *s, unsigned long seed) {
-    sim_submit(s, 1, "sweep", 20, 1, 8, 0);
-    sim_submit(s, 2, "sweep", 40, 1, 15, 0);
-    sim_submit(s, 3, "ensemble", 3, 8, 12, 0);
-    sim_submit(s, 10, "sweep", 30, 2, 10, 20 + (double)(seed % 17));
-    sim_submit(s, 20, "ensemble", 2, 20, 20, 0);
-    sim_submit(s, 30, "sweep", 1, 1, 3, 0);
-    sim_submit(s, 45, "ensemble", 4, 4, 25, 60 + (double)(seed % 13));
-    sim_submit(s, 60, "sweep", 40, 1, 6, 0);
-    sim_submit(s, 80, "sweep", 12, 3, 20, 0);
-    sim_submit(s, 15, "sweep", 2, 1, 200, 40); /* ends by its cancellation only */
+static void submit_some(struct sim *sim, unsigned long seed) {
+    sim_submit(sim, 1, "sweep", 20, 1, 8, 0);
+    sim_submit(sim, 2, "sweep", 40, 1, 15, 0);
+    sim_submit(sim, 3, "ensemble", 3, 8, 12, 0);
+    sim_submit(sim, 10, "sweep", 30, 2, 10, 20 + (double)(seed % 17));
+    sim_submit(sim, 20, "ensemble", 2, 20, 20, 0);
+    sim_submit(sim, 30, "sweep", 1, 1, 3, 0);
+    sim_submit(sim, 45, "ensemble", 4, 4, 25, 60 + (double)(seed % 13));
+    sim_submit(sim, 60, "sweep", 40, 1, 6, 0);
+    sim_submit(sim, 80, "sweep", 12, 3, 20, 0);
+    sim_submit(sim, 15, "sweep", 2, 1, 200, 40); /* ends by its cancellation only */
 }
 
 struct kept_answer {
@@ -28,77 +28,77 @@
 };
 
 static void keep_answer(struct rp_request *req, int status, const char *body, int retry_after) {
-    struct kept_answer *a = (struct kept_answer *)(void *)req;
+    struct kept_answer *answer = (struct kept_answer *)(void *)req;
     (void)retry_after;
-    a->status = status;
-    snprintf(a->body, sizeof a->body, "%s", body);
+    answer->status = status;
+    snprintf(answer->body, sizeof answer->body, "%s", body);
 }
 
-static void check_status_page(struct sim *s) {
+static void check_status_page(struct sim *sim) {
     struct kept_answer a = {
         .req = {.method = "GET", .target = "/status", .body = "", .respond = keep_answer}};
-    rp_node_peer_request(s->nodes[sim_leader(s)].node, &a.req);
-    json_t *v = json_loads(a.body, 0, NULL);
+    rp_node_peer_request(sim->nodes[sim_leader(sim)].node, &a.req);
+    json_t *value = json_loads(a.body, 0, NULL);
     assert_int_equal(a.status, 200);
-    assert_string_equal(json_string_value(json_object_get(v, "state")), "leading");
-    assert_true(json_integer_value(json_object_get(v, "starts")) >= 100);
-    assert_true(json_is_object(json_object_get(json_object_get(v, "latencies"), "submit_s")));
-    json_decref(v);
+    assert_string_equal(json_string_value(json_object_get(value, "state")), "leading");
+    assert_true(json_integer_value(json_object_get(value, "starts")) >= 100);
+    assert_true(json_is_object(json_object_get(json_object_get(value, "latencies"), "submit_s")));
+    json_decref(value);
 }
 
 static void quiet_day(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(1, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(1, &none, SIM_SOUND, 3);
     (void)state;
-    submit_some(s, 1);
-    sim_run(s, DAY_S);
-    sim_run(s, REST_S);
-    assert_string_equal(s->broken, "");
-    assert_true(sim_all_over(s));
-    assert_true(s->n_starts >= 120);
-    check_status_page(s);
-    sim_free(s);
+    submit_some(sim, 1);
+    sim_run(sim, DAY_S);
+    sim_run(sim, REST_S);
+    assert_string_equal(sim->broken, "");
+    assert_true(sim_all_over(sim));
+    assert_true(sim->n_starts >= 120);
+    check_status_page(sim);
+    sim_free(sim);
 }
 
 /* A node that alone gets no answer from the state service leaves the load balancer, and comes back;
  * in an outage, when all of them get none, all stay. */
 static void refused_node_steps_aside(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(5, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(5, &none, SIM_SOUND, 3);
     (void)state;
-    sim_run(s, 5);
-    s->nodes[1].refused_until = s->now + 8;
-    sim_run(s, 4);
-    assert_true(rp_node_healthy(s->nodes[0].node));
-    assert_false(rp_node_healthy(s->nodes[1].node));
-    sim_run(s, 8);
-    assert_true(rp_node_healthy(s->nodes[1].node));
-    s->outage_until = s->now + 10;
-    sim_run(s, 6);
-    for (int i = 0; i < s->n_nodes; i++)
-        assert_true(rp_node_healthy(s->nodes[i].node));
-    sim_free(s);
+    sim_run(sim, 5);
+    sim->nodes[1].refused_until = sim->now + 8;
+    sim_run(sim, 4);
+    assert_true(rp_node_healthy(sim->nodes[0].node));
+    assert_false(rp_node_healthy(sim->nodes[1].node));
+    sim_run(sim, 8);
+    assert_true(rp_node_healthy(sim->nodes[1].node));
+    sim->outage_until = sim->now + 10;
+    sim_run(sim, 6);
+    for (int i = 0; i < sim->n_nodes; i++)
+        assert_true(rp_node_healthy(sim->nodes[i].node));
+    sim_free(sim);
 }
 
 /* Incident c8a9: a leader that reached the state service but no worker kept the key for 50 s, and
  * returned every machine. */
 static void isolated_leader_gives_way(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(6, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(6, &none, SIM_SOUND, 3);
     (void)state;
     for (int i = 0; i < 6; i++)
-        sim_submit(s, 1, "sweep", 30, 1, 60, 0);
-    sim_run(s, 60);
-    int leader = sim_leader(s);
-    unsigned long returned = s->nodes[leader].node->fleet.n_returned;
-    assert_true(s->nodes[leader].node->cluster.n_machines >= 4);
-    s->cut_from_workers = leader + 1;
-    sim_run(s, 11);
-    assert_true(sim_leader(s) >= 0 && sim_leader(s) != leader);
-    assert_int_equal(s->nodes[sim_leader(s)].node->fleet.n_returned, 0);
-    assert_true(s->nodes[leader].node->fleet.n_returned <= returned + 1);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+        sim_submit(sim, 1, "sweep", 30, 1, 60, 0);
+    sim_run(sim, 60);
+    int leader = sim_leader(sim);
+    unsigned long returned = sim->nodes[leader].node->fleet.n_returned;
+    assert_true(sim->nodes[leader].node->cluster.n_machines >= 4);
+    sim->cut_from_workers = leader + 1;
+    sim_run(sim, 11);
+    assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
+    assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.n_returned, 0);
+    assert_true(sim->nodes[leader].node->fleet.n_returned <= returned + 1);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* Days with one kind of trouble, then all together; afterwards the world is left in peace, and all
@@ -106,17 +106,17 @@
 static void days_of_trouble_on(int nodes, const struct sim_faults *faults, unsigned long first,
                                int days) {
     for (unsigned long seed = first; seed < first + (unsigned long)days; seed++) {
-        struct sim *s = sim_new(seed, faults, SIM_SOUND, nodes);
-        submit_some(s, seed);
-        sim_run(s, DAY_S);
-        sim_calm(s);
-        sim_run(s, REST_S);
-        sim_check_served(s);
-        if (s->broken[0])
-            fail_msg("seed %lu: %s", seed, s->broken);
-        if (!sim_all_over(s))
+        struct sim *sim = sim_new(seed, faults, SIM_SOUND, nodes);
+        submit_some(sim, seed);
+        sim_run(sim, DAY_S);
+        sim_calm(sim);
+        sim_run(sim, REST_S);
+        sim_check_served(sim);
+        if (sim->broken[0])
+            fail_msg("seed %lu: %s", seed, sim->broken);
+        if (!sim_all_over(sim))
             fail_msg("seed %lu: work left undone", seed);
-        sim_free(s);
+        sim_free(sim);
     }
 }
 
@@ -125,105 +125,105 @@
 }
 
 static void bad_network(void **state) {
-    static const struct sim_faults f = {.lose = 0.02, .late = 0.02, .repeat = 0.05};
+    static const struct sim_faults faults = {.lose = 0.02, .late = 0.02, .repeat = 0.05};
     (void)state;
-    days_of_trouble(&f, 100, 8);
+    days_of_trouble(&faults, 100, 8);
 }
 
 static void crashes(void **state) {
-    static const struct sim_faults f = {.crash_s = 12, .repeat = 0.02};
+    static const struct sim_faults faults = {.crash_s = 12, .repeat = 0.02};
     (void)state;
-    days_of_trouble(&f, 200, 8);
+    days_of_trouble(&faults, 200, 8);
 }
 
 static void state_troubles(void **state) {
-    static const struct sim_faults f = {.outage_s = 40, .refused_s = 25, .late = 0.01};
+    static const struct sim_faults faults = {.outage_s = 40, .refused_s = 25, .late = 0.01};
     (void)state;
-    days_of_trouble(&f, 300, 8);
+    days_of_trouble(&faults, 300, 8);
 }
 
 static void machine_troubles(void **state) {
-    static const struct sim_faults f = {
+    static const struct sim_faults faults = {
         .hang_s = 15, .death_s = 20, .take_s = 10, .task_error = 0.02};
     (void)state;
-    days_of_trouble(&f, 400, 8);
+    days_of_trouble(&faults, 400, 8);
 }
 
 static void everything(void **state) {
-    static const struct sim_faults f = {.lose = 0.01,
-                                        .late = 0.01,
-                                        .repeat = 0.03,
-                                        .crash_s = 25,
-                                        .outage_s = 80,
-                                        .refused_s = 60,
-                                        .hang_s = 25,
-                                        .death_s = 40,
-                                        .stall_s = 30,
-                                        .task_error = 0.01};
+    static const struct sim_faults faults = {.lose = 0.01,
+                                             .late = 0.01,
+                                             .repeat = 0.03,
+                                             .crash_s = 25,
+                                             .outage_s = 80,
+                                             .refused_s = 60,
+                                             .hang_s = 25,
+                                             .death_s = 40,
+                                             .stall_s = 30,
+                                             .task_error = 0.01};
     (void)state;
-    days_of_trouble(&f, 500, 24);
+    days_of_trouble(&faults, 500, 24);
 }
 
 /* Machines whose reports arrive while answers don't, with takeovers among it. */
 static void deaf_machines(void **state) {
-    static const struct sim_faults f = {.deaf_s = 12, .crash_s = 50};
+    static const struct sim_faults faults = {.deaf_s = 12, .crash_s = 50};
     (void)state;
-    days_of_trouble(&f, 600, 8);
+    days_of_trouble(&faults, 600, 8);
 }
 
 /* Copies of reports seconds to five leases late, across sessions, leaders, and machines that are
  * gone. */
 static void late_copies(void **state) {
-    static const struct sim_faults f = {
+    static const struct sim_faults faults = {
         .copies = 0.1, .hang_s = 20, .death_s = 30, .crash_s = 30, .take_s = 20};
     (void)state;
-    days_of_trouble(&f, 620, 8);
+    days_of_trouble(&faults, 620, 8);
 }
 
 /* Nodes that lose the state service and the other nodes, but not the workers. */
 static void lonely_nodes(void **state) {
-    static const struct sim_faults f = {.alone_s = 20, .repeat = 0.02, .late = 0.01};
+    static const struct sim_faults faults = {.alone_s = 20, .repeat = 0.02, .late = 0.01};
     (void)state;
-    days_of_trouble(&f, 640, 4);
-    days_of_trouble_on(5, &f, 650, 4);
+    days_of_trouble(&faults, 640, 4);
+    days_of_trouble_on(5, &faults, 650, 4);
 }
 
 /* Processes and machines back within 50 to 500 ms, at any moment: between the write of a key and
  * its answer, during an election, during a takeover; their old requests arrive late, and again. */
 static void split_second_returns(void **state) {
-    static const struct sim_faults f = {
+    static const struct sim_faults faults = {
         .blink_s = 4, .repeat = 0.1, .late = 0.03, .lose = 0.01, .copies = 0.05};
     (void)state;
-    days_of_trouble(&f, 660, 6);
-    days_of_trouble_on(5, &f, 670, 6);
+    days_of_trouble(&faults, 660, 6);
+    days_of_trouble_on(5, &faults, 670, 6);
 }
 
 static void everything_on_five(void **state) {
-    static const struct sim_faults f = {.lose = 0.01,
-                                        .late = 0.01,
-                                        .repeat = 0.03,
-                                        .copies = 0.03,
-                                        .crash_s = 30,
-                                        .outage_s = 90,
-                                        .refused_s = 60,
-                                        .alone_s = 50,
-                                        .deaf_s = 40,
-                                        .blink_s = 20,
-                                        .hang_s = 30,
-                                        .death_s = 50,
-                                        .stall_s = 40,
-                                        .take_s = 30,
-                                        .task_error = 0.01};
+    static const struct sim_faults faults = {.lose = 0.01,
+                                             .late = 0.01,
+                                             .repeat = 0.03,
+                                             .copies = 0.03,
+                                             .crash_s = 30,
+                                             .outage_s = 90,
+                                             .refused_s = 60,
+                                             .alone_s = 50,
+                                             .deaf_s = 40,
+                                             .blink_s = 20,
+                                             .hang_s = 30,
+                                             .death_s = 50,
+                                             .stall_s = 40,
+                                             .take_s = 30,
+                                             .task_error = 0.01};
     (void)state;
-    days_of_trouble_on(5, &f, 700, 16);
+    days_of_trouble_on(5, &faults, 700, 16);
 }
 
-static struct sim_worker *busiest_worker(struct sim *s) {
+static struct sim_worker *busiest_worker(struct sim *sim) {
     struct sim_worker *best = NULL;
-    for (int i = 0; i < s->size.workers; i++)
-        if (s->workers[i].used && s->workers[i].up &&
-            (!best || s->workers[i].n_tasks > best->n_tasks))
-            best = &s->workers[i];
+    for (int i = 0; i < sim->size.workers; i++)
+        if (sim->workers[i].used && sim->workers[i].up &&
+            (!best || sim->workers[i].n_tasks > best->n_tasks))
+            best = &sim->workers[i];
     return best;
 }
 
@@ -231,46 +231,46 @@
  * again and again. It gets no more work, and goes back. */
 static void deaf_machine_goes_back(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(7, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(7, &none, SIM_SOUND, 3);
     char name[RP_TEXT_MAX];
     (void)state;
     for (int i = 0; i < 6; i++)
-        sim_submit(s, 1, "sweep", 40, 1, 12, 0);
-    sim_run(s, 25);
-    struct sim_worker *w = busiest_worker(s);
-    w->deaf_until = s->now + 1000;
-    strcpy(name, w->name);
-    sim_run(s, 35);
-    struct rp_cluster *p = &s->nodes[sim_leader(s)].node->cluster;
-    const struct rp_machine *m = rp_machine_find(p, name);
-    assert_true(!m || !rp_machine_usable(m));
-    assert_true(!m || m->n_allocations == 0);
-    sim_run(s, 40);
-    assert_null(rp_machine_find(p, name));
-    sim_run(s, 100);
-    assert_string_equal(s->broken, "");
-    assert_true(sim_all_over(s));
-    sim_free(s);
+        sim_submit(sim, 1, "sweep", 40, 1, 12, 0);
+    sim_run(sim, 25);
+    struct sim_worker *worker = busiest_worker(sim);
+    worker->deaf_until = sim->now + 1000;
+    strcpy(name, worker->name);
+    sim_run(sim, 35);
+    struct rp_cluster *cluster = &sim->nodes[sim_leader(sim)].node->cluster;
+    const struct rp_machine *machine = rp_machine_find(cluster, name);
+    assert_true(!machine || !rp_machine_usable(machine));
+    assert_true(!machine || machine->n_allocations == 0);
+    sim_run(sim, 40);
+    assert_null(rp_machine_find(cluster, name));
+    sim_run(sim, 100);
+    assert_string_equal(sim->broken, "");
+    assert_true(sim_all_over(sim));
+    sim_free(sim);
 }
 
 /* After a takeover such a machine shows no token: it kept all work of before from being started,
  * for as long as its reports were answered. */
 static void deaf_machine_and_takeover(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(8, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(8, &none, SIM_SOUND, 3);
     (void)state;
     for (int i = 0; i < 4; i++)
-        sim_submit(s, 1, "sweep", 40, 1, 20, 0);
-    sim_run(s, 25);
-    struct sim_worker *w = busiest_worker(s);
-    w->deaf_until = s->now + 1000;
-    sim_crash(s, sim_leader(s), 3);
-    sim_run(s, 45);
-    assert_true(rp_cluster_settled(&s->nodes[sim_leader(s)].node->cluster));
-    sim_run(s, 120);
-    assert_string_equal(s->broken, "");
-    assert_true(sim_all_over(s));
-    sim_free(s);
+        sim_submit(sim, 1, "sweep", 40, 1, 20, 0);
+    sim_run(sim, 25);
+    struct sim_worker *worker = busiest_worker(sim);
+    worker->deaf_until = sim->now + 1000;
+    sim_crash(sim, sim_leader(sim), 3);
+    sim_run(sim, 45);
+    assert_true(rp_cluster_settled(&sim->nodes[sim_leader(sim)].node->cluster));
+    sim_run(sim, 120);
+    assert_string_equal(sim->broken, "");
+    assert_true(sim_all_over(sim));
+    sim_free(sim);
 }
 
 /* A late copy of a report by a machine that is gone, read by a leader who never knew it, made a
@@ -280,83 +280,83 @@
     static const char text[] =
         "{\"sheave\":\"vm-ghost\",\"address\":\"vm-ghost\",\"frame\":\"wide\",\"yard\":\"a\","
         "\"loaners\":false,\"stint\":3,\"tick\":50,\"warrant\":0,\"recall_s\":null,\"lifts\":[]}";
-    struct sim *s = sim_new(9, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(9, &none, SIM_SOUND, 3);
     (void)state;
-    sim_run(s, 10);
-    struct rp_node *n = s->nodes[sim_leader(s)].node;
+    sim_run(sim, 10);
+    struct rp_node *node = sim->nodes[sim_leader(sim)].node;
     struct kept_answer a = {.req = {.method = "POST",
                                     .target = "/checkin",
                                     .body = text,
                                     .len = strlen(text),
                                     .respond = keep_answer}};
-    rp_node_client_request(n, &a.req);
+    rp_node_client_request(node, &a.req);
     assert_int_equal(a.status, 200); /* if it is there, it learns the token and comes again */
-    assert_null(rp_machine_find(&n->cluster, "vm-ghost"));
-    sim_free(s);
+    assert_null(rp_machine_find(&node->cluster, "vm-ghost"));
+    sim_free(sim);
 }
 
 /* The leader loses the state service and the other nodes, but not its workers: it lets them go well
  * within their lease, and no task dies. */
 static void lonely_leader_lets_workers_go(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(10, &none, SIM_SOUND, 5);
+    struct sim *sim = sim_new(10, &none, SIM_SOUND, 5);
     uint64_t sessions[SIM_WORKERS] = {0};
     int kept = 0, all = 0;
     (void)state;
     for (int i = 0; i < 6; i++)
-        sim_submit(s, 1, "sweep", 30, 1, 60, 0);
-    sim_run(s, 40);
-    int leader = sim_leader(s);
-    for (int i = 0; i < s->size.workers; i++)
-        sessions[i] = s->workers[i].used && s->workers[i].up ? s->workers[i].session : 0;
-    s->nodes[leader].alone_until = s->now + 40;
-    sim_run(s, 6);
-    assert_false(rp_node_healthy(s->nodes[leader].node));
-    sim_run(s, 20);
-    assert_true(sim_leader(s) >= 0 && sim_leader(s) != leader);
-    for (int i = 0; i < s->size.workers; i++)
-        if (sessions[i] && s->workers[i].used) {
+        sim_submit(sim, 1, "sweep", 30, 1, 60, 0);
+    sim_run(sim, 40);
+    int leader = sim_leader(sim);
+    for (int i = 0; i < sim->size.workers; i++)
+        sessions[i] = sim->workers[i].used && sim->workers[i].up ? sim->workers[i].session : 0;
+    sim->nodes[leader].alone_until = sim->now + 40;
+    sim_run(sim, 6);
+    assert_false(rp_node_healthy(sim->nodes[leader].node));
+    sim_run(sim, 20);
+    assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
+    for (int i = 0; i < sim->size.workers; i++)
+        if (sessions[i] && sim->workers[i].used) {
             all++;
-            kept += s->workers[i].session == sessions[i];
+            kept += sim->workers[i].session == sessions[i];
         }
     assert_true(all >= 4);
     assert_int_equal(kept, all);
-    sim_run(s, 30);
-    assert_true(rp_node_healthy(s->nodes[leader].node));
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+    sim_run(sim, 30);
+    assert_true(rp_node_healthy(sim->nodes[leader].node));
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* How many of the machines that are up 24 s after the trouble have kept their lease through it. */
 static void leases_outlive(int nodes, unsigned long first, int days,
-                           void (*trouble)(struct sim *s)) {
+                           void (*trouble)(struct sim *sim)) {
     static const struct sim_faults none = {0};
     int kept = 0, all = 0;
     for (unsigned long seed = first; seed < first + (unsigned long)days; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, nodes);
-        for (int i = 0; i < s->n_nodes; i++)
-            s->settings[i].teams[0].cpus_max = 1e6;
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, nodes);
+        for (int i = 0; i < sim->n_nodes; i++)
+            sim->settings[i].teams[0].cpus_max = 1e6;
         for (int i = 0; i < 12; i++)
-            sim_submit(s, 1, "sweep", 40, 1, 120, 0);
-        sim_run(s, 40);
-        trouble(s);
-        sim_run(s, 24);
-        assert_true(sim_leader(s) >= 0);
-        for (int i = 0; i < s->size.workers; i++)
-            if (s->workers[i].used && s->workers[i].up) {
+            sim_submit(sim, 1, "sweep", 40, 1, 120, 0);
+        sim_run(sim, 40);
+        trouble(sim);
+        sim_run(sim, 24);
+        assert_true(sim_leader(sim) >= 0);
+        for (int i = 0; i < sim->size.workers; i++)
+            if (sim->workers[i].used && sim->workers[i].up) {
                 all++;
-                kept += s->workers[i].session == 1;
+                kept += sim->workers[i].session == 1;
             }
-        assert_string_equal(s->broken, "");
-        sim_free(s);
+        assert_string_equal(sim->broken, "");
+        sim_free(sim);
     }
     assert_true(all >= 10 * days);
     if (kept < all - all / 10)
         fail_msg("machines that kept their lease: %d of %d", kept, all);
 }
 
-static void freeze_leader(struct sim *s) {
-    s->nodes[sim_leader(s)].stalled_until = s->now + 25;
+static void freeze_leader(struct sim *sim) {
+    sim->nodes[sim_leader(sim)].stalled_until = sim->now + 25;
 }
 
 /* A leader that stands still keeps its key until the lease ends: the others went on naming it, and
@@ -366,11 +366,11 @@
     leases_outlive(5, 20, 6, freeze_leader);
 }
 
-static void freeze_two_leaders(struct sim *s) {
-    s->nodes[sim_leader(s)].stalled_until = s->now + 300;
-    sim_run(s, 35);
-    assert_true(sim_leader(s) >= 0);
-    freeze_leader(s);
+static void freeze_two_leaders(struct sim *sim) {
+    sim->nodes[sim_leader(sim)].stalled_until = sim->now + 300;
+    sim_run(sim, 35);
+    assert_true(sim_leader(sim) >= 0);
+    freeze_leader(sim);
 }
 
 /* Of three nodes one answers nobody for minutes, and then the next leader stands still, too: a
@@ -381,20 +381,20 @@
     leases_outlive(3, 40, 4, freeze_two_leaders);
 }
 
-static void end_leader_apart(struct sim *s) {
-    s->apart_until = s->now + 60;
-    sim_run(s, 5);
-    sim_crash(s, sim_leader(s), 40);
+static void end_leader_apart(struct sim *sim) {
+    sim->apart_until = sim->now + 60;
+    sim_run(sim, 5);
+    sim_crash(sim, sim_leader(sim), 40);
 }
 
-static void end_all_without_the_cloud(struct sim *s) {
-    s->cloud_out_until = s->now + 60;
-    for (int i = 0; i < s->n_nodes; i++)
-        sim_crash(s, i, 3);
-    int job = sim_submit(s, s->now + 6, "sweep", 2, 1, 20, 0);
-    sim_run(s, 10);
-    assert_true(sim_leader(s) >= 0);
-    assert_true(s->jobs[job].accepted);
+static void end_all_without_the_cloud(struct sim *sim) {
+    sim->cloud_out_until = sim->now + 60;
+    for (int i = 0; i < sim->n_nodes; i++)
+        sim_crash(sim, i, 3);
+    int job = sim_submit(sim, sim->now + 6, "sweep", 2, 1, 20, 0);
+    sim_run(sim, 10);
+    assert_true(sim_leader(sim) >= 0);
+    assert_true(sim->jobs[job].accepted);
 }
 
 /* Without the machine types, which the cloud tells, a node takes part in no election and accepts
@@ -419,23 +419,23 @@
     int lost = 0;
     (void)state;
     for (unsigned long seed = 80; seed < 83; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
-        int gang = sim_submit(s, 1, "ensemble", 3, 8, 20, 0);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
+        int gang = sim_submit(sim, 1, "ensemble", 3, 8, 20, 0);
         for (int step = 0; step < 1500 && !lost; step++) {
-            sim_run(s, 0.02);
-            for (int i = 0; i < s->size.workers && !lost; i++)
-                if (s->workers[i].used && s->workers[i].up && s->workers[i].n_tasks > 0 &&
-                    s->workers[i].tasks[0].state == RP_TASK_FETCHING) {
-                    s->workers[i].alive = false;
+            sim_run(sim, 0.02);
+            for (int i = 0; i < sim->size.workers && !lost; i++)
+                if (sim->workers[i].used && sim->workers[i].up && sim->workers[i].n_tasks > 0 &&
+                    sim->workers[i].tasks[0].state == RP_TASK_FETCHING) {
+                    sim->workers[i].alive = false;
                     lost++;
                 }
         }
         assert_int_equal(lost, 1);
-        assert_false(s->jobs[gang].begun);
-        sim_run(s, 180);
-        assert_string_equal(s->broken, "");
-        assert_true(s->jobs[gang].told_done);
-        sim_free(s);
+        assert_false(sim->jobs[gang].begun);
+        sim_run(sim, 180);
+        assert_string_equal(sim->broken, "");
+        assert_true(sim->jobs[gang].told_done);
+        sim_free(sim);
         lost = 0;
     }
 }
@@ -444,58 +444,60 @@
  */
 static void takeover_keeps_gangs(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(11, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(11, &none, SIM_SOUND, 3);
     (void)state;
-    int gang = sim_submit(s, 1, "ensemble", 4, 8, 60, 0);
-    sim_run(s, 30);
-    assert_true(s->jobs[gang].begun);
-    unsigned long starts = s->n_starts;
-    sim_crash(s, sim_leader(s), 3);
-    sim_run(s, 70);
-    assert_true(s->jobs[gang].told_done);
-    assert_int_equal(s->n_starts, starts);
-    sim_free(s);
+    int gang = sim_submit(sim, 1, "ensemble", 4, 8, 60, 0);
+    sim_run(sim, 30);
+    assert_true(sim->jobs[gang].begun);
+    unsigned long starts = sim->n_starts;
+    sim_crash(sim, sim_leader(sim), 3);
+    sim_run(sim, 70);
+    assert_true(sim->jobs[gang].told_done);
+    assert_int_equal(sim->n_starts, starts);
+    sim_free(sim);
 }
 
 /* A new leader knew only of the images of tasks that ran, and sent work, replicas above all, to
  * machines that had to fetch: the others remember for it, and tell one that was away. */
 static void takeover_keeps_images(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(16, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(16, &none, SIM_SOUND, 3);
     size_t with_image = 0, still = 0;
     (void)state;
-    sim_submit(s, 1, "sweep", 40, 1, 8, 0);
-    sim_submit(s, 22, "service", 2, 1, 0, 100);
-    sim_run(s, 32);
-    for (const struct rp_machine *m = s->nodes[sim_leader(s)].node->cluster.first; m; m = m->next)
-        with_image += m->n_images > 0;
+    sim_submit(sim, 1, "sweep", 40, 1, 8, 0);
+    sim_submit(sim, 22, "service", 2, 1, 0, 100);
+    sim_run(sim, 32);
+    for (const struct rp_machine *machine = sim->nodes[sim_leader(sim)].node->cluster.first;
+         machine; machine = machine->next)
+        with_image += machine->n_images > 0;
     assert_true(with_image >= 3);
-    sim_crash(s, sim_leader(s), 0.3);
-    sim_run(s, 2);
-    for (const struct rp_machine *m = s->nodes[sim_leader(s)].node->cluster.first; m; m = m->next)
-        still += m->n_images > 0;
+    sim_crash(sim, sim_leader(sim), 0.3);
+    sim_run(sim, 2);
+    for (const struct rp_machine *machine = sim->nodes[sim_leader(sim)].node->cluster.first;
+         machine; machine = machine->next)
+        still += machine->n_images > 0;
     assert_int_equal(still, with_image);
-    sim_free(s);
+    sim_free(sim);
 }
 
 /* Gangs of whole machines starved on a full fleet, where what falls free is taken by what needs
  * less: their machines are gathered. And a cloud that has no more is not asked all the time. */
 static void large_gangs_begin_on_a_full_fleet(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(12, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(12, &none, SIM_SOUND, 3);
     (void)state;
-    for (int i = 0; i < s->n_nodes; i++)
-        s->settings[i].teams[0].cpus_max = 1e6;
+    for (int i = 0; i < sim->n_nodes; i++)
+        sim->settings[i].teams[0].cpus_max = 1e6;
     for (int i = 0; i < 40; i++)
-        sim_submit(s, 1 + i * 2, "sweep", 40, 2, 20, 0);
-    sim_run(s, 40);
-    int gang = sim_submit(s, s->now, "ensemble", 4, 24, 20, 0);
-    sim_run(s, 60);
-    assert_true(s->jobs[gang].begun);
-    struct rp_node *n = s->nodes[sim_leader(s)].node;
-    assert_true(n->fleet.n_refused > 0 && n->fleet.n_refused < 60);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+        sim_submit(sim, 1 + i * 2, "sweep", 40, 2, 20, 0);
+    sim_run(sim, 40);
+    int gang = sim_submit(sim, sim->now, "ensemble", 4, 24, 20, 0);
+    sim_run(sim, 60);
+    assert_true(sim->jobs[gang].begun);
+    struct rp_node *node = sim->nodes[sim_leader(sim)].node;
+    assert_true(node->fleet.n_refused > 0 && node->fleet.n_refused < 60);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* Machines that were kept for a gang, and idle until the last of them was free, went back at their
@@ -503,42 +505,44 @@
  */
 static void kept_machines_stay(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(17, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(17, &none, SIM_SOUND, 3);
     int kept = 0;
     (void)state;
-    for (int i = 0; i < s->n_nodes; i++)
-        s->settings[i].teams[0].cpus_max = 1e6;
+    for (int i = 0; i < sim->n_nodes; i++)
+        sim->settings[i].teams[0].cpus_max = 1e6;
     for (int i = 0; i < 14; i++)
-        sim_submit(s, 1 + i * 2, "sweep", 40, 2, 30 + 5 * (i % 5), 0);
-    sim_run(s, 45);
+        sim_submit(sim, 1 + i * 2, "sweep", 40, 2, 30 + 5 * (i % 5), 0);
+    sim_run(sim, 45);
     for (int i = 0; i < 4; i++)
-        sim_submit(s, s->now + i, "ensemble:low", 6, 24, 20, 0);
+        sim_submit(sim, sim->now + i, "ensemble:low", 6, 24, 20, 0);
     for (int i = 0; i < 1500; i++) {
-        sim_run(s, 0.1);
-        const struct rp_node *n = s->nodes[sim_leader(s)].node;
-        for (const struct rp_machine *m = n->cluster.first; m; m = m->next) {
-            const struct rp_job *job = *m->reserved ? rp_jobs_find(&n->jobs, m->reserved) : NULL;
-            if (!job || job->state != RP_JOB_OPEN || job->n_counted > 0 || m->faulty ||
-                m->noticed || rp_ts_reached(rp_loop_now(n->loop), m->reserved_until))
+        sim_run(sim, 0.1);
+        const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
+        for (const struct rp_machine *machine = node->cluster.first; machine;
+             machine = machine->next) {
+            const struct rp_job *job =
+                *machine->reserved ? rp_jobs_find(&node->jobs, machine->reserved) : NULL;
+            if (!job || job->state != RP_JOB_OPEN || job->n_counted > 0 || machine->faulty ||
+                machine->noticed || rp_ts_reached(rp_loop_now(node->loop), machine->reserved_until))
                 continue;
-            kept += m->n_allocations == 0;
-            assert_int_equal(m->state, RP_MACHINE_UP);
+            kept += machine->n_allocations == 0;
+            assert_int_equal(machine->state, RP_MACHINE_UP);
         }
     }
     assert_true(kept > 20);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* Incident f8f1: gangs of one task that takes a whole machine waited for seven minutes behind small
  * work of their own priority, which took all room that fell free. */
 static void whole_machine_task_begins_on_a_full_fleet(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(15, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(15, &none, SIM_SOUND, 3);
     int gangs[3];
     (void)state;
-    for (int i = 0; i < s->n_nodes; i++) {
-        struct rp_settings *settings = &s->settings[i];
+    for (int i = 0; i < sim->n_nodes; i++) {
+        struct rp_settings *settings = &sim->settings[i];
         settings->teams[0].cpus_max = 1e6;
         settings->objectives = calloc(1, sizeof *settings->objectives);
         assert_non_null(settings->objectives);
@@ -548,75 +552,75 @@
         strcpy(settings->objectives[0].class_name, "a");
     }
     for (int i = 0; i < 90; i++)
-        sim_submit(s, 1 + i * 2, "sweep", 40, 2, 20, 0);
-    sim_run(s, 40);
+        sim_submit(sim, 1 + i * 2, "sweep", 40, 2, 20, 0);
+    sim_run(sim, 40);
     for (int i = 0; i < 3; i++)
-        gangs[i] = sim_submit(s, s->now, "ensemble:low", 1, 24, 20, 0);
-    sim_run(s, 100);
+        gangs[i] = sim_submit(sim, sim->now, "ensemble:low", 1, 24, 20, 0);
+    sim_run(sim, 100);
     for (int i = 0; i < 3; i++)
-        assert_true(s->jobs[gangs[i]].begun);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+        assert_true(sim->jobs[gangs[i]].begun);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* Incident 4d52: jobs that fail wherever they are started had every third good machine that they
  * met given back, with its images; and all their tasks were started again and again. */
 static void bad_jobs_condemn_no_machine(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(18, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(18, &none, SIM_SOUND, 3);
     (void)state;
-    for (int i = 0; i < s->n_nodes; i++)
-        s->settings[i].teams[0].cpus_max = 1e6;
+    for (int i = 0; i < sim->n_nodes; i++)
+        sim->settings[i].teams[0].cpus_max = 1e6;
     for (int i = 0; i < 12; i++)
-        sim_submit(s, 1 + i * 6, "sweep", 40, 2, 12, 0);
+        sim_submit(sim, 1 + i * 6, "sweep", 40, 2, 12, 0);
     for (int i = 0; i < 5; i++) {
-        int bad = sim_submit(s, 20 + i * 5, "sweep", 40, 1, 1, 100);
-        s->jobs[bad].faulty = true;
+        int bad = sim_submit(sim, 20 + i * 5, "sweep", 40, 1, 1, 100);
+        sim->jobs[bad].faulty = true;
     }
     for (int i = 0; i < 800; i++) {
-        sim_run(s, 0.1);
-        for (int k = 0; sim_leader(s) >= 0 && k < s->size.workers; k++) {
-            const struct rp_machine *m =
-                rp_machine_find(&s->nodes[sim_leader(s)].node->cluster, s->workers[k].name);
-            assert_true(!m || !m->faulty);
+        sim_run(sim, 0.1);
+        for (int k = 0; sim_leader(sim) >= 0 && k < sim->size.workers; k++) {
+            const struct rp_machine *machine =
+                rp_machine_find(&sim->nodes[sim_leader(sim)].node->cluster, sim->workers[k].name);
+            assert_true(!machine || !machine->faulty);
         }
     }
-    assert_true(s->n_errors >= 20);
-    assert_true(s->n_errors <= 5 * 40 + 5 * 30); /* all once, then a few at a time */
-    sim_run(s, 150);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+    assert_true(sim->n_errors >= 20);
+    assert_true(sim->n_errors <= 5 * 40 + 5 * 30); /* all once, then a few at a time */
+    sim_run(sim, 150);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* Machines that never come up are told from slow ones, given back and replaced: they hold no work
  * for ever, and cost a bounded time. */
 static void machines_that_never_come_up(void **state) {
-    static const struct sim_faults f = {.never_up = 0.4};
+    static const struct sim_faults faults = {.never_up = 0.4};
     int never = 0;
     (void)state;
     for (unsigned long seed = 40; seed < 44; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
         double longest = 0;
-        submit_some(s, seed);
+        submit_some(sim, seed);
         for (int i = 0; i < 150; i++) {
-            sim_run(s, 1);
+            sim_run(sim, 1);
             if (i == 40)
-                sim_crash(s, sim_leader(s), 3);
-            for (int k = 0; k < s->size.workers; k++)
-                if (s->workers[k].used && s->workers[k].boots > 1e8) {
-                    longest = fmax(longest, s->now - s->workers[k].rented);
-                    never += s->now - s->workers[k].rented < 1;
+                sim_crash(sim, sim_leader(sim), 3);
+            for (int k = 0; k < sim->size.workers; k++)
+                if (sim->workers[k].used && sim->workers[k].boots > 1e8) {
+                    longest = fmax(longest, sim->now - sim->workers[k].rented);
+                    never += sim->now - sim->workers[k].rented < 1;
                 }
         }
         /* The slowest type boots in 12 s; a new leader reckons anew here, where no time of day is.
          */
-        assert_true(longest > 10 && longest < 12 * s->settings[0].tuning.boot_patience * 2 + 20);
-        sim_calm(s);
-        sim_run(s, REST_S);
-        sim_check_served(s);
-        assert_string_equal(s->broken, "");
-        assert_true(sim_all_over(s));
-        sim_free(s);
+        assert_true(longest > 10 && longest < 12 * sim->settings[0].tuning.boot_patience * 2 + 20);
+        sim_calm(sim);
+        sim_run(sim, REST_S);
+        sim_check_served(sim);
+        assert_string_equal(sim->broken, "");
+        assert_true(sim_all_over(sim));
+        sim_free(sim);
     }
     assert_true(never >= 8);
 }
@@ -627,32 +631,32 @@
     static const struct sim_faults none = {0};
     (void)state;
     for (unsigned long seed = 90; seed < 93; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
         int guest[2];
-        for (int i = 0; i < s->n_nodes; i++) {
-            s->settings[i].teams[0].cpus_max = 1e6;
-            s->settings[i].teams[1].cpus = 24;
+        for (int i = 0; i < sim->n_nodes; i++) {
+            sim->settings[i].teams[0].cpus_max = 1e6;
+            sim->settings[i].teams[1].cpus = 24;
         }
         for (int i = 0; i < 14; i++)
-            sim_submit(s, 1, "sweep", 40, 4, 150, 0);
-        sim_run(s, 60);
+            sim_submit(sim, 1, "sweep", 40, 4, 150, 0);
+        sim_run(sim, 60);
         for (int i = 0; i < 2; i++) {
-            guest[i] = sim_submit(s, 60, "sweep", 24, 1, 20, 0);
-            sim_change(s, guest[i], "crew", json_string("guests"));
-            sim_change(s, guest[i], "precedence", json_string("low"));
+            guest[i] = sim_submit(sim, 60, "sweep", 24, 1, 20, 0);
+            sim_change(sim, guest[i], "crew", json_string("guests"));
+            sim_change(sim, guest[i], "precedence", json_string("low"));
         }
-        sim_run(s, 55);
-        assert_true(s->jobs[guest[0]].told_done);
+        sim_run(sim, 55);
+        assert_true(sim->jobs[guest[0]].told_done);
         /* The second job is beyond the guarantee until the first is over. */
-        assert_true(s->jobs[guest[1]].begun);
-        sim_run(s, 30);
-        assert_true(s->jobs[guest[1]].told_done);
-        sim_calm(s);
-        sim_run(s, 600);
-        sim_check_served(s);
-        assert_string_equal(s->broken, "");
-        assert_true(sim_all_over(s));
-        sim_free(s);
+        assert_true(sim->jobs[guest[1]].begun);
+        sim_run(sim, 30);
+        assert_true(sim->jobs[guest[1]].told_done);
+        sim_calm(sim);
+        sim_run(sim, 600);
+        sim_check_served(sim);
+        assert_string_equal(sim->broken, "");
+        assert_true(sim_all_over(sim));
+        sim_free(sim);
     }
 }
 
@@ -660,87 +664,87 @@
  * cancellations pass all the same, and what is too much is refused at once. */
 static void questions_starve_nothing(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(60, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(60, &none, SIM_SOUND, 3);
     int late = 0, cancelled = 0;
     (void)state;
-    s->eager_polls = true;
+    sim->eager_polls = true;
     for (int i = 0; i < 100; i++)
-        sim_submit(s, 1 + i, "sweep", 2, 1, 6, i % 4 ? 0 : 11 + i);
-    sim_run(s, 40);
-    unsigned long polls = s->n_polls, reads = s->n_state_reads + s->n_comparisons;
-    sim_run(s, 60);
-    polls = s->n_polls - polls;
-    reads = s->n_state_reads + s->n_comparisons - reads;
+        sim_submit(sim, 1 + i, "sweep", 2, 1, 6, i % 4 ? 0 : 11 + i);
+    sim_run(sim, 40);
+    unsigned long polls = sim->n_polls, reads = sim->n_state_reads + sim->n_comparisons;
+    sim_run(sim, 60);
+    polls = sim->n_polls - polls;
+    reads = sim->n_state_reads + sim->n_comparisons - reads;
     assert_true(polls > 60 * 250);         /* asked */
     assert_true((double)reads < 60 * 200); /* and what the settings allow */
-    sim_run(s, 20);
+    sim_run(sim, 20);
     for (int i = 0; i < 100; i++) {
-        late += s->jobs[i].accepted_at > 1 + i + 1.5;
-        cancelled += i % 4 == 0 && (s->jobs[i].told_done || s->jobs[i].told_cancelled);
+        late += sim->jobs[i].accepted_at > 1 + i + 1.5;
+        cancelled += i % 4 == 0 && (sim->jobs[i].told_done || sim->jobs[i].told_cancelled);
     }
     assert_true(late <= 2);
     assert_int_equal(cancelled, 25);
-    sim_calm(s);
-    sim_run(s, 60);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+    sim_calm(sim);
+    sim_run(sim, 60);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* Questions beyond the budget share requests: hundreds of users who ask about running jobs were
  * refused two times in three (incidents 5bf9 and 092b). */
 static void questions_are_answered_together(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(61, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(61, &none, SIM_SOUND, 3);
     (void)state;
     for (int i = 0; i < 100; i++)
-        sim_submit(s, 1 + i * 0.2, "sweep", 2, 1, 200, 0);
-    sim_run(s, 40);
-    s->eager_polls = true;
-    sim_run(s, 5);
-    unsigned long polls = s->n_polls, known = s->n_polls_known;
-    unsigned long requests = s->n_state_reads + s->n_comparisons;
-    sim_run(s, 40);
-    polls = s->n_polls - polls;
-    known = s->n_polls_known - known;
-    requests = s->n_state_reads + s->n_comparisons - requests;
+        sim_submit(sim, 1 + i * 0.2, "sweep", 2, 1, 200, 0);
+    sim_run(sim, 40);
+    sim->eager_polls = true;
+    sim_run(sim, 5);
+    unsigned long polls = sim->n_polls, known = sim->n_polls_known;
+    unsigned long requests = sim->n_state_reads + sim->n_comparisons;
+    sim_run(sim, 40);
+    polls = sim->n_polls - polls;
+    known = sim->n_polls_known - known;
+    requests = sim->n_state_reads + sim->n_comparisons - requests;
     assert_true(polls > 40 * 400);
     assert_true((double)requests < 40 * 200 * 0.6);
     if ((double)known < 0.97 * (double)polls)
         fail_msg("questions that got the job's state: %lu of %lu", known, polls);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* A team without a guarantee, with a batch for idle times, a huge array and a swarm of single
  * tasks, among another team's work for more than all machines: its jobs begin within four minutes,
  * half of them at least are served (sim_check.c), and no job waits while there is room. */
 static void guests_are_served(void **state) {
-    static const struct sim_faults f = {.crash_s = 80, .take_s = 30};
+    static const struct sim_faults faults = {.crash_s = 80, .take_s = 30};
     (void)state;
     for (unsigned long seed = 50; seed < 53; seed++) {
-        struct sim *s = sim_new(seed, &f, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
         int begun = 0, swarm = 0;
         for (int i = 0; i < 30; i++)
-            sim_submit(s, 1 + i * 4, i % 6 ? "sweep" : "ensemble", i % 6 ? 20 : 3, i % 6 ? 1 : 4,
+            sim_submit(sim, 1 + i * 4, i % 6 ? "sweep" : "ensemble", i % 6 ? 20 : 3, i % 6 ? 1 : 4,
                        12, 0);
         for (int i = 0; i < 80; i++) {
-            int j = i < 4 ? sim_submit(s, 20, "sweep", 40, 2, 60, 0)
-                          : sim_submit(s, 30 + i, "sweep", 1, 1, 5, 0);
-            sim_change(s, j, "crew", json_string("guests"));
+            int j = i < 4 ? sim_submit(sim, 20, "sweep", 40, 2, 60, 0)
+                          : sim_submit(sim, 30 + i, "sweep", 1, 1, 5, 0);
+            sim_change(sim, j, "crew", json_string("guests"));
         }
-        sim_run(s, 150);
-        for (int i = 0; i < s->n_jobs; i++) {
-            bool guest = strcmp(s->jobs[i].spec.team, "guests") == 0;
-            begun += guest && s->jobs[i].begun;
-            swarm += guest && s->jobs[i].told_done && s->jobs[i].spec.n_tasks == 1;
+        sim_run(sim, 150);
+        for (int i = 0; i < sim->n_jobs; i++) {
+            bool guest = strcmp(sim->jobs[i].spec.team, "guests") == 0;
+            begun += guest && sim->jobs[i].begun;
+            swarm += guest && sim->jobs[i].told_done && sim->jobs[i].spec.n_tasks == 1;
         }
         assert_true(begun >= 70);
         assert_true(swarm >= 60);
-        sim_calm(s);
-        sim_run(s, REST_S);
-        sim_check_served(s);
-        assert_string_equal(s->broken, "");
-        sim_free(s);
+        sim_calm(sim);
+        sim_run(sim, REST_S);
+        sim_check_served(sim);
+        assert_string_equal(sim->broken, "");
+        sim_free(sim);
     }
 }
 
@@ -748,59 +752,59 @@
  * there are jobs about that fail everywhere. */
 static void bad_machines_are_found(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(19, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(19, &none, SIM_SOUND, 3);
     int bad = 0, left = 0;
     (void)state;
     for (int i = 0; i < 12; i++)
-        sim_submit(s, 1 + i * 4, "sweep", 20, 1, 8, 0);
-    int job = sim_submit(s, 15, "sweep", 10, 1, 1, 60);
-    s->jobs[job].faulty = true;
-    sim_run(s, 20);
-    for (int i = 0; i < s->size.workers && bad < 2; i++)
-        if (s->workers[i].used && s->workers[i].up && s->workers[i].n_tasks > 0) {
-            s->workers[i].bad = true;
+        sim_submit(sim, 1 + i * 4, "sweep", 20, 1, 8, 0);
+    int job = sim_submit(sim, 15, "sweep", 10, 1, 1, 60);
+    sim->jobs[job].faulty = true;
+    sim_run(sim, 20);
+    for (int i = 0; i < sim->size.workers && bad < 2; i++)
+        if (sim->workers[i].used && sim->workers[i].up && sim->workers[i].n_tasks > 0) {
+            sim->workers[i].bad = true;
             bad++;
         }
     assert_int_equal(bad, 2);
-    sim_run(s, 40);
-    for (int i = 0; i < s->size.workers; i++)
-        left += s->workers[i].used && s->workers[i].bad;
+    sim_run(sim, 40);
+    for (int i = 0; i < sim->size.workers; i++)
+        left += sim->workers[i].used && sim->workers[i].bad;
     assert_int_equal(left, 0);
-    assert_true(s->n_errors <= 120);
-    sim_run(s, 200);
-    assert_string_equal(s->broken, "");
-    assert_true(sim_all_over(s));
-    sim_free(s);
+    assert_true(sim->n_errors <= 120);
+    sim_run(sim, 200);
+    assert_string_equal(sim->broken, "");
+    assert_true(sim_all_over(sim));
+    sim_free(sim);
 }
 
 /* A cut that held packets back delivered reports of sessions that had ended: their tasks, which ran
  * elsewhere by then, were taken to be on the old machines as well. */
 static void held_reports_bring_nothing_back(void **state) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(13, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(13, &none, SIM_SOUND, 3);
     (void)state;
     for (int i = 0; i < 4; i++)
-        sim_submit(s, 1, "sweep", 40, 1, 30, 0);
-    sim_run(s, 25);
-    struct sim_worker *w = busiest_worker(s);
-    s->held_worker = (int)(w - s->workers) + 1;
-    s->held_until = s->now + 20;
-    sim_run(s, 19.9);
-    int leader = sim_leader(s);
-    const struct rp_node *n = s->nodes[leader].node;
-    const struct rp_machine *m = rp_machine_find(&n->cluster, w->name);
-    assert_true(m && m->state == RP_MACHINE_LOST);
+        sim_submit(sim, 1, "sweep", 40, 1, 30, 0);
+    sim_run(sim, 25);
+    struct sim_worker *worker = busiest_worker(sim);
+    sim->held_worker = (int)(worker - sim->workers) + 1;
+    sim->held_until = sim->now + 20;
+    sim_run(sim, 19.9);
+    int leader = sim_leader(sim);
+    const struct rp_node *node = sim->nodes[leader].node;
+    const struct rp_machine *machine = rp_machine_find(&node->cluster, worker->name);
+    assert_true(machine && machine->state == RP_MACHINE_LOST);
     for (int i = 0; i < 20; i++) {
-        sim_run(s, 0.02);
-        assert_int_equal(sim_leader(s), leader);
-        for (const struct rp_job *job = n->jobs.first; job; job = job->next)
+        sim_run(sim, 0.02);
+        assert_int_equal(sim_leader(sim), leader);
+        for (const struct rp_job *job = node->jobs.first; job; job = job->next)
             for (uint32_t t = 0; t < job->spec.n_tasks; t++)
                 assert_true(rp_job_allocations(job, t) <= 1);
     }
-    sim_run(s, 200);
-    assert_string_equal(s->broken, "");
-    assert_true(sim_all_over(s));
-    sim_free(s);
+    sim_run(sim, 200);
+    assert_string_equal(sim->broken, "");
+    assert_true(sim_all_over(sim));
+    sim_free(sim);
 }
 
 /* Incident 592a: the machines of a zone that was cut off for 35 s were all given back, the last of
@@ -809,36 +813,36 @@
  * until they had gone back. */
 static void cut_zone(bool takeover) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new(14, &none, SIM_SOUND, 3);
+    struct sim *sim = sim_new(14, &none, SIM_SOUND, 3);
     int in_zone = 0, before = 0;
-    for (int i = 0; i < s->n_nodes; i++)
-        s->settings[i].teams[0].cpus_max = 1e6;
+    for (int i = 0; i < sim->n_nodes; i++)
+        sim->settings[i].teams[0].cpus_max = 1e6;
     for (int i = 0; i < 40; i++)
-        sim_submit(s, 1 + i * 2, "sweep", 40, 2, 40, 0);
-    sim_run(s, 45);
-    for (int i = 0; i < s->size.workers; i++)
-        before += s->workers[i].used && s->workers[i].up && s->workers[i].zone == 0;
+        sim_submit(sim, 1 + i * 2, "sweep", 40, 2, 40, 0);
+    sim_run(sim, 45);
+    for (int i = 0; i < sim->size.workers; i++)
+        before += sim->workers[i].used && sim->workers[i].up && sim->workers[i].zone == 0;
     assert_true(before >= 4);
-    s->cut_zone = 1;
-    sim_run(s, 5);
+    sim->cut_zone = 1;
+    sim_run(sim, 5);
     if (takeover)
-        sim_crash(s, sim_leader(s), 3);
-    sim_run(s, 30);
-    const struct rp_node *n = s->nodes[sim_leader(s)].node;
-    assert_true(rp_fleet_zone_out(&n->fleet, 0));
+        sim_crash(sim, sim_leader(sim), 3);
+    sim_run(sim, 30);
+    const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
+    assert_true(rp_fleet_zone_out(&node->fleet, 0));
     int lost = 0;
-    for (const struct rp_machine *m = n->cluster.first; m; m = m->next)
-        lost += m->zone == 0 && m->state == RP_MACHINE_LOST;
+    for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
+        lost += machine->zone == 0 && machine->state == RP_MACHINE_LOST;
     assert_int_equal(lost, before);
-    s->cut_zone = 0;
-    sim_run(s, 14);
-    assert_false(rp_fleet_zone_out(&n->fleet, 0));
-    for (const struct rp_machine *m = n->cluster.first; m; m = m->next)
-        in_zone += m->zone == 0 && m->state == RP_MACHINE_UP && m->session > 1;
+    sim->cut_zone = 0;
+    sim_run(sim, 14);
+    assert_false(rp_fleet_zone_out(&node->fleet, 0));
+    for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
+        in_zone += machine->zone == 0 && machine->state == RP_MACHINE_UP && machine->session > 1;
     assert_int_equal(in_zone, before);
-    sim_run(s, 200);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+    sim_run(sim, 200);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 static void cut_zone_keeps_its_machines(void **state) {
@@ -851,32 +855,32 @@
 
 static const struct sim_size large = {1400, 163, 4, 22, 47, 800, 80, 10};
 
-static int machines_in(const struct sim *s, enum rp_machine_state state) {
+static int machines_in(const struct sim *sim, enum rp_machine_state state) {
     int n = 0;
-    const struct rp_node *node = s->nodes[sim_leader(s)].node;
-    for (const struct rp_machine *m = node->cluster.first; m; m = m->next)
-        n += m->state == state;
+    const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
+    for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
+        n += machine->state == state;
     return n;
 }
 
 /* A world in which 1,304 machines are up and busy. */
 static struct sim *large_fleet(unsigned long seed, double run_s) {
     static const struct sim_faults none = {0};
-    struct sim *s = sim_new_sized(seed, &none, SIM_SOUND, 5, &large);
-    for (int i = 0; i < s->n_nodes; i++)
-        s->settings[i].teams[0].cpus_max = 1e6;
+    struct sim *sim = sim_new_sized(seed, &none, SIM_SOUND, 5, &large);
+    for (int i = 0; i < sim->n_nodes; i++)
+        sim->settings[i].teams[0].cpus_max = 1e6;
     for (int i = 0; i < 120; i++)
-        sim_submit(s, 1 + i * 0.05, "sweep", 40, 8, run_s, 0);
-    sim_run(s, 45);
-    assert_string_equal(s->broken, "");
-    assert_true(machines_in(s, RP_MACHINE_UP) >= 1290);
-    return s;
+        sim_submit(sim, 1 + i * 0.05, "sweep", 40, 8, run_s, 0);
+    sim_run(sim, 45);
+    assert_string_equal(sim->broken, "");
+    assert_true(machines_in(sim, RP_MACHINE_UP) >= 1290);
+    return sim;
 }
 
-static int kept_sessions(const struct sim *s) {
+static int kept_sessions(const struct sim *sim) {
     int n = 0;
-    for (int i = 0; i < s->size.workers; i++)
-        n += s->workers[i].used && s->workers[i].up && s->workers[i].session == 1;
+    for (int i = 0; i < sim->size.workers; i++)
+        n += sim->workers[i].used && sim->workers[i].up && sim->workers[i].session == 1;
     return n;
 }
 
@@ -885,95 +889,95 @@
  * users' questions cost: one read a question about a job that is open. */
 static void large_fleet_is_used(void **state) {
     (void)state;
-    struct sim *s = large_fleet(31, 10);
-    const struct rp_node *n = s->nodes[sim_leader(s)].node;
-    unsigned long reads = s->n_state_reads, polls = s->n_polls, looks = n->round.n_looks;
-    unsigned long rounds = n->round.n_rounds;
-    sim_run(s, 8);
-    for (const struct rp_machine *m = n->cluster.first; m; m = m->next)
-        assert_false(rp_machine_misses_answers(m));
-    assert_true(s->n_idle >= 500);
+    struct sim *sim = large_fleet(31, 10);
+    const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
+    unsigned long reads = sim->n_state_reads, polls = sim->n_polls, looks = node->round.n_looks;
+    unsigned long rounds = node->round.n_rounds;
+    sim_run(sim, 8);
+    for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
+        assert_false(rp_machine_misses_answers(machine));
+    assert_true(sim->n_idle >= 500);
     /* A task's exit is reported after up to 0.5 s and what follows it starts with the answer. */
-    assert_true(s->idle_s / (double)s->n_idle < 1.5);
-    assert_true(s->n_polls > polls);
+    assert_true(sim->idle_s / (double)sim->n_idle < 1.5);
+    assert_true(sim->n_polls > polls);
     /* Two for a job that is over; and each node's look at the leader's key, twice a second. */
-    assert_true(s->n_state_reads - reads <= 2 * (s->n_polls - polls) + 5 * 2 * 8 + 10);
+    assert_true(sim->n_state_reads - reads <= 2 * (sim->n_polls - polls) + 5 * 2 * 8 + 10);
     /* Each heuristic may look at each machine a few times, not once for every group. */
-    rounds = n->round.n_rounds - rounds;
+    rounds = node->round.n_rounds - rounds;
     assert_true(rounds > 0);
-    assert_true(n->round.n_looks - looks < 6 * 1304 * rounds);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+    assert_true(node->round.n_looks - looks < 6 * 1304 * rounds);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* The leader's process ends: its workers all come to the next one, which reads every record once.
  * No machine's lease may end, nothing be rented or given back for it. */
 static void large_fleet_takeover(void **state) {
     (void)state;
-    struct sim *s = large_fleet(32, 150);
-    int leader = sim_leader(s), sessions = kept_sessions(s), rented = s->next_machine;
-    int before = machines_in(s, RP_MACHINE_UP);
-    unsigned long lists = s->n_state_lists, rows = s->n_rows_read;
-    sim_crash(s, leader, 0.2); /* back within a split second */
-    sim_run(s, 8);
-    assert_true(sim_leader(s) >= 0);
-    const struct rp_node *n = s->nodes[sim_leader(s)].node;
-    unsigned long records = n->jobs.n_jobs;
-    for (const struct rp_rental *r = n->fleet.rentals; r; r = r->next)
+    struct sim *sim = large_fleet(32, 150);
+    int leader = sim_leader(sim), sessions = kept_sessions(sim), rented = sim->next_machine;
+    int before = machines_in(sim, RP_MACHINE_UP);
+    unsigned long lists = sim->n_state_lists, rows = sim->n_rows_read;
+    sim_crash(sim, leader, 0.2); /* back within a split second */
+    sim_run(sim, 8);
+    assert_true(sim_leader(sim) >= 0);
+    const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
+    unsigned long records = node->jobs.n_jobs;
+    for (const struct rp_rental *request = node->fleet.rentals; request; request = request->next)
         records++;
-    assert_true(s->n_state_lists - lists <= 3); /* jobs, progress, rentals: a page each */
-    assert_true(s->n_rows_read - rows <= 2 * records);
-    sim_run(s, 6);
-    assert_true(rp_cluster_settled(&s->nodes[sim_leader(s)].node->cluster));
-    assert_int_equal(kept_sessions(s), sessions);
-    assert_true(machines_in(s, RP_MACHINE_UP) >= before - 5);
-    assert_true(s->next_machine <= rented + 20);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+    assert_true(sim->n_state_lists - lists <= 3); /* jobs, progress, rentals: a page each */
+    assert_true(sim->n_rows_read - rows <= 2 * records);
+    sim_run(sim, 6);
+    assert_true(rp_cluster_settled(&sim->nodes[sim_leader(sim)].node->cluster));
+    assert_int_equal(kept_sessions(sim), sessions);
+    assert_true(machines_in(sim, RP_MACHINE_UP) >= before - 5);
+    assert_true(sim->next_machine <= rented + 20);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* The leader stands still for longer than its lease while its clocks run on, then goes on with
  * hundreds of reports waiting: another leads by then, and answers them all. */
 static void large_fleet_frozen_leader(void **state) {
     (void)state;
-    struct sim *s = large_fleet(33, 150);
-    int leader = sim_leader(s), sessions = kept_sessions(s), rented = s->next_machine;
-    s->nodes[leader].stalled_until = s->now + 24;
-    sim_run(s, 23);
-    assert_true(sim_leader(s) >= 0);
-    sim_run(s, 9);
-    assert_int_equal(s->nodes[leader].node->at, RP_NODE_FOLLOWING);
-    assert_true(kept_sessions(s) >= sessions - sessions / 20);
-    assert_true(s->next_machine <= rented + 20);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+    struct sim *sim = large_fleet(33, 150);
+    int leader = sim_leader(sim), sessions = kept_sessions(sim), rented = sim->next_machine;
+    sim->nodes[leader].stalled_until = sim->now + 24;
+    sim_run(sim, 23);
+    assert_true(sim_leader(sim) >= 0);
+    sim_run(sim, 9);
+    assert_int_equal(sim->nodes[leader].node->at, RP_NODE_FOLLOWING);
+    assert_true(kept_sessions(sim) >= sessions - sessions / 20);
+    assert_true(sim->next_machine <= rented + 20);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* 150 machines hang for longer than their lease, 60 die: what hangs is waited for, what has died is
  * replaced, and no more. Before, whatever was silent for 16 s beyond its lease went back. */
 static void large_fleet_mass_loss(void **state) {
     (void)state;
-    struct sim *s = large_fleet(34, 150);
-    int rented = s->next_machine, hung = 0, kept = 0;
-    for (int i = 0; i < s->size.workers; i++) {
-        struct sim_worker *w = &s->workers[i];
-        if (!w->used || !w->up)
+    struct sim *sim = large_fleet(34, 150);
+    int rented = sim->next_machine, hung = 0, kept = 0;
+    for (int i = 0; i < sim->size.workers; i++) {
+        struct sim_worker *worker = &sim->workers[i];
+        if (!worker->used || !worker->up)
             continue;
         if (i % 21 == 0)
-            w->alive = false;
+            worker->alive = false;
         else if (i % 9 == 0)
-            w->hung_until = s->now + 42;
-        hung += w->alive && i % 9 == 0;
+            worker->hung_until = sim->now + 42;
+        hung += worker->alive && i % 9 == 0;
     }
     assert_true(hung >= 100);
-    sim_run(s, 50);
-    for (int i = 0; i < s->size.workers; i++)
-        kept += s->workers[i].used && s->workers[i].hung_until > 0;
+    sim_run(sim, 50);
+    for (int i = 0; i < sim->size.workers; i++)
+        kept += sim->workers[i].used && sim->workers[i].hung_until > 0;
     assert_true(kept >= hung - hung / 20);
-    assert_true(s->next_machine - rented <= 90);
-    assert_true(machines_in(s, RP_MACHINE_LOST) <= 5);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+    assert_true(sim->next_machine - rented <= 90);
+    assert_true(machines_in(sim, RP_MACHINE_LOST) <= 5);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* ---- 4,000 machines ---- */
@@ -984,47 +988,47 @@
     static const struct sim_size users_fleet = {4200, 500, 4, 22, 47, 2400, 240, 30};
     static const struct sim_faults none = {0};
     (void)state;
-    struct sim *s = sim_new_sized(36, &none, SIM_SOUND, 5, &users_fleet);
-    for (int i = 0; i < s->n_nodes; i++)
-        s->settings[i].teams[0].cpus_max = 1e6;
+    struct sim *sim = sim_new_sized(36, &none, SIM_SOUND, 5, &users_fleet);
+    for (int i = 0; i < sim->n_nodes; i++)
+        sim->settings[i].teams[0].cpus_max = 1e6;
     for (int i = 0; i < 320; i++)
-        sim_submit(s, 1 + i * 0.02, "sweep", 40, 8, 60, 0);
+        sim_submit(sim, 1 + i * 0.02, "sweep", 40, 8, 60, 0);
     for (int i = 0; i < 20; i++)
-        sim_submit(s, 40 + i * 0.5, i % 2 ? "ensemble" : "sweep", 4, 8, 10, 0);
-    sim_run(s, 60);
-    assert_string_equal(s->broken, "");
-    assert_true(machines_in(s, RP_MACHINE_UP) >= 3950);
-    int leader = sim_leader(s), sessions = kept_sessions(s), rented = s->next_machine;
-    assert_int_equal(s->nodes[leader].node->round.n_over_bounds, 0);
-    sim_crash(s, leader, 60);
-    sim_run(s, 24);
-    assert_string_equal(s->broken, "");
-    assert_true(sim_leader(s) >= 0 && sim_leader(s) != leader);
-    struct rp_node *n = s->nodes[sim_leader(s)].node;
-    assert_true(rp_cluster_settled(&n->cluster));
-    assert_true(n->cluster.n_machines >= 3950);
-    assert_true(kept_sessions(s) >= sessions - sessions / 100);
-    assert_true(s->next_machine <= rented + 40);
-    assert_true(n->workers.n_starts > 2000);
-    unsigned long done = s->n_done_jobs;
-    sim_run(s, 10);
-    assert_true(s->n_done_jobs > done + 50);
-    assert_string_equal(s->broken, "");
-    sim_free(s);
+        sim_submit(sim, 40 + i * 0.5, i % 2 ? "ensemble" : "sweep", 4, 8, 10, 0);
+    sim_run(sim, 60);
+    assert_string_equal(sim->broken, "");
+    assert_true(machines_in(sim, RP_MACHINE_UP) >= 3950);
+    int leader = sim_leader(sim), sessions = kept_sessions(sim), rented = sim->next_machine;
+    assert_int_equal(sim->nodes[leader].node->round.n_over_bounds, 0);
+    sim_crash(sim, leader, 60);
+    sim_run(sim, 24);
+    assert_string_equal(sim->broken, "");
+    assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
+    struct rp_node *node = sim->nodes[sim_leader(sim)].node;
+    assert_true(rp_cluster_settled(&node->cluster));
+    assert_true(node->cluster.n_machines >= 3950);
+    assert_true(kept_sessions(sim) >= sessions - sessions / 100);
+    assert_true(sim->next_machine <= rented + 40);
+    assert_true(node->workers.n_starts > 2000);
+    unsigned long done = sim->n_done_jobs;
+    sim_run(sim, 10);
+    assert_true(sim->n_done_jobs > done + 50);
+    assert_string_equal(sim->broken, "");
+    sim_free(sim);
 }
 
 /* The checks can fail: each broken world must be caught on some day. */
 static void catches(enum sim_breakage breakage, const struct sim_faults *faults, const char *rule) {
     for (unsigned long seed = 900; seed < 930; seed++) {
-        struct sim *s = sim_new(seed, faults, breakage, 3);
-        submit_some(s, seed);
-        sim_change(s, sim_submit(s, 5, "sweep", 4, 1, 5, 0), "yard", json_string("a"));
-        sim_run(s, DAY_S);
-        sim_calm(s);
-        sim_run(s, REST_S);
-        sim_check_served(s);
-        bool caught = strstr(s->broken, rule) != NULL;
-        sim_free(s);
+        struct sim *sim = sim_new(seed, faults, breakage, 3);
+        submit_some(sim, seed);
+        sim_change(sim, sim_submit(sim, 5, "sweep", 4, 1, 5, 0), "yard", json_string("a"));
+        sim_run(sim, DAY_S);
+        sim_calm(sim);
+        sim_run(sim, REST_S);
+        sim_check_served(sim);
+        bool caught = strstr(sim->broken, rule) != NULL;
+        sim_free(sim);
         if (caught)
             return;
     }
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -12,67 +12,67 @@
 
 static const struct sim_faults none = {0};
 
-static void run(struct sim *s, double seconds) {
-    sim_run(s, seconds);
-    if (s->broken[0])
-        fail_msg("%s", s->broken);
+static void run(struct sim *sim, double seconds) {
+    sim_run(sim, seconds);
+    if (sim->broken[0])
+        fail_msg("%s", sim->broken);
 }
 
 /* Ends all troubles, and lets everything that was accepted come to its end. */
-static void rest(struct sim *s) {
-    sim_calm(s);
-    sim_run(s, REST_S);
-    sim_check_served(s);
-    if (s->broken[0])
-        fail_msg("%s", s->broken);
-    assert_true(sim_all_over(s));
-    sim_free(s);
+static void rest(struct sim *sim) {
+    sim_calm(sim);
+    sim_run(sim, REST_S);
+    sim_check_served(sim);
+    if (sim->broken[0])
+        fail_msg("%s", sim->broken);
+    assert_true(sim_all_over(sim));
+    sim_free(sim);
 }
 
 /* A world in the middle of work of every kind, with more of it coming every second. */
 static struct sim *busy_world(unsigned long seed, int n_nodes) {
-    struct sim *s = sim_new(seed, &none, SIM_SOUND, n_nodes);
-    sim_submit(s, 1, "sweep", 30, 1, 25, 0);
-    sim_submit(s, 1, "sweep", 40, 1, 8, 0);
-    sim_submit(s, 2, "ensemble", 3, 4, 20, 0);
-    sim_submit(s, 3, "ensemble", 2, 6, 12, 0);
+    struct sim *sim = sim_new(seed, &none, SIM_SOUND, n_nodes);
+    sim_submit(sim, 1, "sweep", 30, 1, 25, 0);
+    sim_submit(sim, 1, "sweep", 40, 1, 8, 0);
+    sim_submit(sim, 2, "ensemble", 3, 4, 20, 0);
+    sim_submit(sim, 3, "ensemble", 2, 6, 12, 0);
     for (int i = 0; i < 60; i++)
-        sim_submit(s, 10 + i, "sweep", 3, 1, 2, i % 5 == 4 ? 12 + i : 0);
-    run(s, 30 + (double)(seed % 7));
-    assert_true(sim_leader(s) >= 0);
-    return s;
+        sim_submit(sim, 10 + i, "sweep", 3, 1, 2, i % 5 == 4 ? 12 + i : 0);
+    run(sim, 30 + (double)(seed % 7));
+    assert_true(sim_leader(sim) >= 0);
+    return sim;
 }
 
-static uint64_t token_of(const struct sim *s) {
-    return s->nodes[sim_leader(s)].node->election.token;
+static uint64_t token_of(const struct sim *sim) {
+    return sim->nodes[sim_leader(sim)].node->election.token;
 }
 
-static unsigned long takeovers(const struct sim *s) {
+static unsigned long takeovers(const struct sim *sim) {
     unsigned long n = 0;
-    for (int i = 0; i < s->n_nodes; i++)
-        if (s->nodes[i].alive)
-            n += s->nodes[i].node->standby.n_takeovers;
+    for (int i = 0; i < sim->n_nodes; i++)
+        if (sim->nodes[i].alive)
+            n += sim->nodes[i].node->standby.n_takeovers;
     return n;
 }
 
-static double until_started(struct sim *s, uint64_t token, double most_s) {
-    double since = s->now;
-    while (s->started_token <= token && s->now < since + most_s)
-        run(s, 0.1);
-    return s->started_token > token ? s->started_at - since : most_s;
+static double until_started(struct sim *sim, uint64_t token, double most_s) {
+    double since = sim->now;
+    while (sim->started_token <= token && sim->now < since + most_s)
+        run(sim, 0.1);
+    return sim->started_token > token ? sim->started_at - since : most_s;
 }
 
 static void killed_leader_is_replaced(void **state) {
     (void)state;
     for (unsigned long seed = 1; seed <= 12; seed++) {
-        struct sim *s = busy_world(seed, seed % 2 ? 3 : 5);
-        uint64_t token = token_of(s);
-        sim_crash(s, sim_leader(s), 20);
-        double took_s = until_started(s, token, 20);
+        struct sim *sim = busy_world(seed, seed % 2 ? 3 : 5);
+        uint64_t token = token_of(sim);
+        sim_crash(sim, sim_leader(sim), 20);
+        double took_s = until_started(sim, token, 20);
         if (took_s > TAKEOVER_MOST_S)
             fail_msg("seed %lu: first start after %.2f s", seed, took_s);
-        assert_true(takeovers(s) >= 1);
-        rest(s);
+        assert_true(takeovers(sim) >= 1);
+        rest(sim);
     }
 }
 
@@ -80,30 +80,30 @@
 static void disabled_means_none(void **state) {
     (void)state;
     sim_standby = false;
-    struct sim *s = busy_world(1, 3);
-    uint64_t token = token_of(s);
-    sim_crash(s, sim_leader(s), 20);
-    assert_true(until_started(s, token, 20) > 7);
-    assert_int_equal(takeovers(s), 0);
-    assert_null(sim_stored(s, RP_KEY_FENCE));
-    rest(s);
+    struct sim *sim = busy_world(1, 3);
+    uint64_t token = token_of(sim);
+    sim_crash(sim, sim_leader(sim), 20);
+    assert_true(until_started(sim, token, 20) > 7);
+    assert_int_equal(takeovers(sim), 0);
+    assert_null(sim_stored(sim, RP_KEY_FENCE));
+    rest(sim);
 }
 
 static void short_stalls_cost_no_term(void **state) {
     (void)state;
     for (unsigned long seed = 20; seed < 24; seed++) {
-        struct sim *s = busy_world(seed, 3);
-        uint64_t token = token_of(s);
+        struct sim *sim = busy_world(seed, 3);
+        uint64_t token = token_of(sim);
         for (int i = 0; i < 4; i++) {
-            s->nodes[sim_leader(s)].stalled_until = s->now + 2;
-            run(s, 12.0 + 0.3 * i);
+            sim->nodes[sim_leader(sim)].stalled_until = sim->now + 2;
+            run(sim, 12.0 + 0.3 * i);
         }
-        assert_int_equal(token_of(s), token);
+        assert_int_equal(token_of(sim), token);
         unsigned long withdrawn = 0;
-        for (int i = 0; i < s->n_nodes; i++)
-            withdrawn += s->nodes[i].node->standby.n_withdrawn;
+        for (int i = 0; i < sim->n_nodes; i++)
+            withdrawn += sim->nodes[i].node->standby.n_withdrawn;
         assert_true(withdrawn >= 4); /* it was suspected, each time */
-        rest(s);
+        rest(sim);
     }
 }
 
@@ -112,19 +112,19 @@
     static const double pauses[] = {1, 5, 30};
     (void)state;
     for (unsigned long seed = 30; seed < 36; seed++) {
-        struct sim *s = busy_world(seed, 3);
+        struct sim *sim = busy_world(seed, 3);
         double pause_s = pauses[seed % 3];
-        int leader = sim_leader(s);
-        uint64_t token = token_of(s);
+        int leader = sim_leader(sim);
+        uint64_t token = token_of(sim);
         for (int i = 0; i < 10; i++)
-            sim_submit(s, s->now + 0.1, "sweep", 12, 1, 3, 0);
-        run(s, 0.3 + 0.07 * (double)(seed % 5));
-        s->nodes[leader].stalled_until = s->now + pause_s;
-        run(s, 4.5);
-        assert_true(pause_s > 2 ? takeovers(s) == 1 : token_of(s) == token);
-        run(s, pause_s);
-        assert_true(pause_s < 2 || s->nodes[leader].node->at == RP_NODE_FOLLOWING);
-        rest(s);
+            sim_submit(sim, sim->now + 0.1, "sweep", 12, 1, 3, 0);
+        run(sim, 0.3 + 0.07 * (double)(seed % 5));
+        sim->nodes[leader].stalled_until = sim->now + pause_s;
+        run(sim, 4.5);
+        assert_true(pause_s > 2 ? takeovers(sim) == 1 : token_of(sim) == token);
+        run(sim, pause_s);
+        assert_true(pause_s < 2 || sim->nodes[leader].node->at == RP_NODE_FOLLOWING);
+        rest(sim);
     }
 }
 
@@ -133,62 +133,62 @@
 static void lonely_leader_is_deposed(void **state) {
     (void)state;
     for (unsigned long seed = 40; seed < 46; seed++) {
-        struct sim *s = busy_world(seed, seed % 2 ? 3 : 5);
-        int leader = sim_leader(s);
-        s->nodes[leader].alone_until = s->now + 15 + 5 * (double)(seed % 4);
-        run(s, 2);
+        struct sim *sim = busy_world(seed, seed % 2 ? 3 : 5);
+        int leader = sim_leader(sim);
+        sim->nodes[leader].alone_until = sim->now + 15 + 5 * (double)(seed % 4);
+        run(sim, 2);
         for (int i = 0; i < 30; i += 3)
-            s->jobs[i].cancel_at = s->now + 0.2 * i;
-        run(s, 10);
-        assert_true(takeovers(s) >= 1 && sim_leader(s) >= 0);
-        rest(s);
+            sim->jobs[i].cancel_at = sim->now + 0.2 * i;
+        run(sim, 10);
+        assert_true(takeovers(sim) >= 1 && sim_leader(sim) >= 0);
+        rest(sim);
     }
 }
 
 /* Nodes that hear nobody are rather cut off themselves: nobody is deposed for it. */
 static void nodes_apart_keep_their_leader(void **state) {
     (void)state;
-    struct sim *s = busy_world(50, 3);
-    uint64_t token = token_of(s);
-    s->apart_until = s->now + 25;
-    run(s, 27);
-    assert_int_equal(token_of(s), token);
-    assert_int_equal(takeovers(s), 0);
-    rest(s);
+    struct sim *sim = busy_world(50, 3);
+    uint64_t token = token_of(sim);
+    sim->apart_until = sim->now + 25;
+    run(sim, 27);
+    assert_int_equal(token_of(sim), token);
+    assert_int_equal(takeovers(sim), 0);
+    rest(sim);
 }
 
 /* Without the state service nobody takes over, and the leader goes on for as long as its lease
  * allows; here the others miss it, too. */
 static void outage_lets_nobody_take_over(void **state) {
     (void)state;
-    struct sim *s = busy_world(51, 3);
-    uint64_t token = token_of(s);
-    int leader = sim_leader(s);
-    s->outage_until = s->now + 7;
-    s->nodes[leader].stalled_until = s->now + 4.5;
-    run(s, 6.5);
-    assert_int_equal(takeovers(s), 0);
-    assert_int_equal(s->nodes[leader].node->election.token, token);
-    assert_true(
-        rp_election_valid(&s->nodes[leader].node->election, rp_loop_now(&s->nodes[leader].loop)));
-    rest(s);
+    struct sim *sim = busy_world(51, 3);
+    uint64_t token = token_of(sim);
+    int leader = sim_leader(sim);
+    sim->outage_until = sim->now + 7;
+    sim->nodes[leader].stalled_until = sim->now + 4.5;
+    run(sim, 6.5);
+    assert_int_equal(takeovers(sim), 0);
+    assert_int_equal(sim->nodes[leader].node->election.token, token);
+    assert_true(rp_election_valid(&sim->nodes[leader].node->election,
+                                  rp_loop_now(&sim->nodes[leader].loop)));
+    rest(sim);
 }
 
 /* All who follow claim at the same instant, from a leader that is well. */
 static void claims_at_once_leave_one_leader(void **state) {
     (void)state;
     for (unsigned long seed = 60; seed < 64; seed++) {
-        struct sim *s = busy_world(seed, 5);
-        int leader = sim_leader(s), claims = 0, holders = 0;
-        for (int i = 0; i < s->n_nodes; i++)
-            claims += i != leader && rp_election_depose(&s->nodes[i].node->election);
+        struct sim *sim = busy_world(seed, 5);
+        int leader = sim_leader(sim), claims = 0, holders = 0;
+        for (int i = 0; i < sim->n_nodes; i++)
+            claims += i != leader && rp_election_depose(&sim->nodes[i].node->election);
         assert_true(claims >= 2);
-        run(s, 3);
-        for (int i = 0; i < s->n_nodes; i++)
-            holders += s->nodes[i].node->election.at == RP_HOLDING;
+        run(sim, 3);
+        for (int i = 0; i < sim->n_nodes; i++)
+            holders += sim->nodes[i].node->election.at == RP_HOLDING;
         assert_int_equal(holders, 1);
-        assert_true(sim_leader(s) != leader);
-        rest(s);
+        assert_true(sim_leader(sim) != leader);
+        rest(sim);
     }
 }
 
@@ -199,39 +199,40 @@
                                                     RP_CLAIMING};
     (void)state;
     for (unsigned long seed = 70; seed < 78; seed++) {
-        struct sim *s = busy_world(seed, 3);
+        struct sim *sim = busy_world(seed, 3);
         enum rp_election_state stage = stages[seed % 4];
-        int leader = sim_leader(s), ended = -1;
-        s->nodes[leader].stalled_until = s->now + 4 + (double)(seed % 3) * 3;
+        int leader = sim_leader(sim), ended = -1;
+        sim->nodes[leader].stalled_until = sim->now + 4 + (double)(seed % 3) * 3;
         for (int i = 0; i < 400 && ended < 0; i++) {
-            run(s, 0.02);
-            for (int k = 0; k < s->n_nodes; k++)
-                if (s->nodes[k].alive && s->nodes[k].node->election.at == stage)
+            run(sim, 0.02);
+            for (int k = 0; k < sim->n_nodes; k++)
+                if (sim->nodes[k].alive && sim->nodes[k].node->election.at == stage)
                     ended = k;
         }
         assert_true(ended >= 0);
-        sim_crash(s, ended, seed < 74 ? 0.1 : 30);
-        run(s, 20);
-        assert_true(sim_leader(s) >= 0);
-        rest(s);
+        sim_crash(sim, ended, seed < 74 ? 0.1 : 30);
+        run(sim, 20);
+        assert_true(sim_leader(sim) >= 0);
+        rest(sim);
     }
 }
 
 static void leader_and_standby_end_together(void **state) {
     (void)state;
     for (unsigned long seed = 80; seed < 84; seed++) {
-        struct sim *s = busy_world(seed, 5);
-        uint64_t token = token_of(s);
-        int leader = sim_leader(s);
-        sim_crash(s, leader, 20);
-        sim_crash(s, leader ? 0 : 1, 20); /* the first in rank */
-        assert_true(until_started(s, token, 20) <= TAKEOVER_MOST_S);
-        rest(s);
+        struct sim *sim = busy_world(seed, 5);
+        uint64_t token = token_of(sim);
+        int leader = sim_leader(sim);
+        sim_crash(sim, leader, 20);
+        sim_crash(sim, leader ? 0 : 1, 20); /* the first in rank */
+        assert_true(until_started(sim, token, 20) <= TAKEOVER_MOST_S);
+        rest(sim);
     }
 }
 
-static void submit_for_guests(struct sim *s, double at, unsigned tasks, double run_s) {
-    sim_change(s, sim_submit(s, at, "sweep", tasks, 1, run_s, 0), "crew", json_string("guests"));
+static void submit_for_guests(struct sim *sim, double at, unsigned tasks, double run_s) {
+    sim_change(sim, sim_submit(sim, at, "sweep", tasks, 1, run_s, 0), "crew",
+               json_string("guests"));
 }
 
 /* Machines that hang can't be shown the token: what may run there isn't started elsewhere before
@@ -239,24 +240,24 @@
 static void unreachable_machines_delay_only_their_work(void **state) {
     (void)state;
     for (unsigned long seed = 90; seed < 96; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
         for (int i = 0; i < 30; i++)
-            submit_for_guests(s, 1 + i, 6, 6);
-        run(s, 31);
-        uint64_t token = token_of(s);
+            submit_for_guests(sim, 1 + i, 6, 6);
+        run(sim, 31);
+        uint64_t token = token_of(sim);
         int hung = 0;
-        for (int i = 0; i < s->size.workers && hung < 3; i++)
-            if (s->workers[i].used && s->workers[i].up && s->workers[i].n_tasks > 0) {
-                s->workers[i].hung_until = s->now + (seed % 2 ? 12 : 40);
+        for (int i = 0; i < sim->size.workers && hung < 3; i++)
+            if (sim->workers[i].used && sim->workers[i].up && sim->workers[i].n_tasks > 0) {
+                sim->workers[i].hung_until = sim->now + (seed % 2 ? 12 : 40);
                 hung++;
             }
         assert_true(hung == 3);
-        sim_crash(s, sim_leader(s), 20);
+        sim_crash(sim, sim_leader(sim), 20);
         for (int i = 0; i < 10; i++)
-            submit_for_guests(s, s->now + 3 + 0.2 * i, 3, 4);
-        assert_true(until_started(s, token, 30) <= TAKEOVER_MOST_S);
-        assert_false(rp_cluster_settled(&s->nodes[sim_leader(s)].node->cluster));
-        rest(s);
+            submit_for_guests(sim, sim->now + 3 + 0.2 * i, 3, 4);
+        assert_true(until_started(sim, token, 30) <= TAKEOVER_MOST_S);
+        assert_false(rp_cluster_settled(&sim->nodes[sim_leader(sim)].node->cluster));
+        rest(sim);
     }
 }
 
@@ -265,37 +266,37 @@
 /* A zone is cut off with the leader in it, which has lost the state service and the other nodes,
  * and goes on answering the zone's workers for as long as it trusts its lease. */
 static struct sim *world_with_leader_behind_cut(unsigned long seed) {
-    struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
-    sim_submit(s, 1, "sweep", 40, 1, 70, 0);
-    sim_submit(s, 1, "sweep", 20, 1, 70, 0);
-    run(s, 25 + 0.37 * (double)(seed % 8));
-    int leader = sim_leader(s), behind = 0;
+    struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
+    sim_submit(sim, 1, "sweep", 40, 1, 70, 0);
+    sim_submit(sim, 1, "sweep", 20, 1, 70, 0);
+    run(sim, 25 + 0.37 * (double)(seed % 8));
+    int leader = sim_leader(sim), behind = 0;
     assert_true(leader >= 0);
-    for (int i = 0; i < s->size.workers; i++)
-        behind += s->workers[i].used && s->workers[i].zone == 0 && s->workers[i].n_tasks > 0;
+    for (int i = 0; i < sim->size.workers; i++)
+        behind += sim->workers[i].used && sim->workers[i].zone == 0 && sim->workers[i].n_tasks > 0;
     assert_true(behind > 0);
-    s->cut_zone = 1;
-    s->cut_node = leader + 1;
-    s->nodes[leader].alone_until = s->now + 50;
-    return s;
+    sim->cut_zone = 1;
+    sim->cut_node = leader + 1;
+    sim->nodes[leader].alone_until = sim->now + 50;
+    return sim;
 }
 
 /* The node that has taken over, once it has. */
-static int taken_over(struct sim *s, int from) {
+static int taken_over(struct sim *sim, int from) {
     for (int i = 0; i < 60; i++) {
-        run(s, 0.1);
-        for (int k = 0; k < s->n_nodes; k++)
-            if (k != from && s->nodes[k].alive && s->nodes[k].node->at == RP_NODE_LEADING)
+        run(sim, 0.1);
+        for (int k = 0; k < sim->n_nodes; k++)
+            if (k != from && sim->nodes[k].alive && sim->nodes[k].node->at == RP_NODE_LEADING)
                 return k;
     }
     fail_msg("nobody has taken over");
     return -1;
 }
 
-static void end_cut(struct sim *s) {
-    run(s, 50);
-    s->cut_zone = s->cut_node = 0;
-    rest(s);
+static void end_cut(struct sim *sim) {
+    run(sim, 50);
+    sim->cut_zone = sim->cut_node = 0;
+    rest(sim);
 }
 
 /* What may run behind the cut is started elsewhere only when no answer of the earlier leader can
@@ -303,9 +304,9 @@
 static void tasks_behind_cut_run_once(void **state) {
     (void)state;
     for (unsigned long seed = 200; seed < 206; seed++) {
-        struct sim *s = world_with_leader_behind_cut(seed);
-        taken_over(s, sim_leader(s));
-        end_cut(s);
+        struct sim *sim = world_with_leader_behind_cut(seed);
+        taken_over(sim, sim_leader(sim));
+        end_cut(sim);
     }
 }
 
@@ -314,10 +315,10 @@
 static void resigning_early_frees_no_key(void **state) {
     (void)state;
     for (unsigned long seed = 210; seed < 216; seed++) {
-        struct sim *s = world_with_leader_behind_cut(seed);
-        int next = taken_over(s, sim_leader(s));
-        rp_election_resign(&s->nodes[next].node->election, 12);
-        end_cut(s);
+        struct sim *sim = world_with_leader_behind_cut(seed);
+        int next = taken_over(sim, sim_leader(sim));
+        rp_election_resign(&sim->nodes[next].node->election, 12);
+        end_cut(sim);
     }
 }
 
@@ -325,9 +326,9 @@
 static void returning_standby_remembers_whom_it_deposed(void **state) {
     (void)state;
     for (unsigned long seed = 220; seed < 226; seed++) {
-        struct sim *s = world_with_leader_behind_cut(seed);
-        sim_crash(s, taken_over(s, sim_leader(s)), 0.1);
-        end_cut(s);
+        struct sim *sim = world_with_leader_behind_cut(seed);
+        sim_crash(sim, taken_over(sim, sim_leader(sim)), 0.1);
+        end_cut(sim);
     }
 }
 
@@ -336,20 +337,20 @@
 static void young_jobs_belong_to_the_next_leader(void **state) {
     (void)state;
     for (unsigned long seed = 230; seed < 246; seed++) {
-        struct sim *s = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
         for (int i = 0; i < 30; i++)
-            submit_for_guests(s, 1 + i, 6, 5);
-        run(s, 31 + 0.1 * (double)(seed % 10));
-        int leader = sim_leader(s);
-        s->cut_zone = 1;
-        s->cut_node = leader + 1;
+            submit_for_guests(sim, 1 + i, 6, 5);
+        run(sim, 31 + 0.1 * (double)(seed % 10));
+        int leader = sim_leader(sim);
+        sim->cut_zone = 1;
+        sim->cut_node = leader + 1;
         for (int i = 0; i < 60; i++)
-            submit_for_guests(s, s->now + 0.02 * i, 2, 8);
-        assert_true(rp_election_depose(&s->nodes[leader ? 0 : 1].node->election));
-        taken_over(s, leader);
-        run(s, 20);
-        s->cut_zone = s->cut_node = 0;
-        rest(s);
+            submit_for_guests(sim, sim->now + 0.02 * i, 2, 8);
+        assert_true(rp_election_depose(&sim->nodes[leader ? 0 : 1].node->election));
+        taken_over(sim, leader);
+        run(sim, 20);
+        sim->cut_zone = sim->cut_node = 0;
+        rest(sim);
     }
 }
 
@@ -358,19 +359,19 @@
 static void returns_go_on(void **state) {
     (void)state;
     for (unsigned long seed = 250; seed < 256; seed++) {
-        struct sim *s = busy_world(seed, 3);
-        uint64_t token = token_of(s);
-        int leader = sim_leader(s);
-        struct rp_node *n = s->nodes[leader].node;
-        assert_non_null(n->cluster.first);
-        n->fleet.deleting = true; /* the request will go, but hasn't gone yet */
-        rp_fleet_return(&n->fleet, n->cluster.first, "for the test");
-        run(s, 0.5);
-        sim_crash(s, leader, 20);
-        assert_true(until_started(s, token, 20) <= TAKEOVER_MOST_S);
-        run(s, 1);
-        assert_int_equal(s->nodes[sim_leader(s)].node->fleet.n_returned, 1);
-        rest(s);
+        struct sim *sim = busy_world(seed, 3);
+        uint64_t token = token_of(sim);
+        int leader = sim_leader(sim);
+        struct rp_node *node = sim->nodes[leader].node;
+        assert_non_null(node->cluster.first);
+        node->fleet.deleting = true; /* the request will go, but hasn't gone yet */
+        rp_fleet_return(&node->fleet, node->cluster.first, "for the test");
+        run(sim, 0.5);
+        sim_crash(sim, leader, 20);
+        assert_true(until_started(sim, token, 20) <= TAKEOVER_MOST_S);
+        run(sim, 1);
+        assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.n_returned, 1);
+        rest(sim);
     }
 }
 
@@ -378,26 +379,27 @@
 static void returned_machines_delay_nothing(void **state) {
     (void)state;
     for (unsigned long seed = 260; seed < 270; seed++) {
-        struct sim *s = busy_world(seed, 3);
-        uint64_t token = token_of(s);
-        int leader = sim_leader(s);
-        struct rp_node *n = s->nodes[leader].node;
-        assert_non_null(n->cluster.first);
+        struct sim *sim = busy_world(seed, 3);
+        uint64_t token = token_of(sim);
+        int leader = sim_leader(sim);
+        struct rp_node *node = sim->nodes[leader].node;
+        assert_non_null(node->cluster.first);
         char name[RP_TEXT_MAX];
-        strcpy(name, n->cluster.first->name);
-        for (struct rp_rental *r = n->fleet.rentals; r; r = r->next)
-            r->retry = rp_ts_after(rp_loop_now(n->loop), 60); /* no record is written any more */
-        rp_fleet_return(&n->fleet, n->cluster.first, "for the test");
-        run(s, 1);
-        assert_null(rp_machine_find(&n->cluster, name));
+        strcpy(name, node->cluster.first->name);
+        for (struct rp_rental *request = node->fleet.rentals; request; request = request->next)
+            request->retry =
+                rp_ts_after(rp_loop_now(node->loop), 60); /* no record is written any more */
+        rp_fleet_return(&node->fleet, node->cluster.first, "for the test");
+        run(sim, 1);
+        assert_null(rp_machine_find(&node->cluster, name));
         /* Standbys that have begun since then hear of it by their first snapshot. */
-        for (int i = 0; i < s->n_nodes && seed % 2; i++)
+        for (int i = 0; i < sim->n_nodes && seed % 2; i++)
             if (i != leader)
-                sim_crash(s, i, 0.1);
-        run(s, 3);
-        sim_crash(s, leader, 20);
-        assert_true(until_started(s, token, 20) <= TAKEOVER_MOST_S);
-        rest(s);
+                sim_crash(sim, i, 0.1);
+        run(sim, 3);
+        sim_crash(sim, leader, 20);
+        assert_true(until_started(sim, token, 20) <= TAKEOVER_MOST_S);
+        rest(sim);
     }
 }
 
@@ -418,16 +420,17 @@
     unsigned long n = 0;
     (void)state;
     for (unsigned long seed = 100; seed < 116; seed++) {
-        struct sim *s = sim_new(seed, &bad, SIM_SOUND, seed % 2 ? 3 : 5);
-        sim_submit(s, 1, "sweep", 30, 1, 25, 0);
-        sim_submit(s, 2, "ensemble", 3, 4, 20, 0);
+        struct sim *sim = sim_new(seed, &bad, SIM_SOUND, seed % 2 ? 3 : 5);
+        sim_submit(sim, 1, "sweep", 30, 1, 25, 0);
+        sim_submit(sim, 2, "ensemble", 3, 4, 20, 0);
         for (int i = 0; i < 50; i++)
-            sim_submit(s, 5 + 2 * i, i % 9 ? "sweep" : "ensemble", 3, 1, 4, i % 5 ? 0 : 8 + 2 * i);
+            sim_submit(sim, 5 + 2 * i, i % 9 ? "sweep" : "ensemble", 3, 1, 4,
+                       i % 5 ? 0 : 8 + 2 * i);
         for (int i = 0; i < 24; i++) {
-            run(s, 5);
-            n += takeovers(s);
+            run(sim, 5);
+            n += takeovers(sim);
         }
-        rest(s);
+        rest(sim);
     }
     assert_true(n > 0);
 }
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -85,16 +85,16 @@
         "\"loaners\":true,\"stint\":1,\"tick\":88,\"warrant\":41,\"recall_s\":7.5,\"lifts\":["
         "{\"lift\":\"j-000412/3\",\"pull\":2,\"tension\":\"running\"},"
         "{\"lift\":\"j-000398/0\",\"pull\":1,\"tension\":\"exited\",\"slack_reason\":\"done\"}]}";
-    struct rp_report r;
+    struct rp_report heartbeat;
     (void)state;
-    assert_true(rp_wire_report(text, strlen(text), &r));
-    assert_int_equal(r.n_tasks, 2);
-    assert_int_equal(r.tasks[0].task, 3);
-    assert_int_equal(r.tasks[1].why, RP_EXIT_DONE);
-    assert_true(r.has_notice && r.notice_s == 7.5 && r.token == 41);
-    rp_report_free(&r);
-    assert_false(rp_wire_report("{}", 2, &r));
-    assert_false(rp_wire_report("{\"sheave\":\"vm-1\"}", 17, &r));
+    assert_true(rp_wire_report(text, strlen(text), &heartbeat));
+    assert_int_equal(heartbeat.n_tasks, 2);
+    assert_int_equal(heartbeat.tasks[0].task, 3);
+    assert_int_equal(heartbeat.tasks[1].why, RP_EXIT_DONE);
+    assert_true(heartbeat.has_notice && heartbeat.notice_s == 7.5 && heartbeat.token == 41);
+    rp_report_free(&heartbeat);
+    assert_false(rp_wire_report("{}", 2, &heartbeat));
+    assert_false(rp_wire_report("{\"sheave\":\"vm-1\"}", 17, &heartbeat));
 }
 
 /* Bytes changed at random in good messages: read or refused, never a crash or a leak; what is read
@@ -111,7 +111,7 @@
         bool job = round % 2;
         char text[1024], why[128];
         struct rp_job_spec spec;
-        struct rp_report r;
+        struct rp_report heartbeat;
         strcpy(text, job ? good : report);
         size_t len = strlen(text);
         for (unsigned k = 0; k <= gsl_rng_uniform_int(rng, 3); k++)
@@ -120,9 +120,9 @@
             assert_true(rp_wire_id_valid(spec.id) && spec.n_tasks >= 1 &&
                         spec.n_tasks <= RP_TASKS_MAX && spec.each.cpus >= 0);
             rp_job_spec_free(&spec);
-        } else if (!job && rp_wire_report(text, len, &r)) {
-            assert_true(r.n_tasks <= 1 && strlen(r.machine) < RP_TEXT_MAX);
-            rp_report_free(&r);
+        } else if (!job && rp_wire_report(text, len, &heartbeat)) {
+            assert_true(heartbeat.n_tasks <= 1 && strlen(heartbeat.machine) < RP_TEXT_MAX);
+            rp_report_free(&heartbeat);
         }
     }
     gsl_rng_free(rng);
@@ -130,18 +130,18 @@
 
 /* An answer's only line must stay below 64 KiB with the most commands it may carry. */
 static void answers_fit(void **state) {
-    struct rp_command *c = calloc(400, sizeof *c);
+    struct rp_command *command = calloc(400, sizeof *command);
     (void)state;
-    assert_non_null(c);
+    assert_non_null(command);
     for (int i = 0; i < 400; i++) {
-        c[i] = (struct rp_command){
+        command[i] = (struct rp_command){
             .op = RP_OP_STOP, .task = 99999, .attempt = UINT64_MAX >> 1, .grace_s = 12.3456789};
-        strcpy(c[i].job, "j-12345678901234567890");
+        strcpy(command[i].job, "j-12345678901234567890");
     }
-    char *text = rp_wire_report_answer(UINT64_MAX >> 1, c, 400);
+    char *text = rp_wire_report_answer(UINT64_MAX >> 1, command, 400);
     assert_true(strlen(text) < 65536);
     free(text);
-    free(c);
+    free(command);
 }
 
 /* A job of 100,000 tasks: every record stays far below the value limit and reads back. */
@@ -155,14 +155,14 @@
     gsl_rng_set(rng, 3);
     for (size_t i = 0; i < sizeof bits; i++)
         bits[i] = (uint8_t)gsl_rng_uniform_int(rng, 256);
-    json_t *v = rp_record_progress(bits, sizeof bits);
-    char *text = json_dumps(v, 0);
+    json_t *value = rp_record_progress(bits, sizeof bits);
+    char *text = json_dumps(value, 0);
     assert_true(strlen(text) < 4096);
-    assert_true(rp_record_progress_read(v, back, sizeof back));
+    assert_true(rp_record_progress_read(value, back, sizeof back));
     assert_memory_equal(bits, back, sizeof bits);
-    assert_false(rp_record_progress_read(v, back, 3));
+    assert_false(rp_record_progress_read(value, back, 3));
     free(text);
-    json_decref(v);
+    json_decref(value);
     rp_key_progress(key, "j-000001", 12);
     assert_true(rp_key_progress_read(key, job, &chunk, &unit) && !unit);
     assert_string_equal(job, "j-000001");
@@ -190,55 +190,55 @@
     "\"machines\":[\"vm-000006\",\"vm-000007\"],\"up\":[\"vm-000006\"]}";
 
 static void same(json_t *written, const char *literal) {
-    json_t *v = json_loads(literal, 0, NULL);
-    assert_non_null(v);
-    if (!json_equal(written, v))
+    json_t *value = json_loads(literal, 0, NULL);
+    assert_non_null(value);
+    if (!json_equal(written, value))
         fail_msg("%s is not %s", json_dumps(written, 0), literal);
-    json_decref(v);
+    json_decref(value);
     json_decref(written);
 }
 
 static void records_of_production(void **state) {
     struct rp_job_spec spec;
     struct timespec at;
-    struct rp_rental_record r;
+    struct rp_rental_record record;
     const char *names[] = {"vm-000006", "vm-000007"};
     const bool up[] = {true, false};
     uint8_t bits[RP_CHUNK_BYTES] = {0x0f, 0xa0, 1}, back[RP_CHUNK_BYTES] = {0};
     enum rp_job_word word;
     (void)state;
-    json_t *v = json_loads(production_job, 0, NULL);
-    assert_true(rp_record_open_read(v, &spec, &at));
+    json_t *value = json_loads(production_job, 0, NULL);
+    assert_true(rp_record_open_read(value, &spec, &at));
     assert_true(spec.kind == RP_GANG && spec.n_tasks == 2 && spec.one_zone && spec.spot);
-    json_decref(v);
-    v = rp_record_open(&spec, at);
-    assert_int_equal(rp_record_format(v), 1);
+    json_decref(value);
+    value = rp_record_open(&spec, at);
+    assert_int_equal(rp_record_format(value), 1);
     /* The time of day goes through a struct timespec: the same within a microsecond. */
-    assert_true(fabs(json_number_value(json_object_get(v, "at")) - 1796179601.6135132) < 1e-6);
-    json_object_set_new(v, "at", json_real(1796179601.6135132));
-    same(v, production_job);
+    assert_true(fabs(json_number_value(json_object_get(value, "at")) - 1796179601.6135132) < 1e-6);
+    json_object_set_new(value, "at", json_real(1796179601.6135132));
+    same(value, production_job);
     rp_job_spec_free(&spec);
-    v = json_loads(production_rental, 0, NULL);
-    assert_true(rp_record_rental_read(v, &r) && r.answered && r.count == 2);
-    assert_true(rp_record_rental_up(v, names[0]) && !rp_record_rental_up(v, names[1]));
-    json_decref(v);
-    v = rp_record_rental(&r, names, up, 2);
-    json_object_set_new(v, "asked", json_real(1796179601.61427));
-    same(v, production_rental);
+    value = json_loads(production_rental, 0, NULL);
+    assert_true(rp_record_rental_read(value, &record) && record.answered && record.count == 2);
+    assert_true(rp_record_rental_up(value, names[0]) && !rp_record_rental_up(value, names[1]));
+    json_decref(value);
+    value = rp_record_rental(&record, names, up, 2);
+    json_object_set_new(value, "asked", json_real(1796179601.61427));
+    same(value, production_rental);
     same(rp_record_over(RP_JOB_DONE), "{\"end\":\"done\"}");
     same(rp_record_over(RP_JOB_CANCELLED), "{\"end\":\"cancelled\"}");
     const struct rp_leader_record leader = {.node = "n0"};
     same(rp_record_leader(&leader), "{\"node\":\"n0\"}");
     same(rp_record_progress(bits, sizeof bits), "{\"done\":\"0fa001\"}");
-    v = json_loads("{\"done\":\"0fa001\"}", 0, NULL);
-    assert_true(rp_record_progress_read(v, back, sizeof back) && memcmp(bits, back, 3) == 0);
-    json_decref(v);
-    v = json_loads("{\"end\":\"cancelled\"}", 0, NULL);
-    assert_true(rp_record_over_read(v, &word) && word == RP_JOB_CANCELLED);
-    json_decref(v);
-    v = json_loads("{\"end\":\"of a later version\"}", 0, NULL);
-    assert_false(rp_record_over_read(v, &word));
-    json_decref(v);
+    value = json_loads("{\"done\":\"0fa001\"}", 0, NULL);
+    assert_true(rp_record_progress_read(value, back, sizeof back) && memcmp(bits, back, 3) == 0);
+    json_decref(value);
+    value = json_loads("{\"end\":\"cancelled\"}", 0, NULL);
+    assert_true(rp_record_over_read(value, &word) && word == RP_JOB_CANCELLED);
+    json_decref(value);
+    value = json_loads("{\"end\":\"of a later version\"}", 0, NULL);
+    assert_false(rp_record_over_read(value, &word));
+    json_decref(value);
 }
 
 /* What nodes of format 1 read of marked records, and that they pass new keys over. */
@@ -249,26 +249,26 @@
     char job[RP_ID_MAX];
     unsigned part;
     (void)state;
-    json_t *v = json_loads(production_job, 0, NULL);
-    rp_record_mark(v);
-    assert_int_equal(rp_record_format(v), RP_FORMAT);
-    assert_true(rp_record_open_read(v, &spec, &at));
+    json_t *value = json_loads(production_job, 0, NULL);
+    rp_record_mark(value);
+    assert_int_equal(rp_record_format(value), RP_FORMAT);
+    assert_true(rp_record_open_read(value, &spec, &at));
     rp_job_spec_free(&spec);
     for (size_t most = 160; most < 1000; most += 37) {
-        size_t n = rp_record_cut(v, most, pieces, RP_PARTS_MAX);
+        size_t n = rp_record_cut(value, most, pieces, RP_PARTS_MAX);
         assert_true(n > 0 && rp_record_parts(pieces[0]) == n - 1);
         for (size_t i = 0; i < n; i++)
             assert_true(rp_record_size(pieces[i]) <= most);
         json_t *whole = rp_record_join(pieces, n);
-        assert_true(json_equal(whole, v));
+        assert_true(json_equal(whole, value));
         json_decref(whole);
         for (size_t i = 0; i < n; i++)
             json_decref(pieces[i]);
     }
-    assert_int_equal(rp_record_cut(v, 160, pieces, 2), 0);
-    json_object_set_new(v, "f", json_integer(RP_FORMAT + 1));
-    assert_false(rp_record_open_read(v, &spec, &at));
-    json_decref(v);
+    assert_int_equal(rp_record_cut(value, 160, pieces, 2), 0);
+    json_object_set_new(value, "f", json_integer(RP_FORMAT + 1));
+    assert_false(rp_record_open_read(value, &spec, &at));
+    json_decref(value);
     assert_true(rp_key_part_read(RP_KEY_PART "j-1/03", job, &part) && part == 3);
     assert_false(rp_key_part_read(RP_KEY_PART "j-1/64", job, &part));
     assert_false(rp_key_part_read(RP_KEY_PART "j-1", job, &part));
