--- a/src/api/status.c
+++ b/src/api/status.c
@@ -18,8 +18,8 @@
             const char *name;
             json_int_t more;
         } adds[] = {{"jobs", 1},
-                    {"waiting", job->spec.n_tasks - job->n_done - job->n_counted},
-                    {"placed", job->n_counted},
+                    {"waiting", job->spec.n_tasks - job->n_done - job->n_allocated},
+                    {"placed", job->n_allocated},
                     {"running", job->n_running}};
         for (size_t i = 0; i < sizeof adds / sizeof adds[0]; i++) {
             json_t *value = json_object_get(c, adds[i].name);
@@ -46,14 +46,14 @@
                      "placed", (json_int_t)services->n_placed, "tasks_stopped_for_them",
                      (json_int_t)services->n_made_room, "moved", (json_int_t)services->n_moved,
                      "reserve_cpus", rp_services_reserve_cpus(services), "ready_cpus",
-                     node->at == RP_NODE_LEADING ? rp_services_ready_cpus(services) : 0.0, "direct",
-                     (json_int_t)node->workers.n_direct, "direct_unanswered",
+                     node->state == RP_NODE_LEADING ? rp_services_ready_cpus(services) : 0.0,
+                     "direct", (json_int_t)node->workers.n_direct, "direct_unanswered",
                      (json_int_t)node->workers.n_direct_lost);
 }
 
 /* What went beyond a fixed bound, was put off or left out, and logged. */
 static unsigned long over_bounds(const struct rp_node *node) {
-    return node->workers.n_over_bounds + node->round.n_over_bounds + node->jobs.n_over_bounds +
+    return node->workers.n_over_bounds + node->scheduler.n_over_bounds + node->jobs.n_over_bounds +
            node->catalog.n_left_out;
 }
 
@@ -61,7 +61,7 @@
     json_t *wins = json_object();
     for (size_t i = 0; i < node->settings->tuning.n_heuristics; i++)
         json_object_set_new(wins, node->settings->tuning.heuristics[i],
-                            json_integer((json_int_t)node->round.wins[i]));
+                            json_integer((json_int_t)node->scheduler.wins[i]));
     return wins;
 }
 
@@ -79,20 +79,21 @@
 static json_t *identity(const struct rp_node *node) {
     static const char *const states[] = {"following", "recovering", "leading"};
     return json_pack("{s:s,s:s,s:i,s:s,s:s,s:s,s:I,s:b}", "node", node->settings->node, "version",
-                     RP_VERSION, "format", RP_FORMAT, "upgrade", rp_upgrade_word(&node->upgrade),
-                     "state", states[node->at], "leader", node->election.leader, "token",
-                     (json_int_t)node->election.token, "lease_proven",
-                     rp_election_valid(&node->election, rp_loop_now(node->loop)));
+                     RP_VERSION, "format", RP_FORMAT, "upgrade",
+                     rp_upgrade_state_name(&node->upgrade), "state", states[node->state], "leader",
+                     node->election.leader, "token", (json_int_t)node->election.fencing_token,
+                     "lease_proven",
+                     rp_election_is_valid(&node->election, rp_loop_now(node->loop)));
 }
 
 char *rp_status_json(const struct rp_node *node) {
     const struct counter counters[] = {
-        {"nodes_known", node->upgrade.n_known},   {"state_too_fast", node->state.n_too_fast},
-        {"state_too_large", node->state.n_bad},   {"state_shed", node->state.n_shed},
-        {"unreadable", node->jobs.n_unreadable},  {"rounds", node->round.n_rounds},
-        {"starts", node->workers.n_starts},       {"preempted", node->round.n_preempted},
-        {"rented", node->fleet.n_rented},         {"refused", node->fleet.n_refused},
-        {"returned", node->fleet.n_returned},     {"accepted", node->n_accepted},
+        {"nodes_known", node->upgrade.n_known},   {"state_too_fast", node->store.n_too_fast},
+        {"state_too_large", node->store.n_bad},   {"state_shed", node->store.n_shed},
+        {"unreadable", node->jobs.n_unreadable},  {"rounds", node->scheduler.n_cycles},
+        {"starts", node->workers.n_starts},       {"preempted", node->scheduler.n_preempted},
+        {"rented", node->fleet.n_provisioned},    {"refused", node->fleet.n_refused},
+        {"returned", node->fleet.n_released},     {"accepted", node->n_accepted},
         {"stale_reports", node->workers.n_stale}, {"over_bounds", over_bounds(node)}};
     json_t *value = identity(node);
     put_counters(value, counters, sizeof counters / sizeof counters[0]);
--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -61,26 +61,26 @@
         op_answer(operation, 503, rp_wire_error("not possible just now"), RETRY_AFTER_S);
 }
 
-static void op_status(struct op *operation, int status, enum rp_job_word word) {
-    struct rp_job_status st = {.word = word};
+static void op_status(struct op *operation, int status, enum rp_job_phase phase) {
+    struct rp_job_status st = {.phase = phase};
     strcpy(st.id, operation->id);
-    if (word == RP_JOB_QUEUED && status == 200)
-        rp_node_display(operation->node, &st);
+    if (phase == RP_JOB_QUEUED && status == 200)
+        rp_node_fill_running_counts(operation->node, &st);
     op_answer(operation, status, rp_wire_job_status(&st), 0);
 }
 
 /* The job's end, as the state service has it: it stays so, and this node answers by itself next
  * time. */
-static void op_final(struct op *operation, enum rp_job_word word) {
-    rp_final_states_note(&operation->node->final_states, operation->id, word);
-    op_status(operation, 200, word);
+static void op_final(struct op *operation, enum rp_job_phase phase) {
+    rp_terminal_states_note(&operation->node->terminal_states, operation->id, phase);
+    op_status(operation, 200, phase);
 }
 
 static bool op_known_final(struct op *operation) {
-    enum rp_job_word word;
-    if (!rp_final_states_find(&operation->node->final_states, operation->id, &word))
+    enum rp_job_phase phase;
+    if (!rp_terminal_states_find(&operation->node->terminal_states, operation->id, &phase))
         return false;
-    op_status(operation, 200, word);
+    op_status(operation, 200, phase);
     return true;
 }
 
@@ -100,15 +100,15 @@
         op_next(operation, OP_WRITE);
 }
 
-static void over_read(void *arg, const struct rp_state_result *result) {
+static void over_read(void *arg, const struct rp_kv_result *result) {
     struct op *operation = arg;
     struct rp_item item;
-    enum rp_job_word word;
-    if (result->outcome == RP_STATE_MISSING)
+    enum rp_job_phase phase;
+    if (result->outcome == RP_KV_NOT_FOUND)
         op_unknown_job(operation);
-    else if (result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item) &&
-             rp_record_over_read(item.value, &word))
-        op_final(operation, word);
+    else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item) &&
+             rp_record_terminal_read(item.value, &phase))
+        op_final(operation, phase);
     else
         op_unavailable(operation);
 }
@@ -129,12 +129,12 @@
     }
 }
 
-static void open_read(void *arg, const struct rp_state_result *result) {
+static void open_read(void *arg, const struct rp_kv_result *result) {
     struct op *operation = arg;
     struct rp_item item;
-    if (result->outcome == RP_STATE_MISSING) {
+    if (result->outcome == RP_KV_NOT_FOUND) {
         op_next(operation, OP_READ_OVER);
-    } else if (result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item)) {
+    } else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
         operation->version = item.version;
         if (operation->kind == OP_CANCEL)
             op_next(operation, OP_WRITE);
@@ -148,18 +148,18 @@
 /* What a value may have: until every node knows better, today's limit. */
 static size_t value_limit(const struct op *operation) {
     const struct rp_settings *settings = operation->node->settings;
-    bool fit = rp_upgrade_active(&operation->node->upgrade);
+    bool fit = rp_upgrade_is_active(&operation->node->upgrade);
     return (size_t)((fit ? settings->state_fit : settings->state).value_kb * 1024);
 }
 
 /* A node of the version before would run a service like an array, and call it done: it is accepted
  * only once there is none left. */
-static void format_read(void *arg, const struct rp_state_result *result) {
+static void format_read(void *arg, const struct rp_kv_result *result) {
     struct op *operation = arg;
     struct rp_item item;
-    if (result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item))
-        rp_upgrade_read(&operation->node->upgrade, item.value);
-    if (rp_upgrade_active(&operation->node->upgrade)) {
+    if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item))
+        rp_upgrade_on_activation_record(&operation->node->upgrade, item.value);
+    if (rp_upgrade_is_active(&operation->node->upgrade)) {
         op_next(operation, OP_WRITE);
         return;
     }
@@ -167,9 +167,9 @@
     op_next(operation, OP_READ_OPEN);
 }
 
-static void written(void *arg, const struct rp_state_result *result) {
+static void written(void *arg, const struct rp_kv_result *result) {
     struct op *operation = arg;
-    if (result->outcome == RP_STATE_OK) {
+    if (result->outcome == RP_KV_OK) {
         if (operation->kind == OP_SUBMIT) {
             operation->node->n_accepted++;
             rp_debug("job %s accepted", operation->id);
@@ -183,14 +183,14 @@
     /* A conflict: the job is known, or has changed meanwhile. No answer: only a look tells
      * whether the write was carried out; if it was not, it still may be, and writing again is
      * harmless since both carry the same conditions. */
-    if (result->outcome == RP_STATE_BAD && operation->kind == OP_SUBMIT &&
+    if (result->outcome == RP_KV_BAD_REQUEST && operation->kind == OP_SUBMIT &&
         ++operation->tries < TRIES) {
         operation->value_most =
             (operation->value_most ? operation->value_most : value_limit(operation)) / 2;
         op_next(operation, OP_WRITE);
         return;
     }
-    if ((result->outcome == RP_STATE_CONFLICT || result->outcome == RP_STATE_UNKNOWN) &&
+    if ((result->outcome == RP_KV_CONDITION_FAILED || result->outcome == RP_KV_UNKNOWN) &&
         ++operation->tries < TRIES)
         op_next(operation, OP_READ_OPEN);
     else
@@ -219,17 +219,18 @@
     size_t most = operation->value_most ? operation->value_most : value_limit(operation);
     struct timespec wall;
     clock_gettime(CLOCK_REALTIME, &wall);
-    pieces[0] = rp_jobs_mark(&node->jobs, rp_record_open(&operation->spec, wall));
+    pieces[0] = rp_jobs_mark_format(&node->jobs, rp_record_open(&operation->spec, wall));
     if (rp_record_size(pieces[0]) <= most)
         return 1;
     json_decref(pieces[0]);
     forget_useless_types(&node->catalog, &operation->spec);
-    json_t *record = rp_jobs_mark(&node->jobs, rp_record_open(&operation->spec, wall));
+    json_t *record = rp_jobs_mark_format(&node->jobs, rp_record_open(&operation->spec, wall));
     if (rp_record_size(record) <= most) {
         pieces[0] = record;
         return 1;
     }
-    size_t count = rp_upgrade_active(&node->upgrade) ? rp_record_cut(record, most, pieces, max) : 0;
+    size_t count =
+        rp_upgrade_is_active(&node->upgrade) ? rp_record_cut(record, most, pieces, max) : 0;
     json_decref(record);
     return count;
 }
@@ -243,13 +244,13 @@
     size_t count = submission_pieces(operation, pieces, max < RP_PARTS_MAX ? max : RP_PARTS_MAX);
     if (count == 0) {
         strcpy(operation->why, "the description is longer than the state service can keep");
-        operation->refusal = rp_upgrade_active(&operation->node->upgrade) ? 422 : 503;
+        operation->refusal = rp_upgrade_is_active(&operation->node->upgrade) ? 422 : 503;
         op_next(operation, OP_READ_OPEN);
         return;
     }
     json_t *txn = rp_wire_txn();
     rp_key(open, RP_KEY_OPEN, operation->id);
-    rp_key(over, RP_KEY_OVER, operation->id);
+    rp_key(over, RP_KEY_TERMINAL, operation->id);
     rp_wire_txn_if(txn, open, 0);
     rp_wire_txn_if(txn, over, 0);
     rp_wire_txn_put(txn, open, pieces[0], 0);
@@ -257,23 +258,24 @@
         rp_key_part(part, operation->id, (unsigned)i);
         rp_wire_txn_put(txn, part, pieces[i], 0);
     }
-    rp_state_txn(&operation->node->state, RP_SHARE_SUBMISSIONS, txn, written, operation);
+    rp_kv_txn(&operation->node->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
 }
 
 static void write_cancellation(struct op *operation) {
     char open[RP_KEY_MAX], over[RP_KEY_MAX];
     json_t *txn = rp_wire_txn();
     rp_key(open, RP_KEY_OPEN, operation->id);
-    rp_key(over, RP_KEY_OVER, operation->id);
+    rp_key(over, RP_KEY_TERMINAL, operation->id);
     rp_wire_txn_if(txn, open, operation->version);
     rp_wire_txn_delete(txn, open);
-    rp_wire_txn_put(txn, over,
-                    rp_jobs_mark(&operation->node->jobs, rp_record_over(RP_JOB_CANCELLED)), 0);
-    rp_state_txn(&operation->node->state, RP_SHARE_SUBMISSIONS, txn, written, operation);
+    rp_wire_txn_put(
+        txn, over,
+        rp_jobs_mark_format(&operation->node->jobs, rp_record_terminal(RP_JOB_CANCELLED)), 0);
+    rp_kv_txn(&operation->node->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
 }
 
-static enum rp_state_share op_share(const struct op *operation) {
-    return operation->kind == OP_QUERY ? RP_SHARE_QUERIES : RP_SHARE_SUBMISSIONS;
+static enum rp_kv_budget op_share(const struct op *operation) {
+    return operation->kind == OP_QUERY ? RP_KV_BUDGET_QUERIES : RP_KV_BUDGET_SUBMISSIONS;
 }
 
 /* The one place where a request changes its state. */
@@ -286,15 +288,15 @@
         break;
     case OP_READ_OPEN:
         rp_key(key, RP_KEY_OPEN, operation->id);
-        rp_state_get(&operation->node->state, op_share(operation), key, open_read, operation);
+        rp_kv_get(&operation->node->store, op_share(operation), key, open_read, operation);
         break;
     case OP_READ_OVER:
-        rp_key(key, RP_KEY_OVER, operation->id);
-        rp_state_get(&operation->node->state, op_share(operation), key, over_read, operation);
+        rp_key(key, RP_KEY_TERMINAL, operation->id);
+        rp_kv_get(&operation->node->store, op_share(operation), key, over_read, operation);
         break;
     case OP_READ_FORMAT:
-        rp_state_get(&operation->node->state, op_share(operation), RP_KEY_FORMAT, format_read,
-                     operation);
+        rp_kv_get(&operation->node->store, op_share(operation), RP_KEY_FORMAT, format_read,
+                  operation);
         break;
     case OP_WRITE:
         if (operation->kind == OP_SUBMIT)
@@ -324,7 +326,7 @@
 static int judge(const struct rp_node *node, const struct rp_job_spec *spec, char why[128]) {
     int index = rp_settings_team(node->settings, spec->team);
     bool fits = false;
-    double tasks = spec->kind == RP_ARRAY ? 1 : spec->n_tasks;
+    double tasks = spec->kind == RP_JOB_ARRAY ? 1 : spec->n_tasks;
     if (index < 0) {
         strcpy(why, "unknown team");
         return 422;
@@ -336,7 +338,7 @@
     for (size_t t = 0; t < node->catalog.n_types; t++)
         for (size_t z = 0; z < node->catalog.n_zones; z++)
             fits |= (node->catalog.types[t].zones >> z & 1) &&
-                    rp_cluster_allows(&node->cluster, spec, (int)t, (int)z, false);
+                    rp_cluster_is_allowed(&node->cluster, spec, (int)t, (int)z, false);
     if (!fits) {
         strcpy(why, "a task fits no allowed machine type");
         return 422;
@@ -366,10 +368,10 @@
     else
         operation->refusal = judge(node, &operation->spec, operation->why);
     /* A known job is answered before anything is found wrong with the rest of the request. */
-    bool service = !operation->refusal && operation->spec.kind == RP_SERVICE;
-    op_next(operation, operation->refusal                              ? OP_READ_OPEN
-                       : service && !rp_upgrade_active(&node->upgrade) ? OP_READ_FORMAT
-                                                                       : OP_WRITE);
+    bool service = !operation->refusal && operation->spec.kind == RP_JOB_SERVICE;
+    op_next(operation, operation->refusal                                 ? OP_READ_OPEN
+                       : service && !rp_upgrade_is_active(&node->upgrade) ? OP_READ_FORMAT
+                                                                          : OP_WRITE);
 }
 
 void rp_api_query(struct rp_node *node, struct rp_request *req, const char *id) {
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -18,8 +18,9 @@
     for (int i = 1; i <= BINS; i++)
         ranges[i] = FIRST_S * pow(10, (double)i / PER_DECADE);
     for (int i = 0; i < RP_METRICS; i++) {
-        metrics->h[i] = gsl_histogram_alloc(BINS);
-        if (!metrics->h[i] || gsl_histogram_set_ranges(metrics->h[i], ranges, BINS + 1) != 0) {
+        metrics->histograms[i] = gsl_histogram_alloc(BINS);
+        if (!metrics->histograms[i] ||
+            gsl_histogram_set_ranges(metrics->histograms[i], ranges, BINS + 1) != 0) {
             rp_metrics_free(metrics);
             return -1;
         }
@@ -29,18 +30,18 @@
 
 void rp_metrics_free(struct rp_metrics *metrics) {
     for (int i = 0; i < RP_METRICS; i++)
-        if (metrics->h[i])
-            gsl_histogram_free(metrics->h[i]);
+        if (metrics->histograms[i])
+            gsl_histogram_free(metrics->histograms[i]);
     memset(metrics, 0, sizeof *metrics);
 }
 
 void rp_metrics_add(struct rp_metrics *metrics, enum rp_metric metric, double seconds) {
-    double most = gsl_histogram_max(metrics->h[metric]) * (1 - 1e-9);
-    gsl_histogram_increment(metrics->h[metric], fmin(fmax(seconds, 0), most));
+    double most = gsl_histogram_max(metrics->histograms[metric]) * (1 - 1e-9);
+    gsl_histogram_increment(metrics->histograms[metric], fmin(fmax(seconds, 0), most));
 }
 
 double rp_metrics_quantile(const struct rp_metrics *metrics, enum rp_metric metric, double share) {
-    const gsl_histogram *h = metrics->h[metric];
+    const gsl_histogram *h = metrics->histograms[metric];
     double total = gsl_histogram_sum(h), seen = 0, low, high = 0;
     for (size_t i = 0; i < gsl_histogram_bins(h) && total > 0; i++) {
         seen += gsl_histogram_get(h, i);
@@ -56,7 +57,7 @@
     for (int i = 0; i < RP_METRICS; i++)
         json_object_set_new(value, names[i],
                             json_pack("{s:f,s:f,s:f,s:f}", "count",
-                                      gsl_histogram_sum(metrics->h[i]), "p50",
+                                      gsl_histogram_sum(metrics->histograms[i]), "p50",
                                       rp_metrics_quantile(metrics, (enum rp_metric)i, 0.5), "p95",
                                       rp_metrics_quantile(metrics, (enum rp_metric)i, 0.95), "p99",
                                       rp_metrics_quantile(metrics, (enum rp_metric)i, 0.99)));
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -8,13 +8,13 @@
 enum rp_metric {
     RP_METRIC_SUBMIT, /* a submission's answer */
     RP_METRIC_QUERY,  /* a query's or a cancellation's answer */
-    RP_METRIC_ROUND,  /* a round's own time */
+    RP_METRIC_CYCLE,  /* a round's own time */
     RP_METRIC_START,  /* from a job's acceptance to a task's start command */
     RP_METRICS
 };
 
 struct rp_metrics {
-    gsl_histogram *h[RP_METRICS];
+    gsl_histogram *histograms[RP_METRICS];
 };
 
 int rp_metrics_init(struct rp_metrics *metrics);
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -12,13 +12,13 @@
 static void stored_due(void *arg);
 
 void rp_catalog_source_init(struct rp_catalog_source *source, struct rp_loop *loop,
-                            struct rp_cloud_client *cloud, struct rp_state_client *state,
+                            struct rp_cloud_client *cloud, struct rp_kv_client *store,
                             struct rp_election *election, const struct rp_upgrade *upgrade,
                             const struct rp_settings *settings, struct rp_catalog *catalog) {
     memset(source, 0, sizeof *source);
     source->loop = loop;
     source->cloud = cloud;
-    source->state = state;
+    source->store = store;
     source->election = election;
     source->upgrade = upgrade;
     source->settings = settings;
@@ -72,10 +72,10 @@
     rp_cloud_call(source->cloud, RP_CLOUD_URGENT, "GET", RP_PATH_TYPES, NULL, cloud_came, source);
 }
 
-static void stored_came(void *arg, const struct rp_state_result *result) {
+static void stored_came(void *arg, const struct rp_kv_result *result) {
     struct rp_catalog_source *source = arg;
     struct rp_item item;
-    bool read = result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item) &&
+    bool read = result->outcome == RP_KV_OK && rp_wire_item(result->body, &item) &&
                 rp_record_format(item.value) <= RP_FORMAT;
     if (!read || !take(source, item.value, "the state service"))
         rp_timer_set(source->loop, &source->stored_timer, STORED_AFTER_S);
@@ -86,23 +86,23 @@
 static void stored_due(void *arg) {
     struct rp_catalog_source *source = arg;
     if (!source->known)
-        rp_state_get(source->state, RP_SHARE_LEADERSHIP, RP_KEY_CATALOG, stored_came, source);
+        rp_kv_get(source->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_CATALOG, stored_came, source);
 }
 
 /* ---- storing ---- */
 
-static void written(void *arg, const struct rp_state_result *result) {
+static void written(void *arg, const struct rp_kv_result *result) {
     (void)arg;
-    if (result->outcome != RP_STATE_OK)
+    if (result->outcome != RP_KV_OK)
         rp_debug("the machine types could not be stored"); /* the next leader tries again */
 }
 
-static void compare_came(void *arg, const struct rp_state_result *result) {
+static void compare_came(void *arg, const struct rp_kv_result *result) {
     struct rp_catalog_source *source = arg;
     struct rp_item item = {0};
-    bool found = result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item);
-    if ((!found && result->outcome != RP_STATE_MISSING) || source->election->at != RP_HOLDING ||
-        !source->from_cloud)
+    bool found = result->outcome == RP_KV_OK && rp_wire_item(result->body, &item);
+    if ((!found && result->outcome != RP_KV_NOT_FOUND) ||
+        source->election->state != RP_ELECTION_HOLDING_KEY || !source->from_cloud)
         return;
     json_t *record = rp_record_mark(json_copy(source->from_cloud));
     if ((found && json_equal(record, item.value)) ||
@@ -114,11 +114,11 @@
     rp_election_guard(source->election, txn);
     rp_wire_txn_if(txn, RP_KEY_CATALOG, found ? item.version : 0);
     rp_wire_txn_put(txn, RP_KEY_CATALOG, record, 0);
-    rp_state_txn(source->state, RP_SHARE_LEADER, txn, written, source);
+    rp_kv_txn(source->store, RP_KV_BUDGET_LEADER, txn, written, source);
 }
 
 /* Before the activation nothing is written that the version before doesn't know. */
 void rp_catalog_source_lead(struct rp_catalog_source *source) {
-    if (source->from_cloud && rp_upgrade_active(source->upgrade))
-        rp_state_get(source->state, RP_SHARE_LEADER, RP_KEY_CATALOG, compare_came, source);
+    if (source->from_cloud && rp_upgrade_is_active(source->upgrade))
+        rp_kv_get(source->store, RP_KV_BUDGET_LEADER, RP_KEY_CATALOG, compare_came, source);
 }
--- a/src/cloud/catalog_source.h
+++ b/src/cloud/catalog_source.h
@@ -13,7 +13,7 @@
 struct rp_catalog_source {
     struct rp_loop *loop;
     struct rp_cloud_client *cloud;
-    struct rp_state_client *state;
+    struct rp_kv_client *store;
     struct rp_election *election;
     const struct rp_upgrade *upgrade;
     const struct rp_settings *settings;
@@ -27,7 +27,7 @@
 
 /* `catalog` is filled in once, before `on_known` is called; its types keep their indexes. */
 void rp_catalog_source_init(struct rp_catalog_source *source, struct rp_loop *loop,
-                            struct rp_cloud_client *cloud, struct rp_state_client *state,
+                            struct rp_cloud_client *cloud, struct rp_kv_client *store,
                             struct rp_election *election, const struct rp_upgrade *upgrade,
                             const struct rp_settings *settings, struct rp_catalog *catalog);
 void rp_catalog_source_start(struct rp_catalog_source *source);
--- a/src/cloud/cloud_client.c
+++ b/src/cloud/cloud_client.c
@@ -23,7 +23,7 @@
     client->addr = addr;
     client->pump = (struct rp_timer){.fn = pump_due, .arg = client};
     /* The rate is the cloud's for all nodes; all but the leader only read the catalog. */
-    rp_bucket_init(&client->requests, rps * 0.8, rps, rp_loop_now(loop));
+    rp_token_bucket_init(&client->requests, rps * 0.8, rps, rp_loop_now(loop));
 }
 
 static void call_free(struct rp_cloud_call *call) {
@@ -61,14 +61,14 @@
         while (client->first[u]) {
             struct rp_cloud_call *call = client->first[u];
             if (!rp_ts_reached(now, client->quiet_until) ||
-                !rp_bucket_has(&client->requests, 1, now)) {
+                !rp_token_bucket_has(&client->requests, 1, now)) {
                 rp_timer_set(client->loop, &client->pump, 0.05);
                 return;
             }
             client->first[u] = call->next;
             if (!call->next)
                 client->last[u] = NULL;
-            rp_bucket_take(&client->requests, 1);
+            rp_token_bucket_take(&client->requests, 1);
             client->net.call(client->net.ctx, client->addr, call->method, call->target, call->body,
                              ANSWER_S, answered, call);
         }
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -14,7 +14,7 @@
     struct rp_loop *loop;
     struct rp_net net;
     const char *addr;
-    struct rp_bucket requests;
+    struct rp_token_bucket requests;
     struct timespec quiet_until; /* after a 429 */
     struct rp_cloud_call *first[RP_CLOUD_URGENCIES], *last[RP_CLOUD_URGENCIES];
     struct rp_timer pump;
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -27,16 +27,16 @@
 static void drop_all(struct rp_cluster *cluster) {
     while (cluster->first)
         rp_machine_remove(cluster, cluster->first);
-    free(cluster->unsettled);
-    cluster->unsettled = NULL;
-    cluster->n_unsettled = cluster->cap_unsettled = 0;
+    free(cluster->unreconciled);
+    cluster->unreconciled = NULL;
+    cluster->n_unreconciled = cluster->cap_unreconciled = 0;
 }
 
 void rp_cluster_reset(struct rp_cluster *cluster, uint64_t token) {
     drop_all(cluster);
     for (size_t i = 0; i < cluster->settings->n_teams; i++)
         cluster->team_cpus[i] = cluster->team_gpus[i] = 0;
-    cluster->token = token;
+    cluster->fencing_token = token;
     cluster->attempt_base = token << 32;
     cluster->attempt_next = 0;
 }
@@ -48,7 +48,7 @@
 }
 
 struct rp_machine *rp_machine_find(const struct rp_cluster *cluster, const char *name) {
-    struct rp_machine *machine = cluster->buckets[rp_text_hash(name) % RP_CLUSTER_BUCKETS];
+    struct rp_machine *machine = cluster->buckets[rp_hash_string(name) % RP_CLUSTER_BUCKETS];
     while (machine && strcmp(machine->name, name) != 0)
         machine = machine->hash_next;
     return machine;
@@ -62,7 +62,7 @@
     strncpy(machine->name, name, sizeof machine->name - 1);
     machine->state = state;
     machine->type = machine->zone = -1;
-    machine->rented = rp_loop_now(cluster->loop);
+    machine->requested_at = rp_loop_now(cluster->loop);
     machine->prev = cluster->last;
     if (cluster->last)
         cluster->last->next = machine;
@@ -70,19 +70,20 @@
         cluster->first = machine;
     cluster->last = machine;
     struct rp_machine **bucket =
-        &cluster->buckets[rp_text_hash(machine->name) % RP_CLUSTER_BUCKETS];
+        &cluster->buckets[rp_hash_string(machine->name) % RP_CLUSTER_BUCKETS];
     machine->hash_next = *bucket;
     *bucket = machine;
     cluster->n_machines++;
-    cluster->unsettled_stale = true;
+    cluster->unreconciled_stale = true;
     return machine;
 }
 
 void rp_machine_remove(struct rp_cluster *cluster, struct rp_machine *machine) {
-    rp_machine_session_over(cluster, machine);
-    if (cluster->on_machine && (machine->session > 0 || machine->state == RP_MACHINE_RETURNING))
+    rp_machine_end_incarnation(cluster, machine);
+    if (cluster->on_machine && (machine->incarnation > 0 || machine->state == RP_MACHINE_RELEASING))
         cluster->on_machine(cluster->on_machine_arg, machine, true);
-    struct rp_machine **link = &cluster->buckets[rp_text_hash(machine->name) % RP_CLUSTER_BUCKETS];
+    struct rp_machine **link =
+        &cluster->buckets[rp_hash_string(machine->name) % RP_CLUSTER_BUCKETS];
     while (*link != machine)
         link = &(*link)->hash_next;
     *link = machine->hash_next;
@@ -95,7 +96,7 @@
     else
         cluster->last = machine->prev;
     cluster->n_machines--;
-    cluster->unsettled_stale = true;
+    cluster->unreconciled_stale = true;
     machine_free(machine);
 }
 
@@ -106,37 +107,38 @@
     if (machine->state == state)
         return;
     rp_debug("machine %s: %s -> %s", machine->name, names[machine->state], names[state]);
-    if (state == RP_MACHINE_UP && rp_ts_zero(machine->up)) {
-        machine->up = now;
+    if (state == RP_MACHINE_UP && rp_ts_zero(machine->up_at)) {
+        machine->up_at = now;
     }
     if (state == RP_MACHINE_LOST) {
         machine->lost_since = now;
-        machine->lost_session = machine->session;
+        machine->lost_incarnation = machine->incarnation;
         rp_info("machine %s lost: silent beyond its lease, places=%zu", machine->name,
                 machine->n_allocations);
-        rp_machine_session_over(cluster, machine);
+        rp_machine_end_incarnation(cluster, machine);
     }
     machine->state = state;
-    cluster->unsettled_stale = true;
-    if (state == RP_MACHINE_RETURNING)
-        machine->returning_since = now;
-    if (state == RP_MACHINE_RETURNING && cluster->on_machine)
+    cluster->unreconciled_stale = true;
+    if (state == RP_MACHINE_RELEASING)
+        machine->releasing_since = now;
+    if (state == RP_MACHINE_RELEASING && cluster->on_machine)
         cluster->on_machine(cluster->on_machine_arg, machine, false);
 }
 
 void rp_machine_note_contact(struct rp_cluster *cluster, struct rp_machine *machine,
-                             const char *addr, uint64_t session) {
-    bool changed = machine->session != session || strcmp(machine->addr, addr) != 0;
-    machine->session = session;
+                             const char *addr, uint64_t incarnation) {
+    bool changed = machine->incarnation != incarnation || strcmp(machine->addr, addr) != 0;
+    machine->incarnation = incarnation;
     snprintf(machine->addr, sizeof machine->addr, "%s", addr);
     if (changed && cluster->on_machine)
         cluster->on_machine(cluster->on_machine_arg, machine, false);
 }
 
-void rp_machine_note_token(struct rp_cluster *cluster, struct rp_machine *machine, bool seen) {
-    if (machine->token_seen != seen)
-        cluster->unsettled_stale = true;
-    machine->token_seen = seen;
+void rp_machine_note_fencing_token(struct rp_cluster *cluster, struct rp_machine *machine,
+                                   bool seen) {
+    if (machine->fencing_token_seen != seen)
+        cluster->unreconciled_stale = true;
+    machine->fencing_token_seen = seen;
 }
 
 void rp_machine_clear_unknown_tasks(struct rp_cluster *cluster, struct rp_machine *machine) {
@@ -161,70 +163,70 @@
     return true;
 }
 
-void rp_machine_session_over(struct rp_cluster *cluster, struct rp_machine *machine) {
+void rp_machine_end_incarnation(struct rp_cluster *cluster, struct rp_machine *machine) {
     while (machine->n_allocations > 0)
-        rp_allocation_drop(cluster, machine, machine->n_allocations - 1);
+        rp_allocation_remove(cluster, machine, machine->n_allocations - 1);
     /* What it has fetched stays on its disk: a cut or a hang takes the tasks, not the images. */
     rp_machine_clear_unknown_tasks(cluster, machine);
 }
 
-uint64_t rp_cluster_attempt(struct rp_cluster *cluster) {
+uint64_t rp_cluster_next_attempt(struct rp_cluster *cluster) {
     return cluster->attempt_base + ++cluster->attempt_next;
 }
 
 /* The machine may hold tasks of an earlier leader that it hasn't told us of yet. */
 static bool may_hold_more(const struct rp_machine *machine) {
-    return machine->state == RP_MACHINE_UNKNOWN ||
-           (machine->state == RP_MACHINE_RETURNING && !machine->token_seen);
+    return machine->state == RP_MACHINE_UNRECONCILED ||
+           (machine->state == RP_MACHINE_RELEASING && !machine->fencing_token_seen);
 }
 
 static bool unsettled(const struct rp_cluster *cluster, const struct rp_machine *machine) {
-    return machine->state == RP_MACHINE_UNKNOWN ||
-           (machine->state == RP_MACHINE_RETURNING && !machine->token_seen &&
-            !rp_ts_reached(rp_loop_now(cluster->loop), machine->held_until));
+    return machine->state == RP_MACHINE_UNRECONCILED ||
+           (machine->state == RP_MACHINE_RELEASING && !machine->fencing_token_seen &&
+            !rp_ts_reached(rp_loop_now(cluster->loop), machine->lease_expiry));
 }
 
 /* Every start asks who is unsettled: the machines that may be are listed anew only after one of
  * them has changed, and mostly there are none. */
 static void list_unsettled(struct rp_cluster *cluster) {
-    if (!cluster->unsettled_stale)
+    if (!cluster->unreconciled_stale)
         return;
-    cluster->n_unsettled = 0;
-    if (cluster->cap_unsettled < cluster->n_machines) {
-        free(cluster->unsettled);
-        cluster->cap_unsettled = cluster->n_machines * 2;
-        cluster->unsettled = calloc(cluster->cap_unsettled, sizeof(struct rp_machine *));
-        if (!cluster->unsettled)
+    cluster->n_unreconciled = 0;
+    if (cluster->cap_unreconciled < cluster->n_machines) {
+        free(cluster->unreconciled);
+        cluster->cap_unreconciled = cluster->n_machines * 2;
+        cluster->unreconciled = calloc(cluster->cap_unreconciled, sizeof(struct rp_machine *));
+        if (!cluster->unreconciled)
             abort(); /* out of memory: a restart is the honest answer */
     }
     for (struct rp_machine *machine = cluster->first; machine; machine = machine->next)
         if (may_hold_more(machine))
-            cluster->unsettled[cluster->n_unsettled++] = machine;
-    cluster->unsettled_stale = false;
+            cluster->unreconciled[cluster->n_unreconciled++] = machine;
+    cluster->unreconciled_stale = false;
 }
 
-bool rp_cluster_settled(struct rp_cluster *cluster) {
+bool rp_cluster_is_reconciled(struct rp_cluster *cluster) {
     list_unsettled(cluster);
-    for (size_t i = 0; i < cluster->n_unsettled; i++)
-        if (unsettled(cluster, cluster->unsettled[i]))
+    for (size_t i = 0; i < cluster->n_unreconciled; i++)
+        if (unsettled(cluster, cluster->unreconciled[i]))
             return false;
     return true;
 }
 
-bool rp_cluster_job_settled(struct rp_cluster *cluster, const struct rp_job *job) {
+bool rp_cluster_is_job_reconciled(struct rp_cluster *cluster, const struct rp_job *job) {
     const struct rp_team *team = job->team >= 0 ? &cluster->settings->teams[job->team] : NULL;
     bool limited = team && (team->cpus_max > 0 || team->gpus_max > 0);
     /* A job whose record is younger than our token was accepted after the last leader's lease had
      * ended: nobody but us can have started any of it. */
-    bool young = job->created > cluster->token;
+    bool young = job->accepted_revision > cluster->fencing_token;
     list_unsettled(cluster);
-    for (size_t i = 0; i < cluster->n_unsettled; i++) {
-        const struct rp_machine *machine = cluster->unsettled[i];
+    for (size_t i = 0; i < cluster->n_unreconciled; i++) {
+        const struct rp_machine *machine = cluster->unreconciled[i];
         if (!unsettled(cluster, machine))
             continue;
-        bool unfit =
-            machine->type >= 0 && machine->zone >= 0 &&
-            !rp_cluster_allows(cluster, &job->spec, machine->type, machine->zone, machine->spot);
+        bool unfit = machine->type >= 0 && machine->zone >= 0 &&
+                     !rp_cluster_is_allowed(cluster, &job->spec, machine->type, machine->zone,
+                                            machine->spot);
         if (limited || !(young || unfit))
             return false;
     }
@@ -235,8 +237,8 @@
     return state != RP_ALLOCATION_EXITED;
 }
 
-struct rp_resources rp_machine_free(const struct rp_cluster *cluster,
-                                    const struct rp_machine *machine) {
+struct rp_resources rp_machine_free_resources(const struct rp_cluster *cluster,
+                                              const struct rp_machine *machine) {
     struct rp_resources room = {0};
     if (machine->type < 0)
         return room;
@@ -251,19 +253,19 @@
     return room;
 }
 
-bool rp_machine_misses_answers(const struct rp_machine *machine) {
+bool rp_machine_is_one_way_partitioned(const struct rp_machine *machine) {
     return !rp_ts_zero(machine->answers_lost_since);
 }
 
-bool rp_machine_usable(const struct rp_machine *machine) {
+bool rp_machine_is_usable(const struct rp_machine *machine) {
     return machine->state == RP_MACHINE_UP && machine->recorded && machine->up_recorded &&
-           machine->token_seen && !machine->noticed && !machine->faulty && !machine->suspect &&
-           !rp_machine_misses_answers(machine) && machine->n_unknown_live == 0 &&
-           machine->type >= 0 && machine->zone >= 0;
+           machine->fencing_token_seen && !machine->has_spot_notice && !machine->quarantined &&
+           !machine->suspected && !rp_machine_is_one_way_partitioned(machine) &&
+           machine->n_unknown_live == 0 && machine->type >= 0 && machine->zone >= 0;
 }
 
-bool rp_cluster_allows(const struct rp_cluster *cluster, const struct rp_job_spec *spec, int type,
-                       int zone, bool spot) {
+bool rp_cluster_is_allowed(const struct rp_cluster *cluster, const struct rp_job_spec *spec,
+                           int type, int zone, bool spot) {
     if (type < 0 || zone < 0 || (spot && !spec->spot))
         return false;
     if (*spec->zone && strcmp(spec->zone, cluster->catalog->zones[zone]) != 0)
@@ -289,10 +291,10 @@
     return true;
 }
 
-bool rp_machine_idle(const struct rp_machine *machine) {
+bool rp_machine_is_idle(const struct rp_machine *machine) {
     for (size_t i = 0; i < machine->n_allocations; i++)
         if (machine->allocations[i].state != RP_ALLOCATION_EXITED ||
-            !machine->allocations[i].direct)
+            !machine->allocations[i].started_directly)
             return false;
     return machine->n_unknown_tasks == 0;
 }
@@ -315,19 +317,21 @@
 
 bool rp_cluster_may_start(struct rp_cluster *cluster, const struct rp_job *job, uint32_t task,
                           const struct rp_machine *machine) {
-    static const struct rp_freed none = {0};
-    return rp_cluster_may_start_over(cluster, job, task, machine, &none);
+    static const struct rp_released_resources none = {0};
+    return rp_cluster_may_start_after_release(cluster, job, task, machine, &none);
 }
 
-bool rp_cluster_may_start_over(struct rp_cluster *cluster, const struct rp_job *job, uint32_t task,
-                               const struct rp_machine *machine, const struct rp_freed *freed) {
-    struct rp_resources room = rp_machine_free(cluster, machine),
+bool rp_cluster_may_start_after_release(struct rp_cluster *cluster, const struct rp_job *job,
+                                        uint32_t task, const struct rp_machine *machine,
+                                        const struct rp_released_resources *freed) {
+    struct rp_resources room = rp_machine_free_resources(cluster, machine),
                         over = rp_cluster_over_quota(cluster, job);
     rp_resources_add(&room, &freed->room);
     return job->state == RP_JOB_OPEN && task < job->spec.n_tasks &&
-           rp_job_allocations(job, task) == 0 && !rp_job_task_done(job, task) &&
-           rp_machine_usable(machine) && rp_cluster_job_settled(cluster, job) &&
-           rp_cluster_allows(cluster, &job->spec, machine->type, machine->zone, machine->spot) &&
+           rp_job_n_task_allocations(job, task) == 0 && !rp_job_is_task_done(job, task) &&
+           rp_machine_is_usable(machine) && rp_cluster_is_job_reconciled(cluster, job) &&
+           rp_cluster_is_allowed(cluster, &job->spec, machine->type, machine->zone,
+                                 machine->spot) &&
            zone_fits(job, machine->zone) && rp_resources_fit(&job->spec.each, &room) &&
            over.cpus <= freed->team.cpus && over.gpus <= freed->team.gpus;
 }
@@ -343,8 +347,8 @@
         cluster->team_gpus[job->team] += sign * job->spec.each.gpus;
     }
     /* What was handed back may be started again from the first such task on. */
-    if (sign < 0 && allocation->task < job->cursor)
-        job->cursor = allocation->task;
+    if (sign < 0 && allocation->task < job->first_startable_task)
+        job->first_startable_task = allocation->task;
 }
 
 static void set_running(struct rp_allocation *allocation, bool running) {
@@ -371,7 +375,7 @@
                                          .attempt = attempt,
                                          .state = state,
                                          .task_state = RP_TASK_FETCHING,
-                                         .since = rp_loop_now(cluster->loop)};
+                                         .planned_at = rp_loop_now(cluster->loop)};
     job->n_refs++;
     if (counts(state))
         count_allocation(cluster, machine, allocation, 1);
@@ -388,7 +392,7 @@
     allocation->state = state;
 }
 
-void rp_allocation_drop(struct rp_cluster *cluster, struct rp_machine *machine, size_t index) {
+void rp_allocation_remove(struct rp_cluster *cluster, struct rp_machine *machine, size_t index) {
     struct rp_allocation *allocation = &machine->allocations[index];
     struct rp_job *job = allocation->job;
     set_running(allocation, false);
@@ -398,12 +402,12 @@
     rp_jobs_release(cluster->jobs, job);
 }
 
-void rp_allocation_stop(struct rp_allocation *allocation, double grace_s) {
-    if (allocation->stop && allocation->grace_s <= grace_s)
+void rp_allocation_request_stop(struct rp_allocation *allocation, double grace_s) {
+    if (allocation->stop_requested && allocation->grace_s <= grace_s)
         return;
-    allocation->stop = true;
+    allocation->stop_requested = true;
     allocation->grace_s = grace_s;
-    allocation->stop_sent = (struct timespec){0};
+    allocation->stop_sent_at = (struct timespec){0};
 }
 
 void rp_cluster_stop_job(struct rp_cluster *cluster, struct rp_job *job, double grace_s) {
@@ -413,9 +417,9 @@
             if (allocation->job != job)
                 continue;
             if (allocation->state == RP_ALLOCATION_PLANNED)
-                rp_allocation_drop(cluster, machine, i);
+                rp_allocation_remove(cluster, machine, i);
             else if (allocation->state != RP_ALLOCATION_EXITED)
-                rp_allocation_stop(allocation, grace_s);
+                rp_allocation_request_stop(allocation, grace_s);
         }
 }
 
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -8,11 +8,11 @@
 #include "model/model.h"
 
 enum rp_machine_state {
-    RP_MACHINE_BOOTING,  /* rented, has not reported yet, can hold nothing */
-    RP_MACHINE_UNKNOWN,  /* from an earlier leader's records: may hold any task */
-    RP_MACHINE_UP,       /* its reports are the truth */
-    RP_MACHINE_LOST,     /* silent beyond its lease: holds nothing, is to be returned */
-    RP_MACHINE_RETURNING /* the cloud is being told; never used again */
+    RP_MACHINE_BOOTING,      /* rented, has not reported yet, can hold nothing */
+    RP_MACHINE_UNRECONCILED, /* from an earlier leader's records: may hold any task */
+    RP_MACHINE_UP,           /* its reports are the truth */
+    RP_MACHINE_LOST,         /* silent beyond its lease: holds nothing, is to be returned */
+    RP_MACHINE_RELEASING     /* the cloud is being told; never used again */
 };
 
 enum rp_allocation_state {
@@ -28,16 +28,16 @@
     uint64_t attempt;
     enum rp_allocation_state state;
     enum rp_task_state task_state;
-    enum rp_exit why;
-    uint64_t sent_seq;       /* number of the report whose answer carried the start */
-    uint64_t seen_seq;       /* number of the newest message that listed it */
-    bool direct;             /* the start went as a direct command: copies of it may come late */
-    bool direct_open;        /* and that command's answer is still waited for */
-    struct timespec since;   /* planned */
-    struct timespec running; /* first seen running */
-    bool stop;               /* is to be stopped */
+    enum rp_exit_reason exit_reason;
+    uint64_t sent_seq;          /* number of the report whose answer carried the start */
+    uint64_t seen_seq;          /* number of the newest message that listed it */
+    bool started_directly;      /* the start went as a direct command: copies of it may come late */
+    bool direct_start_pending;  /* and that command's answer is still waited for */
+    struct timespec planned_at; /* planned */
+    struct timespec running_since; /* first seen running */
+    bool stop_requested;           /* is to be stopped */
     double grace_s;
-    struct timespec stop_sent;
+    struct timespec stop_sent_at;
     bool marked; /* scratch of a report's reading */
 };
 
@@ -58,7 +58,7 @@
     struct timespec used;
 };
 
-struct rp_rental;
+struct rp_provision_request;
 
 struct rp_machine {
     char name[RP_TEXT_MAX], addr[RP_TEXT_MAX];
@@ -68,25 +68,26 @@
     bool spot;
     bool recorded;    /* its name is durable */
     bool up_recorded; /* and that it is up: only then may starts go to it */
-    struct rp_rental *rental;
-    uint64_t session;
-    uint64_t seq;        /* of its newest message: a report or the answer to a direct command */
-    uint64_t report_seq; /* of its newest report */
-    unsigned n_direct;   /* direct commands and questions sent since then */
-    bool unreached;      /* a direct command found no way to it, and nothing has come since */
-    bool probing;        /* it is being asked whether it is there */
+    struct rp_provision_request *provision_request;
+    uint64_t incarnation;
+    uint64_t seq;           /* of its newest message: a report or the answer to a direct command */
+    uint64_t heartbeat_seq; /* of its newest report */
+    unsigned n_direct;      /* direct commands and questions sent since then */
+    bool unreachable;       /* a direct command found no way to it, and nothing has come since */
+    bool probing;           /* it is being asked whether it is there */
     unsigned probes_failed;
-    struct timespec probed;
-    bool token_seen; /* its newest report shows our token */
-    bool fenced;     /* known by its answer to a new leader's token alone: no report has come yet */
-    bool noticed;    /* the cloud takes it away soon */
-    struct timespec notice_end;
-    struct timespec rented, up, last_report;
-    struct timespec last_heard; /* the newest message of any kind */
-    struct timespec held_until; /* its tasks are gone by then unless it is answered again */
+    struct timespec probed_at;
+    bool fencing_token_seen; /* its newest report shows our token */
+    bool fenced; /* known by its answer to a new leader's token alone: no report has come yet */
+    bool has_spot_notice; /* the cloud takes it away soon */
+    struct timespec spot_notice_end;
+    struct timespec requested_at, up_at, last_heartbeat;
+    struct timespec last_heard;   /* the newest message of any kind */
+    struct timespec lease_expiry; /* its tasks are gone by then unless it is answered again */
     struct timespec first_answer, last_answer; /* ours; zero: none yet */
-    struct timespec lost_since, returning_since;
-    uint64_t lost_session; /* the session that it was lost in, 0: none that this leader heard of */
+    struct timespec lost_since, releasing_since;
+    uint64_t
+        lost_incarnation; /* the session that it was lost in, 0: none that this leader heard of */
     struct timespec
         answers_lost_since; /* its reports come, but our answers don't reach it; zero: they do */
     struct rp_allocation *allocations;
@@ -96,14 +97,14 @@
     size_t n_unknown_live; /* of them those that haven't exited, and those beyond the bound */
     struct rp_image *images;
     size_t n_images, cap_images;
-    unsigned errors_row;     /* errors since the last task that ended well */
-    unsigned n_error_jobs;   /* jobs that they were of */
-    uint64_t last_error_job; /* the last of them */
-    bool suspect;            /* the machine or that job */
-    struct timespec suspect_until;
-    bool faulty;
-    bool draining;            /* its work moves elsewhere, then it goes back */
-    char reserved[RP_ID_MAX]; /* room is kept here for this job, "" for none */
+    unsigned consecutive_errors; /* errors since the last task that ended well */
+    unsigned n_error_jobs;       /* jobs that they were of */
+    uint64_t last_error_job;     /* the last of them */
+    bool suspected;              /* the machine or that job */
+    struct timespec suspected_until;
+    bool quarantined;
+    bool draining;                /* its work moves elsewhere, then it goes back */
+    char reserved_for[RP_ID_MAX]; /* room is kept here for this job, "" for none */
     struct timespec reserved_until;
     bool delete_sent;
     unsigned list_missing;
@@ -123,12 +124,12 @@
     size_t n_machines;
     struct rp_machine *buckets[RP_CLUSTER_BUCKETS];
     /* The machines that may hold tasks this leader doesn't know of; found anew after a change. */
-    struct rp_machine **unsettled;
-    size_t n_unsettled, cap_unsettled;
-    bool unsettled_stale;
+    struct rp_machine **unreconciled;
+    size_t n_unreconciled, cap_unreconciled;
+    bool unreconciled_stale;
     size_t n_with_unknown_live;    /* machines that hold tasks of unknown jobs, not exited */
     double *team_cpus, *team_gpus; /* what each team's tasks may use now */
-    uint64_t token;
+    uint64_t fencing_token;
     uint64_t attempt_base, attempt_next;
     /* A machine's address or session is known anew, it is being returned, or it is gone; NULL:
      * nobody wants to know. */
@@ -152,54 +153,56 @@
                           enum rp_machine_state state);
 /* Where it can be reached, and in which session, as its newest message says. */
 void rp_machine_note_contact(struct rp_cluster *cluster, struct rp_machine *machine,
-                             const char *addr, uint64_t session);
+                             const char *addr, uint64_t incarnation);
 /* Whether its newest report shows our token. */
-void rp_machine_note_token(struct rp_cluster *cluster, struct rp_machine *machine, bool seen);
+void rp_machine_note_fencing_token(struct rp_cluster *cluster, struct rp_machine *machine,
+                                   bool seen);
 /* Forgets, and adds, tasks of jobs that this leader doesn't know; false beyond
  * RP_UNKNOWN_TASKS_KEPT. */
 void rp_machine_clear_unknown_tasks(struct rp_cluster *cluster, struct rp_machine *machine);
 bool rp_machine_add_unknown_task(struct rp_cluster *cluster, struct rp_machine *machine,
                                  const struct rp_unknown_task *unknown_tasks);
 /* The session is over: no task of it is on the machine any more. */
-void rp_machine_session_over(struct rp_cluster *cluster, struct rp_machine *machine);
+void rp_machine_end_incarnation(struct rp_cluster *cluster, struct rp_machine *machine);
 
 /* Unique over all leaders: the token and a count. */
-uint64_t rp_cluster_attempt(struct rp_cluster *cluster);
+uint64_t rp_cluster_next_attempt(struct rp_cluster *cluster);
 /* No machine may hold tasks that this leader doesn't know of. */
-bool rp_cluster_settled(struct rp_cluster *cluster);
+bool rp_cluster_is_reconciled(struct rp_cluster *cluster);
 /* No machine may hold tasks of this job that this leader doesn't know of. */
-bool rp_cluster_job_settled(struct rp_cluster *cluster, const struct rp_job *job);
-struct rp_resources rp_machine_free(const struct rp_cluster *cluster,
-                                    const struct rp_machine *machine);
-bool rp_machine_usable(const struct rp_machine *machine);
-bool rp_machine_misses_answers(const struct rp_machine *machine);
+bool rp_cluster_is_job_reconciled(struct rp_cluster *cluster, const struct rp_job *job);
+struct rp_resources rp_machine_free_resources(const struct rp_cluster *cluster,
+                                              const struct rp_machine *machine);
+bool rp_machine_is_usable(const struct rp_machine *machine);
+bool rp_machine_is_one_way_partitioned(const struct rp_machine *machine);
 /* The types, zones and kinds that the job allows. */
-bool rp_cluster_allows(const struct rp_cluster *cluster, const struct rp_job_spec *spec, int type,
-                       int zone, bool spot);
+bool rp_cluster_is_allowed(const struct rp_cluster *cluster, const struct rp_job_spec *spec,
+                           int type, int zone, bool spot);
 bool rp_cluster_may_start(struct rp_cluster *cluster, const struct rp_job *job, uint32_t task,
                           const struct rp_machine *machine);
 /* What the very message that starts a task gives back before: of the machine's room, and of what
  * the job's team uses. */
-struct rp_freed {
+struct rp_released_resources {
     struct rp_resources room, team;
 };
 /* The same with that. */
-bool rp_cluster_may_start_over(struct rp_cluster *cluster, const struct rp_job *job, uint32_t task,
-                               const struct rp_machine *machine, const struct rp_freed *freed);
+bool rp_cluster_may_start_after_release(struct rp_cluster *cluster, const struct rp_job *job,
+                                        uint32_t task, const struct rp_machine *machine,
+                                        const struct rp_released_resources *freed);
 /* How far one more task of the job would be beyond its team's limit; not above 0: it isn't. */
 struct rp_resources rp_cluster_over_quota(const struct rp_cluster *cluster,
                                           const struct rp_job *job);
 /* Nothing is on the machine, nor may be. What has ended may still be listed: attempts that were
  * started directly are kept known there, so that late copies of their starts do nothing. */
-bool rp_machine_idle(const struct rp_machine *machine);
+bool rp_machine_is_idle(const struct rp_machine *machine);
 struct rp_allocation *rp_allocation_add(struct rp_cluster *cluster, struct rp_machine *machine,
                                         struct rp_job *job, uint32_t task, uint64_t attempt,
                                         enum rp_allocation_state state);
 /* The one place where an allocation changes its state; keeps all counts. */
 void rp_allocation_set_state(struct rp_cluster *cluster, struct rp_machine *machine,
                              struct rp_allocation *allocation, enum rp_allocation_state state);
-void rp_allocation_drop(struct rp_cluster *cluster, struct rp_machine *machine, size_t index);
-void rp_allocation_stop(struct rp_allocation *allocation, double grace_s);
+void rp_allocation_remove(struct rp_cluster *cluster, struct rp_machine *machine, size_t index);
+void rp_allocation_request_stop(struct rp_allocation *allocation, double grace_s);
 /* Wants every task of the job stopped, wherever it may be. */
 void rp_cluster_stop_job(struct rp_cluster *cluster, struct rp_job *job, double grace_s);
 /* Images are known by the hashes of their names. */
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -48,7 +48,7 @@
     struct rp_fleet *f;
     unsigned long generation;
     char rental[RP_TEXT_MAX];
-    enum rp_rental_state wrote; /* the rental's state when its record was written */
+    enum rp_provision_state wrote; /* the rental's state when its record was written */
     size_t n;
     char (*names)[RP_TEXT_MAX];
 };
@@ -74,26 +74,26 @@
 }
 
 static void tick(void *arg);
-static void rental_step(struct rp_fleet *fleet, struct rp_rental *rental);
+static void rental_step(struct rp_fleet *fleet, struct rp_provision_request *request);
 
 void rp_fleet_init(struct rp_fleet *fleet, struct rp_loop *loop, struct rp_cloud_client *cloud,
-                   struct rp_state_client *state, struct rp_election *election,
+                   struct rp_kv_client *store, struct rp_election *election,
                    struct rp_cluster *cluster, struct rp_jobs *jobs,
                    const struct rp_settings *settings, struct rp_catalog *catalog) {
     memset(fleet, 0, sizeof *fleet);
     fleet->loop = loop;
     fleet->cloud = cloud;
-    fleet->state = state;
+    fleet->store = store;
     fleet->election = election;
     fleet->cluster = cluster;
     fleet->jobs = jobs;
     fleet->settings = settings;
     fleet->catalog = catalog;
-    fleet->value_most = (size_t)(settings->state_fit.value_kb * 1024);
+    fleet->value_max_bytes = (size_t)(settings->state_fit.value_kb * 1024);
     fleet->timer = (struct rp_timer){.fn = tick, .arg = fleet};
 }
 
-double rp_fleet_price(const struct rp_catalog *catalog, int type, bool spot) {
+double rp_fleet_hourly_price(const struct rp_catalog *catalog, int type, bool spot) {
     return spot ? catalog->types[type].spot_price : catalog->types[type].price;
 }
 
@@ -111,8 +111,8 @@
     return -1;
 }
 
-void rp_fleet_describe(struct rp_fleet *fleet, struct rp_machine *machine, const char *type,
-                       const char *zone, bool spot) {
+void rp_fleet_describe_machine(struct rp_fleet *fleet, struct rp_machine *machine, const char *type,
+                               const char *zone, bool spot) {
     /* A zone never changes under a machine's tasks: they are counted by it. */
     if (machine->type >= 0 && machine->zone >= 0)
         return;
@@ -125,105 +125,107 @@
 
 /* ---- rentals ---- */
 
-static struct rp_rental *rental_find(const struct rp_fleet *fleet, const char *name) {
-    struct rp_rental *request = fleet->rentals;
+static struct rp_provision_request *rental_find(const struct rp_fleet *fleet, const char *name) {
+    struct rp_provision_request *request = fleet->provision_requests;
     while (request && strcmp(request->name, name) != 0)
         request = request->next;
     return request;
 }
 
-static struct rp_rental *rental_add(struct rp_fleet *fleet, const char *name) {
-    struct rp_rental *request = calloc(1, sizeof *request);
+static struct rp_provision_request *rental_add(struct rp_fleet *fleet, const char *name) {
+    struct rp_provision_request *request = calloc(1, sizeof *request);
     if (!request)
         abort();
     snprintf(request->name, sizeof request->name, "%s", name);
     request->version_known = true;
-    request->next = fleet->rentals;
-    fleet->rentals = request;
+    request->next = fleet->provision_requests;
+    fleet->provision_requests = request;
     return request;
 }
 
-static void rental_free(struct rp_fleet *fleet, struct rp_rental *rental) {
-    struct rp_rental **link = &fleet->rentals;
-    while (*link != rental)
+static void rental_free(struct rp_fleet *fleet, struct rp_provision_request *request) {
+    struct rp_provision_request **link = &fleet->provision_requests;
+    while (*link != request)
         link = &(*link)->next;
-    *link = rental->next;
-    free(rental);
+    *link = request->next;
+    free(request);
 }
 
 /* The one place where a rental changes its state. */
-static void rental_set_state(struct rp_fleet *fleet, struct rp_rental *rental,
-                             enum rp_rental_state state) {
-    rental->state = state;
-    rental->retry = (struct timespec){0};
-    if (state == RP_RENTAL_LIVE) {
+static void rental_set_state(struct rp_fleet *fleet, struct rp_provision_request *request,
+                             enum rp_provision_state state) {
+    request->state = state;
+    request->retry = (struct timespec){0};
+    if (state == RP_PROVISION_LIVE) {
         for (struct rp_machine *machine = fleet->cluster->first; machine; machine = machine->next)
-            if (machine->rental == rental)
+            if (machine->provision_request == request)
                 machine->recorded = true;
         if (fleet->on_changed)
             fleet->on_changed(fleet->arg);
     }
 }
 
-static void rental_later(struct rp_fleet *fleet, struct rp_rental *rental, double after_s) {
-    rental->retry = rp_ts_after(rp_loop_now(fleet->loop), after_s);
+static void rental_later(struct rp_fleet *fleet, struct rp_provision_request *request,
+                         double after_s) {
+    request->retry = rp_ts_after(rp_loop_now(fleet->loop), after_s);
 }
 
-static size_t rental_names(const struct rp_fleet *fleet, const struct rp_rental *rental,
+static size_t rental_names(const struct rp_fleet *fleet, const struct rp_provision_request *request,
                            const char **names, size_t max) {
     size_t n = 0;
     for (const struct rp_machine *machine = fleet->cluster->first; machine && n < max;
          machine = machine->next)
-        if (machine->rental == rental)
+        if (machine->provision_request == request)
             names[n++] = machine->name;
     return n;
 }
 
 /* What a record says that has been written: these machines are up. */
-static void note_recorded(struct rp_fleet *fleet, const struct rp_rental *rental,
+static void note_recorded(struct rp_fleet *fleet, const struct rp_provision_request *rental,
                           const struct request *request) {
     for (size_t i = 0; i < request->n; i++) {
         struct rp_machine *machine =
             *request->names[i] ? rp_machine_find(fleet->cluster, request->names[i]) : NULL;
-        if (machine && machine->rental == rental)
+        if (machine && machine->provision_request == rental)
             machine->up_recorded = true;
     }
 }
 
-void rp_fleet_came_up(struct rp_fleet *fleet, struct rp_machine *machine) {
-    if (machine->up_recorded || !machine->rental || machine->rental->changed)
+void rp_fleet_record_up(struct rp_fleet *fleet, struct rp_machine *machine) {
+    if (machine->up_recorded || !machine->provision_request || machine->provision_request->changed)
         return;
-    machine->rental->changed = true;
-    rental_step(fleet, machine->rental);
+    machine->provision_request->changed = true;
+    rental_step(fleet, machine->provision_request);
 }
 
-static void rental_written(void *arg, const struct rp_state_result *result) {
+static void rental_written(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_fleet *fleet = request->f;
-    struct rp_rental *rental =
+    struct rp_provision_request *rental =
         request_current(request) ? rental_find(fleet, request->rental) : NULL;
-    enum rp_rental_state wrote = request->wrote;
+    enum rp_provision_state wrote = request->wrote;
     if (!rental) {
         request_free(request);
         return;
     }
-    if (result->outcome == RP_STATE_OK)
+    if (result->outcome == RP_KV_OK)
         note_recorded(fleet, rental, request);
     request_free(request);
     rental->busy = false;
-    if (result->outcome == RP_STATE_CONFLICT && rp_wire_failed_key(result->body, RP_KEY_LEADER)) {
-        rp_election_doubt(fleet->election);
+    if (result->outcome == RP_KV_CONDITION_FAILED &&
+        rp_wire_failed_key(result->body, RP_KEY_LEADER)) {
+        rp_election_verify(fleet->election);
         rental_later(fleet, rental, 1);
         return;
     }
-    if (result->outcome == RP_STATE_BAD && fleet->value_most > VALUE_LEAST) {
+    if (result->outcome == RP_KV_BAD_REQUEST && fleet->value_max_bytes > VALUE_LEAST) {
         /* Larger than the limits told: smaller pieces, at a slower pace. */
-        fleet->value_most = fleet->value_most * 3 / 4;
+        fleet->value_max_bytes = fleet->value_max_bytes * 3 / 4;
         rental->changed = true;
         rental_later(fleet, rental, 1);
         return;
     }
-    if (result->outcome != RP_STATE_OK) {
+    if (result->outcome != RP_KV_OK) {
         /* Each write carries the version that it replaces, so that a copy which arrives late can't
          * take names away again. After a lost answer, or a conflict with a write whose answer was
          * lost, the version has to be read. */
@@ -233,35 +235,35 @@
         return;
     }
     rental->version = rp_wire_revision(result->body);
-    if (wrote == RP_RENTAL_ENDED) {
+    if (wrote == RP_PROVISION_ENDED) {
         rental_free(fleet, rental);
         return;
     }
     rental->stored = true;
     /* The state may have moved on while the write was under way: its machines can be gone. */
-    if (wrote == RP_RENTAL_WRITING && rental->state == wrote)
-        rental_set_state(fleet, rental, RP_RENTAL_ASKING);
-    else if (wrote == RP_RENTAL_RECORDING && rental->state == wrote)
-        rental_set_state(fleet, rental, RP_RENTAL_LIVE);
-    else if (wrote == RP_RENTAL_LIVE && fleet->on_changed)
+    if (wrote == RP_PROVISION_RECORDING_INTENT && rental->state == wrote)
+        rental_set_state(fleet, rental, RP_PROVISION_REQUESTING);
+    else if (wrote == RP_PROVISION_RECORDING_NAMES && rental->state == wrote)
+        rental_set_state(fleet, rental, RP_PROVISION_LIVE);
+    else if (wrote == RP_PROVISION_LIVE && fleet->on_changed)
         fleet->on_changed(fleet->arg);
     rental_step(fleet, rental);
 }
 
-static void rental_read(void *arg, const struct rp_state_result *result) {
+static void rental_read(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_fleet *fleet = request->f;
-    struct rp_rental *rental =
+    struct rp_provision_request *rental =
         request_current(request) ? rental_find(fleet, request->rental) : NULL;
     struct rp_item item;
     request_free(request);
     if (!rental)
         return;
     rental->busy = false;
-    if (result->outcome == RP_STATE_MISSING) {
+    if (result->outcome == RP_KV_NOT_FOUND) {
         rental->version = 0;
         rental->version_known = true;
-    } else if (result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item)) {
+    } else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
         rental->version = item.version;
         rental->version_known = true;
     } else {
@@ -272,69 +274,69 @@
 }
 
 /* The record as it stands; with a request, the names that it says are up are noted there. */
-static json_t *rental_record(struct rp_fleet *fleet, const struct rp_rental *rental,
+static json_t *rental_record(struct rp_fleet *fleet, const struct rp_provision_request *rental,
                              struct request *request) {
     const char *names[NAMES_MAX];
     bool up[NAMES_MAX];
     size_t n = 0;
     for (struct rp_machine *machine = fleet->cluster->first; machine && n < NAMES_MAX;
          machine = machine->next)
-        if (machine->rental == rental) {
+        if (machine->provision_request == rental) {
             names[n] = machine->name;
-            up[n] = machine->up_recorded || machine->session > 0;
+            up[n] = machine->up_recorded || machine->incarnation > 0;
             if (request)
                 strcpy(request->names[n], up[n] ? machine->name : "");
             n++;
         }
     if (request)
         request->n = n;
-    return rp_jobs_mark(fleet->jobs, rp_record_rental(&rental->record, names, up, n));
+    return rp_jobs_mark_format(fleet->jobs, rp_record_provision(&rental->record, names, up, n));
 }
 
 /* A record that names more machines than a value may hold (the version before wrote up to 50, and
  * the limit came down) is split: a new one takes over the second half of the names and is written
  * first, then the old one without them. Whoever reads both in between takes the first that names a
  * machine. */
-static bool rental_split(struct rp_fleet *fleet, struct rp_rental *rental) {
-    json_t *value = rental_record(fleet, rental, NULL);
-    size_t size = rp_record_size(value), n = rp_record_rental_names(value), k = 0;
+static bool rental_split(struct rp_fleet *fleet, struct rp_provision_request *request) {
+    json_t *value = rental_record(fleet, request, NULL);
+    size_t size = rp_record_size(value), n = rp_record_provision_n_names(value), k = 0;
     char name[RP_TEXT_MAX];
     json_decref(value);
-    if (size <= fleet->value_most || n < 2 || !rental->record.answered)
+    if (size <= fleet->value_max_bytes || n < 2 || !request->record.answered)
         return false;
-    snprintf(name, sizeof name, "s-%llu-%lu", (unsigned long long)fleet->election->token,
+    snprintf(name, sizeof name, "s-%llu-%lu", (unsigned long long)fleet->election->fencing_token,
              ++fleet->next_name);
-    struct rp_rental *second = rental_add(fleet, name);
-    second->record = rental->record;
+    struct rp_provision_request *second = rental_add(fleet, name);
+    second->record = request->record;
     for (struct rp_machine *machine = fleet->cluster->first; machine; machine = machine->next)
-        if (machine->rental == rental && k++ >= n / 2)
-            machine->rental = second;
+        if (machine->provision_request == request && k++ >= n / 2)
+            machine->provision_request = second;
     second->record.count = (unsigned)(n - n / 2);
-    rental->record.count = (unsigned)(n / 2);
-    strcpy(rental->after, name);
-    rental->changed = true;
-    rp_info("rental %s names machines=%zu, too many for a value: split with %s", rental->name, n,
+    request->record.count = (unsigned)(n / 2);
+    strcpy(request->after, name);
+    request->changed = true;
+    rp_info("rental %s names machines=%zu, too many for a value: split with %s", request->name, n,
             name);
-    rental_set_state(fleet, second, RP_RENTAL_RECORDING);
+    rental_set_state(fleet, second, RP_PROVISION_RECORDING_NAMES);
     rental_step(fleet, second);
     return true;
 }
 
-static void rental_write(struct rp_fleet *fleet, struct rp_rental *rental) {
-    if (rental->state != RP_RENTAL_ENDED && rental_split(fleet, rental))
+static void rental_write(struct rp_fleet *fleet, struct rp_provision_request *rental) {
+    if (rental->state != RP_PROVISION_ENDED && rental_split(fleet, rental))
         return;
     struct request *request = request_new(fleet, rental->name);
     char key[RP_KEY_MAX];
-    rp_key(key, RP_KEY_RENTAL, rental->name);
+    rp_key(key, RP_KEY_PROVISION, rental->name);
     rental->busy = true;
     if (!rental->version_known) {
-        rp_state_get(fleet->state, RP_SHARE_LEADER, key, rental_read, request);
+        rp_kv_get(fleet->store, RP_KV_BUDGET_LEADER, key, rental_read, request);
         return;
     }
     json_t *txn = rp_wire_txn();
     rp_election_guard(fleet->election, txn);
     rp_wire_txn_if(txn, key, rental->version);
-    if (rental->state == RP_RENTAL_ENDED) {
+    if (rental->state == RP_PROVISION_ENDED) {
         rp_wire_txn_delete(txn, key);
     } else {
         request->names = calloc(NAMES_MAX, sizeof *request->names);
@@ -344,69 +346,72 @@
     }
     request->wrote = rental->state;
     rental->changed = false;
-    rp_state_txn(fleet->state, RP_SHARE_LEADER, txn, rental_written, request);
+    rp_kv_txn(fleet->store, RP_KV_BUDGET_LEADER, txn, rental_written, request);
 }
 
-static struct rp_refusal *refusal_of(struct rp_fleet *fleet, int type, int zone, bool spot) {
+static struct rp_capacity_refusal *refusal_of(struct rp_fleet *fleet, int type, int zone,
+                                              bool spot) {
     return type < 0 || zone < 0 ? NULL : &fleet->refusals[type][zone][spot];
 }
 
 /* Each try costs a call to the cloud and two changes of the state service, and until it is answered
  * its machines hold tasks: a kind that goes on being refused is tried ever more rarely. */
-static void refuse(struct rp_fleet *fleet, const struct rp_rental *rental) {
-    int type = type_index(fleet->catalog, rental->record.type);
-    int zone = zone_index(fleet->catalog, rental->record.zone);
+static void refuse(struct rp_fleet *fleet, const struct rp_provision_request *request) {
+    int type = type_index(fleet->catalog, request->record.type);
+    int zone = zone_index(fleet->catalog, request->record.zone);
     double base = fleet->settings->tuning.refused_pause_s;
     struct timespec now = rp_loop_now(fleet->loop);
-    struct rp_refusal *found = refusal_of(fleet, type, zone, rental->record.spot);
+    struct rp_capacity_refusal *found = refusal_of(fleet, type, zone, request->record.spot);
     if (!found)
         return;
     bool again = found->pause_s > 0 && rp_ts_since(now, found->until) < found->pause_s;
     found->pause_s = again ? fmin(found->pause_s * 2, base * REFUSED_PAUSES) : base;
     found->until = rp_ts_after(now, found->pause_s);
     fleet->n_refused++;
-    rp_debug("kind %s/%s%s refused for lack of capacity", rental->record.type, rental->record.zone,
-             rental->record.spot ? " (spot)" : "");
+    rp_debug("kind %s/%s%s refused for lack of capacity", request->record.type,
+             request->record.zone, request->record.spot ? " (spot)" : "");
 }
 
-bool rp_fleet_refused(const struct rp_fleet *fleet, int type, int zone, bool spot) {
+bool rp_fleet_is_refused(const struct rp_fleet *fleet, int type, int zone, bool spot) {
     return !rp_ts_reached(rp_loop_now(fleet->loop), fleet->refusals[type][zone][spot].until);
 }
 
 /* A machine of the kind is gone: the cloud may have one again. */
 static void refusal_over(struct rp_fleet *fleet, const struct rp_machine *machine) {
-    struct rp_refusal *found = refusal_of(fleet, machine->type, machine->zone, machine->spot);
+    struct rp_capacity_refusal *found =
+        refusal_of(fleet, machine->type, machine->zone, machine->spot);
     if (found)
-        *found = (struct rp_refusal){0};
+        *found = (struct rp_capacity_refusal){0};
 }
 
-static void rented(struct rp_fleet *fleet, struct rp_rental *rental,
+static void rented(struct rp_fleet *fleet, struct rp_provision_request *request,
                    const struct rp_answer *answer) {
     size_t n;
     char(*names)[RP_TEXT_MAX] = rp_wire_rented(answer->body, answer->len, &n);
     if (!names) {
-        rental_later(fleet, rental, 1);
+        rental_later(fleet, request, 1);
         return;
     }
-    rental->record.answered = true;
+    request->record.answered = true;
     for (size_t i = 0; i < n; i++) {
         struct rp_machine *machine = rp_machine_find(fleet->cluster, names[i]);
-        if ((machine && machine->rental) || rp_fleet_gone(fleet, names[i]))
+        if ((machine && machine->provision_request) || rp_fleet_is_terminated(fleet, names[i]))
             continue;
         if (!machine)
             machine = rp_machine_add(fleet->cluster, names[i], RP_MACHINE_BOOTING);
-        machine->rental = rental;
-        rp_fleet_describe(fleet, machine, rental->record.type, rental->record.zone,
-                          rental->record.spot);
+        machine->provision_request = request;
+        rp_fleet_describe_machine(fleet, machine, request->record.type, request->record.zone,
+                                  request->record.spot);
     }
-    fleet->n_rented += n;
-    rp_info("rented %zu of %u %s in %s%s, request=%s", n, rental->record.count, rental->record.type,
-            rental->record.zone, rental->record.spot ? " (spot)" : "", rental->name);
-    if (n < rental->record.count)
-        refuse(fleet, rental);
+    fleet->n_provisioned += n;
+    rp_info("rented %zu of %u %s in %s%s, request=%s", n, request->record.count,
+            request->record.type, request->record.zone, request->record.spot ? " (spot)" : "",
+            request->name);
+    if (n < request->record.count)
+        refuse(fleet, request);
     free(names);
-    rental_set_state(fleet, rental, n ? RP_RENTAL_RECORDING : RP_RENTAL_ENDED);
-    rental_step(fleet, rental);
+    rental_set_state(fleet, request, n ? RP_PROVISION_RECORDING_NAMES : RP_PROVISION_ENDED);
+    rental_step(fleet, request);
     if (fleet->on_changed)
         fleet->on_changed(fleet->arg);
 }
@@ -414,23 +419,23 @@
 static void rental_answered(void *arg, const struct rp_answer *answer) {
     struct request *request = arg;
     struct rp_fleet *fleet = request->f;
-    struct rp_rental *rental =
+    struct rp_provision_request *rental =
         request_current(request) ? rental_find(fleet, request->rental) : NULL;
     request_free(request);
-    if (!rental || rental->state != RP_RENTAL_ASKING)
+    if (!rental || rental->state != RP_PROVISION_REQUESTING)
         return;
     rental->busy = false;
     if (answer->status == 200) {
         rented(fleet, rental, answer);
     } else if (answer->status == 503 && rp_wire_no_capacity(answer->body, answer->len)) {
         refuse(fleet, rental);
-        rental_set_state(fleet, rental, RP_RENTAL_ENDED);
+        rental_set_state(fleet, rental, RP_PROVISION_ENDED);
         rental_step(fleet, rental);
         if (fleet->on_changed)
             fleet->on_changed(fleet->arg);
     } else if (answer->status == 400) {
         rp_error("the cloud refused request %s: %.200s", rental->name, answer->body);
-        rental_set_state(fleet, rental, RP_RENTAL_ENDED);
+        rental_set_state(fleet, rental, RP_PROVISION_ENDED);
         rental_step(fleet, rental);
     } else {
         /* It may have been carried out: only the same name again tells. */
@@ -438,69 +443,72 @@
     }
 }
 
-static void rental_ask(struct rp_fleet *fleet, struct rp_rental *rental) {
-    const struct rp_rental_record *rec = &rental->record;
-    rental->busy = true;
+static void rental_ask(struct rp_fleet *fleet, struct rp_provision_request *request) {
+    const struct rp_provision_record *rec = &request->record;
+    request->busy = true;
     rp_cloud_call(fleet->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_MACHINES,
-                  rp_wire_rent(rental->name, rec->type, rec->zone, rec->spot, rec->count),
-                  rental_answered, request_new(fleet, rental->name));
+                  rp_wire_rent(request->name, rec->type, rec->zone, rec->spot, rec->count),
+                  rental_answered, request_new(fleet, request->name));
 }
 
 /* Does what the rental's state asks for, unless something is under way or has to wait. */
-static void rental_step(struct rp_fleet *fleet, struct rp_rental *rental) {
+static void rental_step(struct rp_fleet *fleet, struct rp_provision_request *request) {
     struct timespec now = rp_loop_now(fleet->loop);
-    if (rental->busy || !rp_ts_reached(now, rental->retry) ||
-        !rp_election_valid(fleet->election, now))
+    if (request->busy || !rp_ts_reached(now, request->retry) ||
+        !rp_election_is_valid(fleet->election, now))
         return;
-    const struct rp_rental *first = *rental->after ? rental_find(fleet, rental->after) : NULL;
+    const struct rp_provision_request *first =
+        *request->after ? rental_find(fleet, request->after) : NULL;
     if (first && !first->stored)
         return;
-    rental->after[0] = '\0';
-    switch (rental->state) {
-    case RP_RENTAL_WRITING:
-    case RP_RENTAL_RECORDING:
-        rental_write(fleet, rental);
+    request->after[0] = '\0';
+    switch (request->state) {
+    case RP_PROVISION_RECORDING_INTENT:
+    case RP_PROVISION_RECORDING_NAMES:
+        rental_write(fleet, request);
         break;
-    case RP_RENTAL_ASKING:
-        rental_ask(fleet, rental);
+    case RP_PROVISION_REQUESTING:
+        rental_ask(fleet, request);
         break;
-    case RP_RENTAL_LIVE:
-        if (rental->changed)
-            rental_write(fleet, rental);
+    case RP_PROVISION_LIVE:
+        if (request->changed)
+            rental_write(fleet, request);
         break;
-    case RP_RENTAL_ENDED:
-        if (rental->stored)
-            rental_write(fleet, rental);
+    case RP_PROVISION_ENDED:
+        if (request->stored)
+            rental_write(fleet, request);
         else
-            rental_free(fleet, rental);
+            rental_free(fleet, request);
         break;
     }
 }
 
 /* As many machines as one request may ask for, and one record may name, twice each. */
 static unsigned rental_most(const struct rp_fleet *fleet) {
-    double fit = ((double)fleet->value_most - RECORD_HEAD) / (2 * RECORD_NAME);
+    double fit = ((double)fleet->value_max_bytes - RECORD_HEAD) / (2 * RECORD_NAME);
     return fit < 1 ? 1 : fit < RENT_MAX ? (unsigned)fit : RENT_MAX;
 }
 
-void rp_fleet_rent(struct rp_fleet *fleet, int type, int zone, bool spot, unsigned count) {
+void rp_fleet_scale_out(struct rp_fleet *fleet, int type, int zone, bool spot, unsigned count) {
     char name[RP_TEXT_MAX];
-    snprintf(name, sizeof name, "r-%llu-%lu", (unsigned long long)fleet->election->token,
+    snprintf(name, sizeof name, "r-%llu-%lu", (unsigned long long)fleet->election->fencing_token,
              ++fleet->next_name);
-    struct rp_rental *rental = rental_add(fleet, name);
-    strcpy(rental->record.type, fleet->catalog->types[type].name);
-    strcpy(rental->record.zone, fleet->catalog->zones[zone]);
-    rental->record.spot = spot;
-    rental->record.count = count < rental_most(fleet) ? count : rental_most(fleet);
-    clock_gettime(CLOCK_REALTIME, &rental->record.asked);
-    rental_set_state(fleet, rental, RP_RENTAL_WRITING);
-    rental_step(fleet, rental);
+    struct rp_provision_request *request = rental_add(fleet, name);
+    strcpy(request->record.type, fleet->catalog->types[type].name);
+    strcpy(request->record.zone, fleet->catalog->zones[zone]);
+    request->record.spot = spot;
+    request->record.count = count < rental_most(fleet) ? count : rental_most(fleet);
+    clock_gettime(CLOCK_REALTIME, &request->record.requested_at);
+    rental_set_state(fleet, request, RP_PROVISION_RECORDING_INTENT);
+    rental_step(fleet, request);
 }
 
-unsigned rp_fleet_pending(const struct rp_fleet *fleet, int type, int zone, bool spot) {
+unsigned rp_fleet_n_requested(const struct rp_fleet *fleet, int type, int zone, bool spot) {
     unsigned n = 0;
-    for (const struct rp_rental *request = fleet->rentals; request; request = request->next)
-        if ((request->state == RP_RENTAL_WRITING || request->state == RP_RENTAL_ASKING) &&
+    for (const struct rp_provision_request *request = fleet->provision_requests; request;
+         request = request->next)
+        if ((request->state == RP_PROVISION_RECORDING_INTENT ||
+             request->state == RP_PROVISION_REQUESTING) &&
             request->record.spot == spot &&
             type_index(fleet->catalog, request->record.type) == type &&
             zone_index(fleet->catalog, request->record.zone) == zone)
@@ -510,43 +518,43 @@
 
 void rp_fleet_adopt(struct rp_fleet *fleet, struct rp_machine *machine) {
     char name[RP_TEXT_MAX + 8];
-    if (machine->rental || machine->type < 0 || machine->zone < 0)
+    if (machine->provision_request || machine->type < 0 || machine->zone < 0)
         return;
     snprintf(name, sizeof name, "a-%s", machine->name);
     if (strlen(name) >= RP_TEXT_MAX || rental_find(fleet, name))
         return;
-    struct rp_rental *rental = rental_add(fleet, name);
-    strcpy(rental->record.type, fleet->catalog->types[machine->type].name);
-    strcpy(rental->record.zone, fleet->catalog->zones[machine->zone]);
-    rental->record.spot = machine->spot;
-    rental->record.count = 1;
-    rental->record.answered = true;
-    clock_gettime(CLOCK_REALTIME, &rental->record.asked);
-    machine->rental = rental;
-    rental_set_state(fleet, rental, RP_RENTAL_RECORDING);
-    rental_step(fleet, rental);
+    struct rp_provision_request *request = rental_add(fleet, name);
+    strcpy(request->record.type, fleet->catalog->types[machine->type].name);
+    strcpy(request->record.zone, fleet->catalog->zones[machine->zone]);
+    request->record.spot = machine->spot;
+    request->record.count = 1;
+    request->record.answered = true;
+    clock_gettime(CLOCK_REALTIME, &request->record.requested_at);
+    machine->provision_request = request;
+    rental_set_state(fleet, request, RP_PROVISION_RECORDING_NAMES);
+    rental_step(fleet, request);
 }
 
 /* ---- returning ---- */
 
-bool rp_fleet_gone(const struct rp_fleet *fleet, const char *machine) {
-    return rp_gone_machines_has(&fleet->gone, machine);
+bool rp_fleet_is_terminated(const struct rp_fleet *fleet, const char *machine) {
+    return rp_tombstones_has(&fleet->tombstones, machine);
 }
 
 /* The machine is certainly gone. */
 static void machine_gone(struct rp_fleet *fleet, struct rp_machine *machine) {
-    struct rp_rental *rental = machine->rental;
+    struct rp_provision_request *request = machine->provision_request;
     refusal_over(fleet, machine);
-    rp_gone_machines_add(&fleet->gone, machine->name);
+    rp_tombstones_add(&fleet->tombstones, machine->name);
     rp_machine_remove(fleet->cluster, machine);
-    if (!rental)
+    if (!request)
         return;
     const char *names[1];
-    if (rental_names(fleet, rental, names, 1) == 0 &&
-        (rental->state == RP_RENTAL_LIVE || rental->state == RP_RENTAL_RECORDING))
-        rental_set_state(fleet, rental, RP_RENTAL_ENDED);
+    if (rental_names(fleet, request, names, 1) == 0 &&
+        (request->state == RP_PROVISION_LIVE || request->state == RP_PROVISION_RECORDING_NAMES))
+        rental_set_state(fleet, request, RP_PROVISION_ENDED);
     else
-        rental->changed = true;
+        request->changed = true;
 }
 
 static void deleted(void *arg, const struct rp_answer *answer) {
@@ -562,7 +570,7 @@
         machine->delete_sent = false;
         if (answer->status != 200)
             continue; /* asked again by the tick */
-        fleet->n_returned++;
+        fleet->n_released++;
         machine_gone(fleet, machine);
     }
     if (answer->status == 200 && fleet->on_changed)
@@ -576,16 +584,16 @@
 static bool may_delete(const struct rp_fleet *fleet, const struct rp_machine *machine,
                        struct timespec now) {
     bool told = !fleet->settings->tuning.standby ||
-                rp_ts_since(now, machine->returning_since) > TOLD_S ||
+                rp_ts_since(now, machine->releasing_since) > TOLD_S ||
                 rp_ts_since(now, fleet->led_since) < LED_LATELY_S;
-    return machine->state == RP_MACHINE_RETURNING && !machine->delete_sent && told;
+    return machine->state == RP_MACHINE_RELEASING && !machine->delete_sent && told;
 }
 
 static void delete_some(struct rp_fleet *fleet) {
     const char *names[DELETE_MAX];
     struct timespec now = rp_loop_now(fleet->loop);
     size_t n = 0;
-    if (fleet->deleting || !rp_election_valid(fleet->election, now))
+    if (fleet->deleting || !rp_election_is_valid(fleet->election, now))
         return;
     for (struct rp_machine *machine = fleet->cluster->first; machine && n < DELETE_MAX;
          machine = machine->next)
@@ -607,21 +615,21 @@
                   deleted, request);
 }
 
-void rp_fleet_return(struct rp_fleet *fleet, struct rp_machine *machine, const char *why) {
-    if (machine->state == RP_MACHINE_RETURNING)
+void rp_fleet_scale_in(struct rp_fleet *fleet, struct rp_machine *machine, const char *why) {
+    if (machine->state == RP_MACHINE_RELEASING)
         return;
     rp_info("machine %s goes back: %s, rented %.0fs ago", machine->name, why,
-            rp_ts_since(rp_loop_now(fleet->loop), machine->rented));
-    rp_machine_set_state(fleet->cluster, machine, RP_MACHINE_RETURNING);
+            rp_ts_since(rp_loop_now(fleet->loop), machine->requested_at));
+    rp_machine_set_state(fleet->cluster, machine, RP_MACHINE_RELEASING);
     delete_some(fleet);
 }
 
 /* ---- the cloud's list ---- */
 
-static void list_entry(struct rp_fleet *fleet, const struct rp_listed *listed) {
+static void list_entry(struct rp_fleet *fleet, const struct rp_listed_machine *listed) {
     struct rp_machine *machine = rp_machine_find(fleet->cluster, listed->machine);
     struct timespec now = rp_loop_now(fleet->loop);
-    if (!machine && rp_fleet_gone(fleet, listed->machine))
+    if (!machine && rp_fleet_is_terminated(fleet, listed->machine))
         return;
     if (!machine) {
         /* A machine just returned is listed a while longer; a real stray stays. It is adopted once
@@ -629,25 +637,25 @@
         if (listed->age_s > 4 * fleet->settings->list_lag_s + 60 &&
             rp_ts_since(now, fleet->led_since) > 30 && listed->state != RP_LISTED_FAILED) {
             machine = rp_machine_add(fleet->cluster, listed->machine, RP_MACHINE_BOOTING);
-            rp_fleet_describe(fleet, machine, listed->type, listed->zone, listed->spot);
-            machine->rented = rp_ts_sub(now, rp_ts(listed->age_s));
+            rp_fleet_describe_machine(fleet, machine, listed->type, listed->zone, listed->spot);
+            machine->requested_at = rp_ts_sub(now, rp_ts(listed->age_s));
             rp_fleet_adopt(fleet, machine);
         }
         return;
     }
     machine->list_missing = 0;
     machine->listed_failed = listed->state == RP_LISTED_FAILED;
-    rp_fleet_describe(fleet, machine, listed->type, listed->zone, listed->spot);
+    rp_fleet_describe_machine(fleet, machine, listed->type, listed->zone, listed->spot);
     /* The age at the list's time bounds the rental's time from below. */
     struct timespec rented = rp_ts_sub(now, rp_ts(listed->age_s + fleet->settings->list_lag_s));
-    if (machine->state != RP_MACHINE_BOOTING && rp_ts_cmp(rented, machine->rented) < 0 &&
-        rp_ts_since(machine->rented, rented) > 3 * fleet->settings->list_lag_s + 2)
-        machine->rented = rented;
+    if (machine->state != RP_MACHINE_BOOTING && rp_ts_cmp(rented, machine->requested_at) < 0 &&
+        rp_ts_since(machine->requested_at, rented) > 3 * fleet->settings->list_lag_s + 2)
+        machine->requested_at = rented;
 }
 
 static bool silent(const struct rp_fleet *fleet, const struct rp_machine *machine) {
     return machine->state != RP_MACHINE_BOOTING &&
-           rp_ts_since(rp_loop_now(fleet->loop), machine->last_report) >
+           rp_ts_since(rp_loop_now(fleet->loop), machine->last_heartbeat) >
                1.5 * fleet->settings->report_s + 0.5;
 }
 
@@ -657,12 +665,12 @@
         /* A machine that has been listed stays listed until it is gone, and an old one has been,
          * but lists come out of order: two in a row must lack it, and the deletion's answer makes
          * it certain. */
-        bool missing = ++machine->list_missing > 2 &&
-                       rp_ts_since(now, machine->rented) > 4 * fleet->settings->list_lag_s + 5;
+        bool missing = ++machine->list_missing > 2 && rp_ts_since(now, machine->requested_at) >
+                                                          4 * fleet->settings->list_lag_s + 5;
         if (machine->listed_failed)
-            rp_fleet_return(fleet, machine, "failed by the cloud's list");
+            rp_fleet_scale_in(fleet, machine, "failed by the cloud's list");
         else if (missing && (machine->state == RP_MACHINE_BOOTING || silent(fleet, machine)))
-            rp_fleet_return(fleet, machine, "gone by the cloud's list");
+            rp_fleet_scale_in(fleet, machine, "gone by the cloud's list");
     }
 }
 
@@ -678,7 +686,7 @@
     fleet->listing = false;
     if (answer->status != 200)
         goto out;
-    struct rp_listed *list = rp_wire_listed(answer->body, answer->len, &n, &more);
+    struct rp_listed_machine *list = rp_wire_listed(answer->body, answer->len, &n, &more);
     for (size_t i = 0; list && i < n; i++)
         list_entry(fleet, &list[i]);
     if (list && n > 0)
@@ -750,7 +758,9 @@
 
 /* How long nothing has shown that the machine gets our answers. */
 static double answers_lost_for_s(const struct rp_machine *machine, struct timespec now) {
-    return rp_machine_misses_answers(machine) ? rp_ts_since(now, machine->answers_lost_since) : 0;
+    return rp_machine_is_one_way_partitioned(machine)
+               ? rp_ts_since(now, machine->answers_lost_since)
+               : 0;
 }
 
 /* A leader that the workers can't reach, though the state service can, renews its lease and does
@@ -762,7 +772,7 @@
     double due = fmax(MUTE_S, MUTE_REPORTS * fleet->settings->report_s / (double)(known + 1));
     /* Counted in ticks as well: a node that stood still hasn't read what came meanwhile. */
     bool mute = known >= 4 && rp_ts_since(now, newest) > due;
-    fleet->mute_ticks = mute ? fleet->mute_ticks + 1 : 0;
+    fleet->silent_ticks = mute ? fleet->silent_ticks + 1 : 0;
 }
 
 static bool isolated(struct rp_fleet *fleet, struct timespec now) {
@@ -771,19 +781,20 @@
     struct timespec newest = {0};
     for (const struct rp_machine *machine = fleet->cluster->first; machine;
          machine = machine->next) {
-        if (machine->session == 0 || machine->noticed || machine->state == RP_MACHINE_RETURNING)
+        if (machine->incarnation == 0 || machine->has_spot_notice ||
+            machine->state == RP_MACHINE_RELEASING)
             continue;
         known++;
-        if (rp_ts_cmp(machine->last_report, newest) > 0)
-            newest = machine->last_report;
+        if (rp_ts_cmp(machine->last_heartbeat, newest) > 0)
+            newest = machine->last_heartbeat;
         quiet += answers_lost_for_s(machine, now) > ANSWERS_LOST_SURE_S ||
-                 rp_ts_since(now, machine->last_report) > limit;
+                 rp_ts_since(now, machine->last_heartbeat) > limit;
     }
     bool most = known >= 4 && (double)quiet >= ISOLATED_SHARE * (double)known;
     bool many = known >= 4 && (double)quiet >= DOUBTFUL_SHARE * (double)known;
     note_newest(fleet, known, newest, now);
     /* A node cut off from everything can't give the key up either: its lease does that. */
-    if (!most || rp_state_failing_s(fleet->state) > 0 ||
+    if (!most || rp_kv_failing_s(fleet->store) > 0 ||
         rp_ts_since(now, fleet->proven_since) < ISOLATED_PROVEN_S)
         fleet->isolated_since = (struct timespec){0};
     else if (rp_ts_zero(fleet->isolated_since))
@@ -794,10 +805,10 @@
 /* Most machines have been silent for a while, or no report has come at all where twenty were due.
  */
 static bool gives_way(const struct rp_fleet *fleet, struct timespec now) {
-    if (rp_state_failing_s(fleet->state) > 0 ||
+    if (rp_kv_failing_s(fleet->store) > 0 ||
         rp_ts_since(now, fleet->proven_since) < ISOLATED_PROVEN_S)
         return false;
-    return fleet->mute_ticks >= MUTE_TICKS ||
+    return fleet->silent_ticks >= MUTE_TICKS ||
            (!rp_ts_zero(fleet->isolated_since) &&
             rp_ts_since(now, fleet->isolated_since) > ISOLATED_S);
 }
@@ -808,21 +819,21 @@
 static void note_zones(struct rp_fleet *fleet, struct timespec now) {
     size_t known[RP_ZONES_MAX] = {0}, quiet[RP_ZONES_MAX] = {0};
     double limit = fleet->settings->report_s * 1.25 + 2.5;
-    fleet->zones_out = 0;
+    fleet->silent_zones = 0;
     if (rp_ts_since(now, fleet->led_since) < limit)
         return; /* after a takeover all are heard of anew */
     for (const struct rp_machine *machine = fleet->cluster->first; machine;
          machine = machine->next) {
-        if (!machine->up_recorded || machine->zone < 0 || machine->noticed ||
-            machine->state == RP_MACHINE_RETURNING)
+        if (!machine->up_recorded || machine->zone < 0 || machine->has_spot_notice ||
+            machine->state == RP_MACHINE_RELEASING)
             continue;
         known[machine->zone]++;
-        quiet[machine->zone] += rp_ts_since(now, machine->last_report) > limit;
+        quiet[machine->zone] += rp_ts_since(now, machine->last_heartbeat) > limit;
     }
     for (int z = 0; z < RP_ZONES_MAX; z++)
         if (known[z] >= 4 && (double)quiet[z] >= ISOLATED_SHARE * (double)known[z]) {
-            fleet->zones_out |= 1u << z;
-            fleet->zone_out_seen[z] = now;
+            fleet->silent_zones |= 1u << z;
+            fleet->zone_silent_at[z] = now;
         }
 }
 
@@ -830,15 +841,15 @@
  * first of them are no reason to give the rest back. */
 static double lost_grace_s(const struct rp_fleet *fleet, const struct rp_machine *machine,
                            struct timespec now) {
-    bool out = machine->zone >= 0 && !rp_ts_zero(fleet->zone_out_seen[machine->zone]) &&
-               rp_ts_since(now, fleet->zone_out_seen[machine->zone]) < ZONE_BACK_S;
+    bool out = machine->zone >= 0 && !rp_ts_zero(fleet->zone_silent_at[machine->zone]) &&
+               rp_ts_since(now, fleet->zone_silent_at[machine->zone]) < ZONE_BACK_S;
     bool many =
-        !rp_ts_zero(fleet->many_lost_seen) && rp_ts_since(now, fleet->many_lost_seen) < ZONE_BACK_S;
+        !rp_ts_zero(fleet->mass_loss_at) && rp_ts_since(now, fleet->mass_loss_at) < ZONE_BACK_S;
     return out || many ? ZONE_GRACE_S : LOST_GRACE_S;
 }
 
-bool rp_fleet_zone_out(const struct rp_fleet *fleet, int zone) {
-    return zone >= 0 && (fleet->zones_out >> zone & 1);
+bool rp_fleet_is_zone_silent(const struct rp_fleet *fleet, int zone) {
+    return zone >= 0 && (fleet->silent_zones >> zone & 1);
 }
 
 /* A cut of many machines, of one zone or not, passes like a zone's: to give them all back and rent
@@ -848,52 +859,53 @@
     size_t lost = 0, known = 0;
     for (const struct rp_machine *machine = fleet->cluster->first; machine;
          machine = machine->next) {
-        known += machine->state != RP_MACHINE_BOOTING && machine->state != RP_MACHINE_RETURNING;
+        known += machine->state != RP_MACHINE_BOOTING && machine->state != RP_MACHINE_RELEASING;
         lost += machine->state == RP_MACHINE_LOST;
     }
     if (lost >= MANY_LOST && (double)lost >= MANY_LOST_SHARE * (double)known)
-        fleet->many_lost_seen = now;
+        fleet->mass_loss_at = now;
 }
 
 static void watch_machine(struct rp_fleet *fleet, struct rp_machine *machine, bool cut_off,
                           struct timespec now) {
     double led = rp_ts_since(now, fleet->led_since);
     double boot = machine->type >= 0 ? fleet->catalog->types[machine->type].boot_s : 60;
-    rp_task_errors_step(machine, now);
+    rp_quarantine_step(machine, now);
     switch (machine->state) {
-    case RP_MACHINE_UNKNOWN:
+    case RP_MACHINE_UNRECONCILED:
     case RP_MACHINE_UP:
-        if (rp_ts_reached(now, machine->held_until)) {
+        if (rp_ts_reached(now, machine->lease_expiry)) {
             rp_machine_set_state(fleet->cluster, machine, RP_MACHINE_LOST);
-            fleet->news = true;
-        } else if (!cut_off && rp_machine_misses_answers(machine) &&
+            fleet->machine_lost = true;
+        } else if (!cut_off && rp_machine_is_one_way_partitioned(machine) &&
                    rp_ts_since(now, machine->answers_lost_since) > ANSWERS_LOST_RETURN_S)
-            rp_fleet_return(fleet, machine, "gets no answers");
-        else if (machine->noticed && rp_ts_since(now, machine->notice_end) > 1 &&
+            rp_fleet_scale_in(fleet, machine, "gets no answers");
+        else if (machine->has_spot_notice && rp_ts_since(now, machine->spot_notice_end) > 1 &&
                  silent(fleet, machine))
-            rp_fleet_return(fleet, machine, "taken back");
+            rp_fleet_scale_in(fleet, machine, "taken back");
         else if (machine->state == RP_MACHINE_UP &&
-                 (machine->faulty || machine->noticed || machine->draining) &&
-                 rp_machine_idle(machine))
-            rp_fleet_return(fleet, machine,
-                            machine->faulty    ? "faulty"
-                            : machine->noticed ? "taken back soon"
-                                               : "its work fits elsewhere");
+                 (machine->quarantined || machine->has_spot_notice || machine->draining) &&
+                 rp_machine_is_idle(machine))
+            rp_fleet_scale_in(fleet, machine,
+                              machine->quarantined       ? "faulty"
+                              : machine->has_spot_notice ? "taken back soon"
+                                                         : "its work fits elsewhere");
         break;
     case RP_MACHINE_LOST:
         if (!cut_off && answers_lost_for_s(machine, now) > ANSWERS_LOST_RETURN_S)
-            rp_fleet_return(fleet, machine, "gets no answers");
+            rp_fleet_scale_in(fleet, machine, "gets no answers");
         else if (!cut_off &&
                  rp_ts_since(now, machine->lost_since) > lost_grace_s(fleet, machine, now) &&
                  led > LOST_GRACE_S)
-            rp_fleet_return(fleet, machine, "lost");
+            rp_fleet_scale_in(fleet, machine, "lost");
         break;
     case RP_MACHINE_BOOTING:
-        if (rp_ts_since(now, machine->rented) > boot * fleet->settings->tuning.boot_patience + 5 &&
+        if (rp_ts_since(now, machine->requested_at) >
+                boot * fleet->settings->tuning.boot_patience + 5 &&
             led > LOST_GRACE_S)
-            rp_fleet_return(fleet, machine, "not up in time");
+            rp_fleet_scale_in(fleet, machine, "not up in time");
         break;
-    case RP_MACHINE_RETURNING:
+    case RP_MACHINE_RELEASING:
         break;
     }
 }
@@ -903,8 +915,9 @@
     double next = TICK_S;
     for (const struct rp_machine *machine = fleet->cluster->first; machine;
          machine = machine->next) {
-        double left = rp_ts_since(machine->held_until, now);
-        if ((machine->state == RP_MACHINE_UP || machine->state == RP_MACHINE_UNKNOWN) && left > 0)
+        double left = rp_ts_since(machine->lease_expiry, now);
+        if ((machine->state == RP_MACHINE_UP || machine->state == RP_MACHINE_UNRECONCILED) &&
+            left > 0)
             next = fmin(next, left + TICK_LEAST_S / 10);
     }
     return fmax(next, TICK_LEAST_S);
@@ -914,7 +927,7 @@
     struct rp_fleet *fleet = arg;
     struct timespec now = rp_loop_now(fleet->loop);
     rp_timer_set(fleet->loop, &fleet->timer, until_lost_s(fleet, now));
-    if (!rp_election_valid(fleet->election, now)) {
+    if (!rp_election_is_valid(fleet->election, now)) {
         fleet->proven_since = (struct timespec){0};
         return;
     }
@@ -930,11 +943,12 @@
     }
     for (struct rp_machine *machine = fleet->cluster->first; machine; machine = machine->next)
         watch_machine(fleet, machine, cut_off, now);
-    if (fleet->news && fleet->on_changed)
+    if (fleet->machine_lost && fleet->on_changed)
         fleet->on_changed(fleet->arg);
-    fleet->news = false;
+    fleet->machine_lost = false;
     delete_some(fleet);
-    for (struct rp_rental *request = fleet->rentals, *next; request; request = next) {
+    for (struct rp_provision_request *request = fleet->provision_requests, *next; request;
+         request = next) {
         next = request->next;
         rental_step(fleet, request);
     }
@@ -948,54 +962,55 @@
 
 static void load_rental(struct rp_fleet *fleet, const struct rp_item *item) {
     struct timespec now = rp_loop_now(fleet->loop), wall;
-    struct rp_rental *rental = rental_add(fleet, item->key + strlen(RP_KEY_RENTAL));
-    if (!rp_record_rental_read(item->value, &rental->record)) {
+    struct rp_provision_request *request = rental_add(fleet, item->key + strlen(RP_KEY_PROVISION));
+    if (!rp_record_provision_read(item->value, &request->record)) {
         rp_error("rental record %s can't be read: left alone", item->key);
-        rental_free(fleet, rental);
+        rental_free(fleet, request);
         return;
     }
-    rental->stored = true;
-    rental->version = item->version;
-    rental->version_known = true;
-    if (!rental->record.answered) {
-        rental_set_state(fleet, rental, RP_RENTAL_ASKING);
+    request->stored = true;
+    request->version = item->version;
+    request->version_known = true;
+    if (!request->record.answered) {
+        rental_set_state(fleet, request, RP_PROVISION_REQUESTING);
         return;
     }
     clock_gettime(CLOCK_REALTIME, &wall);
-    double age = fleet->loop->is_virtual ? 0 : rp_ts_since(wall, rental->record.asked);
-    for (size_t i = 0; i < rp_record_rental_names(item->value); i++) {
-        const char *name = rp_record_rental_name(item->value, i);
+    double age = fleet->loop->is_virtual ? 0 : rp_ts_since(wall, request->record.requested_at);
+    for (size_t i = 0; i < rp_record_provision_n_names(item->value); i++) {
+        const char *name = rp_record_provision_name(item->value, i);
         if (!name || rp_machine_find(fleet->cluster, name))
             continue;
         /* No leader starts anything on a machine before its record says that it is up. */
-        bool up = rp_record_rental_up(item->value, name);
+        bool up = rp_record_provision_is_up(item->value, name);
         struct rp_machine *machine =
-            rp_machine_add(fleet->cluster, name, up ? RP_MACHINE_UNKNOWN : RP_MACHINE_BOOTING);
+            rp_machine_add(fleet->cluster, name, up ? RP_MACHINE_UNRECONCILED : RP_MACHINE_BOOTING);
         machine->up_recorded = up;
-        machine->rental = rental;
-        rp_fleet_describe(fleet, machine, rental->record.type, rental->record.zone,
-                          rental->record.spot);
-        machine->rented = rp_ts_sub(now, rp_ts(age > 0 ? age : 0));
+        machine->provision_request = request;
+        rp_fleet_describe_machine(fleet, machine, request->record.type, request->record.zone,
+                                  request->record.spot);
+        machine->requested_at = rp_ts_sub(now, rp_ts(age > 0 ? age : 0));
         /* No earlier leader can have answered the machine after this node got the key, or, if it
          * was deposed, after the end of what it had renewed. */
         struct timespec last =
             rp_ts_cmp(fleet->election->cleared_at, now) > 0 ? fleet->election->cleared_at : now;
-        machine->held_until = rp_ts_after(last, rp_workers_lease_s(fleet->settings));
+        machine->lease_expiry = rp_ts_after(last, rp_workers_lease_s(fleet->settings));
     }
     /* What a split that was cut short has left names nothing that another doesn't. */
     const char *name;
-    rental_set_state(fleet, rental,
-                     rental_names(fleet, rental, &name, 1) ? RP_RENTAL_LIVE : RP_RENTAL_ENDED);
+    rental_set_state(fleet, request,
+                     rental_names(fleet, request, &name, 1) ? RP_PROVISION_LIVE
+                                                            : RP_PROVISION_ENDED);
 }
 
-static void loaded(void *arg, const struct rp_state_result *result) {
+static void loaded(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_fleet *fleet = request->f;
     struct rp_item item = {0};
     bool more = false;
     if (!request_current(request))
         goto out;
-    if (result->outcome != RP_STATE_OK) {
+    if (result->outcome != RP_KV_OK) {
         fleet->on_loaded(fleet->arg, false);
         goto out;
     }
@@ -1015,8 +1030,8 @@
 }
 
 static void load_page(struct rp_fleet *fleet, const char *after) {
-    rp_state_list(fleet->state, RP_SHARE_LEADER, RP_KEY_RENTAL, after, LOAD_PAGE, loaded,
-                  request_new(fleet, NULL));
+    rp_kv_list(fleet->store, RP_KV_BUDGET_LEADER, RP_KEY_PROVISION, after, LOAD_PAGE, loaded,
+               request_new(fleet, NULL));
 }
 
 void rp_fleet_load(struct rp_fleet *fleet) {
@@ -1028,20 +1043,20 @@
 void rp_fleet_clear(struct rp_fleet *fleet) {
     fleet->generation++;
     fleet->listing = fleet->deleting = false;
-    fleet->zones_out = 0;
-    fleet->many_lost_seen = (struct timespec){0};
-    memset(fleet->zone_out_seen, 0, sizeof fleet->zone_out_seen);
+    fleet->silent_zones = 0;
+    fleet->mass_loss_at = (struct timespec){0};
+    memset(fleet->zone_silent_at, 0, sizeof fleet->zone_silent_at);
     fleet->proven_since = fleet->isolated_since = (struct timespec){0};
-    fleet->mute_ticks = 0;
+    fleet->silent_ticks = 0;
     memset(fleet->refusals, 0, sizeof fleet->refusals);
     rp_timer_cancel(fleet->loop, &fleet->timer);
     for (struct rp_machine *machine = fleet->cluster->first; machine; machine = machine->next)
-        machine->rental = NULL;
-    while (fleet->rentals)
-        rental_free(fleet, fleet->rentals);
+        machine->provision_request = NULL;
+    while (fleet->provision_requests)
+        rental_free(fleet, fleet->provision_requests);
 }
 
 void rp_fleet_close(struct rp_fleet *fleet) {
     rp_fleet_clear(fleet);
-    rp_gone_machines_free(&fleet->gone);
+    rp_tombstones_free(&fleet->tombstones);
 }
--- a/src/cluster/fleet.h
+++ b/src/cluster/fleet.h
@@ -6,18 +6,18 @@
 #include "cluster/cluster.h"
 #include "cluster/tombstones.h"
 
-enum rp_rental_state {
-    RP_RENTAL_WRITING,   /* the intent is being recorded */
-    RP_RENTAL_ASKING,    /* the cloud is being asked, by a name never used for anything else */
-    RP_RENTAL_RECORDING, /* the machines' names are being recorded */
-    RP_RENTAL_LIVE,
-    RP_RENTAL_ENDED /* holds no machine: the record goes */
+enum rp_provision_state {
+    RP_PROVISION_RECORDING_INTENT, /* the intent is being recorded */
+    RP_PROVISION_REQUESTING, /* the cloud is being asked, by a name never used for anything else */
+    RP_PROVISION_RECORDING_NAMES, /* the machines' names are being recorded */
+    RP_PROVISION_LIVE,
+    RP_PROVISION_ENDED /* holds no machine: the record goes */
 };
 
-struct rp_rental {
+struct rp_provision_request {
     char name[RP_TEXT_MAX];
-    enum rp_rental_state state;
-    struct rp_rental_record record;
+    enum rp_provision_state state;
+    struct rp_provision_record record;
     bool stored;      /* the record exists */
     bool busy;        /* a request about it is under way */
     bool changed;     /* the names differ from the record */
@@ -25,11 +25,11 @@
     bool version_known;
     struct timespec retry;
     char after[RP_TEXT_MAX]; /* written only once that one is: it takes over some of the names */
-    struct rp_rental *next;
+    struct rp_provision_request *next;
 };
 
 /* What the cloud has lately refused of a kind of machine. */
-struct rp_refusal {
+struct rp_capacity_refusal {
     struct timespec until;
     double pause_s; /* grows while the kind goes on being refused; 0: it isn't */
 };
@@ -37,38 +37,38 @@
 struct rp_fleet {
     struct rp_loop *loop;
     struct rp_cloud_client *cloud;
-    struct rp_state_client *state;
+    struct rp_kv_client *store;
     struct rp_election *election;
     struct rp_cluster *cluster;
     struct rp_jobs *jobs;
     const struct rp_settings *settings;
     struct rp_catalog *catalog;
-    struct rp_rental *rentals;
-    struct rp_refusal refusals[RP_TYPES_MAX][RP_ZONES_MAX][2]; /* ordinary, spot */
-    struct rp_gone_machines gone;
+    struct rp_provision_request *provision_requests;
+    struct rp_capacity_refusal refusals[RP_TYPES_MAX][RP_ZONES_MAX][2]; /* ordinary, spot */
+    struct rp_tombstones tombstones;
     unsigned long generation;
     unsigned long next_name;
-    size_t value_most; /* bytes of a record */
+    size_t value_max_bytes; /* bytes of a record */
     struct timespec led_since;
     struct timespec proven_since;   /* leadership was provable ever since; zero: it isn't now */
     struct timespec isolated_since; /* most machines fell silent together; zero: they didn't */
-    unsigned mute_ticks;            /* in a row without any report, though many were due */
-    uint32_t zones_out;             /* bit set: most machines of the zone are silent */
-    struct timespec zone_out_seen[RP_ZONES_MAX]; /* when they last were; zero: never */
-    struct timespec many_lost_seen; /* when a good part of the machines was lost; zero: never */
+    unsigned silent_ticks;          /* in a row without any report, though many were due */
+    uint32_t silent_zones;          /* bit set: most machines of the zone are silent */
+    struct timespec zone_silent_at[RP_ZONES_MAX]; /* when they last were; zero: never */
+    struct timespec mass_loss_at; /* when a good part of the machines was lost; zero: never */
     bool listing, deleting;
-    bool news; /* a machine was lost in this tick */
+    bool machine_lost; /* a machine was lost in this tick */
     struct timespec next_list, next_catalog;
     char list_after[RP_TEXT_MAX];
     struct rp_timer timer;
     void (*on_loaded)(void *arg, bool ok);
     void (*on_changed)(void *arg);
     void *arg;
-    unsigned long n_rented, n_refused, n_returned;
+    unsigned long n_provisioned, n_refused, n_released;
 };
 
 void rp_fleet_init(struct rp_fleet *fleet, struct rp_loop *loop, struct rp_cloud_client *cloud,
-                   struct rp_state_client *state, struct rp_election *election,
+                   struct rp_kv_client *store, struct rp_election *election,
                    struct rp_cluster *cluster, struct rp_jobs *jobs,
                    const struct rp_settings *settings, struct rp_catalog *catalog);
 /* Reads the rental records into the cluster state: every machine named there may hold tasks. */
@@ -76,21 +76,21 @@
 void rp_fleet_clear(struct rp_fleet *fleet);
 /* The process ends: what outlives a term goes, too. */
 void rp_fleet_close(struct rp_fleet *fleet);
-void rp_fleet_rent(struct rp_fleet *fleet, int type, int zone, bool spot, unsigned count);
+void rp_fleet_scale_out(struct rp_fleet *fleet, int type, int zone, bool spot, unsigned count);
 /* Whether the zone seems to be cut off: what is rented there can't report. */
-bool rp_fleet_zone_out(const struct rp_fleet *fleet, int zone);
-bool rp_fleet_refused(const struct rp_fleet *fleet, int type, int zone, bool spot);
+bool rp_fleet_is_zone_silent(const struct rp_fleet *fleet, int zone);
+bool rp_fleet_is_refused(const struct rp_fleet *fleet, int type, int zone, bool spot);
 /* Rentals asked for whose machines aren't known yet. */
-unsigned rp_fleet_pending(const struct rp_fleet *fleet, int type, int zone, bool spot);
+unsigned rp_fleet_n_requested(const struct rp_fleet *fleet, int type, int zone, bool spot);
 /* The machine has reported: recorded before anything is started on it, so that the next leader
  * knows which machines can't hold tasks. */
-void rp_fleet_came_up(struct rp_fleet *fleet, struct rp_machine *machine);
+void rp_fleet_record_up(struct rp_fleet *fleet, struct rp_machine *machine);
 void rp_fleet_adopt(struct rp_fleet *fleet, struct rp_machine *machine);
-bool rp_fleet_gone(const struct rp_fleet *fleet, const char *machine);
-void rp_fleet_return(struct rp_fleet *fleet, struct rp_machine *machine, const char *why);
+bool rp_fleet_is_terminated(const struct rp_fleet *fleet, const char *machine);
+void rp_fleet_scale_in(struct rp_fleet *fleet, struct rp_machine *machine, const char *why);
 /* What a worker says of its machine, which the record may not know. */
-void rp_fleet_describe(struct rp_fleet *fleet, struct rp_machine *machine, const char *type,
-                       const char *zone, bool spot);
-double rp_fleet_price(const struct rp_catalog *catalog, int type, bool spot);
+void rp_fleet_describe_machine(struct rp_fleet *fleet, struct rp_machine *machine, const char *type,
+                               const char *zone, bool spot);
+double rp_fleet_hourly_price(const struct rp_catalog *catalog, int type, bool spot);
 
 #endif
--- a/src/cluster/image_index.c
+++ b/src/cluster/image_index.c
@@ -36,7 +36,7 @@
 }
 
 static bool leads(const struct rp_image_index *index) {
-    return index->election->at == RP_HOLDING;
+    return index->election->state == RP_ELECTION_HOLDING_KEY;
 }
 
 static int by_use(const void *a, const void *b) {
--- a/src/cluster/tombstones.c
+++ b/src/cluster/tombstones.c
@@ -4,52 +4,52 @@
 #include <string.h>
 #include "model/model.h"
 
-static uint32_t *head_of(const struct rp_gone_machines *gone, uint64_t hash) {
-    return &gone->heads[hash % RP_GONE_KEPT];
+static uint32_t *head_of(const struct rp_tombstones *tombstones, uint64_t hash) {
+    return &tombstones->heads[hash % RP_TOMBSTONES_MAX];
 }
 
-static void allocate(struct rp_gone_machines *gone) {
-    gone->hashes = calloc(RP_GONE_KEPT, sizeof *gone->hashes);
-    gone->heads = calloc(RP_GONE_KEPT, sizeof *gone->heads);
-    gone->next = calloc(RP_GONE_KEPT, sizeof *gone->next);
-    if (!gone->hashes || !gone->heads || !gone->next)
+static void allocate(struct rp_tombstones *tombstones) {
+    tombstones->hashes = calloc(RP_TOMBSTONES_MAX, sizeof *tombstones->hashes);
+    tombstones->heads = calloc(RP_TOMBSTONES_MAX, sizeof *tombstones->heads);
+    tombstones->next = calloc(RP_TOMBSTONES_MAX, sizeof *tombstones->next);
+    if (!tombstones->hashes || !tombstones->heads || !tombstones->next)
         abort(); /* out of memory: a restart is the honest answer */
 }
 
-static void forget(struct rp_gone_machines *gone, uint32_t position) {
-    uint32_t *at = head_of(gone, gone->hashes[position]);
+static void forget(struct rp_tombstones *tombstones, uint32_t position) {
+    uint32_t *at = head_of(tombstones, tombstones->hashes[position]);
     while (*at != position + 1)
-        at = &gone->next[*at - 1];
-    *at = gone->next[position];
+        at = &tombstones->next[*at - 1];
+    *at = tombstones->next[position];
 }
 
-void rp_gone_machines_add(struct rp_gone_machines *gone, const char *machine) {
-    uint64_t hash = rp_text_hash(machine);
-    uint32_t position = (uint32_t)(gone->n % RP_GONE_KEPT);
-    if (!gone->hashes)
-        allocate(gone);
-    if (gone->n >= RP_GONE_KEPT)
-        forget(gone, position);
-    uint32_t *head = head_of(gone, hash);
-    gone->hashes[position] = hash;
-    gone->next[position] = *head;
+void rp_tombstones_add(struct rp_tombstones *tombstones, const char *machine) {
+    uint64_t hash = rp_hash_string(machine);
+    uint32_t position = (uint32_t)(tombstones->n % RP_TOMBSTONES_MAX);
+    if (!tombstones->hashes)
+        allocate(tombstones);
+    if (tombstones->n >= RP_TOMBSTONES_MAX)
+        forget(tombstones, position);
+    uint32_t *head = head_of(tombstones, hash);
+    tombstones->hashes[position] = hash;
+    tombstones->next[position] = *head;
     *head = position + 1;
-    gone->n++;
+    tombstones->n++;
 }
 
-bool rp_gone_machines_has(const struct rp_gone_machines *gone, const char *machine) {
-    uint64_t hash = rp_text_hash(machine);
-    if (!gone->hashes)
+bool rp_tombstones_has(const struct rp_tombstones *tombstones, const char *machine) {
+    uint64_t hash = rp_hash_string(machine);
+    if (!tombstones->hashes)
         return false;
-    for (uint32_t at = *head_of(gone, hash); at; at = gone->next[at - 1])
-        if (gone->hashes[at - 1] == hash)
+    for (uint32_t at = *head_of(tombstones, hash); at; at = tombstones->next[at - 1])
+        if (tombstones->hashes[at - 1] == hash)
             return true;
     return false;
 }
 
-void rp_gone_machines_free(struct rp_gone_machines *gone) {
-    free(gone->hashes);
-    free(gone->heads);
-    free(gone->next);
-    memset(gone, 0, sizeof *gone);
+void rp_tombstones_free(struct rp_tombstones *tombstones) {
+    free(tombstones->hashes);
+    free(tombstones->heads);
+    free(tombstones->next);
+    memset(tombstones, 0, sizeof *tombstones);
 }
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -123,12 +123,12 @@
 
 static enum rp_objective_kind objective_kind(const char *name) {
     if (name && strcmp(name, "wait") == 0)
-        return RP_AIM_WAIT;
+        return RP_OBJECTIVE_WAIT;
     if (name && strcmp(name, "finished") == 0)
-        return RP_AIM_FINISHED;
+        return RP_OBJECTIVE_FINISHED;
     if (name && strcmp(name, "deadline") == 0)
-        return RP_AIM_DEADLINE;
-    return RP_AIM_OTHER;
+        return RP_OBJECTIVE_DEADLINE;
+    return RP_OBJECTIVE_OTHER;
 }
 
 /* Aims guide the choice of order only, so an aim that this version does not know is passed over. */
@@ -141,7 +141,7 @@
         struct rp_objective *aim = &settings->objectives[settings->n_objectives];
         const char *class_name = json_string_value(json_object_get(o, "class"));
         aim->kind = objective_kind(json_string_value(json_object_get(o, "kind")));
-        if (aim->kind == RP_AIM_OTHER || !class_name || strlen(class_name) >= RP_NAME_MAX)
+        if (aim->kind == RP_OBJECTIVE_OTHER || !class_name || strlen(class_name) >= RP_NAME_MAX)
             continue;
         strcpy(aim->class_name, class_name);
         aim->within_s = json_number_value(json_object_get(o, "within_s"));
@@ -153,7 +153,7 @@
 
 /* `needed`: all of them; else what is absent stays as it is. */
 static void read_limits(struct reading *reader, json_t *object, const char *path, bool needed,
-                        struct rp_state_limits *out) {
+                        struct rp_kv_limits *out) {
     if (needed || json_object_get(object, "rps"))
         out->rps = need_number(reader, object, path, "rps", 1, 1e6);
     if (needed || json_object_get(object, "write_rps"))
@@ -168,12 +168,12 @@
 static void read_state(struct reading *reader, json_t *state, struct rp_settings *settings) {
     json_t *next = json_object_get(state, "next");
     read_limits(reader, state, "params.state", true, &settings->state);
-    struct rp_state_limits later = settings->state;
+    struct rp_kv_limits later = settings->state;
     if (next && !json_is_null(next) && !json_is_object(next))
         mistake(reader, "params.state.next", "must be an object");
     else if (json_is_object(next))
         read_limits(reader, next, "params.state.next", false, &later);
-    settings->state_fit = (struct rp_state_limits){
+    settings->state_fit = (struct rp_kv_limits){
         .rps = fmin(settings->state.rps, later.rps),
         .write_rps = fmin(settings->state.write_rps, later.write_rps),
         .value_kb = fmin(settings->state.value_kb, later.value_kb),
@@ -369,7 +369,7 @@
  * refuses it alone, then there is an outage in which nobody can take over) renews the leases of the
  * cancelled tasks for so long at the most; what it renewed last ends lease_s later, and that is
  * within cancel_s of the confirmation. Longer than the leader's own lease isn't needed. */
-double rp_settings_news_s(const struct rp_settings *settings) {
+double rp_settings_max_staleness_s(const struct rp_settings *settings) {
     double most = settings->cancel_s - settings->lease_s * LEASE_DRIFT - LATE_COMMANDS_S;
     return fmin(settings->tuning.leader_ttl_s + NEWS_WAIT_S, most);
 }
@@ -403,7 +403,7 @@
         mistakes++;
     }
     /* A cancelled task on a machine that can't be reached ends only with the machine's lease. */
-    if (rp_settings_news_s(settings) <= tuning->leader_ttl_s) {
+    if (rp_settings_max_staleness_s(settings) <= tuning->leader_ttl_s) {
         fprintf(errors,
                 "cancel_s (%g) must exceed lease_s + leader_ttl_s + 4 s, or a cancellation can't "
                 "be kept through a change of leader\n",
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -22,7 +22,12 @@
     double gpus, gpus_max;
 };
 
-enum rp_objective_kind { RP_AIM_WAIT, RP_AIM_FINISHED, RP_AIM_DEADLINE, RP_AIM_OTHER };
+enum rp_objective_kind {
+    RP_OBJECTIVE_WAIT,
+    RP_OBJECTIVE_FINISHED,
+    RP_OBJECTIVE_DEADLINE,
+    RP_OBJECTIVE_OTHER
+};
 
 struct rp_objective {
     enum rp_objective_kind kind;
@@ -31,7 +36,7 @@
 };
 
 /* What the state service takes. */
-struct rp_state_limits {
+struct rp_kv_limits {
     double rps, write_rps, value_kb;
     size_t txn_ops;
 };
@@ -65,8 +70,8 @@
     struct rp_objective *objectives;
     size_t n_objectives;
     double report_s, lease_s, gang_wait_s, gang_peer_s, cancel_s;
-    struct rp_state_limits state;     /* of today */
-    struct rp_state_limits state_fit; /* what fits today's and those to come */
+    struct rp_kv_limits state;     /* of today */
+    struct rp_kv_limits state_fit; /* what fits today's and those to come */
     double cloud_rps, list_lag_s;
     double memory_mb, cpu_share;
     size_t max_connections;
@@ -81,7 +86,7 @@
 /* Fills in what neither file says and depends on both. */
 void rp_settings_complete(struct rp_settings *settings);
 /* How old the newest news of the jobs may be for a leader to go on answering workers. */
-double rp_settings_news_s(const struct rp_settings *settings);
+double rp_settings_max_staleness_s(const struct rp_settings *settings);
 /* What the two files say together: periods and time-outs that contradict one another. */
 int rp_settings_check(const struct rp_settings *settings, FILE *errors);
 void rp_settings_free(struct rp_settings *settings);
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -41,22 +41,22 @@
     node->loop = loop;
     node->net = net;
     node->settings = settings;
-    rp_state_client_init(&node->state, loop, net, settings->state_addr, settings->state.rps,
-                         settings->state.write_rps, settings->n_nodes,
-                         settings->tuning.leader_write_share);
-    rp_job_lookup_init(&node->job_lookup, loop, &node->state, settings);
+    rp_kv_client_init(&node->store, loop, net, settings->state_addr, settings->state.rps,
+                      settings->state.write_rps, settings->n_nodes,
+                      settings->tuning.leader_write_share);
+    rp_job_lookup_init(&node->job_lookup, loop, &node->store, settings);
     rp_cloud_client_init(&node->cloud, loop, net, settings->cloud_addr, settings->cloud_rps);
-    rp_election_init(&node->election, loop, &node->state, settings->node,
+    rp_election_init(&node->election, loop, &node->store, settings->node,
                      settings->tuning.leader_ttl_s, settings->tuning.leader_check_s, on_elected,
                      on_lost, node);
     node->election.fenced_terms = settings->tuning.standby && !settings->tuning.keep_old_forms;
-    rp_upgrade_init(&node->upgrade, loop, &node->state, &node->election, settings, on_format, node);
-    rp_catalog_source_init(&node->catalog_source, loop, &node->cloud, &node->state, &node->election,
+    rp_upgrade_init(&node->upgrade, loop, &node->store, &node->election, settings, on_format, node);
+    rp_catalog_source_init(&node->catalog_source, loop, &node->cloud, &node->store, &node->election,
                            &node->upgrade, settings, &node->catalog);
-    rp_jobs_init(&node->jobs, loop, &node->state, &node->election, &node->upgrade, settings);
+    rp_jobs_init(&node->jobs, loop, &node->store, &node->election, &node->upgrade, settings);
     if (rp_cluster_init(&node->cluster, loop, &node->jobs, settings, &node->catalog) < 0)
         return -1;
-    rp_fleet_init(&node->fleet, loop, &node->cloud, &node->state, &node->election, &node->cluster,
+    rp_fleet_init(&node->fleet, loop, &node->cloud, &node->store, &node->election, &node->cluster,
                   &node->jobs, settings, &node->catalog);
     rp_image_index_init(&node->image_index, loop, net, &node->election, &node->cluster, settings);
     if (rp_metrics_init(&node->metrics) < 0)
@@ -68,8 +68,8 @@
         return -1;
     rp_services_init(&node->services, loop, &node->cluster, &node->jobs, &node->workers,
                      &node->fleet, settings, &node->catalog);
-    rp_round_init(&node->round, loop, &node->election, &node->cluster, &node->jobs, &node->fleet,
-                  &node->services, settings, &node->metrics);
+    rp_scheduler_init(&node->scheduler, loop, &node->election, &node->cluster, &node->jobs,
+                      &node->fleet, &node->services, settings, &node->metrics);
     node->jobs.on_loaded = on_loaded;
     node->jobs.on_closed = on_closed;
     node->jobs.on_changed = on_room;
@@ -77,13 +77,13 @@
     node->fleet.on_loaded = on_fleet_loaded;
     node->fleet.on_changed = on_room;
     node->fleet.arg = node;
-    node->workers.on_room = on_report_news;
+    node->workers.on_capacity_freed = on_report_news;
     node->workers.arg = node;
     node->catalog_source.on_known = on_catalog;
     node->catalog_source.arg = node;
     node->summary_timer = (struct rp_timer){.fn = summary_due, .arg = node};
     node->retry_timer = (struct rp_timer){.fn = retry_due, .arg = node};
-    node->room_timer = (struct rp_timer){.fn = room_due, .arg = node};
+    node->capacity_timer = (struct rp_timer){.fn = room_due, .arg = node};
     node->health_timer = (struct rp_timer){.fn = health_due, .arg = node};
     return 0;
 }
@@ -103,7 +103,7 @@
     rp_fleet_close(&node->fleet);
     rp_cluster_free(&node->cluster);
     rp_jobs_clear(&node->jobs);
-    rp_round_stop(&node->round);
+    rp_scheduler_stop(&node->scheduler);
     rp_services_stop(&node->services);
     rp_election_stop(&node->election);
     rp_upgrade_stop(&node->upgrade);
@@ -111,10 +111,10 @@
     rp_catalog_source_close(&node->catalog_source);
     rp_timer_cancel(node->loop, &node->summary_timer);
     rp_timer_cancel(node->loop, &node->retry_timer);
-    rp_timer_cancel(node->loop, &node->room_timer);
+    rp_timer_cancel(node->loop, &node->capacity_timer);
     rp_timer_cancel(node->loop, &node->health_timer);
     rp_job_lookup_close(&node->job_lookup);
-    rp_state_client_close(&node->state);
+    rp_kv_client_close(&node->store);
     rp_cloud_client_close(&node->cloud);
     rp_metrics_free(&node->metrics);
     free(node->summary);
@@ -131,8 +131,8 @@
  * every node knows this version's, it looks more often who leads: so that a free key rather comes
  * to a node that won't be replaced. */
 static void may_lead(struct rp_node *node) {
-    if (!node->catalog_source.known || !node->upgrade.looked || node->electing ||
-        node->upgrade.at == RP_UPGRADE_TOO_OLD)
+    if (!node->catalog_source.known || !node->upgrade.activation_read || node->electing ||
+        node->upgrade.state == RP_UPGRADE_TOO_OLD)
         return;
     node->electing = true;
     rp_election_start(&node->election);
@@ -141,15 +141,15 @@
 static void on_format(void *arg) {
     struct rp_node *node = arg;
     const struct rp_settings *settings = node->settings;
-    if (node->upgrade.at == RP_UPGRADE_TOO_OLD) {
+    if (node->upgrade.state == RP_UPGRADE_TOO_OLD) {
         rp_election_resign(&node->election, 3600);
         rp_election_stop(&node->election);
-    } else if (rp_upgrade_active(&node->upgrade)) {
+    } else if (rp_upgrade_is_active(&node->upgrade)) {
         node->election.check_s = settings->tuning.leader_check_s;
         /* Other limits may come at any moment from now on. */
-        rp_state_client_limits(&node->state, settings->state_fit.rps,
-                               settings->state_fit.write_rps);
-        if (node->at == RP_NODE_LEADING)
+        rp_kv_client_set_limits(&node->store, settings->state_fit.rps,
+                                settings->state_fit.write_rps);
+        if (node->state == RP_NODE_LEADING)
             rp_catalog_source_lead(&node->catalog_source);
     } else if (!settings->tuning.keep_old_forms) {
         node->election.check_s = settings->tuning.leader_check_s * EAGER_SHARE;
@@ -164,16 +164,16 @@
 /* ---- leading ---- */
 
 /* The one place where the node changes its state. */
-static void set_state(struct rp_node *node, enum rp_node_state at) {
-    node->at = at;
-    node->workers.ready = at == RP_NODE_LEADING;
+static void set_state(struct rp_node *node, enum rp_node_state state) {
+    node->state = state;
+    node->workers.ready = state == RP_NODE_LEADING;
     rp_timer_cancel(node->loop, &node->retry_timer);
-    rp_timer_cancel(node->loop, &node->room_timer);
-    if (at != RP_NODE_LEADING)
-        rp_workers_answer_held(&node->workers);
-    switch (at) {
+    rp_timer_cancel(node->loop, &node->capacity_timer);
+    if (state != RP_NODE_LEADING)
+        rp_workers_answer_held_heartbeats(&node->workers);
+    switch (state) {
     case RP_NODE_FOLLOWING:
-        rp_round_stop(&node->round);
+        rp_scheduler_stop(&node->scheduler);
         rp_services_stop(&node->services);
         rp_fleet_clear(&node->fleet);
         rp_cluster_reset(&node->cluster, 0);
@@ -181,10 +181,10 @@
         rp_standby_lost(&node->standby);
         break;
     case RP_NODE_RECOVERING:
-        rp_round_stop(&node->round);
+        rp_scheduler_stop(&node->scheduler);
         rp_services_stop(&node->services);
         rp_fleet_clear(&node->fleet);
-        rp_cluster_reset(&node->cluster, node->election.token);
+        rp_cluster_reset(&node->cluster, node->election.fencing_token);
         rp_standby_elected(&node->standby);
         rp_jobs_load(&node->jobs);
         break;
@@ -194,7 +194,7 @@
         rp_standby_lead(&node->standby);
         rp_catalog_source_lead(&node->catalog_source);
         rp_services_start(&node->services);
-        rp_round_start(&node->round);
+        rp_scheduler_start(&node->scheduler);
         break;
     }
 }
@@ -209,9 +209,9 @@
 
 static void on_loaded(void *arg, bool ok) {
     struct rp_node *node = arg;
-    if (ok && node->at == RP_NODE_RECOVERING)
+    if (ok && node->state == RP_NODE_RECOVERING)
         rp_fleet_load(&node->fleet);
-    else if (node->at != RP_NODE_FOLLOWING)
+    else if (node->state != RP_NODE_FOLLOWING)
         rp_timer_set(node->loop, &node->retry_timer, 0.3);
 }
 
@@ -225,9 +225,9 @@
 
 static void retry_due(void *arg) {
     struct rp_node *node = arg;
-    if (node->at == RP_NODE_FOLLOWING)
+    if (node->state == RP_NODE_FOLLOWING)
         return;
-    if (!rp_election_valid(&node->election, rp_loop_now(node->loop)))
+    if (!rp_election_is_valid(&node->election, rp_loop_now(node->loop)))
         rp_timer_set(node->loop, &node->retry_timer, 0.3);
     else
         set_state(node, RP_NODE_RECOVERING);
@@ -241,22 +241,22 @@
 /* How long until the next round that news may call for. Rounds that take long keep a longer
  * distance, and find more to do in one. */
 static double until_round_s(const struct rp_node *node) {
-    double since = rp_ts_since(rp_loop_now(node->loop), node->round.last);
+    double since = rp_ts_since(rp_loop_now(node->loop), node->scheduler.last_cycle_at);
     double share = fmin(ROUND_SHARE * fmin(1, node->settings->cpu_share), ROUND_MOST);
-    return fmax(node->round.took_s / share, ROUND_GAP_S) - since;
+    return fmax(node->scheduler.last_cycle_s / share, ROUND_GAP_S) - since;
 }
 
 static void run_round(struct rp_node *node) {
-    rp_timer_cancel(node->loop, &node->room_timer);
-    rp_round_run(&node->round);
+    rp_timer_cancel(node->loop, &node->capacity_timer);
+    rp_scheduler_run_cycle(&node->scheduler);
     rp_workers_send_fenced(&node->workers);
-    rp_workers_answer_held(&node->workers);
+    rp_workers_answer_held_heartbeats(&node->workers);
 }
 
 /* Something changed that a round could use. True: there is none to wait for any more. */
 static bool on_report_news(void *arg) {
     struct rp_node *node = arg;
-    if (node->at != RP_NODE_LEADING)
+    if (node->state != RP_NODE_LEADING)
         return true;
     /* Services don't wait for a round: what has room for them now is known. */
     rp_services_run(&node->services);
@@ -265,8 +265,8 @@
         run_round(node);
         return true;
     }
-    if (!node->room_timer.heap_index)
-        rp_timer_set(node->loop, &node->room_timer, wait);
+    if (!node->capacity_timer.heap_index)
+        rp_timer_set(node->loop, &node->capacity_timer, wait);
     return wait > HOLD_MAX_S;
 }
 
@@ -276,7 +276,7 @@
 
 static void room_due(void *arg) {
     struct rp_node *node = arg;
-    if (node->at == RP_NODE_LEADING)
+    if (node->state == RP_NODE_LEADING)
         run_round(node);
 }
 
@@ -330,7 +330,7 @@
     struct rp_node *node = arg;
     rp_timer_set(node->loop, &node->summary_timer, SUMMARY_S);
     node->summary_asked = rp_loop_now(node->loop);
-    for (size_t i = 0; node->at == RP_NODE_FOLLOWING && i < node->settings->n_peers; i++)
+    for (size_t i = 0; node->state == RP_NODE_FOLLOWING && i < node->settings->n_peers; i++)
         if (strcmp(node->settings->peers[i].name, node->election.leader) == 0)
             node->net.call(node->net.ctx, node->settings->peers[i].addr, "GET", PATH_SUMMARY, NULL,
                            SUMMARY_WAIT_S, summary_came, node);
@@ -339,7 +339,7 @@
 /* The others are better placed: users go there, and what they decide there isn't heard here. */
 static void refused_alone(struct rp_node *node) {
     node->refused_until = rp_ts_after(rp_loop_now(node->loop), 4 * HEALTH_S);
-    rp_jobs_note_refused(&node->jobs);
+    rp_jobs_note_store_refusal(&node->jobs);
 }
 
 static void health_came(void *arg, const struct rp_answer *answer) {
@@ -348,7 +348,7 @@
         node->peer_heard = rp_loop_now(node->loop);
     json_t *value = answer->status == 200 ? rp_wire_parse(answer->body, answer->len) : NULL;
     if (json_is_true(json_object_get(value, "state_answers")) &&
-        rp_state_failing_s(&node->state) > REFUSED_S)
+        rp_kv_failing_s(&node->store) > REFUSED_S)
         refused_alone(node);
     json_decref(value);
 }
@@ -358,7 +358,7 @@
 static void health_due(void *arg) {
     struct rp_node *node = arg;
     rp_timer_set(node->loop, &node->health_timer, HEALTH_S);
-    if (rp_state_failing_s(&node->state) <= REFUSED_S) {
+    if (rp_kv_failing_s(&node->store) <= REFUSED_S) {
         node->peer_heard = rp_loop_now(node->loop);
         return;
     }
@@ -371,10 +371,10 @@
                        HEALTH_S, health_came, node);
 }
 
-void rp_node_display(const struct rp_node *node, struct rp_job_status *status) {
-    status->word = RP_JOB_QUEUED;
+void rp_node_fill_running_counts(const struct rp_node *node, struct rp_job_status *status) {
+    status->phase = RP_JOB_QUEUED;
     status->done = status->running = 0;
-    if (node->at == RP_NODE_LEADING) {
+    if (node->state == RP_NODE_LEADING) {
         const struct rp_job *job = rp_jobs_find(&node->jobs, status->id);
         if (job) {
             status->done = job->n_done;
@@ -387,7 +387,7 @@
         status->running = found ? found->running : 0;
     }
     if (status->running)
-        status->word = RP_JOB_RUNNING;
+        status->phase = RP_JOB_RUNNING;
 }
 
 static void respond_text(struct rp_request *req, char *text) {
@@ -398,7 +398,7 @@
 void rp_node_peer_request(void *arg, struct rp_request *req) {
     struct rp_node *node = arg;
     bool get = strcmp(req->method, "GET") == 0;
-    if (get && strcmp(req->target, PATH_SUMMARY) == 0 && node->at == RP_NODE_LEADING)
+    if (get && strcmp(req->target, PATH_SUMMARY) == 0 && node->state == RP_NODE_LEADING)
         respond_text(req, summary_json(node));
     else if (get && strncmp(req->target, RP_PATH_STREAM, strlen(RP_PATH_STREAM)) == 0)
         respond_text(req, rp_standby_answer(&node->standby, req->target));
@@ -406,7 +406,7 @@
         respond_text(req, rp_image_index_json(&node->image_index));
     else if (get && strcmp(req->target, PATH_HEALTH) == 0)
         req->respond(req, 200,
-                     node->state.n_ok > 0 && rp_state_failing_s(&node->state) <= 0
+                     node->store.n_ok > 0 && rp_kv_failing_s(&node->store) <= 0
                          ? "{\"state_answers\":true,\"version\":\"" RP_VERSION "\"}"
                          : "{\"state_answers\":false,\"version\":\"" RP_VERSION "\"}",
                      0);
@@ -419,8 +419,9 @@
 /* ---- users, workers, health ---- */
 
 bool rp_node_healthy(const struct rp_node *node) {
-    return !node->leaving && node->upgrade.at != RP_UPGRADE_TOO_OLD && node->catalog_source.known &&
-           node->state.n_ok > 0 && rp_ts_reached(rp_loop_now(node->loop), node->refused_until);
+    return !node->leaving && node->upgrade.state != RP_UPGRADE_TOO_OLD &&
+           node->catalog_source.known && node->store.n_ok > 0 &&
+           rp_ts_reached(rp_loop_now(node->loop), node->refused_until);
 }
 
 static void refuse(struct rp_request *req, int status, const char *text) {
@@ -467,9 +468,9 @@
             req->respond(req, rp_node_healthy(node) ? 200 : 503, "{}", 0);
         else
             refuse(req, 405, "method not allowed");
-    } else if (strcmp(t, RP_PATH_REPORT) == 0) {
+    } else if (strcmp(t, RP_PATH_HEARTBEAT) == 0) {
         if (post)
-            rp_workers_report(&node->workers, req);
+            rp_workers_on_heartbeat(&node->workers, req);
         else
             refuse(req, 405, "method not allowed");
     } else if (strcmp(t, RP_PATH_JOBS) == 0) {
--- a/src/controller/node.h
+++ b/src/controller/node.h
@@ -31,12 +31,12 @@
     struct rp_loop *loop;
     struct rp_net net;
     const struct rp_settings *settings;
-    enum rp_node_state at;
+    enum rp_node_state state;
     struct rp_catalog catalog;
     struct rp_catalog_source catalog_source;
-    struct rp_state_client state;
+    struct rp_kv_client store;
     struct rp_job_lookup job_lookup;
-    struct rp_final_states final_states;
+    struct rp_terminal_states terminal_states;
     struct rp_cloud_client cloud;
     struct rp_election election;
     struct rp_upgrade upgrade;
@@ -45,13 +45,13 @@
     struct rp_fleet fleet;
     struct rp_workers workers;
     struct rp_services services;
-    struct rp_round round;
+    struct rp_scheduler scheduler;
     struct rp_image_index image_index;
     struct rp_standby standby;
     struct rp_metrics metrics;
     struct rp_timer summary_timer, retry_timer;
     struct timespec summary_asked;
-    struct rp_timer room_timer, health_timer;
+    struct rp_timer capacity_timer, health_timer;
     struct timespec peer_heard;    /* when another node last answered */
     struct timespec refused_until; /* the state service answers others, but not this node */
     /* What the leader last told of running jobs, for display by other nodes. */
@@ -78,6 +78,6 @@
 void rp_api_query(struct rp_node *node, struct rp_request *req, const char *id);
 void rp_api_cancel(struct rp_node *node, struct rp_request *req, const char *id);
 bool rp_node_healthy(const struct rp_node *node);
-void rp_node_display(const struct rp_node *node, struct rp_job_status *status);
+void rp_node_fill_running_counts(const struct rp_node *node, struct rp_job_status *status);
 
 #endif
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -24,11 +24,11 @@
 static void tick(void *arg);
 
 void rp_election_init(struct rp_election *election, struct rp_loop *loop,
-                      struct rp_state_client *state, const char *node, double ttl_s, double check_s,
+                      struct rp_kv_client *store, const char *node, double ttl_s, double check_s,
                       rp_election_fn on_elected, rp_election_fn on_lost, void *arg) {
     memset(election, 0, sizeof *election);
     election->loop = loop;
-    election->state = state;
+    election->store = store;
     election->node = node;
     election->ttl_s = election->term_ttl_s = ttl_s;
     election->check_s = check_s;
@@ -42,8 +42,8 @@
     return rp_ts_after(sent, ttl_s * (1.0 - DRIFT) - MARGIN_S);
 }
 
-bool rp_election_valid(const struct rp_election *election, struct timespec now) {
-    return election->at == RP_HOLDING && !rp_ts_reached(now, election->valid_until);
+bool rp_election_is_valid(const struct rp_election *election, struct timespec now) {
+    return election->state == RP_ELECTION_HOLDING_KEY && !rp_ts_reached(now, election->valid_until);
 }
 
 /* Stands still, or has gone. Where the key is still its own when any lease would have ended, it
@@ -56,9 +56,9 @@
 /* A node that is cut from the state service knows of a leader that may be long gone: workers must
  * not be sent round in circles on such knowledge. */
 const char *rp_election_leader(const struct rp_election *election, struct timespec now) {
-    if (election->at == RP_HOLDING || !election->leader[0] || silent(election, now) ||
-        strcmp(election->leader, election->node) == 0 ||
-        rp_ts_since(now, election->looked_at) > election->ttl_s + STALE_SLACK_S)
+    if (election->state == RP_ELECTION_HOLDING_KEY || !election->leader[0] ||
+        silent(election, now) || strcmp(election->leader, election->node) == 0 ||
+        rp_ts_since(now, election->leader_seen_at) > election->ttl_s + STALE_SLACK_S)
         return NULL;
     return election->leader;
 }
@@ -73,66 +73,66 @@
 }
 
 void rp_election_guard(const struct rp_election *election, json_t *txn) {
-    rp_wire_txn_if(txn, RP_KEY_LEADER, election->token);
+    rp_wire_txn_if(txn, RP_KEY_LEADER, election->fencing_token);
 }
 
 /* The one place where the election changes its state. */
-static void set_state(struct rp_election *election, enum rp_election_state at) {
-    enum rp_election_state was = election->at;
-    election->at = at;
-    if (was == RP_HOLDING && at != RP_HOLDING) {
-        rp_info("leadership lost, token=%llu", (unsigned long long)election->token);
-        election->token = 0;
+static void set_state(struct rp_election *election, enum rp_election_state state) {
+    enum rp_election_state was = election->state;
+    election->state = state;
+    if (was == RP_ELECTION_HOLDING_KEY && state != RP_ELECTION_HOLDING_KEY) {
+        rp_info("leadership lost, token=%llu", (unsigned long long)election->fencing_token);
+        election->fencing_token = 0;
         rp_log_term(0);
         election->on_lost(election->arg);
     }
-    if (at == RP_HOLDING && was != RP_HOLDING) {
+    if (state == RP_ELECTION_HOLDING_KEY && was != RP_ELECTION_HOLDING_KEY) {
         snprintf(election->leader, sizeof election->leader, "%s", election->node);
-        rp_log_term(election->token);
-        rp_info("leadership taken, token=%llu lease=%llu", (unsigned long long)election->token,
-                (unsigned long long)election->lease);
+        rp_log_term(election->fencing_token);
+        rp_info("leadership taken, token=%llu lease=%llu",
+                (unsigned long long)election->fencing_token, (unsigned long long)election->lease);
         election->on_elected(election->arg);
     }
 }
 
 static void follow_again(struct rp_election *election, double after_s) {
-    set_state(election, RP_FOLLOWING);
+    set_state(election, RP_ELECTION_FOLLOWING);
     rp_timer_set(election->loop, &election->timer, after_s);
 }
 
-static void dropped(void *arg, const struct rp_state_result *result) {
+static void dropped(void *arg, const struct rp_kv_result *result) {
     (void)arg;
     (void)result;
 }
 
-static void claimed(void *arg, const struct rp_state_result *result) {
+static void claimed(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
-    if (result->outcome == RP_STATE_OK) {
-        election->token = rp_wire_revision(result->body);
+    if (result->outcome == RP_KV_OK) {
+        election->fencing_token = rp_wire_revision(result->body);
         election->valid_until = rp_election_trust(election->asked, election->term_ttl_s);
-        set_state(election, RP_HOLDING);
+        set_state(election, RP_ELECTION_HOLDING_KEY);
         rp_timer_set(election->loop, &election->timer, fmin(TOUCH_S, election->term_ttl_s / 8));
         return;
     }
     /* An unanswered claim may still hold: the next look shows our own name, and a holder of our
      * name that isn't us now is claimed over. */
-    if (result->outcome == RP_STATE_CONFLICT)
-        rp_state_lease_end(election->state, election->lease, dropped, NULL);
+    if (result->outcome == RP_KV_CONDITION_FAILED)
+        rp_kv_lease_revoke(election->store, election->lease, dropped, NULL);
     follow_again(election, RETRY_S);
 }
 
 /* The key's value for this node's next term. */
 static json_t *own_record(const struct rp_election *election, uint64_t lease) {
-    struct rp_leader_record record = {.deposed = election->deposed};
+    struct rp_leader_record record = {.fenced = election->fenced_lease};
     snprintf(record.node, sizeof record.node, "%s", election->node);
     if (lease && election->fenced_terms)
-        record.own = (struct rp_deposed_lease){.lease = lease, .ttl_s = election->term_ttl_s};
+        record.own = (struct rp_fenced_lease){.lease = lease, .ttl_s = election->term_ttl_s};
     return rp_record_leader(&record);
 }
 
-static void leased(void *arg, const struct rp_state_result *result) {
+static void leased(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
-    if (result->outcome != RP_STATE_OK || !rp_wire_lease(result->body)) {
+    if (result->outcome != RP_KV_OK || !rp_wire_lease(result->body)) {
         follow_again(election, RETRY_S);
         return;
     }
@@ -140,8 +140,8 @@
     json_t *txn = rp_wire_txn();
     rp_wire_txn_if(txn, RP_KEY_LEADER, election->claim_over);
     rp_wire_txn_put(txn, RP_KEY_LEADER, own_record(election, election->lease), election->lease);
-    set_state(election, RP_CLAIMING);
-    rp_state_txn(election->state, RP_SHARE_LEADERSHIP, txn, claimed, election);
+    set_state(election, RP_ELECTION_CLAIMING_KEY);
+    rp_kv_txn(election->store, RP_KV_BUDGET_LEADERSHIP, txn, claimed, election);
 }
 
 static void ask_lease(struct rp_election *election) {
@@ -149,39 +149,39 @@
     election->term_ttl_s =
         rp_ts_zero(election->silent_since) ? election->ttl_s : fmin(SILENT_TTL_S, election->ttl_s);
     /* Whoever finds our key gone has waited at least as long as the deposed leader may act. */
-    if (election->deposed.lease)
-        election->term_ttl_s = fmax(election->ttl_s, election->deposed.ttl_s);
-    set_state(election, RP_LEASING);
-    rp_state_lease(election->state, election->term_ttl_s, leased, election);
+    if (election->fenced_lease.lease)
+        election->term_ttl_s = fmax(election->ttl_s, election->fenced_lease.ttl_s);
+    set_state(election, RP_ELECTION_ACQUIRING_LEASE);
+    rp_kv_lease_grant(election->store, election->term_ttl_s, leased, election);
 }
 
 /* ---- taking over from a leader that may still act ---- */
 
 static void fence(struct rp_election *election);
 
-static void fenced(void *arg, const struct rp_state_result *result) {
+static void fenced(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
-    if (election->at != RP_FENCING)
+    if (election->state != RP_ELECTION_REVOKING_LEASE)
         return;
-    if (result->outcome != RP_STATE_OK && result->outcome != RP_STATE_MISSING) {
+    if (result->outcome != RP_KV_OK && result->outcome != RP_KV_NOT_FOUND) {
         rp_timer_set(election->loop, &election->timer,
                      RETRY_S); /* nobody leads before it has ended */
         return;
     }
     /* Whatever renewal it trusts was sent before the lease's end, and that was before now. */
     election->cleared_at = rp_ts_after(rp_loop_now(election->loop),
-                                       election->deposed.ttl_s * (1.0 + DRIFT) + MARGIN_S);
+                                       election->fenced_lease.ttl_s * (1.0 + DRIFT) + MARGIN_S);
     ask_lease(election);
 }
 
 static void fence(struct rp_election *election) {
-    set_state(election, RP_FENCING);
-    rp_state_lease_end(election->state, election->deposed.lease, fenced, election);
+    set_state(election, RP_ELECTION_REVOKING_LEASE);
+    rp_kv_lease_revoke(election->store, election->fenced_lease.lease, fenced, election);
 }
 
-static void claim(struct rp_election *election, uint64_t over, struct rp_deposed_lease deposed) {
+static void claim(struct rp_election *election, uint64_t over, struct rp_fenced_lease deposed) {
     election->claim_over = over;
-    election->deposed = deposed;
+    election->fenced_lease = deposed;
     election->cleared_at = (struct timespec){0};
     if (deposed.lease)
         fence(election);
@@ -189,23 +189,23 @@
         ask_lease(election);
 }
 
-static void deposed(void *arg, const struct rp_state_result *result) {
+static void deposed(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
-    if (result->outcome == RP_STATE_OK)
-        claim(election, rp_wire_revision(result->body), election->deposed);
+    if (result->outcome == RP_KV_OK)
+        claim(election, rp_wire_revision(result->body), election->fenced_lease);
     else
         follow_again(election,
                      RETRY_S); /* carried out all the same, the next look shows our name */
 }
 
-bool rp_election_depose(struct rp_election *election) {
+bool rp_election_fence_leader(struct rp_election *election) {
     const struct rp_leader_record *seen = &election->seen;
-    bool possible = election->at == RP_FOLLOWING && election->fenced_terms &&
+    bool possible = election->state == RP_ELECTION_FOLLOWING && election->fenced_terms &&
                     election->seen_version > 0 && strcmp(seen->node, election->node) != 0 &&
-                    rp_ts_reached(rp_loop_now(election->loop), election->stand_back);
+                    rp_ts_reached(rp_loop_now(election->loop), election->backoff_until);
     /* A node whose own takeover has stopped halfway holds no lease yet. */
-    election->deposed = seen->own.lease ? seen->own : seen->deposed;
-    if (!possible || !election->deposed.lease)
+    election->fenced_lease = seen->own.lease ? seen->own : seen->fenced;
+    if (!possible || !election->fenced_lease.lease)
         return false;
     rp_timer_cancel(election->loop, &election->timer);
     rp_info("taking over from %s, key=%llu", seen->node,
@@ -214,13 +214,13 @@
     rp_wire_txn_if(txn, RP_KEY_LEADER, election->seen_version);
     rp_wire_txn_put(txn, RP_KEY_LEADER, own_record(election, 0), 0);
     rp_wire_txn_put(txn, RP_KEY_FENCE, rp_record_fence(election->node), 0);
-    set_state(election, RP_DEPOSING);
-    rp_state_txn(election->state, RP_SHARE_LEADERSHIP, txn, deposed, election);
+    set_state(election, RP_ELECTION_OVERWRITING_KEY);
+    rp_kv_txn(election->store, RP_KV_BUDGET_LEADERSHIP, txn, deposed, election);
     return true;
 }
 
 void rp_election_note_fence(struct rp_election *election, uint64_t version) {
-    if (election->at != RP_HOLDING || version <= election->token)
+    if (election->state != RP_ELECTION_HOLDING_KEY || version <= election->fencing_token)
         return;
     rp_info("another node has taken over, fence=%llu", (unsigned long long)version);
     follow_again(election, 0);
@@ -228,19 +228,19 @@
 
 /* ---- looking who leads ---- */
 
-static void looked(void *arg, const struct rp_state_result *result) {
+static void looked(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
-    static const struct rp_deposed_lease none = {0};
+    static const struct rp_fenced_lease none = {0};
     struct rp_leader_record record = {0};
     struct rp_item item;
-    if (election->at != RP_FOLLOWING)
+    if (election->state != RP_ELECTION_FOLLOWING)
         return; /* a takeover has begun meanwhile */
-    if (result->outcome == RP_STATE_OK)
-        election->looked_at = rp_loop_now(election->loop);
+    if (result->outcome == RP_KV_OK)
+        election->leader_seen_at = rp_loop_now(election->loop);
     /* A key that was given up is left to the others, also while the end of its lease, which may be
      * carried out seconds later, hasn't taken our name away yet. */
-    bool may_claim = rp_ts_reached(rp_loop_now(election->loop), election->stand_back);
-    if (result->outcome == RP_STATE_MISSING) {
+    bool may_claim = rp_ts_reached(rp_loop_now(election->loop), election->backoff_until);
+    if (result->outcome == RP_KV_NOT_FOUND) {
         election->leader[0] = '\0';
         election->seen_version = 0;
         if (may_claim) {
@@ -248,13 +248,13 @@
             return;
         }
     }
-    if (result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item)) {
+    if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
         bool read = rp_record_leader_read(item.value, &record);
         if (read && strcmp(record.node, election->node) == 0 && may_claim) {
             /* Our own name, though we don't hold: an earlier process of this node, which has
              * ended, or a claim whose answer was lost. Nobody acts on it, so there is no need to
              * wait for its lease; but a leader that it had deposed may still act. */
-            claim(election, item.version, record.deposed);
+            claim(election, item.version, record.fenced);
             return;
         }
         if (strcmp(record.node, election->leader) != 0)
@@ -264,7 +264,7 @@
         election->seen_version = item.version;
     }
     rp_timer_set(election->loop, &election->timer,
-                 result->outcome == RP_STATE_OK ? election->check_s : RETRY_S);
+                 result->outcome == RP_KV_OK ? election->check_s : RETRY_S);
 }
 
 /* A renewal under way: of this lease, asked for at this moment. */
@@ -274,19 +274,19 @@
     struct timespec asked;
 };
 
-static void touched(void *arg, const struct rp_state_result *result) {
+static void touched(void *arg, const struct rp_kv_result *result) {
     struct renewal renewal = *(struct renewal *)arg;
     struct rp_election *election = renewal.e;
     free(arg);
     /* The answer to a renewal of an earlier term's lease says nothing of this one's: taken for it,
      * it proved a lease that nobody had renewed, or ended a term that was sound. */
-    if (election->at != RP_HOLDING || renewal.lease != election->lease)
+    if (election->state != RP_ELECTION_HOLDING_KEY || renewal.lease != election->lease)
         return;
-    if (result->outcome == RP_STATE_MISSING) {
+    if (result->outcome == RP_KV_NOT_FOUND) {
         follow_again(election, 0);
         return;
     }
-    if (result->outcome == RP_STATE_OK) {
+    if (result->outcome == RP_KV_OK) {
         /* While the lease lives, the key is attached to it and nobody else can have written it:
          * leadership goes on even if it could not be proven for a while. */
         election->valid_until = rp_election_trust(renewal.asked, election->term_ttl_s);
@@ -302,44 +302,44 @@
         abort(); /* out of memory: a restart is the honest answer */
     *renewal = (struct renewal){
         .e = election, .lease = election->lease, .asked = rp_loop_now(election->loop)};
-    rp_state_touch(election->state, election->lease, touched, renewal);
+    rp_kv_lease_renew(election->store, election->lease, touched, renewal);
 }
 
-static void doubted(void *arg, const struct rp_state_result *result) {
+static void doubted(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
     struct rp_item item;
-    if (election->at != RP_HOLDING)
+    if (election->state != RP_ELECTION_HOLDING_KEY)
         return;
-    if (result->outcome == RP_STATE_MISSING ||
-        (result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item) &&
-         item.version != election->token))
+    if (result->outcome == RP_KV_NOT_FOUND ||
+        (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item) &&
+         item.version != election->fencing_token))
         follow_again(election, 0);
 }
 
-void rp_election_doubt(struct rp_election *election) {
-    if (election->at == RP_HOLDING)
-        rp_state_get(election->state, RP_SHARE_LEADERSHIP, RP_KEY_LEADER, doubted, election);
+void rp_election_verify(struct rp_election *election) {
+    if (election->state == RP_ELECTION_HOLDING_KEY)
+        rp_kv_get(election->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_LEADER, doubted, election);
 }
 
 void rp_election_resign(struct rp_election *election, double stand_back_s) {
-    if (election->at != RP_HOLDING)
+    if (election->state != RP_ELECTION_HOLDING_KEY)
         return;
     rp_info("resigning");
-    election->stand_back = rp_ts_after(rp_loop_now(election->loop), stand_back_s);
+    election->backoff_until = rp_ts_after(rp_loop_now(election->loop), stand_back_s);
     /* While a leader that was deposed may still act, the key must not be found free. */
     if (rp_ts_reached(rp_loop_now(election->loop), election->cleared_at))
-        rp_state_lease_end(election->state, election->lease, dropped, NULL);
+        rp_kv_lease_revoke(election->store, election->lease, dropped, NULL);
     follow_again(election, election->check_s);
 }
 
 static void tick(void *arg) {
     struct rp_election *election = arg;
-    if (election->at == RP_HOLDING) {
+    if (election->state == RP_ELECTION_HOLDING_KEY) {
         renew(election);
-    } else if (election->at == RP_FENCING) {
+    } else if (election->state == RP_ELECTION_REVOKING_LEASE) {
         fence(election);
-    } else if (election->at == RP_FOLLOWING) {
-        rp_state_get(election->state, RP_SHARE_LEADERSHIP, RP_KEY_LEADER, looked, election);
+    } else if (election->state == RP_ELECTION_FOLLOWING) {
+        rp_kv_get(election->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_LEADER, looked, election);
     }
 }
 
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -13,48 +13,49 @@
 #include "store/kv_client.h"
 
 enum rp_election_state {
-    RP_FOLLOWING, /* looks at the key now and then */
-    RP_DEPOSING,  /* the key is being written over an earlier leader's, without a lease */
-    RP_FENCING,   /* that leader's lease is being ended */
-    RP_LEASING,   /* the key is free, or says our name: a lease has been asked for */
-    RP_CLAIMING,  /* the key's write is on its way */
-    RP_HOLDING    /* the key is ours; whether we may act is rp_election_valid */
+    RP_ELECTION_FOLLOWING,       /* looks at the key now and then */
+    RP_ELECTION_OVERWRITING_KEY, /* the key is being written over an earlier leader's, without a
+                                    lease */
+    RP_ELECTION_REVOKING_LEASE,  /* that leader's lease is being ended */
+    RP_ELECTION_ACQUIRING_LEASE, /* the key is free, or says our name: a lease has been asked for */
+    RP_ELECTION_CLAIMING_KEY,    /* the key's write is on its way */
+    RP_ELECTION_HOLDING_KEY      /* the key is ours; whether we may act is rp_election_valid */
 };
 
 typedef void (*rp_election_fn)(void *arg);
 
 struct rp_election {
     struct rp_loop *loop;
-    struct rp_state_client *state;
+    struct rp_kv_client *store;
     const char *node;
     double ttl_s, check_s; /* as the settings have them */
     double term_ttl_s;     /* the length of this term's lease, at most ttl_s */
-    enum rp_election_state at;
-    uint64_t token, lease, claim_over;
+    enum rp_election_state state;
+    uint64_t fencing_token, lease, claim_over;
     struct timespec valid_until; /* on the steady clock, margins taken off */
     /* An earlier leader that was deposed may answer workers until then; zero: none can. */
     struct timespec cleared_at;
-    struct rp_deposed_lease deposed; /* its lease; of the claim under way, then of this term */
+    struct rp_fenced_lease fenced_lease; /* its lease; of the claim under way, then of this term */
     struct rp_leader_record seen; /* the key as last looked at, and its revision; 0: it was free */
     uint64_t seen_version;
-    bool fenced_terms;            /* this node's terms can be ended by a takeover */
-    struct timespec stand_back;   /* until then only the others may claim a free key */
-    struct timespec asked;        /* when the claim's lease was asked for */
-    char leader[64];              /* who held the key when we last looked, "" for nobody */
-    struct timespec looked_at;    /* when that was */
-    struct timespec silent_since; /* the leader doesn't answer this node; zero: it does */
+    bool fenced_terms;              /* this node's terms can be ended by a takeover */
+    struct timespec backoff_until;  /* until then only the others may claim a free key */
+    struct timespec asked;          /* when the claim's lease was asked for */
+    char leader[64];                /* who held the key when we last looked, "" for nobody */
+    struct timespec leader_seen_at; /* when that was */
+    struct timespec silent_since;   /* the leader doesn't answer this node; zero: it does */
     struct rp_timer timer;
     rp_election_fn on_elected, on_lost;
     void *arg;
 };
 
 void rp_election_init(struct rp_election *election, struct rp_loop *loop,
-                      struct rp_state_client *state, const char *node, double ttl_s, double check_s,
+                      struct rp_kv_client *store, const char *node, double ttl_s, double check_s,
                       rp_election_fn on_elected, rp_election_fn on_lost, void *arg);
 void rp_election_start(struct rp_election *election);
 void rp_election_stop(struct rp_election *election);
 /* To be asked immediately before every answer or command that needs leadership. */
-bool rp_election_valid(const struct rp_election *election, struct timespec now);
+bool rp_election_is_valid(const struct rp_election *election, struct timespec now);
 /* The other node that leads, as far as is known now; NULL when nothing is. */
 const char *rp_election_leader(const struct rp_election *election, struct timespec now);
 /* Whether that node answered when it was asked something. */
@@ -64,11 +65,11 @@
 /* The condition that makes a leader's late transactions die. */
 void rp_election_guard(const struct rp_election *election, json_t *txn);
 /* Somebody shows a token above ours, or a guarded write failed: look at the key now. */
-void rp_election_doubt(struct rp_election *election);
+void rp_election_verify(struct rp_election *election);
 
 /* Takes the key from the leader last seen, which may still be alive. False: that isn't possible
  * now, since that leader's node doesn't take part in takeovers, or something else is under way. */
-bool rp_election_depose(struct rp_election *election);
+bool rp_election_fence_leader(struct rp_election *election);
 /* Our watch shows a takeover's fence of this revision. */
 void rp_election_note_fence(struct rp_election *election, uint64_t version);
 
--- a/src/jobs/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -25,11 +25,11 @@
 static void budget_due(void *arg);
 
 void rp_job_lookup_init(struct rp_job_lookup *lookup, struct rp_loop *loop,
-                        struct rp_state_client *state, const struct rp_settings *settings) {
+                        struct rp_kv_client *store, const struct rp_settings *settings) {
     size_t conditions = CONDITIONS_PER_CHANGE * settings->state_fit.txn_ops;
     memset(lookup, 0, sizeof *lookup);
     lookup->loop = loop;
-    lookup->state = state;
+    lookup->store = store;
     lookup->batch_max = conditions < BATCH_MOST ? conditions : BATCH_MOST;
     lookup->timer = (struct rp_timer){.fn = budget_due, .arg = lookup};
 }
@@ -41,20 +41,20 @@
 }
 
 bool rp_job_lookup_pays(struct rp_job_lookup *lookup) {
-    return lookup->collecting || rp_state_must_wait(lookup->state, RP_SHARE_QUERIES);
+    return lookup->collecting || rp_kv_must_wait(lookup->store, RP_KV_BUDGET_QUERIES);
 }
 
-static enum rp_lookup_result result_of(const struct rp_state_result *result, const char *job) {
+static enum rp_lookup_result result_of(const struct rp_kv_result *result, const char *job) {
     char key[RP_KEY_MAX];
-    if (result->outcome == RP_STATE_OK)
+    if (result->outcome == RP_KV_OK)
         return RP_LOOKUP_NOT_OPEN; /* every condition held: none of the keys exists */
-    if (result->outcome != RP_STATE_CONFLICT)
+    if (result->outcome != RP_KV_CONDITION_FAILED)
         return RP_LOOKUP_UNAVAILABLE;
     rp_key(key, RP_KEY_OPEN, job);
     return rp_wire_failed_key(result->body, key) ? RP_LOOKUP_OPEN : RP_LOOKUP_NOT_OPEN;
 }
 
-static void compared(void *arg, const struct rp_state_result *result) {
+static void compared(void *arg, const struct rp_kv_result *result) {
     struct rp_lookup_batch *batch = arg;
     for (size_t i = 0; i < batch->n; i++) {
         const struct question *question = &batch->questions[i];
@@ -83,7 +83,7 @@
     }
     lookup->n_batches++;
     lookup->n_jobs += batch->n;
-    rp_state_txn(lookup->state, RP_SHARE_QUERIES, txn, compared, batch);
+    rp_kv_txn(lookup->store, RP_KV_BUDGET_QUERIES, txn, compared, batch);
 }
 
 static void budget_due(void *arg) {
@@ -92,7 +92,7 @@
     if (!lookup->collecting)
         return;
     bool waited = rp_ts_since(now, lookup->collecting_since) >= COLLECT_MOST_S;
-    if (waited || !rp_state_must_wait(lookup->state, RP_SHARE_QUERIES))
+    if (waited || !rp_kv_must_wait(lookup->store, RP_KV_BUDGET_QUERIES))
         send_batch(lookup);
     else
         rp_timer_set(lookup->loop, &lookup->timer, POLL_BUDGET_S);
--- a/src/jobs/job_lookup.h
+++ b/src/jobs/job_lookup.h
@@ -21,7 +21,7 @@
 
 struct rp_job_lookup {
     struct rp_loop *loop;
-    struct rp_state_client *state;
+    struct rp_kv_client *store;
     size_t batch_max;
     struct rp_lookup_batch *collecting; /* not sent yet; NULL: nothing waits */
     struct timespec collecting_since;
@@ -30,7 +30,7 @@
 };
 
 void rp_job_lookup_init(struct rp_job_lookup *lookup, struct rp_loop *loop,
-                        struct rp_state_client *state, const struct rp_settings *settings);
+                        struct rp_kv_client *store, const struct rp_settings *settings);
 /* Forgets what waits, without calling back. */
 void rp_job_lookup_close(struct rp_job_lookup *lookup);
 /* Whether a question asked now had to wait for the budget if it were a request of its own. */
