--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -33,8 +33,8 @@
         bool unit; /* or a chunk of the first format */
         uint8_t bits[RP_CHUNK_BYTES];
     } * saved;
-    struct rp_stored left; /* of a finished job's records, after its own transaction */
-    struct rp_stored swept;
+    struct rp_stored_records left; /* of a finished job's records, after its own transaction */
+    struct rp_stored_records swept;
 };
 
 static struct request *request_new(struct rp_jobs *jobs) {
@@ -54,7 +54,7 @@
 static void tick(void *arg);
 static void follow(struct rp_jobs *jobs);
 
-void rp_jobs_init(struct rp_jobs *jobs, struct rp_loop *loop, struct rp_state_client *state,
+void rp_jobs_init(struct rp_jobs *jobs, struct rp_loop *loop, struct rp_kv_client *store,
                   struct rp_election *election, const struct rp_upgrade *upgrade,
                   const struct rp_settings *settings) {
     memset(jobs, 0, sizeof *jobs);
@@ -62,7 +62,7 @@
     jobs->flush_most = FLUSH_MOST;
     jobs->ops_most = settings->state_fit.txn_ops;
     jobs->loop = loop;
-    jobs->state = state;
+    jobs->store = store;
     jobs->election = election;
     jobs->settings = settings;
     jobs->timer = (struct rp_timer){.fn = tick, .arg = jobs};
@@ -71,7 +71,7 @@
 /* ---- the table ---- */
 
 static size_t bucket_of(const char *id) {
-    return (size_t)(rp_text_hash(id) % RP_JOBS_BUCKETS);
+    return (size_t)(rp_hash_string(id) % RP_JOBS_BUCKETS);
 }
 
 struct rp_job *rp_jobs_find(const struct rp_jobs *jobs, const char *id) {
@@ -96,15 +96,15 @@
 
 /* The revision of a record of progress as last written or read; 0: there is none. */
 static uint64_t *saved_rev(struct rp_job *job, unsigned piece, bool unit) {
-    return &job->saved_revs[unit ? n_chunks(job) + piece : piece];
+    return &job->progress_revisions[unit ? n_chunks(job) + piece : piece];
 }
 
 static void job_free(struct rp_job *job) {
     rp_job_spec_free(&job->spec);
-    free(job->saved_revs);
+    free(job->progress_revisions);
     free(job->done);
     free(job->durable);
-    free(job->where);
+    free(job->task_allocation_counts);
     free(job);
 }
 
@@ -113,7 +113,7 @@
     job->hash_next = *bucket;
     *bucket = job;
     struct rp_job *after = jobs->last;
-    while (after && rp_ts_cmp(after->accepted, job->accepted) > 0)
+    while (after && rp_ts_cmp(after->accepted_at, job->accepted_at) > 0)
         after = after->prev;
     job->prev = after;
     job->next = after ? after->next : jobs->first;
@@ -147,28 +147,28 @@
 static struct rp_job *job_add(struct rp_jobs *jobs, json_t *value, uint64_t version) {
     struct rp_job *job = calloc(1, sizeof *job);
     struct timespec wall;
-    if (!job || !rp_record_open_read(value, &job->spec, &job->accepted)) {
+    if (!job || !rp_record_open_read(value, &job->spec, &job->accepted_at)) {
         free(job);
         return NULL;
     }
     size_t bytes = (job->spec.n_tasks + 7) / 8;
     clock_gettime(CLOCK_REALTIME, &wall);
-    job->version = job->created = version;
-    job->known = rp_loop_now(jobs->loop);
-    job->age_at_known_s = jobs->loop->is_virtual ? 0 : rp_ts_since(wall, job->accepted);
-    if (job->age_at_known_s < 0)
-        job->age_at_known_s = 0;
-    job->image_hash = rp_text_hash(job->spec.image);
+    job->version = job->accepted_revision = version;
+    job->first_seen_at = rp_loop_now(jobs->loop);
+    job->age_at_first_seen_s = jobs->loop->is_virtual ? 0 : rp_ts_since(wall, job->accepted_at);
+    if (job->age_at_first_seen_s < 0)
+        job->age_at_first_seen_s = 0;
+    job->image_hash = rp_hash_string(job->spec.image);
     job->team = rp_settings_team(jobs->settings, job->spec.team);
     job->done = calloc(1, bytes);
     job->durable = calloc(1, bytes);
-    job->saved_revs = calloc(n_chunks(job) + n_units(job), sizeof *job->saved_revs);
-    if (!job->done || !job->durable || !job->saved_revs) {
+    job->progress_revisions = calloc(n_chunks(job) + n_units(job), sizeof *job->progress_revisions);
+    if (!job->done || !job->durable || !job->progress_revisions) {
         job_free(job);
         return NULL;
     }
     table_insert(jobs, job);
-    jobs->n_services += job->spec.kind == RP_SERVICE;
+    jobs->n_services += job->spec.kind == RP_JOB_SERVICE;
     return job;
 }
 
@@ -177,7 +177,7 @@
     job->state = state;
     if (state != RP_JOB_CLOSED)
         return;
-    jobs->n_services -= job->spec.kind == RP_SERVICE;
+    jobs->n_services -= job->spec.kind == RP_JOB_SERVICE;
     /* Dropping the last allocation frees a closed job: held until the stops are through. */
     job->n_refs++;
     if (jobs->on_closed)
@@ -193,26 +193,26 @@
     }
 }
 
-static void pending_free(struct rp_pending *pending) {
-    json_decref(pending->record);
-    free(pending);
+static void pending_free(struct rp_partial_record *partial) {
+    json_decref(partial->record);
+    free(partial);
 }
 
 void rp_jobs_clear(struct rp_jobs *jobs) {
     jobs->generation++;
-    jobs->active = jobs->reading_parts = jobs->sweeping = jobs->loading = false;
+    jobs->active = jobs->reading_parts = jobs->collecting_garbage = jobs->loading = false;
     jobs->catching_up = jobs->refused = false;
     jobs->provable_since = (struct timespec){0};
     jobs->n_services = 0;
-    while (jobs->sweeps) {
-        struct rp_sweep *sweep = jobs->sweeps;
-        jobs->sweeps = sweep->next;
-        free(sweep);
+    while (jobs->garbage) {
+        struct rp_garbage *garbage = jobs->garbage;
+        jobs->garbage = garbage->next;
+        free(garbage);
     }
-    while (jobs->pending) {
-        struct rp_pending *pending = jobs->pending;
-        jobs->pending = pending->next;
-        pending_free(pending);
+    while (jobs->partial_records) {
+        struct rp_partial_record *partial = jobs->partial_records;
+        jobs->partial_records = partial->next;
+        pending_free(partial);
     }
     rp_timer_cancel(jobs->loop, &jobs->timer);
     for (struct rp_job *job = jobs->first, *next; job; job = next) {
@@ -224,27 +224,27 @@
     jobs->n_jobs = 0;
 }
 
-double rp_jobs_stale_s(const struct rp_jobs *jobs) {
-    return rp_ts_since(rp_loop_now(jobs->loop), jobs->synced);
+double rp_jobs_staleness_s(const struct rp_jobs *jobs) {
+    return rp_ts_since(rp_loop_now(jobs->loop), jobs->synced_at);
 }
 
-bool rp_jobs_may_answer(const struct rp_jobs *jobs) {
-    return rp_jobs_stale_s(jobs) < rp_settings_news_s(jobs->settings);
+bool rp_jobs_may_answer_heartbeats(const struct rp_jobs *jobs) {
+    return rp_jobs_staleness_s(jobs) < rp_settings_max_staleness_s(jobs->settings);
 }
 
-bool rp_jobs_may_start(const struct rp_jobs *jobs) {
-    return jobs->watched && !jobs->refused && rp_jobs_stale_s(jobs) < START_NEWS_S &&
-           rp_jobs_may_answer(jobs);
+bool rp_jobs_may_start_tasks(const struct rp_jobs *jobs) {
+    return jobs->watched && !jobs->refused && rp_jobs_staleness_s(jobs) < START_NEWS_S &&
+           rp_jobs_may_answer_heartbeats(jobs);
 }
 
-void rp_jobs_note_refused(struct rp_jobs *jobs) {
+void rp_jobs_note_store_refusal(struct rp_jobs *jobs) {
     if (jobs->active && !jobs->refused)
         rp_info("the state service answers other nodes, not this one: no more starts");
     jobs->refused = jobs->active;
 }
 
 double rp_job_age_s(const struct rp_job *job, struct timespec now) {
-    return job->age_at_known_s + rp_ts_since(now, job->known);
+    return job->age_at_first_seen_s + rp_ts_since(now, job->first_seen_at);
 }
 
 /* ---- loading ---- */
@@ -262,22 +262,23 @@
 }
 
 /* Whether a page of a list came, and is still wanted. */
-static bool page_came(const struct request *request, const struct rp_state_result *result) {
+static bool page_came(const struct request *request, const struct rp_kv_result *result) {
     if (!request_current(request))
         return false;
-    if (result->outcome != RP_STATE_OK)
+    if (result->outcome != RP_KV_OK)
         load_failed(request->t);
-    return result->outcome == RP_STATE_OK;
+    return result->outcome == RP_KV_OK;
 }
 
 /* ---- records that no job needs any more ---- */
 
-static bool stored_any(const struct rp_stored *stored) {
+static bool stored_any(const struct rp_stored_records *stored) {
     return stored->chunks || stored->units || stored->parts;
 }
 
-static void sweep_later(struct rp_jobs *jobs, const char *job, const struct rp_stored *stored) {
-    struct rp_sweep **link = &jobs->sweeps;
+static void sweep_later(struct rp_jobs *jobs, const char *job,
+                        const struct rp_stored_records *stored) {
+    struct rp_garbage **link = &jobs->garbage;
     if (!stored_any(stored))
         return;
     for (; *link; link = &(*link)->next)
@@ -295,7 +296,8 @@
 }
 
 /* Adds deletions up to the transaction's limit, and takes them off the set. */
-static void delete_stored(json_t *txn, const char *job, struct rp_stored *stored, size_t most) {
+static void delete_stored(json_t *txn, const char *job, struct rp_stored_records *stored,
+                          size_t most) {
     char key[RP_KEY_MAX];
     for (unsigned i = 0; i < 64 && rp_wire_txn_ops(txn) < most; i++)
         if (i < 32 && (stored->chunks >> i & 1)) {
@@ -324,28 +326,28 @@
     rp_error("state service takes fewer changes at once than told: now %zu", jobs->ops_most);
 }
 
-static void swept(void *arg, const struct rp_state_result *result) {
+static void swept(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_jobs *jobs = request->t;
-    struct rp_sweep *sweep = jobs->sweeps;
+    struct rp_garbage *garbage = jobs->garbage;
     if (!request_current(request))
         goto out;
-    jobs->sweeping = false;
-    if (!sweep || strcmp(sweep->job, request->job) != 0)
+    jobs->collecting_garbage = false;
+    if (!garbage || strcmp(garbage->job, request->job) != 0)
         goto out;
-    if (result->outcome == RP_STATE_OK) {
-        sweep->stored.chunks &= ~request->swept.chunks;
-        sweep->stored.units &= ~request->swept.units;
-        sweep->stored.parts &= ~request->swept.parts;
-    } else if (result->outcome == RP_STATE_BAD) {
+    if (result->outcome == RP_KV_OK) {
+        garbage->stored.chunks &= ~request->swept.chunks;
+        garbage->stored.units &= ~request->swept.units;
+        garbage->stored.parts &= ~request->swept.parts;
+    } else if (result->outcome == RP_KV_BAD_REQUEST) {
         fewer_ops(jobs);
-    } else if (result->outcome == RP_STATE_CONFLICT) {
+    } else if (result->outcome == RP_KV_CONDITION_FAILED) {
         /* The job is there after all, or somebody else leads: nothing of it may go. */
-        sweep->stored = (struct rp_stored){0};
+        garbage->stored = (struct rp_stored_records){0};
     }
-    if (!stored_any(&sweep->stored)) {
-        jobs->sweeps = sweep->next;
-        free(sweep);
+    if (!stored_any(&garbage->stored)) {
+        jobs->garbage = garbage->next;
+        free(garbage);
     }
 out:
     request_free(request);
@@ -353,25 +355,25 @@
 
 /* One transaction of deletions, on the condition that the job is not open. */
 static void sweep_some(struct rp_jobs *jobs) {
-    struct rp_sweep *sweep = jobs->sweeps;
+    struct rp_garbage *garbage = jobs->garbage;
     char key[RP_KEY_MAX];
-    double room = rp_state_room(jobs->state, RP_SHARE_LEADER);
-    if (!sweep || jobs->sweeping || room < 1)
+    double room = rp_kv_write_headroom(jobs->store, RP_KV_BUDGET_LEADER);
+    if (!garbage || jobs->collecting_garbage || room < 1)
         return;
     struct request *request = request_new(jobs);
     json_t *txn = rp_wire_txn();
-    struct rp_stored left = sweep->stored;
-    strcpy(request->job, sweep->job);
+    struct rp_stored_records left = garbage->stored;
+    strcpy(request->job, garbage->job);
     rp_election_guard(jobs->election, txn);
-    rp_key(key, RP_KEY_OPEN, sweep->job);
+    rp_key(key, RP_KEY_OPEN, garbage->job);
     rp_wire_txn_if(txn, key, 0);
-    delete_stored(txn, sweep->job, &left,
+    delete_stored(txn, garbage->job, &left,
                   room < (double)jobs->ops_most ? (size_t)room : jobs->ops_most);
-    request->swept = (struct rp_stored){.chunks = sweep->stored.chunks & ~left.chunks,
-                                        .units = sweep->stored.units & ~left.units,
-                                        .parts = sweep->stored.parts & ~left.parts};
-    jobs->sweeping = true;
-    rp_state_txn(jobs->state, RP_SHARE_LEADER, txn, swept, request);
+    request->swept = (struct rp_stored_records){.chunks = garbage->stored.chunks & ~left.chunks,
+                                                .units = garbage->stored.units & ~left.units,
+                                                .parts = garbage->stored.parts & ~left.parts};
+    jobs->collecting_garbage = true;
+    rp_kv_txn(jobs->store, RP_KV_BUDGET_LEADER, txn, swept, request);
 }
 
 /* ---- loading, continued ---- */
@@ -393,8 +395,8 @@
     if (!rp_key_progress_read(item->key, id, &piece, &unit))
         return;
     struct rp_job *job = rp_jobs_find(jobs, id);
-    struct rp_stored stored = {.chunks = unit ? 0 : UINT32_C(1) << piece,
-                               .units = unit ? UINT64_C(1) << piece : 0};
+    struct rp_stored_records stored = {.chunks = unit ? 0 : UINT32_C(1) << piece,
+                                       .units = unit ? UINT64_C(1) << piece : 0};
     if (!job) {
         sweep_later(jobs, id, &stored);
         return;
@@ -416,11 +418,11 @@
 static void loaded(struct rp_jobs *jobs) {
     for (struct rp_job *job = jobs->first; job; job = job->next) {
         /* A replica is never done, whatever a node of the first format has written. */
-        if (job->spec.kind == RP_SERVICE)
+        if (job->spec.kind == RP_JOB_SERVICE)
             continue;
         memcpy(job->done, job->durable, (job->spec.n_tasks + 7) / 8);
         for (uint32_t i = 0; i < job->spec.n_tasks; i++)
-            job->n_done += rp_job_task_done(job, i);
+            job->n_done += rp_job_is_task_done(job, i);
         if (job->n_done == job->spec.n_tasks)
             job_set_state(jobs, job, RP_JOB_FINISHING);
     }
@@ -431,7 +433,7 @@
     jobs->on_loaded(jobs->arg, true);
 }
 
-static void got_progress(void *arg, const struct rp_state_result *result) {
+static void got_progress(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_jobs *jobs = request->t;
     bool more = false;
@@ -451,8 +453,8 @@
 }
 
 static void list_progress(struct rp_jobs *jobs, const char *after) {
-    rp_state_list(jobs->state, RP_SHARE_LEADER, RP_KEY_PROGRESS, after, PAGE, got_progress,
-                  request_new(jobs));
+    rp_kv_list(jobs->store, RP_KV_BUDGET_LEADER, RP_KEY_PROGRESS, after, PAGE, got_progress,
+               request_new(jobs));
 }
 
 /* ---- records in parts ---- */
@@ -460,28 +462,28 @@
 static void read_next_parts(struct rp_jobs *jobs);
 
 static void later_parts(struct rp_jobs *jobs, const struct rp_item *item) {
-    struct rp_pending **link = &jobs->pending, *pending = calloc(1, sizeof *pending);
-    if (!pending)
+    struct rp_partial_record **link = &jobs->partial_records, *partial = calloc(1, sizeof *partial);
+    if (!partial)
         abort(); /* out of memory: a restart is the honest answer */
-    snprintf(pending->job, sizeof pending->job, "%s", item->key + strlen(RP_KEY_OPEN));
-    pending->record = json_incref(item->value);
-    pending->version = item->version;
+    snprintf(partial->job, sizeof partial->job, "%s", item->key + strlen(RP_KEY_OPEN));
+    partial->record = json_incref(item->value);
+    partial->version = item->version;
     while (*link)
         link = &(*link)->next;
-    *link = pending;
+    *link = partial;
 }
 
-static struct rp_pending *pending_find(const struct rp_jobs *jobs, const char *job) {
-    struct rp_pending *pending = jobs->pending;
-    while (pending && (pending->gone || strcmp(pending->job, job) != 0))
-        pending = pending->next;
-    return pending;
+static struct rp_partial_record *pending_find(const struct rp_jobs *jobs, const char *job) {
+    struct rp_partial_record *partial = jobs->partial_records;
+    while (partial && (partial->gone || strcmp(partial->job, job) != 0))
+        partial = partial->next;
+    return partial;
 }
 
 /* The job's record from its first piece and the parts listed, or NULL. */
-static json_t *put_together(const struct rp_pending *pending, json_t *body) {
-    json_t *pieces[RP_PARTS_MAX] = {pending->record};
-    size_t want = rp_record_parts(pending->record), found = 0;
+static json_t *put_together(const struct rp_partial_record *partial, json_t *body) {
+    json_t *pieces[RP_PARTS_MAX] = {partial->record};
+    size_t want = rp_record_parts(partial->record), found = 0;
     bool more;
     size_t n = rp_wire_items(body, &more);
     for (size_t i = 0; i < n; i++) {
@@ -489,7 +491,7 @@
         unsigned part;
         struct rp_item item;
         if (rp_wire_items_at(body, i, &item) && rp_key_part_read(item.key, id, &part) &&
-            strcmp(id, pending->job) == 0 && part >= 1 && part <= want && !pieces[part]) {
+            strcmp(id, partial->job) == 0 && part >= 1 && part <= want && !pieces[part]) {
             pieces[part] = item.value;
             found++;
         }
@@ -497,36 +499,36 @@
     return found == want ? rp_record_join(pieces, want + 1) : NULL;
 }
 
-static void take_pending(struct rp_jobs *jobs, struct rp_pending *pending, json_t *body) {
+static void take_pending(struct rp_jobs *jobs, struct rp_partial_record *partial, json_t *body) {
     char key[RP_KEY_MAX];
-    json_t *whole = put_together(pending, body);
-    struct rp_job *job = whole ? job_add(jobs, whole, pending->version) : NULL;
+    json_t *whole = put_together(partial, body);
+    struct rp_job *job = whole ? job_add(jobs, whole, partial->version) : NULL;
     json_decref(whole);
     if (job) {
-        job->stored.parts = ((UINT64_C(1) << rp_record_parts(pending->record)) - 1) << 1;
+        job->stored.parts = ((UINT64_C(1) << rp_record_parts(partial->record)) - 1) << 1;
         return;
     }
-    rp_key(key, RP_KEY_OPEN, pending->job);
-    unreadable(jobs, key, pending->record);
+    rp_key(key, RP_KEY_OPEN, partial->job);
+    unreadable(jobs, key, partial->record);
 }
 
-static void got_parts(void *arg, const struct rp_state_result *result) {
+static void got_parts(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_jobs *jobs = request->t;
     if (!request_current(request))
         goto out;
     jobs->reading_parts = false;
-    if (result->outcome != RP_STATE_OK) {
+    if (result->outcome != RP_KV_OK) {
         if (jobs->loading)
             load_failed(jobs); /* else the tick tries again */
         goto out;
     }
-    struct rp_pending *pending = jobs->pending;
-    jobs->pending = pending->next;
-    bool news = !pending->gone;
-    if (!pending->gone)
-        take_pending(jobs, pending, result->body);
-    pending_free(pending);
+    struct rp_partial_record *partial = jobs->partial_records;
+    jobs->partial_records = partial->next;
+    bool news = !partial->gone;
+    if (!partial->gone)
+        take_pending(jobs, partial, result->body);
+    pending_free(partial);
     read_next_parts(jobs);
     if (news && jobs->active && jobs->on_changed)
         jobs->on_changed(jobs->arg);
@@ -540,15 +542,15 @@
     char prefix[RP_KEY_MAX];
     if (jobs->reading_parts)
         return;
-    if (!jobs->pending) {
+    if (!jobs->partial_records) {
         if (jobs->loading)
             list_progress(jobs, NULL);
         return;
     }
-    snprintf(prefix, sizeof prefix, "%s%s/", RP_KEY_PART, jobs->pending->job);
+    snprintf(prefix, sizeof prefix, "%s%s/", RP_KEY_PART, jobs->partial_records->job);
     jobs->reading_parts = true;
-    rp_state_list(jobs->state, RP_SHARE_LEADER, prefix, NULL, RP_PARTS_MAX, got_parts,
-                  request_new(jobs));
+    rp_kv_list(jobs->store, RP_KV_BUDGET_LEADER, prefix, NULL, RP_PARTS_MAX, got_parts,
+               request_new(jobs));
 }
 
 /* ---- jobs that are open ---- */
@@ -570,7 +572,7 @@
     return strcmp(item->key, RP_KEY_FENCE) == 0;
 }
 
-static void got_open(void *arg, const struct rp_state_result *result) {
+static void got_open(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_jobs *jobs = request->t;
     bool more = false;
@@ -605,15 +607,15 @@
 }
 
 static void list_open(struct rp_jobs *jobs, const char *after) {
-    rp_state_list(jobs->state, RP_SHARE_LEADER, RP_KEY_OPEN, after, PAGE, got_open,
-                  request_new(jobs));
+    rp_kv_list(jobs->store, RP_KV_BUDGET_LEADER, RP_KEY_OPEN, after, PAGE, got_open,
+               request_new(jobs));
 }
 
 void rp_jobs_load(struct rp_jobs *jobs) {
     rp_jobs_clear(jobs);
     jobs->revision = 0;
     jobs->loading = jobs->watched = true;
-    jobs->synced = rp_loop_now(jobs->loop);
+    jobs->synced_at = rp_loop_now(jobs->loop);
     list_open(jobs, NULL);
 }
 
@@ -622,15 +624,15 @@
 static void apply(struct rp_jobs *jobs, const struct rp_item *event) {
     const char *id = event->key + strlen(RP_KEY_OPEN);
     struct rp_job *job = rp_jobs_find(jobs, id);
-    struct rp_pending *pending = pending_find(jobs, id);
-    if (event->value && !job && !pending) {
+    struct rp_partial_record *partial = pending_find(jobs, id);
+    if (event->value && !job && !partial) {
         take_open(jobs, event);
     } else if (event->value) {
-        *(job ? &job->version : &pending->version) = event->version;
-    } else if (pending) {
-        struct rp_stored parts = {.parts = ((UINT64_C(1) << rp_record_parts(pending->record)) - 1)
-                                           << 1};
-        pending->gone = true;
+        *(job ? &job->version : &partial->version) = event->version;
+    } else if (partial) {
+        struct rp_stored_records parts = {
+            .parts = ((UINT64_C(1) << rp_record_parts(partial->record)) - 1) << 1};
+        partial->gone = true;
         sweep_later(jobs, id, &parts);
     } else if (job && job->state != RP_JOB_CLOSED) {
         rp_info("job %s is over%s", job->spec.id,
@@ -642,12 +644,12 @@
     }
 }
 
-static void followed(void *arg, const struct rp_state_result *result) {
+static void followed(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_jobs *jobs = request->t;
     if (!request_current(request) || !jobs->active)
         goto out;
-    if (result->outcome == RP_STATE_OK && result->body) {
+    if (result->outcome == RP_KV_OK && result->body) {
         size_t n = rp_wire_events(result->body);
         /* Before anything else of the answer: jobs that come with a fence are the next leader's. */
         for (size_t i = 0; i < n; i++) {
@@ -668,18 +670,18 @@
         uint64_t revision = rp_wire_revision(result->body);
         if (revision > jobs->revision)
             jobs->revision = revision;
-        jobs->synced = jobs->follow_sent;
+        jobs->synced_at = jobs->watch_sent_at;
         jobs->catching_up = jobs->refused = false;
         follow(jobs);
         if (n > 0 && jobs->on_changed)
             jobs->on_changed(jobs->arg);
-    } else if (result->outcome == RP_STATE_GONE) {
+    } else if (result->outcome == RP_KV_COMPACTED) {
         /* The watch fell too far behind: the table has to be read again, and with it the cluster
          * state of who may be where. Under the same token old copies of reports would pass for news
          * there, and attempt numbers for new ones: another term begins. */
         rp_election_resign(jobs->election, 0);
     } else {
-        jobs->follow_sent = (struct timespec){0}; /* the tick starts it again */
+        jobs->watch_sent_at = (struct timespec){0}; /* the tick starts it again */
         jobs->catching_up = true;
     }
 out:
@@ -689,58 +691,59 @@
 /* After a failure the first watch is answered at once, with all that was written meanwhile: workers
  * wait for it. */
 static void follow(struct rp_jobs *jobs) {
-    double hold = fmin(FOLLOW_HOLD_S, FOLLOW_HOLD_SHARE * rp_settings_news_s(jobs->settings));
-    jobs->follow_sent = rp_loop_now(jobs->loop);
-    rp_state_follow(jobs->state, RP_KEY_OPEN, jobs->revision, jobs->catching_up ? 0 : hold,
-                    followed, request_new(jobs));
+    double hold =
+        fmin(FOLLOW_HOLD_S, FOLLOW_HOLD_SHARE * rp_settings_max_staleness_s(jobs->settings));
+    jobs->watch_sent_at = rp_loop_now(jobs->loop);
+    rp_kv_watch(jobs->store, RP_KEY_OPEN, jobs->revision, jobs->catching_up ? 0 : hold, followed,
+                request_new(jobs));
 }
 
 /* ---- making results durable ---- */
 
-bool rp_job_task_done(const struct rp_job *job, uint32_t task) {
+bool rp_job_is_task_done(const struct rp_job *job, uint32_t task) {
     return job->done[task / 8] >> (task % 8) & 1;
 }
 
-unsigned rp_job_allocations(const struct rp_job *job, uint32_t task) {
-    return job->where ? job->where[task] : 0;
+unsigned rp_job_n_task_allocations(const struct rp_job *job, uint32_t task) {
+    return job->task_allocation_counts ? job->task_allocation_counts[task] : 0;
 }
 
 void rp_job_count_allocation(struct rp_job *job, uint32_t task, int sign) {
-    if (!job->where)
-        job->where = calloc(1, job->spec.n_tasks);
-    if (!job->where)
+    if (!job->task_allocation_counts)
+        job->task_allocation_counts = calloc(1, job->spec.n_tasks);
+    if (!job->task_allocation_counts)
         abort(); /* out of memory: a restart is the honest answer */
-    job->where[task] = (uint8_t)(job->where[task] + sign);
-    job->n_counted += (uint32_t)sign;
+    job->task_allocation_counts[task] = (uint8_t)(job->task_allocation_counts[task] + sign);
+    job->n_allocated += (uint32_t)sign;
     /* Jobs that wait may have 100,000 tasks each, and there may be many of them. */
-    if (job->n_counted == 0) {
-        free(job->where);
-        job->where = NULL;
+    if (job->n_allocated == 0) {
+        free(job->task_allocation_counts);
+        job->task_allocation_counts = NULL;
     }
 }
 
-bool rp_job_task_durable(const struct rp_job *job, uint32_t task) {
-    return job->state == RP_JOB_CLOSED || job->spec.kind == RP_SERVICE ||
+bool rp_job_is_task_durable(const struct rp_job *job, uint32_t task) {
+    return job->state == RP_JOB_CLOSED || job->spec.kind == RP_JOB_SERVICE ||
            (job->durable[task / 8] >> (task % 8) & 1);
 }
 
 static void mark_done(struct rp_jobs *jobs, struct rp_job *job, uint32_t task) {
-    if (rp_job_task_done(job, task))
+    if (rp_job_is_task_done(job, task))
         return;
     job->done[task / 8] |= (uint8_t)(1u << (task % 8));
     job->n_done++;
-    if (!job->dirty)
+    if (!job->dirty_units)
         job->dirty_since = rp_loop_now(jobs->loop);
-    job->dirty |= UINT64_C(1) << (task / RP_UNIT_TASKS);
+    job->dirty_units |= UINT64_C(1) << (task / RP_UNIT_TASKS);
 }
 
 static void finish(struct rp_jobs *jobs, struct rp_job *job);
 
 void rp_jobs_task_done(struct rp_jobs *jobs, struct rp_job *job, uint32_t task) {
     /* A service's replica is never done, whatever it says when it ends. */
-    if (job->state != RP_JOB_OPEN || job->spec.kind == RP_SERVICE)
+    if (job->state != RP_JOB_OPEN || job->spec.kind == RP_JOB_SERVICE)
         return;
-    if (job->spec.kind == RP_GANG)
+    if (job->spec.kind == RP_JOB_GANG)
         for (uint32_t i = 0; i < job->spec.n_tasks; i++)
             mark_done(jobs, job, i);
     else
@@ -751,24 +754,24 @@
     }
 }
 
-static void finished(void *arg, const struct rp_state_result *result) {
+static void finished(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_jobs *jobs = request->t;
     struct rp_job *job = request_current(request) ? rp_jobs_find(jobs, request->job) : NULL;
     if (!job || job->state != RP_JOB_FINISHING)
         goto out;
-    job->writing = false;
-    if (result->outcome == RP_STATE_OK) {
+    job->finishing = false;
+    if (result->outcome == RP_KV_OK) {
         rp_info("job %s is done, tasks=%u age=%.1fs", job->spec.id, job->spec.n_tasks,
                 rp_job_age_s(job, rp_loop_now(jobs->loop)));
         sweep_later(jobs, job->spec.id, &request->left);
         job_set_state(jobs, job, RP_JOB_CLOSED);
-    } else if (result->outcome == RP_STATE_CONFLICT &&
+    } else if (result->outcome == RP_KV_CONDITION_FAILED &&
                rp_wire_failed_key(result->body, RP_KEY_LEADER)) {
-        rp_election_doubt(jobs->election);
-    } else if (result->outcome == RP_STATE_BAD) {
+        rp_election_verify(jobs->election);
+    } else if (result->outcome == RP_KV_BAD_REQUEST) {
         fewer_ops(jobs);
-        job->flush_held = rp_ts_after(rp_loop_now(jobs->loop), FLUSH_HOLD_S);
+        job->write_back_backoff_until = rp_ts_after(rp_loop_now(jobs->loop), FLUSH_HOLD_S);
     }
     /* Another conflict means that the job was cancelled, or that an unanswered try went through:
      * the watch tells. Anything else is tried again by the tick. */
@@ -778,29 +781,29 @@
 
 static void finish(struct rp_jobs *jobs, struct rp_job *job) {
     struct timespec now = rp_loop_now(jobs->loop);
-    if (job->writing || !rp_election_valid(jobs->election, now) ||
-        !rp_ts_reached(now, job->flush_held))
+    if (job->finishing || !rp_election_is_valid(jobs->election, now) ||
+        !rp_ts_reached(now, job->write_back_backoff_until))
         return;
     struct request *request = request_new(jobs);
     char key[RP_KEY_MAX];
     json_t *txn = rp_wire_txn();
     strcpy(request->job, job->spec.id);
-    job->writing = true;
+    job->finishing = true;
     rp_election_guard(jobs->election, txn);
     rp_key(key, RP_KEY_OPEN, job->spec.id);
     rp_wire_txn_if(txn, key, job->version);
     rp_wire_txn_delete(txn, key);
-    rp_key(key, RP_KEY_OVER, job->spec.id);
-    rp_wire_txn_put(txn, key, rp_jobs_mark(jobs, rp_record_over(RP_JOB_DONE)), 0);
+    rp_key(key, RP_KEY_TERMINAL, job->spec.id);
+    rp_wire_txn_put(txn, key, rp_jobs_mark_format(jobs, rp_record_terminal(RP_JOB_DONE)), 0);
     /* The move itself is atomic; the records that nobody reads any more go as they fit, with it or
      * after it. */
     request->left = job->stored;
     delete_stored(txn, job->spec.id, &request->left, jobs->ops_most);
-    rp_state_txn(jobs->state, RP_SHARE_LEADER, txn, finished, request);
+    rp_kv_txn(jobs->store, RP_KV_BUDGET_LEADER, txn, finished, request);
 }
 
-json_t *rp_jobs_mark(const struct rp_jobs *jobs, json_t *record) {
-    return rp_upgrade_active(jobs->upgrade) ? rp_record_mark(record) : record;
+json_t *rp_jobs_mark_format(const struct rp_jobs *jobs, json_t *record) {
+    return rp_upgrade_is_active(jobs->upgrade) ? rp_record_mark(record) : record;
 }
 
 /* The units that a piece covers. */
@@ -819,7 +822,7 @@
     }
     struct rp_job *job = rp_jobs_find(jobs, request->saved[0].job);
     if (job)
-        job->flush_held = rp_ts_after(now, FLUSH_HOLD_S);
+        job->write_back_backoff_until = rp_ts_after(now, FLUSH_HOLD_S);
 }
 
 static void piece_key(char key[RP_KEY_MAX], const char *job, unsigned piece, bool unit) {
@@ -833,11 +836,11 @@
  * it took results away whose workers had forgotten them. After a lost answer, or a conflict with a
  * write whose answer was lost, the revision has to be read. */
 static void doubt_saved(struct rp_job *job, unsigned piece, bool unit,
-                        const struct rp_state_result *result) {
+                        const struct rp_kv_result *result) {
     char key[RP_KEY_MAX];
     piece_key(key, job->spec.id, piece, unit);
-    if (result->outcome == RP_STATE_UNKNOWN ||
-        (result->outcome == RP_STATE_CONFLICT && rp_wire_failed_key(result->body, key)))
+    if (result->outcome == RP_KV_UNKNOWN ||
+        (result->outcome == RP_KV_CONDITION_FAILED && rp_wire_failed_key(result->body, key)))
         *saved_rev(job, piece, unit) = REV_UNKNOWN;
 }
 
@@ -848,7 +851,7 @@
         job->stored.chunks |= UINT32_C(1) << piece;
 }
 
-static void saved_read(void *arg, const struct rp_state_result *result) {
+static void saved_read(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_jobs *jobs = request->t;
     struct rp_job *job =
@@ -858,10 +861,10 @@
         goto out;
     unsigned piece = request->saved[0].piece;
     bool unit = request->saved[0].unit;
-    job->flushing &= ~units_of(piece, unit);
-    if (result->outcome == RP_STATE_MISSING)
+    job->writing_units &= ~units_of(piece, unit);
+    if (result->outcome == RP_KV_NOT_FOUND)
         *saved_rev(job, piece, unit) = 0;
-    else if (result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item))
+    else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item))
         *saved_rev(job, piece, unit) = item.version;
     note_stored(job, piece, unit);
     job->dirty_since = (struct timespec){0}; /* it has waited long enough */
@@ -878,12 +881,12 @@
     strcpy(request->saved[0].job, job->spec.id);
     request->saved[0].piece = piece;
     request->saved[0].unit = unit;
-    job->flushing |= units_of(piece, unit);
+    job->writing_units |= units_of(piece, unit);
     piece_key(key, job->spec.id, piece, unit);
-    rp_state_get(jobs->state, RP_SHARE_LEADER, key, saved_read, request);
+    rp_kv_get(jobs->store, RP_KV_BUDGET_LEADER, key, saved_read, request);
 }
 
-static void flushed(void *arg, const struct rp_state_result *result) {
+static void flushed(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_jobs *jobs = request->t;
     if (!request_current(request))
@@ -892,20 +895,20 @@
         struct rp_job *job = rp_jobs_find(jobs, request->saved[i].job);
         unsigned piece = request->saved[i].piece;
         bool unit = request->saved[i].unit;
-        struct rp_stored stored = {.chunks = unit ? 0 : UINT32_C(1) << piece,
-                                   .units = unit ? UINT64_C(1) << piece : 0};
+        struct rp_stored_records stored = {.chunks = unit ? 0 : UINT32_C(1) << piece,
+                                           .units = unit ? UINT64_C(1) << piece : 0};
         if (!job || job->state == RP_JOB_CLOSED) {
-            if (result->outcome == RP_STATE_OK || result->outcome == RP_STATE_UNKNOWN)
+            if (result->outcome == RP_KV_OK || result->outcome == RP_KV_UNKNOWN)
                 sweep_later(jobs, request->saved[i].job, &stored);
             continue;
         }
-        job->flushing &= ~units_of(piece, unit);
-        if (result->outcome != RP_STATE_OK) {
+        job->writing_units &= ~units_of(piece, unit);
+        if (result->outcome != RP_KV_OK) {
             /* A chunk covers units that a small job doesn't have: written as such after the
              * activation, they were read and written beyond the job's memory. */
-            job->dirty |= units_of(piece, unit) & all_units(job);
+            job->dirty_units |= units_of(piece, unit) & all_units(job);
             doubt_saved(job, piece, unit, result);
-            if (result->outcome == RP_STATE_UNKNOWN)
+            if (result->outcome == RP_KV_UNKNOWN)
                 note_stored(job, piece, unit); /* it may have been written */
             continue;
         }
@@ -916,11 +919,12 @@
             job->durable[at + b] |= request->saved[i].bits[b];
         note_stored(job, piece, unit);
     }
-    if (result->outcome == RP_STATE_CONFLICT && rp_wire_failed_key(result->body, RP_KEY_LEADER))
-        rp_election_doubt(jobs->election);
-    if (result->outcome == RP_STATE_BAD)
+    if (result->outcome == RP_KV_CONDITION_FAILED &&
+        rp_wire_failed_key(result->body, RP_KEY_LEADER))
+        rp_election_verify(jobs->election);
+    if (result->outcome == RP_KV_BAD_REQUEST)
         refused_as_large(jobs, request);
-    else if (result->outcome == RP_STATE_OK && jobs->flush_most < FLUSH_MOST)
+    else if (result->outcome == RP_KV_OK && jobs->flush_most < FLUSH_MOST)
         jobs->flush_most++;
 out:
     request_free(request);
@@ -939,24 +943,25 @@
     request->n++;
     piece_key(key, job->spec.id, piece, unit);
     rp_wire_txn_if(txn, key, *saved_rev(job, piece, unit));
-    rp_wire_txn_put(txn, key, rp_jobs_mark(jobs, rp_record_progress(job->done + at, bytes)), 0);
-    job->dirty &= ~units_of(piece, unit);
-    job->flushing |= units_of(piece, unit);
+    rp_wire_txn_put(txn, key, rp_jobs_mark_format(jobs, rp_record_progress(job->done + at, bytes)),
+                    0);
+    job->dirty_units &= ~units_of(piece, unit);
+    job->writing_units |= units_of(piece, unit);
 }
 
 /* Until every node reads units, progress goes into the chunks that all of them know; where one
  * doesn't fit, it waits for the activation. */
 static void flush_job(struct rp_jobs *jobs, struct request *request, json_t *txn,
                       struct rp_job *job, size_t most) {
-    bool unit = rp_upgrade_active(jobs->upgrade);
+    bool unit = rp_upgrade_is_active(jobs->upgrade);
     unsigned n = unit ? RP_UNITS_MAX : (RP_UNITS_MAX + RP_CHUNK_UNITS - 1) / RP_CHUNK_UNITS;
-    uint64_t due = job->dirty & ~job->flushing;
+    uint64_t due = job->dirty_units & ~job->writing_units;
     size_t bytes = (job->spec.n_tasks + 7) / 8;
     if (!unit && (double)(2 * (bytes < RP_CHUNK_BYTES ? bytes : RP_CHUNK_BYTES) + PROGRESS_FRAME) >
                      jobs->settings->state.value_kb * 1024)
         return;
     for (unsigned p = 0; p < n && request->n < most; p++)
-        if (!(due & units_of(p, unit)) || job->flushing & units_of(p, unit))
+        if (!(due & units_of(p, unit)) || job->writing_units & units_of(p, unit))
             continue;
         else if (*saved_rev(job, p, unit) == REV_UNKNOWN)
             read_saved(jobs, job, p, unit);
@@ -969,7 +974,7 @@
 static void flush(struct rp_jobs *jobs) {
     struct timespec now = rp_loop_now(jobs->loop);
     /* Some is left for finishing jobs; where few changes a second are allowed, less of it. */
-    double room = rp_state_room(jobs->state, RP_SHARE_LEADER) -
+    double room = rp_kv_write_headroom(jobs->store, RP_KV_BUDGET_LEADER) -
                   fmin(FINISH_ROOM, jobs->settings->state_fit.write_rps * FINISH_SHARE);
     size_t limit = jobs->settings->state_fit.txn_ops;
     size_t most = limit < jobs->flush_most ? limit : jobs->flush_most;
@@ -984,14 +989,15 @@
         abort();
     rp_election_guard(jobs->election, txn);
     for (struct rp_job *job = jobs->first; job && request->n < most; job = job->next) {
-        if (job->state != RP_JOB_OPEN || !job->dirty || !rp_ts_reached(now, job->flush_held) ||
+        if (job->state != RP_JOB_OPEN || !job->dirty_units ||
+            !rp_ts_reached(now, job->write_back_backoff_until) ||
             rp_ts_since(now, job->dirty_since) < FLUSH_AGE_S)
             continue;
         flush_job(jobs, request, txn, job, most);
         job->dirty_since = now;
     }
     if (request->n > 0) {
-        rp_state_txn(jobs->state, RP_SHARE_LEADER, txn, flushed, request);
+        rp_kv_txn(jobs->store, RP_KV_BUDGET_LEADER, txn, flushed, request);
     } else {
         json_decref(txn);
         request_free(request);
@@ -1003,9 +1009,9 @@
     struct rp_job *next;
     struct timespec now = rp_loop_now(jobs->loop);
     rp_timer_set(jobs->loop, &jobs->timer, FLUSH_EVERY_S);
-    if (jobs->follow_sent.tv_sec == 0 && jobs->follow_sent.tv_nsec == 0)
+    if (jobs->watch_sent_at.tv_sec == 0 && jobs->watch_sent_at.tv_nsec == 0)
         follow(jobs);
-    if (!rp_election_valid(jobs->election, now)) {
+    if (!rp_election_is_valid(jobs->election, now)) {
         jobs->provable_since = (struct timespec){0};
         return;
     }
@@ -1013,7 +1019,8 @@
         jobs->provable_since = now;
     /* A leader whose lease is renewed but who hears of no cancellation answers no worker: somebody
      * else has to lead. After an outage it has a moment to catch up. */
-    if (!rp_jobs_may_answer(jobs) && rp_ts_since(now, jobs->provable_since) > CATCH_UP_S) {
+    if (!rp_jobs_may_answer_heartbeats(jobs) &&
+        rp_ts_since(now, jobs->provable_since) > CATCH_UP_S) {
         rp_election_resign(jobs->election, 5);
         return;
     }
@@ -1044,15 +1051,15 @@
     return stats;
 }
 
-void rp_jobs_observe(struct rp_jobs *jobs, struct rp_job *job, double run_s) {
+void rp_jobs_record_run_time(struct rp_jobs *jobs, struct rp_job *job, double run_s) {
     struct rp_class_stats *stats = class_stats(jobs, job->spec.class_name);
-    if (job->interrupted || job->spec.kind == RP_SERVICE)
+    if (job->interrupted || job->spec.kind == RP_JOB_SERVICE)
         return;
     job->run_sum_s += run_s;
     job->n_runs++;
     if (!stats || job->spec.estimate_s <= 0)
         return;
-    double share = 1.0 / (job->spec.kind == RP_GANG ? 1 : job->spec.n_tasks);
+    double share = 1.0 / (job->spec.kind == RP_JOB_GANG ? 1 : job->spec.n_tasks);
     stats->ratio = (stats->ratio * stats->weight + run_s / job->spec.estimate_s * share) /
                    (stats->weight + share);
     stats->weight = stats->weight + share > 20 ? 20 : stats->weight + share;
@@ -1066,8 +1073,8 @@
     return job->spec.estimate_s;
 }
 
-double rp_jobs_expect_s(const struct rp_jobs *jobs, const struct rp_job *job) {
-    if (job->spec.kind == RP_SERVICE)
+double rp_jobs_expected_run_s(const struct rp_jobs *jobs, const struct rp_job *job) {
+    if (job->spec.kind == RP_JOB_SERVICE)
         return 0; /* no end is expected */
     double s = class_expects_s(jobs, job);
     if (job->n_runs > 0)
--- a/src/jobs/terminal_states.c
+++ b/src/jobs/terminal_states.c
@@ -4,20 +4,21 @@
 #include <string.h>
 
 static size_t index_of(const char *job) {
-    return (size_t)(rp_text_hash(job) % RP_FINAL_STATES_KEPT);
+    return (size_t)(rp_hash_string(job) % RP_TERMINAL_STATES_MAX);
 }
 
-void rp_final_states_note(struct rp_final_states *states, const char *job, enum rp_job_word word) {
-    struct rp_final_state *state = &states->kept[index_of(job)];
+void rp_terminal_states_note(struct rp_terminal_states *terminal_states, const char *job,
+                             enum rp_job_phase phase) {
+    struct rp_terminal_state *state = &terminal_states->kept[index_of(job)];
     snprintf(state->job, sizeof state->job, "%s", job);
-    state->word = word;
+    state->phase = phase;
 }
 
-bool rp_final_states_find(const struct rp_final_states *states, const char *job,
-                          enum rp_job_word *word) {
-    const struct rp_final_state *state = &states->kept[index_of(job)];
+bool rp_terminal_states_find(const struct rp_terminal_states *terminal_states, const char *job,
+                             enum rp_job_phase *phase) {
+    const struct rp_terminal_state *state = &terminal_states->kept[index_of(job)];
     if (strcmp(state->job, job) != 0)
         return false;
-    *word = state->word;
+    *phase = state->phase;
     return true;
 }
--- a/src/jobs/terminal_states.h
+++ b/src/jobs/terminal_states.h
@@ -6,21 +6,22 @@
 
 #include "model/model.h"
 
-#define RP_FINAL_STATES_KEPT 4096 /* a later job takes the position of one with the same hash */
+#define RP_TERMINAL_STATES_MAX 4096 /* a later job takes the position of one with the same hash */
 
-struct rp_final_state {
+struct rp_terminal_state {
     char job[RP_ID_MAX]; /* "" where nothing is kept */
-    enum rp_job_word word;
+    enum rp_job_phase phase;
 };
 
-struct rp_final_states {
-    struct rp_final_state kept[RP_FINAL_STATES_KEPT];
+struct rp_terminal_states {
+    struct rp_terminal_state kept[RP_TERMINAL_STATES_MAX];
 };
 
 /* `word` must be RP_JOB_DONE or RP_JOB_CANCELLED, and durable. */
-void rp_final_states_note(struct rp_final_states *states, const char *job, enum rp_job_word word);
+void rp_terminal_states_note(struct rp_terminal_states *terminal_states, const char *job,
+                             enum rp_job_phase phase);
 /* Returns false when this node doesn't know of an end of the job. */
-bool rp_final_states_find(const struct rp_final_states *states, const char *job,
-                          enum rp_job_word *word);
+bool rp_terminal_states_find(const struct rp_terminal_states *terminal_states, const char *job,
+                             enum rp_job_phase *phase);
 
 #endif
--- a/src/model/model.h
+++ b/src/model/model.h
@@ -14,8 +14,8 @@
 #define RP_TASKS_MAX 100000
 
 /* A service is an array whose tasks run until its user cancels it (docs/questions.md). */
-enum rp_kind { RP_ARRAY, RP_GANG, RP_SERVICE };
-enum rp_priority { RP_LOW, RP_NORMAL, RP_HIGH, RP_PRODUCTION };
+enum rp_job_kind { RP_JOB_ARRAY, RP_JOB_GANG, RP_JOB_SERVICE };
+enum rp_priority { RP_PRIORITY_LOW, RP_PRIORITY_NORMAL, RP_PRIORITY_HIGH, RP_PRIORITY_CRITICAL };
 
 struct rp_resources {
     double cpus, gpus, memory_gb;
@@ -44,7 +44,7 @@
     char id[RP_ID_MAX];
     char class_name[RP_TEXT_MAX];
     char team[RP_TEXT_MAX];
-    enum rp_kind kind;
+    enum rp_job_kind kind;
     enum rp_priority priority;
     uint32_t n_tasks;
     struct rp_resources each;
@@ -58,7 +58,7 @@
     double deadline_s; /* 0: none */
 };
 
-struct rp_type {
+struct rp_machine_type {
     char name[RP_TEXT_MAX];
     struct rp_resources capacity;
     double cache_gb, fetch_gb_per_s, price, spot_price, boot_s;
@@ -66,7 +66,7 @@
 };
 
 struct rp_catalog {
-    struct rp_type types[RP_TYPES_MAX];
+    struct rp_machine_type types[RP_TYPES_MAX];
     size_t n_types;
     char zones[RP_ZONES_MAX][RP_TEXT_MAX];
     size_t n_zones;
@@ -74,7 +74,7 @@
 };
 
 /* FNV-1a. */
-static inline uint64_t rp_text_hash(const char *text) {
+static inline uint64_t rp_hash_string(const char *text) {
     uint64_t h = 14695981039346656037u;
     for (; *text; text++)
         h = (h ^ (unsigned char)*text) * 1099511628211u;
@@ -88,45 +88,45 @@
     RP_TASK_SAVING,
     RP_TASK_EXITED
 };
-enum rp_exit {
+enum rp_exit_reason {
     RP_EXIT_NONE,
     RP_EXIT_DONE,
     RP_EXIT_STOPPED,
-    RP_EXIT_PEERS,
-    RP_EXIT_ALONE,
+    RP_EXIT_GANG_MEMBER_LOST,
+    RP_EXIT_GANG_WAIT_TIMEOUT,
     RP_EXIT_ERROR,
-    RP_EXIT_NO_ROOM,
-    RP_EXIT_BUSY,
-    RP_EXIT_UNKNOWN,
+    RP_EXIT_NO_CAPACITY,
+    RP_EXIT_ALREADY_PRESENT,
+    RP_EXIT_UNKNOWN_TASK,
     RP_EXIT_OTHER
 };
 
-struct rp_task_report {
+struct rp_task_status {
     char job[RP_ID_MAX];
     uint32_t task;
     uint64_t attempt;
     enum rp_task_state state;
-    enum rp_exit why;
+    enum rp_exit_reason exit_reason;
     bool saved;
 };
 
-struct rp_report {
+struct rp_heartbeat {
     char machine[RP_TEXT_MAX];
     char addr[RP_TEXT_MAX];
     char type[RP_TEXT_MAX];
     char zone[RP_TEXT_MAX];
     bool spot;
-    uint64_t session, seq, token;
+    uint64_t incarnation, seq, fencing_token;
     bool has_notice;
     double notice_s;
-    struct rp_task_report *tasks;
+    struct rp_task_status *tasks;
     size_t n_tasks;
 };
 
-enum rp_op { RP_OP_START, RP_OP_STOP, RP_OP_FORGET };
+enum rp_command_kind { RP_COMMAND_START, RP_COMMAND_STOP, RP_COMMAND_FORGET };
 
 struct rp_command {
-    enum rp_op op;
+    enum rp_command_kind kind;
     char job[RP_ID_MAX];
     uint32_t task;
     uint64_t attempt;
@@ -135,7 +135,7 @@
 
 enum rp_listed_state { RP_LISTED_BOOTING, RP_LISTED_RUNNING, RP_LISTED_FAILED };
 
-struct rp_listed {
+struct rp_listed_machine {
     char machine[RP_TEXT_MAX];
     char addr[RP_TEXT_MAX];
     char type[RP_TEXT_MAX];
@@ -146,11 +146,11 @@
 };
 
 /* What a user is told of a job. */
-enum rp_job_word { RP_JOB_QUEUED, RP_JOB_RUNNING, RP_JOB_DONE, RP_JOB_CANCELLED };
+enum rp_job_phase { RP_JOB_QUEUED, RP_JOB_RUNNING, RP_JOB_DONE, RP_JOB_CANCELLED };
 
 struct rp_job_status {
     char id[RP_ID_MAX];
-    enum rp_job_word word;
+    enum rp_job_phase phase;
     uint32_t done, running;
 };
 
--- a/src/protocol/wire.c
+++ b/src/protocol/wire.c
@@ -160,7 +160,7 @@
         bad(&reader, "ref", "not a job id");
     read_text(&reader, "rig", out->class_name, sizeof out->class_name);
     read_text(&reader, "crew", out->team, sizeof out->team);
-    out->kind = (enum rp_kind)read_word(&reader, "haul", kind_words, COUNT(kind_words));
+    out->kind = (enum rp_job_kind)read_word(&reader, "haul", kind_words, COUNT(kind_words));
     out->priority =
         (enum rp_priority)read_word(&reader, "precedence", priority_words, COUNT(priority_words));
     read_shape(&reader, out);
@@ -215,10 +215,10 @@
 }
 
 char *rp_wire_job_status(const struct rp_job_status *status) {
-    if (status->word == RP_JOB_DONE || status->word == RP_JOB_CANCELLED)
-        return dump(json_pack("{s:s,s:s}", "ref", status->id, "tension", job_words[status->word]));
+    if (status->phase == RP_JOB_DONE || status->phase == RP_JOB_CANCELLED)
+        return dump(json_pack("{s:s,s:s}", "ref", status->id, "tension", job_words[status->phase]));
     return dump(json_pack("{s:s,s:s,s:i,s:i}", "ref", status->id, "tension",
-                          job_words[status->word], "done", (int)status->done, "running",
+                          job_words[status->phase], "done", (int)status->done, "running",
                           (int)status->running));
 }
 
@@ -252,7 +252,7 @@
     return true;
 }
 
-static bool read_task_report(json_t *object, struct rp_task_report *out) {
+static bool read_task_report(json_t *object, struct rp_task_status *out) {
     int state = word_index(json_string_value(json_object_get(object, "tension")), task_words,
                            COUNT(task_words));
     if (state < 0 ||
@@ -261,16 +261,16 @@
         return false;
     out->state = (enum rp_task_state)state;
     out->saved = json_is_true(json_object_get(object, "stored"));
-    out->why = RP_EXIT_NONE;
+    out->exit_reason = RP_EXIT_NONE;
     if (out->state == RP_TASK_EXITED) {
         int why = word_index(json_string_value(json_object_get(object, "slack_reason")), exit_words,
                              COUNT(exit_words));
-        out->why = why > 0 ? (enum rp_exit)why : RP_EXIT_OTHER;
+        out->exit_reason = why > 0 ? (enum rp_exit_reason)why : RP_EXIT_OTHER;
     }
     return true;
 }
 
-static bool read_report(json_t *value, struct rp_report *out) {
+static bool read_report(json_t *value, struct rp_heartbeat *out) {
     json_t *tasks = json_object_get(value, "lifts");
     json_t *notice = json_object_get(value, "recall_s");
     if (!copy_text(out->machine, RP_TEXT_MAX,
@@ -278,8 +278,9 @@
         !copy_text(out->addr, RP_TEXT_MAX, json_string_value(json_object_get(value, "address"))) ||
         !copy_text(out->type, RP_TEXT_MAX, json_string_value(json_object_get(value, "frame"))) ||
         !copy_text(out->zone, RP_TEXT_MAX, json_string_value(json_object_get(value, "yard"))) ||
-        !read_count(value, "stint", &out->session) || !read_count(value, "tick", &out->seq) ||
-        !read_count(value, "warrant", &out->token) || !json_is_array(tasks) || !*out->machine)
+        !read_count(value, "stint", &out->incarnation) || !read_count(value, "tick", &out->seq) ||
+        !read_count(value, "warrant", &out->fencing_token) || !json_is_array(tasks) ||
+        !*out->machine)
         return false;
     out->spot = json_is_true(json_object_get(value, "loaners"));
     out->has_notice = json_is_number(notice);
@@ -294,17 +295,17 @@
     return true;
 }
 
-bool rp_wire_report(const char *body, size_t len, struct rp_report *out) {
+bool rp_wire_report(const char *body, size_t len, struct rp_heartbeat *out) {
     json_t *value = rp_wire_parse(body, len);
     memset(out, 0, sizeof *out);
     bool ok = value && read_report(value, out);
     json_decref(value);
     if (!ok)
-        rp_report_free(out);
+        rp_heartbeat_free(out);
     return ok;
 }
 
-void rp_report_free(struct rp_report *report) {
+void rp_heartbeat_free(struct rp_heartbeat *report) {
     free(report->tasks);
     report->tasks = NULL;
     report->n_tasks = 0;
@@ -316,9 +317,9 @@
         const struct rp_command *command = &commands[i];
         char task[RP_ID_MAX + 16];
         snprintf(task, sizeof task, "%s/%u", command->job, command->task);
-        json_t *value = json_pack("{s:s,s:s,s:I}", "signal", op_words[command->op], "lift", task,
+        json_t *value = json_pack("{s:s,s:s,s:I}", "signal", op_words[command->kind], "lift", task,
                                   "pull", (json_int_t)command->attempt);
-        if (command->op == RP_OP_STOP)
+        if (command->kind == RP_COMMAND_STOP)
             json_object_set_new(value, "ease_s", json_real(command->grace_s));
         json_array_append_new(list, value);
     }
@@ -330,10 +331,10 @@
                           commands_json(commands, n)));
 }
 
-char *rp_wire_direct(uint64_t token, uint64_t session, const struct rp_command *commands,
+char *rp_wire_direct(uint64_t token, uint64_t incarnation, const struct rp_command *commands,
                      size_t n) {
     return dump(json_pack("{s:I,s:I,s:o}", "warrant", (json_int_t)token, "stint",
-                          (json_int_t)session, "signals", commands_json(commands, n)));
+                          (json_int_t)incarnation, "signals", commands_json(commands, n)));
 }
 
 char *rp_wire_not_here(const char *leader) {
@@ -354,7 +355,7 @@
     return (int)catalog->n_zones++;
 }
 
-static bool read_type(json_t *object, struct rp_catalog *catalog, struct rp_type *out) {
+static bool read_type(json_t *object, struct rp_catalog *catalog, struct rp_machine_type *out) {
     char why[128];
     struct field_reader reader = {.in = object, .why = why, .ok = true};
     json_t *zones = json_object_get(object, "yards");
@@ -385,7 +386,7 @@
     if (n > RP_TYPES_MAX)
         out->n_left_out += n - RP_TYPES_MAX;
     for (size_t i = 0; ok && i < n && out->n_types < RP_TYPES_MAX; i++) {
-        struct rp_type type = {0};
+        struct rp_machine_type type = {0};
         ok = read_type(json_array_get(types, i), out, &type);
         out->types[out->n_types++] = type;
     }
@@ -434,17 +435,17 @@
     return dump(json_pack("{s:o}", "sheaves", list));
 }
 
-struct rp_listed *rp_wire_listed(const char *body, size_t len, size_t *n, bool *more) {
+struct rp_listed_machine *rp_wire_listed(const char *body, size_t len, size_t *n, bool *more) {
     json_t *value = rp_wire_parse(body, len);
     json_t *list = json_object_get(value, "sheaves");
-    struct rp_listed *out = NULL;
+    struct rp_listed_machine *out = NULL;
     *n = 0;
     *more = json_is_true(json_object_get(value, "has_next"));
     if (json_is_array(list))
         out = calloc(json_array_size(list) + 1, sizeof *out);
     for (size_t i = 0; out && i < json_array_size(list); i++) {
         json_t *m = json_array_get(list, i);
-        struct rp_listed *listed = &out[*n];
+        struct rp_listed_machine *listed = &out[*n];
         int state = word_index(json_string_value(json_object_get(m, "tension")), listed_words,
                                COUNT(listed_words));
         const char *addr = json_string_value(json_object_get(m, "address"));
--- a/src/protocol/wire.h
+++ b/src/protocol/wire.h
@@ -8,7 +8,7 @@
 /* Paths, in the protocol's words. */
 #define RP_PATH_JOBS "/v1/jobs"
 #define RP_PATH_HEALTH "/healthz"
-#define RP_PATH_REPORT "/checkin"
+#define RP_PATH_HEARTBEAT "/checkin"
 #define RP_PATH_DIRECT "/do"
 #define RP_PATH_SHOW "/show"
 #define RP_PATH_TYPES "/catalog"
@@ -33,10 +33,11 @@
 bool rp_wire_spec_read(json_t *object, struct rp_job_spec *out, char why[128]);
 
 /* ---- workers ---- */
-bool rp_wire_report(const char *body, size_t len, struct rp_report *out);
-void rp_report_free(struct rp_report *report);
+bool rp_wire_report(const char *body, size_t len, struct rp_heartbeat *out);
+void rp_heartbeat_free(struct rp_heartbeat *report);
 char *rp_wire_report_answer(uint64_t token, const struct rp_command *commands, size_t n);
-char *rp_wire_direct(uint64_t token, uint64_t session, const struct rp_command *commands, size_t n);
+char *rp_wire_direct(uint64_t token, uint64_t incarnation, const struct rp_command *commands,
+                     size_t n);
 /* `leader` NULL: none known. */
 char *rp_wire_not_here(const char *leader);
 
@@ -52,7 +53,7 @@
 char (*rp_wire_rented(const char *body, size_t len, size_t *n))[RP_TEXT_MAX];
 bool rp_wire_no_capacity(const char *body, size_t len);
 char *rp_wire_delete(const char *const *machines, size_t n);
-struct rp_listed *rp_wire_listed(const char *body, size_t len, size_t *n, bool *more);
+struct rp_listed_machine *rp_wire_listed(const char *body, size_t len, size_t *n, bool *more);
 
 /* ---- state service ---- */
 struct rp_item {
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -10,10 +10,10 @@
 
 static void tick(void *arg);
 
-void rp_round_init(struct rp_round *scheduler, struct rp_loop *loop, struct rp_election *election,
-                   struct rp_cluster *cluster, struct rp_jobs *jobs, struct rp_fleet *fleet,
-                   struct rp_services *services, const struct rp_settings *settings,
-                   struct rp_metrics *metrics) {
+void rp_scheduler_init(struct rp_scheduler *scheduler, struct rp_loop *loop,
+                       struct rp_election *election, struct rp_cluster *cluster,
+                       struct rp_jobs *jobs, struct rp_fleet *fleet, struct rp_services *services,
+                       const struct rp_settings *settings, struct rp_metrics *metrics) {
     memset(scheduler, 0, sizeof *scheduler);
     scheduler->services = services;
     scheduler->metrics = metrics;
@@ -30,133 +30,135 @@
             scheduler->n_heuristics++;
 }
 
-void rp_round_start(struct rp_round *scheduler) {
+void rp_scheduler_start(struct rp_scheduler *scheduler) {
     scheduler->active = true;
     rp_timer_set(scheduler->loop, &scheduler->timer, 0.2);
 }
 
-void rp_round_stop(struct rp_round *scheduler) {
+void rp_scheduler_stop(struct rp_scheduler *scheduler) {
     scheduler->active = false;
     rp_timer_cancel(scheduler->loop, &scheduler->timer);
 }
 
 static void tick(void *arg) {
-    struct rp_round *scheduler = arg;
+    struct rp_scheduler *scheduler = arg;
     rp_timer_set(scheduler->loop, &scheduler->timer, scheduler->settings->tuning.round_period_s);
-    rp_round_run(scheduler);
+    rp_scheduler_run_cycle(scheduler);
 }
 
 /* ---- applying the winner ---- */
 
 static bool next_task(struct rp_job *job, uint32_t *task) {
-    for (; job->cursor < job->spec.n_tasks; job->cursor++)
-        if (rp_job_allocations(job, job->cursor) == 0 && !rp_job_task_done(job, job->cursor)) {
-            *task = job->cursor;
+    for (; job->first_startable_task < job->spec.n_tasks; job->first_startable_task++)
+        if (rp_job_n_task_allocations(job, job->first_startable_task) == 0 &&
+            !rp_job_is_task_done(job, job->first_startable_task)) {
+            *task = job->first_startable_task;
             return true;
         }
     return false;
 }
 
-static void start_tasks(struct rp_round *scheduler, struct rp_job *job, struct rp_machine *machine,
-                        uint32_t count, uint64_t gang_attempt) {
+static void start_tasks(struct rp_scheduler *scheduler, struct rp_job *job,
+                        struct rp_machine *machine, uint32_t count, uint64_t gang_attempt) {
     for (uint32_t i = 0; i < count; i++) {
         uint32_t task;
         if (!next_task(job, &task) || !rp_cluster_may_start(scheduler->cluster, job, task, machine))
             return;
         rp_allocation_add(scheduler->cluster, machine, job, task,
-                          gang_attempt ? gang_attempt : rp_cluster_attempt(scheduler->cluster),
+                          gang_attempt ? gang_attempt : rp_cluster_next_attempt(scheduler->cluster),
                           RP_ALLOCATION_PLANNED);
     }
 }
 
-static void apply_starts(struct rp_round *scheduler, const struct rp_round_input *input,
+static void apply_starts(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                          const struct rp_plan *plan) {
-    for (size_t i = 0; i < plan->n_puts;) {
-        const struct rp_plan_group *group = &input->groups[plan->puts[i].group];
+    for (size_t i = 0; i < plan->n_placements;) {
+        const struct rp_plan_group *group = &input->groups[plan->placements[i].group];
         size_t end = i;
         bool all_now = true;
-        while (end < plan->n_puts && plan->puts[end].group == plan->puts[i].group)
-            all_now &= plan->puts[end++].now;
+        while (end < plan->n_placements && plan->placements[end].group == plan->placements[i].group)
+            all_now &= plan->placements[end++].now;
         /* A gang starts once the plan places all its tasks on machines that are up. */
-        bool gang = group->kind == RP_GANG;
-        uint64_t attempt = gang && all_now ? rp_cluster_attempt(scheduler->cluster) : 0;
+        bool gang = group->kind == RP_JOB_GANG;
+        uint64_t attempt = gang && all_now ? rp_cluster_next_attempt(scheduler->cluster) : 0;
         for (; i < end; i++) {
-            const struct rp_plan_put *put = &plan->puts[i];
-            if (put->now && (!gang || all_now))
-                start_tasks(scheduler, group->ref, input->machines[put->machine].ref, put->count,
-                            attempt);
+            const struct rp_placement *placement = &plan->placements[i];
+            if (placement->now && (!gang || all_now))
+                start_tasks(scheduler, group->ref, input->machines[placement->machine].ref,
+                            placement->count, attempt);
         }
     }
 }
 
-static void apply_rentals(struct rp_round *scheduler, const struct rp_round_input *input,
+static void apply_rentals(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                           const struct rp_plan *plan) {
-    for (size_t k = 0; k < input->in.n_kinds; k++) {
+    for (size_t k = 0; k < input->plan_input.n_kinds; k++) {
         const struct rp_plan_kind *kind = &input->kinds[k];
         unsigned n = 0;
-        for (size_t i = 0; i < plan->n_fresh; i++)
-            n += plan->fresh[i] == k;
+        for (size_t i = 0; i < plan->n_new_machines; i++)
+            n += plan->new_machines[i] == k;
         if (n > 0)
-            rp_fleet_rent(scheduler->fleet, kind->type, kind->zone, kind->spot, n);
+            rp_fleet_scale_out(scheduler->fleet, kind->type, kind->zone, kind->spot, n);
     }
 }
 
 /* Whether services could go to the machine. */
-static bool ready_room(const struct rp_round *scheduler, const struct rp_machine *machine) {
-    return !machine->spot && rp_round_catalog(scheduler)->types[machine->type].capacity.gpus <= 0;
+static bool ready_room(const struct rp_scheduler *scheduler, const struct rp_machine *machine) {
+    return !machine->spot &&
+           rp_scheduler_catalog(scheduler)->types[machine->type].capacity.gpus <= 0;
 }
 
 /* Services come at any moment and are to run within seconds, while a machine takes half a minute
  * and more to boot: where room for what comes in that time isn't there, free or held by work that
  * can be stopped at once, one machine more is rented, of the kind with most capacity per price. */
-static void hold_ready(struct rp_round *scheduler, const struct rp_round_input *input,
+static void hold_ready(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                        const struct rp_plan *plan) {
     const struct rp_plan_kind *best = NULL;
-    if (plan->n_fresh > 0 || rp_services_ready_cpus(scheduler->services) >=
-                                 rp_services_reserve_cpus(scheduler->services))
+    if (plan->n_new_machines > 0 || rp_services_ready_cpus(scheduler->services) >=
+                                        rp_services_reserve_cpus(scheduler->services))
         return;
-    for (size_t k = 0; k < input->in.n_kinds; k++) {
+    for (size_t k = 0; k < input->plan_input.n_kinds; k++) {
         const struct rp_plan_kind *kind = &input->kinds[k];
         if (kind->spot || kind->capacity.gpus > 0)
             continue;
-        if (rp_fleet_pending(scheduler->fleet, kind->type, kind->zone, kind->spot) > 0)
+        if (rp_fleet_n_requested(scheduler->fleet, kind->type, kind->zone, kind->spot) > 0)
             return;
         if (!kind->refused && kind->price > 0 &&
             (!best || kind->capacity.cpus / kind->price > best->capacity.cpus / best->price))
             best = kind;
     }
     if (best)
-        rp_fleet_rent(scheduler->fleet, best->type, best->zone, false, 1);
+        rp_fleet_scale_out(scheduler->fleet, best->type, best->zone, false, 1);
 }
 
-static void apply_returns(struct rp_round *scheduler, const struct rp_round_input *input,
+static void apply_returns(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                           const struct rp_plan *plan, struct timespec now) {
     const struct rp_tuning *tuning = &scheduler->settings->tuning;
     double reserve = rp_services_reserve_cpus(scheduler->services);
     /* Summed up once: for each idle machine anew, thousands of them cost a round seconds. */
     double ready = rp_services_ready_cpus(scheduler->services);
-    bool *wanted = calloc(input->in.n_machines + 1, sizeof *wanted);
+    bool *wanted = calloc(input->plan_input.n_machines + 1, sizeof *wanted);
     if (!wanted)
         return;
-    for (size_t p = 0; p < plan->n_puts; p++)
-        if (plan->puts[p].machine < input->in.n_machines)
-            wanted[plan->puts[p].machine] = true;
-    for (size_t i = 0; i < input->in.n_machines; i++) {
+    for (size_t p = 0; p < plan->n_placements; p++)
+        if (plan->placements[p].machine < input->plan_input.n_machines)
+            wanted[plan->placements[p].machine] = true;
+    for (size_t i = 0; i < input->plan_input.n_machines; i++) {
         struct rp_machine *machine = input->machines[i].ref;
         /* What is kept for a gang stands idle until the last of its machines is free, and no plan
          * puts anything there: given back at its unit's end, it was rented again at once, for
          * minutes on end, and the gang never had all of them together. */
-        if (!machine || wanted[i] || !rp_machine_idle(machine) || machine->state != RP_MACHINE_UP ||
-            rp_room_reserved_for(scheduler, machine))
+        if (!machine || wanted[i] || !rp_machine_is_idle(machine) ||
+            machine->state != RP_MACHINE_UP || rp_room_reserved_for(scheduler, machine))
             continue;
-        double age = rp_ts_since(now, machine->rented);
+        double age = rp_ts_since(now, machine->requested_at);
         double into = fmod(age, tuning->billing_unit_s);
         double part = rp_services_ready_cpus_of(scheduler->services, machine);
         /* The first minute is paid for in any case (PROTOCOL, price). */
         if (age >= RP_MIN_CHARGE_S - tuning->return_margin_s &&
             into >= tuning->billing_unit_s - tuning->return_margin_s &&
             !(ready_room(scheduler, machine) && ready - part < reserve - RP_READY_SLACK_CPUS)) {
-            rp_fleet_return(scheduler->fleet, machine, "idle near its unit's end");
+            rp_fleet_scale_in(scheduler->fleet, machine, "idle near its unit's end");
             ready -= part;
         }
     }
@@ -168,8 +170,8 @@
 }
 
 /* For the log: where the capacity of each type goes. */
-static void log_use(const struct rp_round *scheduler) {
-    const struct rp_catalog *catalog = rp_round_catalog(scheduler);
+static void log_use(const struct rp_scheduler *scheduler) {
+    const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
     for (size_t t = 0; t < catalog->n_types; t++) {
         double total = 0, by[RP_TASK_EXITED + 1] = {0};
         unsigned up = 0, booting = 0, idle = 0;
@@ -196,47 +198,50 @@
     }
 }
 
-void rp_round_run(struct rp_round *scheduler) {
+void rp_scheduler_run_cycle(struct rp_scheduler *scheduler) {
     struct timespec now = rp_loop_now(scheduler->loop);
-    struct rp_round_input input;
+    struct rp_cycle_input input;
     struct rp_plan plan = {0};
-    if (!scheduler->active || !rp_election_valid(scheduler->election, now) ||
-        !rp_jobs_may_start(scheduler->jobs))
+    if (!scheduler->active || !rp_election_is_valid(scheduler->election, now) ||
+        !rp_jobs_may_start_tasks(scheduler->jobs))
         return;
-    scheduler->last = now;
-    scheduler->n_rounds++;
+    scheduler->last_cycle_at = now;
+    scheduler->n_cycles++;
     rp_services_run(scheduler->services);
     rp_room_mend_gangs(scheduler, now);
-    if (!rp_round_input_build(scheduler, &input, now))
+    if (!rp_cycle_input_build(scheduler, &input, now))
         goto out;
-    size_t winner = rp_plan_best(&input.in, scheduler->heuristics, scheduler->n_heuristics, &plan);
+    size_t winner =
+        rp_plan_best(&input.plan_input, scheduler->heuristics, scheduler->n_heuristics, &plan);
     if (plan.failed)
         goto out;
     scheduler->wins[winner]++;
-    scheduler->n_looks += plan.n_looks;
-    memcpy(scheduler->short_of_room, plan.short_of_room, sizeof scheduler->short_of_room);
+    scheduler->n_probes += plan.n_probes;
+    memcpy(scheduler->short_of_capacity, plan.short_of_capacity,
+           sizeof scheduler->short_of_capacity);
     rp_debug("round %lu: jobs=%zu machines=%zu now=%u wait=%u new=%zu left=%.0f cost=%.3f by %s",
-             scheduler->n_rounds, input.in.n_groups, input.in.n_machines, plan.n_now, plan.n_wait,
-             plan.n_fresh, plan.left, plan.cost, scheduler->settings->tuning.heuristics[winner]);
-    if (rp_log_current() >= RP_LOG_DEBUG && scheduler->n_rounds % 10 == 0)
+             scheduler->n_cycles, input.plan_input.n_groups, input.plan_input.n_machines,
+             plan.n_now, plan.n_wait, plan.n_new_machines, plan.unplaced_work, plan.cost,
+             scheduler->settings->tuning.heuristics[winner]);
+    if (rp_log_current() >= RP_LOG_DEBUG && scheduler->n_cycles % 10 == 0)
         log_use(scheduler);
     rp_room_prefer_holders(scheduler, &input, &plan, now);
     apply_starts(scheduler, &input, &plan);
     rp_services_send(scheduler->services);
     /* While machines from before the takeover are unknown, what they run is, too: renting for
      * tasks that may be running already would be waste. */
-    if (rp_cluster_settled(scheduler->cluster)) {
+    if (rp_cluster_is_reconciled(scheduler->cluster)) {
         apply_rentals(scheduler, &input, &plan);
         hold_ready(scheduler, &input, &plan);
-        rp_guarantees_enforce(scheduler, &input, &plan, now);
+        rp_quota_enforce_guarantees(scheduler, &input, &plan, now);
         rp_room_preempt(scheduler, &input, &plan, now);
         rp_room_gather(scheduler, &input, &plan, now);
         rp_room_drain_machines(scheduler, &input, now);
     }
     apply_returns(scheduler, &input, &plan, now);
-    scheduler->took_s = rp_ts_since(rp_loop_now(scheduler->loop), now);
-    rp_metrics_add(scheduler->metrics, RP_METRIC_ROUND, scheduler->took_s);
+    scheduler->last_cycle_s = rp_ts_since(rp_loop_now(scheduler->loop), now);
+    rp_metrics_add(scheduler->metrics, RP_METRIC_CYCLE, scheduler->last_cycle_s);
 out:
     rp_plan_free(&plan);
-    rp_round_input_free(&input);
+    rp_cycle_input_free(&input);
 }
--- a/src/scheduler/cycle_input.c
+++ b/src/scheduler/cycle_input.c
@@ -17,7 +17,7 @@
 #define BEGIN_AFTER_S 160 /* a job that has waited so long has its first task started */
 #define OVERDUE 2.2 /* a machine that boots this many times longer than usual isn't waited for */
 
-void rp_round_input_free(struct rp_round_input *input) {
+void rp_cycle_input_free(struct rp_cycle_input *input) {
     free(input->kinds);
     free(input->machines);
     free(input->groups);
@@ -28,51 +28,52 @@
     free(input->guarantees);
 }
 
-static void build_kinds(struct rp_round *scheduler, struct rp_round_input *input) {
-    const struct rp_catalog *catalog = rp_round_catalog(scheduler);
+static void build_kinds(struct rp_scheduler *scheduler, struct rp_cycle_input *input) {
+    const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
     input->kinds = calloc(catalog->n_types * catalog->n_zones * 2 + 1, sizeof *input->kinds);
     for (size_t t = 0; input->kinds && t < catalog->n_types; t++)
         for (size_t z = 0; z < catalog->n_zones; z++)
             for (int spot = 1; spot >= 0; spot--) {
-                const struct rp_type *type = &catalog->types[t];
+                const struct rp_machine_type *type = &catalog->types[t];
                 if (!(type->zones >> z & 1) || (spot && type->spot_price <= 0))
                     continue;
-                input->kinds[input->in.n_kinds++] = (struct rp_plan_kind){
+                input->kinds[input->plan_input.n_kinds++] = (struct rp_plan_kind){
                     .type = (int)t,
                     .zone = (int)z,
                     .spot = spot,
                     /* Until what is asked for is answered, nobody knows whether there is more. */
                     .refused =
-                        rp_fleet_zone_out(scheduler->fleet, (int)z) ||
-                        rp_fleet_refused(scheduler->fleet, (int)t, (int)z, spot) ||
-                        rp_fleet_pending(scheduler->fleet, (int)t, (int)z, spot) >= ASKED_MAX,
-                    .price = rp_fleet_price(catalog, (int)t, spot),
+                        rp_fleet_is_zone_silent(scheduler->fleet, (int)z) ||
+                        rp_fleet_is_refused(scheduler->fleet, (int)t, (int)z, spot) ||
+                        rp_fleet_n_requested(scheduler->fleet, (int)t, (int)z, spot) >= ASKED_MAX,
+                    .price = rp_fleet_hourly_price(catalog, (int)t, spot),
                     .boot_s = type->boot_s,
                     .fetch_gb_per_s = type->fetch_gb_per_s,
                     .capacity = type->capacity};
             }
-    input->in.kinds = input->kinds;
+    input->plan_input.kinds = input->kinds;
 }
 
-double rp_allocation_left_s(const struct rp_round *scheduler, const struct rp_machine *machine,
-                            const struct rp_allocation *allocation, struct timespec now) {
+double rp_allocation_remaining_s(const struct rp_scheduler *scheduler,
+                                 const struct rp_machine *machine,
+                                 const struct rp_allocation *allocation, struct timespec now) {
     const struct rp_job *job = allocation->job;
-    double run = rp_jobs_expect_s(scheduler->jobs, job);
-    if (allocation->stop)
+    double run = rp_jobs_expected_run_s(scheduler->jobs, job);
+    if (allocation->stop_requested)
         return allocation->grace_s + 1;
     if (run <= 0) {
         /* No estimate: until the end of the machine's billing unit. */
         double unit = scheduler->settings->tuning.billing_unit_s;
-        return unit - fmod(rp_ts_since(now, machine->rented), unit);
+        return unit - fmod(rp_ts_since(now, machine->requested_at), unit);
     }
-    if (allocation->running.tv_sec == 0) {
-        double rate = rp_round_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
+    if (allocation->running_since.tv_sec == 0) {
+        double rate = rp_scheduler_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
         bool has = rp_machine_has_image(machine, job->image_hash);
         double fetch = has || rate <= 0 ? 0 : job->spec.image_gb / rate;
-        return run + fmax(0.5, fetch - rp_ts_since(now, allocation->since));
+        return run + fmax(0.5, fetch - rp_ts_since(now, allocation->planned_at));
     }
     /* Work that has outrun its estimate goes on for a while yet: run times have long tails. */
-    double ran = rp_ts_since(now, allocation->running);
+    double ran = rp_ts_since(now, allocation->running_since);
     return fmax(run - ran, OVERRUN * ran + 1);
 }
 
@@ -81,10 +82,10 @@
     size_t at = (*n)++;
     for (; at > 0 && ends[at - 1].s > s; at--)
         ends[at] = ends[at - 1];
-    ends[at] = (struct rp_plan_end){.s = s, .gives = *gives};
+    ends[at] = (struct rp_plan_end){.s = s, .released = *gives};
 }
 
-static void describe_work(const struct rp_round *scheduler, const struct rp_machine *machine,
+static void describe_work(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
                           struct rp_plan_machine *out, struct rp_plan_end *ends,
                           struct timespec now) {
     double sum = 0;
@@ -93,9 +94,9 @@
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state == RP_ALLOCATION_EXITED)
             continue;
-        double left = rp_allocation_left_s(scheduler, machine, allocation, now);
-        double age = rp_ts_since(now, allocation->since);
-        bool service = allocation->job->spec.kind == RP_SERVICE;
+        double left = rp_allocation_remaining_s(scheduler, machine, allocation, now);
+        double age = rp_ts_since(now, allocation->planned_at);
+        bool service = allocation->job->spec.kind == RP_JOB_SERVICE;
         out->busy_s = fmax(out->busy_s, left);
         if (allocation->job->spec.each.gpus > 0)
             out->own_busy_s = fmax(out->own_busy_s, left);
@@ -105,26 +106,26 @@
         /* By formula (1) it ends with its machine's unit, as tasks without an estimate do; but
          * nothing can count on the room. */
         if (service) {
-            out->taken += rp_plan_part(&allocation->job->spec.each, &out->capacity);
+            out->taken += rp_plan_share_of_machine(&allocation->job->spec.each, &out->capacity);
             continue;
         }
-        out->work_s += left * rp_plan_part(&allocation->job->spec.each, &out->capacity);
+        out->work_s += left * rp_plan_share_of_machine(&allocation->job->spec.each, &out->capacity);
         add_end(ends, &out->n_ends, left, &allocation->job->spec.each);
         if (left <= out->wait_s)
-            rp_resources_add(&out->later, &allocation->job->spec.each);
+            rp_resources_add(&out->free_later, &allocation->job->spec.each);
     }
     out->mean_arrival_s = machine->n_allocations ? sum / (double)machine->n_allocations : 0;
 }
 
 /* What a machine's own kind of work leaves even when it fills the machine: beyond what a task that
  * takes it whole needs. Nothing while an image is fetched for it, which another would slow down. */
-static struct rp_resources spare_room(const struct rp_round *scheduler,
+static struct rp_resources spare_room(const struct rp_scheduler *scheduler,
                                       const struct rp_machine *machine) {
     const struct rp_resources *capacity =
-        &rp_round_catalog(scheduler)->types[machine->type].capacity;
+        &rp_scheduler_catalog(scheduler)->types[machine->type].capacity;
     const struct rp_resources *own = &scheduler->whole[machine->type];
     struct rp_resources spare = {0};
-    if (capacity->gpus <= 0 || own->gpus <= 0 || !rp_machine_usable(machine))
+    if (capacity->gpus <= 0 || own->gpus <= 0 || !rp_machine_is_usable(machine))
         return spare;
     spare = *capacity;
     rp_resources_sub(&spare, own);
@@ -141,55 +142,56 @@
     return spare;
 }
 
-static void describe_machine(const struct rp_round *scheduler, struct rp_machine *machine,
+static void describe_machine(const struct rp_scheduler *scheduler, struct rp_machine *machine,
                              struct rp_plan_machine *out, struct rp_plan_end *ends,
                              struct timespec now) {
-    const struct rp_type *type = &rp_round_catalog(scheduler)->types[machine->type];
-    struct rp_resources room = rp_machine_free(scheduler->cluster, machine);
-    *out = (struct rp_plan_machine){
-        .ref = machine,
-        .type = machine->type,
-        .zone = machine->zone,
-        .spot = machine->spot,
-        .price = rp_fleet_price(rp_round_catalog(scheduler), machine->type, machine->spot),
-        .fetch_gb_per_s = type->fetch_gb_per_s,
-        .capacity = type->capacity,
-        .later = room,
-        .wait_s = type->boot_s,
-        .age_s = rp_ts_since(now, machine->rented)};
+    const struct rp_machine_type *type = &rp_scheduler_catalog(scheduler)->types[machine->type];
+    struct rp_resources room = rp_machine_free_resources(scheduler->cluster, machine);
+    *out = (struct rp_plan_machine){.ref = machine,
+                                    .type = machine->type,
+                                    .zone = machine->zone,
+                                    .spot = machine->spot,
+                                    .price = rp_fleet_hourly_price(rp_scheduler_catalog(scheduler),
+                                                                   machine->type, machine->spot),
+                                    .fetch_gb_per_s = type->fetch_gb_per_s,
+                                    .capacity = type->capacity,
+                                    .free_later = room,
+                                    .wait_s = type->boot_s,
+                                    .age_s = rp_ts_since(now, machine->requested_at)};
     if (machine->state == RP_MACHINE_BOOTING) {
         out->wait_s = fmax(type->boot_s - out->age_s, 2);
         return;
     }
-    if (rp_machine_usable(machine))
-        out->room = room;
-    out->spare = spare_room(scheduler, machine);
+    if (rp_machine_is_usable(machine))
+        out->free_now = room;
+    out->spare_now = spare_room(scheduler, machine);
     describe_work(scheduler, machine, out, ends, now);
     /* Room being made for a job isn't given to others while the rest of it is still in use. */
     const struct rp_job *job = rp_room_reserved_for(scheduler, machine);
     if (job && rp_room_whole(job)) {
-        out->kept = job;
+        out->reserved_for = job;
     } else if (job) {
-        rp_resources_sub(&out->room, &job->spec.each);
-        rp_resources_sub(&out->later, &job->spec.each);
+        rp_resources_sub(&out->free_now, &job->spec.each);
+        rp_resources_sub(&out->free_later, &job->spec.each);
     }
 }
 
-static bool plannable(const struct rp_round *scheduler, const struct rp_machine *machine,
+static bool plannable(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
                       struct timespec now) {
     if (machine->type < 0 || machine->zone < 0)
         return false;
     if (machine->state == RP_MACHINE_BOOTING)
-        return rp_ts_since(now, machine->rented) <
-               rp_round_catalog(scheduler)->types[machine->type].boot_s * OVERDUE;
-    return machine->state == RP_MACHINE_UP && !machine->faulty && !machine->suspect &&
-           !machine->noticed && !machine->draining && !rp_machine_misses_answers(machine);
+        return rp_ts_since(now, machine->requested_at) <
+               rp_scheduler_catalog(scheduler)->types[machine->type].boot_s * OVERDUE;
+    return machine->state == RP_MACHINE_UP && !machine->quarantined && !machine->suspected &&
+           !machine->has_spot_notice && !machine->draining &&
+           !rp_machine_is_one_way_partitioned(machine);
 }
 
 /* What the GPU work known now takes of a machine that it fills: a task that takes all GPUs what it
  * says, smaller ones, of which several sizes come together, their mean. */
-static void note_whole(struct rp_round *scheduler, size_t type) {
-    const struct rp_resources *all = &rp_round_catalog(scheduler)->types[type].capacity;
+static void note_whole(struct rp_scheduler *scheduler, size_t type) {
+    const struct rp_resources *all = &rp_scheduler_catalog(scheduler)->types[type].capacity;
     struct rp_resources largest = {0}, sum = {0};
     double n_sum = 0;
     for (const struct rp_job *job = scheduler->jobs->first; job; job = job->next) {
@@ -214,15 +216,15 @@
     }
 }
 
-static void build_machines(struct rp_round *scheduler, struct rp_round_input *input,
+static void build_machines(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                            struct timespec now) {
-    const struct rp_catalog *catalog = rp_round_catalog(scheduler);
+    const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
     size_t pending = 0;
     for (size_t t = 0; t < catalog->n_types; t++)
         note_whole(scheduler, t);
-    for (size_t i = 0; i < input->in.n_kinds; i++)
-        pending += rp_fleet_pending(scheduler->fleet, input->kinds[i].type, input->kinds[i].zone,
-                                    input->kinds[i].spot);
+    for (size_t i = 0; i < input->plan_input.n_kinds; i++)
+        pending += rp_fleet_n_requested(scheduler->fleet, input->kinds[i].type,
+                                        input->kinds[i].zone, input->kinds[i].spot);
     input->machines = calloc(scheduler->cluster->n_machines + pending + 1, sizeof *input->machines);
     size_t allocations = 1;
     for (const struct rp_machine *machine = scheduler->cluster->first; machine;
@@ -234,46 +236,46 @@
     rp_room_mark_held(scheduler);
     for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next)
         if (plannable(scheduler, machine, now)) {
-            describe_machine(scheduler, machine, &input->machines[input->in.n_machines++],
+            describe_machine(scheduler, machine, &input->machines[input->plan_input.n_machines++],
                              &input->ends[input->n_ends], now);
             input->n_ends += machine->n_allocations;
         }
     /* What has been asked for and not answered yet holds its tasks, too. */
-    for (size_t i = 0; i < input->in.n_kinds; i++) {
+    for (size_t i = 0; i < input->plan_input.n_kinds; i++) {
         const struct rp_plan_kind *kind = &input->kinds[i];
-        unsigned n = rp_fleet_pending(scheduler->fleet, kind->type, kind->zone, kind->spot);
+        unsigned n = rp_fleet_n_requested(scheduler->fleet, kind->type, kind->zone, kind->spot);
         for (; n > 0; n--)
-            input->machines[input->in.n_machines++] =
+            input->machines[input->plan_input.n_machines++] =
                 (struct rp_plan_machine){.type = kind->type,
                                          .zone = kind->zone,
                                          .spot = kind->spot,
                                          .price = kind->price,
                                          .fetch_gb_per_s = kind->fetch_gb_per_s,
                                          .capacity = kind->capacity,
-                                         .later = kind->capacity,
+                                         .free_later = kind->capacity,
                                          .wait_s = catalog->types[kind->type].boot_s};
     }
-    input->in.machines = input->machines;
+    input->plan_input.machines = input->machines;
 }
 
 static uint32_t startable(const struct rp_job *job) {
-    if (job->spec.kind == RP_GANG)
-        return job->n_counted == 0 && job->n_done == 0 ? job->spec.n_tasks : 0;
-    uint32_t taken = job->n_done + job->n_counted;
+    if (job->spec.kind == RP_JOB_GANG)
+        return job->n_allocated == 0 && job->n_done == 0 ? job->spec.n_tasks : 0;
+    uint32_t taken = job->n_done + job->n_allocated;
     uint32_t left = taken < job->spec.n_tasks ? job->spec.n_tasks - taken : 0;
     /* What fails wherever it is started costs little until its user calls it off. */
-    uint32_t most = job->n_counted < SUSPECT_TASKS ? SUSPECT_TASKS - job->n_counted : 0;
-    return rp_task_errors_job_suspect(job) && left > most ? most : left;
+    uint32_t most = job->n_allocated < SUSPECT_TASKS ? SUSPECT_TASKS - job->n_allocated : 0;
+    return rp_quarantine_is_job_suspected(job) && left > most ? most : left;
 }
 
-static void allowed_types(const struct rp_round *scheduler, const struct rp_job_spec *spec,
+static void allowed_types(const struct rp_scheduler *scheduler, const struct rp_job_spec *spec,
                           struct rp_plan_group *group) {
-    const struct rp_catalog *catalog = rp_round_catalog(scheduler);
+    const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
     uint32_t types = 0, plain = 0;
     for (size_t t = 0; t < catalog->n_types; t++)
         for (size_t z = 0; z < catalog->n_zones; z++)
             if ((catalog->types[t].zones >> z & 1) &&
-                rp_cluster_allows(scheduler->cluster, spec, (int)t, (int)z, false)) {
+                rp_cluster_is_allowed(scheduler->cluster, spec, (int)t, (int)z, false)) {
                 types |= 1u << t;
                 if (catalog->types[t].capacity.gpus <= 0)
                     plain |= 1u << t;
@@ -282,21 +284,21 @@
      * work has to go, at many times the price. It only takes what that leaves. */
     bool keep_off = spec->each.gpus <= 0 && plain;
     group->types = keep_off ? plain : types;
-    group->spare_types = keep_off && spec->kind == RP_ARRAY ? types & ~plain : 0;
+    group->spare_types = keep_off && spec->kind == RP_JOB_ARRAY ? types & ~plain : 0;
 }
 
 /* Time to spare until the first of the class's aims that the job can still meet. */
-static double slack(const struct rp_round *scheduler, const struct rp_job *job,
+static double slack(const struct rp_scheduler *scheduler, const struct rp_job *job,
                     struct rp_plan_group *group) {
     const struct rp_settings *settings = scheduler->settings;
-    double best = RP_NO_AIM_S, latest = 0;
+    double best = RP_NO_OBJECTIVE_S, latest = 0;
     for (size_t i = 0; i < settings->n_objectives; i++) {
         const struct rp_objective *aim = &settings->objectives[i];
         if (strcmp(aim->class_name, job->spec.class_name) != 0)
             continue;
-        double due = aim->kind == RP_AIM_DEADLINE ? job->spec.deadline_s * aim->times
-                     : aim->kind == RP_AIM_WAIT   ? aim->within_s + group->run_s
-                                                  : aim->within_s;
+        double due = aim->kind == RP_OBJECTIVE_DEADLINE ? job->spec.deadline_s * aim->times
+                     : aim->kind == RP_OBJECTIVE_WAIT   ? aim->within_s + group->run_s
+                                                        : aim->within_s;
         double left = due - group->age_s - group->run_s;
         if (due <= 0)
             continue;
@@ -304,10 +306,10 @@
         if (left > 0 && left < best)
             best = left;
     }
-    if (best < RP_NO_AIM_S)
+    if (best < RP_NO_OBJECTIVE_S)
         return best;
     if (latest <= 0)
-        return RP_NO_AIM_S;
+        return RP_NO_OBJECTIVE_S;
     group->late = true;
     /* A job that can be in time for nothing any more stands behind those that can, but with less
      * and less patience: it is not to wait for as long as others keep coming. */
@@ -322,7 +324,7 @@
 };
 
 static struct class_count *class_of(struct class_count *counts, const struct rp_job *job) {
-    uint64_t hash = rp_text_hash(job->spec.class_name);
+    uint64_t hash = rp_hash_string(job->spec.class_name);
     size_t i = 0;
     while (i < RP_CLASSES_MAX - 1 && counts[i].jobs > 0 && counts[i].hash != hash)
         i++; /* the last one takes what is beyond the bound */
@@ -330,30 +332,30 @@
     return &counts[i];
 }
 
-static void count_classes(const struct rp_round *scheduler, struct rp_round_input *input) {
+static void count_classes(const struct rp_scheduler *scheduler, struct rp_cycle_input *input) {
     struct class_count counts[RP_CLASSES_MAX] = {0};
     for (const struct rp_job *job = scheduler->jobs->first; job; job = job->next)
         if (job->state == RP_JOB_OPEN)
             class_of(counts, job)->jobs++;
-    for (size_t g = 0; g < input->in.n_groups; g++)
+    for (size_t g = 0; g < input->plan_input.n_groups; g++)
         input->groups[g].class_jobs = class_of(counts, input->groups[g].ref)->jobs;
 }
 
-static void build_group(const struct rp_round *scheduler, struct rp_job *job, uint32_t n,
+static void build_group(const struct rp_scheduler *scheduler, struct rp_job *job, uint32_t n,
                         struct rp_plan_group *group, struct timespec now) {
     const struct rp_job_spec *spec = &job->spec;
-    const struct rp_catalog *catalog = rp_round_catalog(scheduler);
-    double run = rp_jobs_expect_s(scheduler->jobs, job);
+    const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
+    double run = rp_jobs_expected_run_s(scheduler->jobs, job);
     *group = (struct rp_plan_group){
         .ref = job,
         .kind = spec->kind,
         .priority = spec->priority,
         .n = n,
         .each = spec->each,
-        .run_s = spec->kind == RP_SERVICE ? scheduler->settings->tuning.billing_unit_s : run,
+        .run_s = spec->kind == RP_JOB_SERVICE ? scheduler->settings->tuning.billing_unit_s : run,
         .image_gb = spec->image_gb,
         .age_s = rp_job_age_s(job, now),
-        .slack_s = RP_NO_AIM_S,
+        .slack_s = RP_NO_OBJECTIVE_S,
         .team = job->team,
         .spot = spec->spot,
         .one_zone = spec->one_zone && spec->n_tasks > 1,
@@ -362,9 +364,9 @@
         .spread_max = (spec->n_tasks + 1) / 2};
     allowed_types(scheduler, spec, group);
     /* A service's aims are those of a start, which priority alone decides. */
-    if (spec->kind != RP_SERVICE)
+    if (spec->kind != RP_JOB_SERVICE)
         group->slack_s = slack(scheduler, job, group);
-    group->held = job->held_round == scheduler->n_rounds;
+    group->held = job->reserved_in_cycle == scheduler->n_cycles;
     for (size_t z = 0; z < catalog->n_zones; z++) {
         if (!*spec->zone || strcmp(spec->zone, catalog->zones[z]) == 0)
             group->zones |= 1u << z;
@@ -380,19 +382,19 @@
 }
 
 /* The image's index among those that the groups need, or n_images. */
-static size_t image_index(const struct rp_round_input *input, uint64_t hash) {
+static size_t image_index(const struct rp_cycle_input *input, uint64_t hash) {
     const uint64_t *found = bsearch(&hash, input->images, input->n_images, sizeof hash, by_hash);
     return found ? (size_t)(found - input->images) : input->n_images;
 }
 
-static bool list_images(struct rp_round_input *input) {
-    input->images = calloc(input->in.n_groups + 1, sizeof *input->images);
+static bool list_images(struct rp_cycle_input *input) {
+    input->images = calloc(input->plan_input.n_groups + 1, sizeof *input->images);
     if (!input->images)
         return false;
-    for (size_t g = 0; g < input->in.n_groups; g++)
+    for (size_t g = 0; g < input->plan_input.n_groups; g++)
         input->images[g] = ((const struct rp_job *)input->groups[g].ref)->image_hash;
-    qsort(input->images, input->in.n_groups, sizeof *input->images, by_hash);
-    for (size_t g = 0; g < input->in.n_groups; g++)
+    qsort(input->images, input->plan_input.n_groups, sizeof *input->images, by_hash);
+    for (size_t g = 0; g < input->plan_input.n_groups; g++)
         if (g == 0 || input->images[g] != input->images[input->n_images - 1])
             input->images[input->n_images++] = input->images[g];
     return true;
@@ -400,8 +402,8 @@
 
 /* Hundreds of jobs share a few images: which machines hold one is found once for all of them. Names
  * are told apart by their hashes, as what a wrong guess costs is a fetch. */
-static void build_images(struct rp_round_input *input) {
-    size_t n = input->in.n_machines;
+static void build_images(struct rp_cycle_input *input) {
+    size_t n = input->plan_input.n_machines;
     if (!list_images(input))
         return;
     input->has_image = calloc(input->n_images * n + 1, sizeof(bool));
@@ -415,41 +417,41 @@
                 input->has_image[at * n + m] = true;
         }
     }
-    for (size_t g = 0; g < input->in.n_groups; g++) {
+    for (size_t g = 0; g < input->plan_input.n_groups; g++) {
         const struct rp_job *job = input->groups[g].ref;
         input->groups[g].has_image = &input->has_image[image_index(input, job->image_hash) * n];
     }
 }
 
 /* Of the job's `n` tasks those that fit what is left of its team's guarantee, which they take. */
-static uint32_t take_guarantee(struct rp_round_input *input, const struct rp_job *job, uint32_t n) {
+static uint32_t take_guarantee(struct rp_cycle_input *input, const struct rp_job *job, uint32_t n) {
     if (job->team < 0)
         return 0;
     struct rp_resources *left = &input->guarantees[job->team];
     const struct rp_resources *each = &job->spec.each;
     if (left->cpus <= 0 && left->gpus <= 0)
         return 0;
-    uint32_t most = job->spec.kind == RP_GANG ? 1 : n, tasks = 0;
-    double needed = job->spec.kind == RP_GANG ? n : 1;
+    uint32_t most = job->spec.kind == RP_JOB_GANG ? 1 : n, tasks = 0;
+    double needed = job->spec.kind == RP_JOB_GANG ? n : 1;
     while (tasks < most && needed * each->cpus <= left->cpus + 1e-9 &&
            needed * each->gpus <= left->gpus + 1e-9) {
         left->cpus -= needed * each->cpus;
         left->gpus -= needed * each->gpus;
         tasks++;
     }
-    return job->spec.kind == RP_GANG ? tasks * n : tasks;
+    return job->spec.kind == RP_JOB_GANG ? tasks * n : tasks;
 }
 
-static void add_group(const struct rp_round *scheduler, struct rp_round_input *input,
+static void add_group(const struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                       struct rp_job *job, size_t most, struct timespec now) {
     uint32_t n = startable(job);
-    bool begun = job->n_done > 0 || job->n_counted > 0;
-    if (n == 0 || job->state != RP_JOB_OPEN || !rp_ts_reached(now, job->held_until))
+    bool begun = job->n_done > 0 || job->n_allocated > 0;
+    if (n == 0 || job->state != RP_JOB_OPEN || !rp_ts_reached(now, job->start_backoff_until))
         return;
     uint32_t guaranteed = take_guarantee(input, job, n);
-    if (guaranteed > 0 && input->in.n_groups < most) {
-        build_group(scheduler, job, guaranteed, &input->groups[input->in.n_groups], now);
-        input->groups[input->in.n_groups++].guaranteed = true;
+    if (guaranteed > 0 && input->plan_input.n_groups < most) {
+        build_group(scheduler, job, guaranteed, &input->groups[input->plan_input.n_groups], now);
+        input->groups[input->plan_input.n_groups++].guaranteed = true;
         begun = true;
         n -= guaranteed;
     }
@@ -457,19 +459,19 @@
         return;
     /* Large jobs that are given up so that more small ones are in time begin all the same: the
      * users want the first task of every job within four minutes. */
-    if (scheduler->short_of_room[job->spec.each.gpus > 0] && !begun && n > 1 &&
-        job->spec.kind == RP_ARRAY && input->in.n_groups + 1 < most &&
+    if (scheduler->short_of_capacity[job->spec.each.gpus > 0] && !begun && n > 1 &&
+        job->spec.kind == RP_JOB_ARRAY && input->plan_input.n_groups + 1 < most &&
         rp_job_age_s(job, now) > BEGIN_AFTER_S) {
-        build_group(scheduler, job, 1, &input->groups[input->in.n_groups], now);
-        input->groups[input->in.n_groups++].begin = true;
+        build_group(scheduler, job, 1, &input->groups[input->plan_input.n_groups], now);
+        input->groups[input->plan_input.n_groups++].begin = true;
         n--;
     }
-    if (input->in.n_groups < most)
-        build_group(scheduler, job, n, &input->groups[input->in.n_groups++], now);
+    if (input->plan_input.n_groups < most)
+        build_group(scheduler, job, n, &input->groups[input->plan_input.n_groups++], now);
 }
 
 /* What the teams' work takes of their guarantees now is gone; 0 in the settings means none. */
-static bool fill_guarantees(const struct rp_round *scheduler, struct rp_round_input *input) {
+static bool fill_guarantees(const struct rp_scheduler *scheduler, struct rp_cycle_input *input) {
     input->guarantees = calloc(scheduler->settings->n_teams + 1, sizeof *input->guarantees);
     for (size_t i = 0; input->guarantees && i < scheduler->settings->n_teams; i++) {
         const struct rp_team *team = &scheduler->settings->teams[i];
@@ -479,7 +481,7 @@
     return input->guarantees;
 }
 
-static void build_groups(struct rp_round *scheduler, struct rp_round_input *input,
+static void build_groups(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                          struct timespec now) {
     size_t most =
         scheduler->jobs->n_jobs * 3 < BATCH_MAX ? scheduler->jobs->n_jobs * 3 + 1 : BATCH_MAX;
@@ -491,17 +493,17 @@
             "more than %d groups of tasks wait: the lowest and youngest are left out of rounds",
             BATCH_MAX);
     /* Higher priorities first, so that a full batch never leaves them out. */
-    for (int priority = RP_PRODUCTION; priority >= RP_LOW; priority--)
-        for (struct rp_job *job = scheduler->jobs->first; job && input->in.n_groups < most;
+    for (int priority = RP_PRIORITY_CRITICAL; priority >= RP_PRIORITY_LOW; priority--)
+        for (struct rp_job *job = scheduler->jobs->first; job && input->plan_input.n_groups < most;
              job = job->next)
             if ((int)job->spec.priority == priority)
                 add_group(scheduler, input, job, most, now);
-    input->in.groups = input->groups;
+    input->plan_input.groups = input->groups;
     count_classes(scheduler, input);
     build_images(input);
 }
 
-static void build_teams(struct rp_round *scheduler, struct rp_round_input *input) {
+static void build_teams(struct rp_scheduler *scheduler, struct rp_cycle_input *input) {
     const struct rp_settings *settings = scheduler->settings;
     input->teams = calloc(settings->n_teams + 1, sizeof *input->teams);
     for (size_t i = 0; input->teams && i < settings->n_teams; i++) {
@@ -514,16 +516,16 @@
                 ? settings->teams[i].gpus_max - scheduler->cluster->team_gpus[i]
                 : NO_LIMIT;
     }
-    input->in.teams = input->teams;
-    input->in.n_teams = settings->n_teams;
+    input->plan_input.teams = input->teams;
+    input->plan_input.n_teams = settings->n_teams;
 }
 
-bool rp_round_input_build(struct rp_round *scheduler, struct rp_round_input *input,
+bool rp_cycle_input_build(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                           struct timespec now) {
     memset(input, 0, sizeof *input);
-    input->in.unit_s = scheduler->settings->tuning.billing_unit_s;
-    input->in.seed = scheduler->n_rounds;
-    input->in.new_max = NEW_MAX;
+    input->plan_input.unit_s = scheduler->settings->tuning.billing_unit_s;
+    input->plan_input.seed = scheduler->n_cycles;
+    input->plan_input.new_max = NEW_MAX;
     build_kinds(scheduler, input);
     build_machines(scheduler, input, now);
     build_groups(scheduler, input, now);
--- a/src/scheduler/cycle_input.h
+++ b/src/scheduler/cycle_input.h
@@ -4,8 +4,8 @@
 
 #include "scheduler/cycle.h"
 
-struct rp_round_input {
-    struct rp_plan_input in;
+struct rp_cycle_input {
+    struct rp_plan_input plan_input;
     struct rp_plan_kind *kinds;
     struct rp_plan_machine *machines;
     struct rp_plan_group *groups;
@@ -19,11 +19,11 @@
 };
 
 /* False when memory is short; to be freed in either case. */
-bool rp_round_input_build(struct rp_round *scheduler, struct rp_round_input *input,
+bool rp_cycle_input_build(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                           struct timespec now);
-void rp_round_input_free(struct rp_round_input *input);
+void rp_cycle_input_free(struct rp_cycle_input *input);
 
-static inline const struct rp_catalog *rp_round_catalog(const struct rp_round *scheduler) {
+static inline const struct rp_catalog *rp_scheduler_catalog(const struct rp_scheduler *scheduler) {
     return scheduler->fleet->catalog;
 }
 
--- a/src/scheduler/planner.c
+++ b/src/scheduler/planner.c
@@ -54,8 +54,8 @@
 }
 
 void rp_plan_free(struct rp_plan *plan) {
-    free(plan->puts);
-    free(plan->fresh);
+    free(plan->placements);
+    free(plan->new_machines);
     memset(plan, 0, sizeof *plan);
 }
 
@@ -105,7 +105,7 @@
     bool *given_up; /* groups that can't be in time, or aren't to be so that more others are */
     /* Of the arrays' classes of a priority with aims, without GPUs and with: the most unfinished
      * jobs. Gangs don't count: they are never given up, and their size is no part of the order. */
-    uint32_t class_jobs_most[RP_PRODUCTION + 1][2];
+    uint32_t class_jobs_most[RP_PRIORITY_CRITICAL + 1][2];
     struct pool *pools;
     size_t n_pools;
     struct sorted *sorted;
@@ -113,7 +113,8 @@
     double queued_s[RP_TYPES_MAX]; /* work given to a type's machines, and left to them */
 };
 
-double rp_plan_part(const struct rp_resources *need, const struct rp_resources *capacity) {
+double rp_plan_share_of_machine(const struct rp_resources *need,
+                                const struct rp_resources *capacity) {
     double part = 0;
     if (need->cpus > 0 && capacity->cpus > 0)
         part = need->cpus / capacity->cpus;
@@ -185,8 +186,8 @@
 /* The part of the machine that is free, by its main resource. */
 static double room_share(const struct rp_plan_machine *machine) {
     if (machine->capacity.gpus > 0)
-        return machine->room.gpus / machine->capacity.gpus;
-    return machine->capacity.cpus > 0 ? machine->room.cpus / machine->capacity.cpus : 0;
+        return machine->free_now.gpus / machine->capacity.gpus;
+    return machine->capacity.cpus > 0 ? machine->free_now.cpus / machine->capacity.cpus : 0;
 }
 
 static double machine_key(const struct rp_plan_machine *machine, enum rp_machine_order order,
@@ -250,8 +251,9 @@
         size_t at = listing->at[ROOM_NOW][i];
         const struct rp_plan_machine *machine = &run->in->machines[at];
         if (!allowed(g, machine->type, machine->zone, machine->spot) ||
-            machine->fetch_gb_per_s <= 0 || (machine->kept && machine->kept != g->ref) ||
-            !fits(&g->each, &machine->room, 1))
+            machine->fetch_gb_per_s <= 0 ||
+            (machine->reserved_for && machine->reserved_for != g->ref) ||
+            !fits(&g->each, &machine->free_now, 1))
             continue;
         if (g->has_image && g->has_image[at])
             return 0;
@@ -311,7 +313,7 @@
     for (size_t k = 0; k < n; k++) {
         const struct rp_plan_group *group = &run->in->groups[run->sorted[k].item];
         double work = group_work(group) * class_factor(run, group);
-        if (group->kind != RP_ARRAY || run->given_up[run->sorted[k].item] ||
+        if (group->kind != RP_JOB_ARRAY || run->given_up[run->sorted[k].item] ||
             (largest && work <= largest_work))
             continue;
         largest = group;
@@ -328,7 +330,8 @@
     size_t n = 0;
     for (size_t i = 0; i < run->in->n_groups; i++) {
         const struct rp_plan_group *group = &run->in->groups[i];
-        if (group->priority == priority && on_gpus(group) == gpus && group->slack_s < RP_NO_AIM_S)
+        if (group->priority == priority && on_gpus(group) == gpus &&
+            group->slack_s < RP_NO_OBJECTIVE_S)
             run->sorted[n++] = (struct sorted){.item = i, .key = group->slack_s, .rank = 0};
     }
     qsort(run->sorted, n, sizeof *run->sorted, by_key);
@@ -343,13 +346,13 @@
         if (!largest)
             continue;
         run->given_up[largest - run->in->groups] = true;
-        run->plan->short_of_room[gpus] = true;
+        run->plan->short_of_capacity[gpus] = true;
         *work -= group_work(largest);
     }
-    for (size_t i = 0; i < n && run->plan->short_of_room[gpus]; i++)
+    for (size_t i = 0; i < n && run->plan->short_of_capacity[gpus]; i++)
         if (run->in->groups[run->sorted[i].item].late)
             run->given_up[run->sorted[i].item] =
-                run->in->groups[run->sorted[i].item].kind == RP_ARRAY;
+                run->in->groups[run->sorted[i].item].kind == RP_JOB_ARRAY;
 }
 
 static void give_up_all(struct run *run) {
@@ -358,7 +361,7 @@
         double machines = pool_load(run, gpus, &capacity, &work);
         if (machines > 0)
             capacity *= GIVE_UP_AT + GIVE_UP_FEW / machines;
-        for (int p = RP_PRODUCTION; p >= RP_LOW && capacity > 0; p--)
+        for (int p = RP_PRIORITY_CRITICAL; p >= RP_PRIORITY_LOW && capacity > 0; p--)
             give_up(run, (enum rp_priority)p, gpus, capacity, &work);
     }
 }
@@ -366,18 +369,19 @@
 static int group_rank(const struct run *run, size_t group) {
     const struct rp_plan_group *g = &run->in->groups[group];
     if (g->guaranteed)
-        return -3 * (RP_PRODUCTION + 1);
+        return -3 * (RP_PRIORITY_CRITICAL + 1);
     /* Priority comes before every order: work never waits for work of a lower priority. */
-    return -3 * (int)g->priority + (g->begin && run->plan->short_of_room[on_gpus(g)] ? 0
-                                    : run->given_up[group]                           ? 2
-                                                                                     : 1);
+    return -3 * (int)g->priority + (g->begin && run->plan->short_of_capacity[on_gpus(g)] ? 0
+                                    : run->given_up[group]                               ? 2
+                                                                                         : 1);
 }
 
 static void count_classes(struct run *run) {
     for (size_t i = 0; i < run->in->n_groups; i++) {
         const struct rp_plan_group *group = &run->in->groups[i];
         uint32_t *most = &run->class_jobs_most[group->priority][on_gpus(group)];
-        if (group->kind == RP_ARRAY && group->slack_s < RP_NO_AIM_S && group->class_jobs > *most)
+        if (group->kind == RP_JOB_ARRAY && group->slack_s < RP_NO_OBJECTIVE_S &&
+            group->class_jobs > *most)
             *most = group->class_jobs;
     }
 }
@@ -403,7 +407,8 @@
     for (size_t i = 0; i < n; i++) {
         const struct rp_plan_group *group = &run->in->groups[i];
         /* Gangs are never given up: behind all smaller arrays they would wait too long. */
-        bool small_first = group->kind == RP_ARRAY && run->plan->short_of_room[on_gpus(group)];
+        bool small_first =
+            group->kind == RP_JOB_ARRAY && run->plan->short_of_capacity[on_gpus(group)];
         double weight = small_first ? small_first_weight(run, group, short_weight) : ESW_WEIGHT;
         double key = group_key(group, order, i, &fleet, weight);
         if (order == RP_ESW)
@@ -518,18 +523,18 @@
 
 static bool add_put(struct run *run, size_t group, size_t machine, uint32_t count, bool now) {
     struct rp_plan *plan = run->plan;
-    if (plan->n_puts == plan->cap_puts) {
-        size_t cap = plan->cap_puts ? plan->cap_puts * 2 : 64;
-        struct rp_plan_put *puts = realloc(plan->puts, cap * sizeof *puts);
+    if (plan->n_placements == plan->cap_placements) {
+        size_t cap = plan->cap_placements ? plan->cap_placements * 2 : 64;
+        struct rp_placement *puts = realloc(plan->placements, cap * sizeof *puts);
         if (!puts) {
             plan->failed = true;
             return false;
         }
-        plan->puts = puts;
-        plan->cap_puts = cap;
+        plan->placements = puts;
+        plan->cap_placements = cap;
     }
-    plan->puts[plan->n_puts++] =
-        (struct rp_plan_put){.group = group, .machine = machine, .count = count, .now = now};
+    plan->placements[plan->n_placements++] =
+        (struct rp_placement){.group = group, .machine = machine, .count = count, .now = now};
     return true;
 }
 
@@ -556,19 +561,19 @@
 static int slot_zone(const struct run *run, size_t slot) {
     return slot < run->in->n_machines
                ? run->in->machines[slot].zone
-               : run->in->kinds[run->plan->fresh[slot - run->in->n_machines]].zone;
+               : run->in->kinds[run->plan->new_machines[slot - run->in->n_machines]].zone;
 }
 
 static int slot_type(const struct run *run, size_t slot) {
     return slot < run->in->n_machines
                ? run->in->machines[slot].type
-               : run->in->kinds[run->plan->fresh[slot - run->in->n_machines]].type;
+               : run->in->kinds[run->plan->new_machines[slot - run->in->n_machines]].type;
 }
 
 static const struct rp_resources *slot_capacity(const struct run *run, size_t slot) {
     return slot < run->in->n_machines
                ? &run->in->machines[slot].capacity
-               : &run->in->kinds[run->plan->fresh[slot - run->in->n_machines]].capacity;
+               : &run->in->kinds[run->plan->new_machines[slot - run->in->n_machines]].capacity;
 }
 
 static void put(struct run *run, struct placing *placement, size_t at, uint32_t count, bool now,
@@ -587,8 +592,8 @@
     if (at < run->in->n_machines)
         note_filled(run, at);
     int type = slot_type(run, at);
-    run->queued_s[type] +=
-        count * placement->g->run_s * rp_plan_part(&placement->g->each, slot_capacity(run, at));
+    run->queued_s[type] += count * placement->g->run_s *
+                           rp_plan_share_of_machine(&placement->g->each, slot_capacity(run, at));
     placement->left -= count;
     placement->zone_used[zone] += count;
     if (placement->g->one_zone)
@@ -604,7 +609,7 @@
     const struct rp_plan_machine *machine = &run->in->machines[at];
     const struct rp_plan_group *group = placement->g;
     if (!allowed(group, machine->type, machine->zone, machine->spot) ||
-        (machine->kept && machine->kept != group->ref))
+        (machine->reserved_for && machine->reserved_for != group->ref))
         return;
     uint32_t most = zone_room(placement, machine->zone);
     most = fits(&group->each, &run->slots[at].later, most);
@@ -617,12 +622,13 @@
     put(run, placement, at, most, !later, end);
 }
 
-double rp_plan_fits_after(const struct rp_plan_machine *machine, const struct rp_resources *each) {
-    struct rp_resources room = machine->room;
+double rp_plan_fits_after_s(const struct rp_plan_machine *machine,
+                            const struct rp_resources *each) {
+    struct rp_resources room = machine->free_now;
     if (fits(each, &room, 1))
         return 0;
     for (size_t i = 0; i < machine->n_ends; i++) {
-        take(&room, &machine->ends[i].gives, -1);
+        take(&room, &machine->ends[i].released, -1);
         if (fits(each, &room, 1))
             return machine->ends[i].s;
     }
@@ -634,17 +640,17 @@
 static void try_image_holders(struct run *run, struct placing *placement) {
     const struct rp_plan_group *group = placement->g;
     /* Urgent work has room made for it rather than wait (measured: it lost by waiting). */
-    if (group->priority >= RP_HIGH)
+    if (group->priority >= RP_PRIORITY_HIGH)
         return;
     const struct listing *listing = &run->listings[run->group_listing[placement->index]];
     for (size_t i = 0; i < listing->n[ROOM_LATER] && placement->left > 0; i++) {
         size_t at = listing->at[ROOM_LATER][i];
-        run->plan->n_looks++;
+        run->plan->n_probes++;
         const struct rp_plan_machine *machine = &run->in->machines[at];
         /* The cheap look first: under overload nearly no machine has any room left. */
         if (group->has_image && group->has_image[at] &&
             fits(&group->each, &run->slots[at].later, 1) &&
-            rp_plan_fits_after(machine, &group->each) <
+            rp_plan_fits_after_s(machine, &group->each) <
                 HOLDER_SHARE * fetch_s(group, machine->fetch_gb_per_s, false))
             try_machine(run, placement, at, true);
     }
@@ -659,7 +665,7 @@
             try_image_holders(run, placement);
         for (size_t i = 0; i < listing->n[kind] && placement->left > 0; i++) {
             size_t at = listing->at[kind][i];
-            run->plan->n_looks++;
+            run->plan->n_probes++;
             bool has = placement->g->has_image && placement->g->has_image[at];
             if (has == (with_image == 1))
                 try_machine(run, placement, at, later);
@@ -668,8 +674,8 @@
 }
 
 static void try_fresh(struct run *run, struct placing *placement) {
-    for (size_t i = 0; i < run->plan->n_fresh && placement->left > 0; i++) {
-        const struct rp_plan_kind *kind = &run->in->kinds[run->plan->fresh[i]];
+    for (size_t i = 0; i < run->plan->n_new_machines && placement->left > 0; i++) {
+        const struct rp_plan_kind *kind = &run->in->kinds[run->plan->new_machines[i]];
         size_t at = run->in->n_machines + i;
         if (!allowed(placement->g, kind->type, kind->zone, kind->spot))
             continue;
@@ -715,21 +721,21 @@
 
 static bool rent(struct run *run, size_t kind) {
     struct rp_plan *plan = run->plan;
-    if (plan->n_fresh == run->in->new_max)
+    if (plan->n_new_machines == run->in->new_max)
         return false;
-    if (plan->n_fresh == plan->cap_fresh) {
-        size_t cap = plan->cap_fresh ? plan->cap_fresh * 2 : 16;
-        size_t *fresh = realloc(plan->fresh, cap * sizeof *fresh);
+    if (plan->n_new_machines == plan->cap_new_machines) {
+        size_t cap = plan->cap_new_machines ? plan->cap_new_machines * 2 : 16;
+        size_t *fresh = realloc(plan->new_machines, cap * sizeof *fresh);
         if (!fresh) {
             plan->failed = true;
             return false;
         }
-        plan->fresh = fresh;
-        plan->cap_fresh = cap;
+        plan->new_machines = fresh;
+        plan->cap_new_machines = cap;
     }
-    struct slot *slot = &run->slots[run->in->n_machines + plan->n_fresh];
+    struct slot *slot = &run->slots[run->in->n_machines + plan->n_new_machines];
     *slot = (struct slot){.later = run->in->kinds[kind].capacity};
-    plan->fresh[plan->n_fresh++] = kind;
+    plan->new_machines[plan->n_new_machines++] = kind;
     return true;
 }
 
@@ -744,8 +750,8 @@
 /* Takes back everything put for the group, and the machines rented for it. */
 static void roll_back(struct run *run, struct placing *placement, size_t fresh_before) {
     struct rp_plan *plan = run->plan;
-    while (plan->n_puts > placement->first_put) {
-        const struct rp_plan_put *put = &plan->puts[--plan->n_puts];
+    while (plan->n_placements > placement->first_put) {
+        const struct rp_placement *put = &plan->placements[--plan->n_placements];
         struct slot *slot = &run->slots[put->machine];
         take(&slot->later, &placement->g->each, -(double)put->count);
         if (put->now)
@@ -753,8 +759,8 @@
         if (put->now)
             take(&slot->spare, &placement->g->each, -(double)put->count);
     }
-    plan->n_fresh = fresh_before;
-    placement->left = placement->g->kind == RP_GANG ? placement->g->n : placement->left;
+    plan->n_new_machines = fresh_before;
+    placement->left = placement->g->kind == RP_JOB_GANG ? placement->g->n : placement->left;
     placement->zone = placement->g->fixed_zone;
     memcpy(placement->zone_used, placement->g->zone_used, sizeof placement->zone_used);
 }
@@ -763,7 +769,7 @@
     placement->g = &run->in->groups[index];
     placement->index = index;
     placement->zone = placement->g->fixed_zone;
-    placement->first_put = run->plan->n_puts;
+    placement->first_put = run->plan->n_placements;
     memcpy(placement->zone_used, placement->g->zone_used, sizeof placement->zone_used);
 }
 
@@ -773,7 +779,7 @@
     const struct rp_plan_group *group = placement->g;
     double machines = 0, work = 0, part = 0;
     uint32_t types = 0;
-    if (group->slack_s >= RP_NO_AIM_S || WAIT_SHARE <= 0)
+    if (group->slack_s >= RP_NO_OBJECTIVE_S || WAIT_SHARE <= 0)
         return false;
     for (size_t i = 0; i < run->n_pools; i++) {
         const struct pool *pool = &run->pools[i];
@@ -781,15 +787,15 @@
             continue;
         machines += pool->machines;
         work += pool->work_s;
-        part = rp_plan_part(&group->each, pool->capacity);
+        part = rp_plan_share_of_machine(&group->each, pool->capacity);
         types |= 1u << pool->type;
     }
-    for (size_t i = 0; i < run->plan->n_fresh; i++) {
-        const struct rp_plan_kind *kind = &run->in->kinds[run->plan->fresh[i]];
+    for (size_t i = 0; i < run->plan->n_new_machines; i++) {
+        const struct rp_plan_kind *kind = &run->in->kinds[run->plan->new_machines[i]];
         if (!allowed(group, kind->type, kind->zone, kind->spot))
             continue;
         machines++;
-        part = rp_plan_part(&group->each, &kind->capacity);
+        part = rp_plan_share_of_machine(&group->each, &kind->capacity);
         types |= 1u << kind->type;
     }
     for (int t = 0; t < RP_TYPES_MAX; t++)
@@ -818,12 +824,12 @@
     for (int with_image = 1; with_image >= 0; with_image--)
         for (size_t i = 0; i < listing->n[ROOM_SPARE] && placement->left > 0; i++) {
             size_t at = listing->at[ROOM_SPARE][i];
-            run->plan->n_looks++;
+            run->plan->n_probes++;
             const struct rp_plan_machine *machine = &run->in->machines[at];
             bool has = group->has_image && group->has_image[at];
             if (has != (with_image == 1) || !(group->spare_types >> machine->type & 1) ||
                 !(group->zones >> machine->zone & 1) || (machine->spot && !group->spot) ||
-                machine->kept ||
+                machine->reserved_for ||
                 machine->own_busy_s <
                     SPARE_SHARE * (group->run_s + fetch_s(group, machine->fetch_gb_per_s, has)))
                 continue;
@@ -856,7 +862,7 @@
 /* A gang of one zone may fit in one zone and not in another: each is tried. True once all of it has
  * its room. */
 static bool place_gang_in(struct run *run, struct placing *placement, bool now) {
-    size_t fresh = run->plan->n_fresh;
+    size_t fresh = run->plan->n_new_machines;
     int zones = placement->g->one_zone && placement->zone < 0 ? RP_ZONES_MAX : 1;
     for (int z = 0; z < zones; z++) {
         if (zones > 1 && !(placement->g->zones >> z & 1))
@@ -886,10 +892,10 @@
     begin(run, &placement, index);
     const struct rp_plan_group *group = placement.g;
     uint32_t want = quota(run, group);
-    if (group->kind == RP_GANG && want < group->n)
+    if (group->kind == RP_JOB_GANG && want < group->n)
         return; /* over the limit: the gang waits whole */
     placement.left = want;
-    if (group->kind == RP_GANG)
+    if (group->kind == RP_JOB_GANG)
         place_gang(run, &placement);
     else
         place_everywhere(run, &placement);
@@ -903,12 +909,12 @@
         run->gpus_left[group->team] -= placed * group->each.gpus;
     }
     double weight = (group->each.cpus + 8 * group->each.gpus + 0.01) * group->run_s;
-    run->plan->left += placement.left * weight * pow(100, (double)group->priority);
-    for (size_t i = placement.first_put; i < run->plan->n_puts; i++) {
-        if (run->plan->puts[i].now)
-            run->plan->n_now += run->plan->puts[i].count;
+    run->plan->unplaced_work += placement.left * weight * pow(100, (double)group->priority);
+    for (size_t i = placement.first_put; i < run->plan->n_placements; i++) {
+        if (run->plan->placements[i].now)
+            run->plan->n_now += run->plan->placements[i].count;
         else
-            run->plan->n_wait += run->plan->puts[i].count;
+            run->plan->n_wait += run->plan->placements[i].count;
     }
 }
 
@@ -923,8 +929,8 @@
         run->plan->cost +=
             rp_plan_cost(machine->price, machine->age_s, run->slots[i].end_s, run->in->unit_s);
     }
-    for (size_t i = 0; i < run->plan->n_fresh; i++)
-        run->plan->cost += rp_plan_cost(run->in->kinds[run->plan->fresh[i]].price, 0,
+    for (size_t i = 0; i < run->plan->n_new_machines; i++)
+        run->plan->cost += rp_plan_cost(run->in->kinds[run->plan->new_machines[i]].price, 0,
                                         run->slots[run->in->n_machines + i].end_s, run->in->unit_s);
 }
 
@@ -943,14 +949,14 @@
                                   .spot = machine->spot,
                                   .capacity = &machine->capacity};
         }
-        bool up = machine->room.cpus > 0 || machine->n_ends > 0;
+        bool up = machine->free_now.cpus > 0 || machine->n_ends > 0;
         pool->machines += fmax(0, 1 - machine->taken);
         pool->work_s += machine->work_s + (up ? 0 : machine->wait_s);
     }
 }
 
-void rp_plan_by(const struct rp_plan_input *input, struct rp_heuristic heuristic,
-                struct rp_plan *out) {
+void rp_plan_build(const struct rp_plan_input *input, struct rp_heuristic heuristic,
+                   struct rp_plan *out) {
     size_t most = input->n_groups > input->n_machines ? input->n_groups : input->n_machines;
     struct run run = {.in = input, .plan = out};
     memset(out, 0, sizeof *out);
@@ -971,9 +977,9 @@
         goto out;
     }
     for (size_t i = 0; i < input->n_machines; i++)
-        run.slots[i] = (struct slot){.room = input->machines[i].room,
-                                     .later = input->machines[i].later,
-                                     .spare = input->machines[i].spare,
+        run.slots[i] = (struct slot){.room = input->machines[i].free_now,
+                                     .later = input->machines[i].free_later,
+                                     .spare = input->machines[i].spare_now,
                                      .end_s = input->machines[i].busy_s};
     for (size_t i = 0; i < input->n_teams; i++) {
         run.cpus_left[i] = input->teams[i].cpus_left;
@@ -1006,13 +1012,13 @@
     free(run.gpus_left);
 }
 
-bool rp_plan_better(const struct rp_plan *a, const struct rp_plan *b) {
+bool rp_plan_is_better(const struct rp_plan *a, const struct rp_plan *b) {
     if (a->failed != b->failed)
         return b->failed;
     /* Constraint (4) of the paper: every job has its room. Where machines run short, plans are
      * compared first by what they leave without one. */
-    if (fabs(a->left - b->left) > EPS * (1 + fabs(b->left)))
-        return a->left < b->left;
+    if (fabs(a->unplaced_work - b->unplaced_work) > EPS * (1 + fabs(b->unplaced_work)))
+        return a->unplaced_work < b->unplaced_work;
     if (fabs(a->cost - b->cost) > EPS)
         return a->cost < b->cost;
     return a->n_now > b->n_now;
@@ -1021,11 +1027,11 @@
 size_t rp_plan_best(const struct rp_plan_input *input, const struct rp_heuristic *heuristics,
                     size_t n, struct rp_plan *out) {
     size_t best = 0;
-    rp_plan_by(input, heuristics[0], out);
+    rp_plan_build(input, heuristics[0], out);
     for (size_t i = 1; i < n; i++) {
         struct rp_plan plan;
-        rp_plan_by(input, heuristics[i], &plan);
-        if (rp_plan_better(&plan, out)) {
+        rp_plan_build(input, heuristics[i], &plan);
+        if (rp_plan_is_better(&plan, out)) {
             rp_plan_free(out);
             *out = plan;
             best = i;
--- a/src/scheduler/planner.h
+++ b/src/scheduler/planner.h
@@ -10,7 +10,7 @@
 #define RP_MIN_CHARGE_S 60.0
 
 /* Time to spare of jobs that no aim speaks of. */
-#define RP_NO_AIM_S 1e6
+#define RP_NO_OBJECTIVE_S 1e6
 
 enum rp_job_order { RP_FCFS, RP_RR, RP_LJF, RP_SJF, RP_LTJF, RP_STJF, RP_EDF, RP_SRW, RP_ESW };
 enum rp_machine_order {
@@ -49,12 +49,12 @@
 /* Resources that running work gives back at its estimated end. */
 struct rp_plan_end {
     double s;
-    struct rp_resources gives;
+    struct rp_resources released;
 };
 
 struct rp_plan_machine {
     void *ref;
-    const void *kept;               /* the only group, by its ref, that may use it; NULL: any */
+    const void *reserved_for;       /* the only group, by its ref, that may use it; NULL: any */
     const struct rp_plan_end *ends; /* in the order of time */
     size_t n_ends;
     int type, zone;
@@ -62,21 +62,21 @@
     double price;
     double fetch_gb_per_s;
     struct rp_resources capacity;
-    struct rp_resources room;  /* now; nothing while it boots */
-    struct rp_resources later; /* by the time when another machine of its type would be up */
-    struct rp_resources spare; /* of the room now: what work without the type's GPUs may take */
-    double wait_s;             /* until `later` holds */
-    double age_s;              /* since its rental */
-    double taken;              /* the part of it that services hold */
-    double work_s;             /* its tasks' remaining time, weighed by their part of it */
-    double busy_s;             /* until its last task's estimated end */
+    struct rp_resources free_now;   /* now; nothing while it boots */
+    struct rp_resources free_later; /* by the time when another machine of its type would be up */
+    struct rp_resources spare_now; /* of the room now: what work without the type's GPUs may take */
+    double wait_s;                 /* until `later` holds */
+    double age_s;                  /* since its rental */
+    double taken;                  /* the part of it that services hold */
+    double work_s;                 /* its tasks' remaining time, weighed by their part of it */
+    double busy_s;                 /* until its last task's estimated end */
     double own_busy_s; /* the same of its own kind of work alone, not of what takes spare room */
     double first_arrival_s, last_arrival_s, mean_arrival_s; /* ages of its tasks */
 };
 
 struct rp_plan_group {
     void *ref;
-    enum rp_kind kind;
+    enum rp_job_kind kind;
     enum rp_priority priority;
     uint32_t n; /* tasks that can be started */
     struct rp_resources each;
@@ -118,7 +118,7 @@
     size_t new_max; /* machines that one plan may rent */
 };
 
-struct rp_plan_put {
+struct rp_placement {
     size_t group;
     size_t machine; /* from n_machines on: new ones */
     uint32_t count;
@@ -126,30 +126,31 @@
 };
 
 struct rp_plan {
-    struct rp_plan_put *puts;
-    size_t n_puts, cap_puts;
-    size_t *fresh; /* kinds of the new machines */
-    size_t n_fresh, cap_fresh;
+    struct rp_placement *placements;
+    size_t n_placements, cap_placements;
+    size_t *new_machines; /* kinds of the new machines */
+    size_t n_new_machines, cap_new_machines;
     uint32_t n_now, n_wait;
-    bool short_of_room[2]; /* work without GPUs, and with: not all of it can be in time */
-    double left;           /* work that found no room, weighed by priority */
-    double cost;           /* formula (1) */
-    unsigned long n_looks; /* machines looked at, over all groups */
-    bool failed;           /* out of memory */
+    bool short_of_capacity[2]; /* work without GPUs, and with: not all of it can be in time */
+    double unplaced_work;      /* work that found no room, weighed by priority */
+    double cost;               /* formula (1) */
+    unsigned long n_probes;    /* machines looked at, over all groups */
+    bool failed;               /* out of memory */
 };
 
 void rp_plan_free(struct rp_plan *plan);
-void rp_plan_by(const struct rp_plan_input *input, struct rp_heuristic heuristic,
-                struct rp_plan *out);
+void rp_plan_build(const struct rp_plan_input *input, struct rp_heuristic heuristic,
+                   struct rp_plan *out);
 /* The portfolio: the plan that leaves least undone, and of these the cheapest. Returns the index of
  * the winner in `hs`. */
 size_t rp_plan_best(const struct rp_plan_input *input, const struct rp_heuristic *heuristics,
                     size_t n, struct rp_plan *out);
 /* The part of the machine that a task takes, by the resource of which it takes most. */
-double rp_plan_part(const struct rp_resources *need, const struct rp_resources *capacity);
+double rp_plan_share_of_machine(const struct rp_resources *need,
+                                const struct rp_resources *capacity);
 /* Until one task of this size fits on the machine, by its work's estimated ends. */
-double rp_plan_fits_after(const struct rp_plan_machine *machine, const struct rp_resources *each);
-bool rp_plan_better(const struct rp_plan *a, const struct rp_plan *b);
+double rp_plan_fits_after_s(const struct rp_plan_machine *machine, const struct rp_resources *each);
+bool rp_plan_is_better(const struct rp_plan *a, const struct rp_plan *b);
 /* Cost of a machine by formula (1): price times the units from its start to the end of its work. */
 double rp_plan_cost(double price, double age_s, double end_s, double unit_s);
 
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -16,11 +16,11 @@
 };
 
 static bool counts(const struct rp_allocation *allocation) {
-    return allocation->state != RP_ALLOCATION_EXITED && !allocation->stop &&
+    return allocation->state != RP_ALLOCATION_EXITED && !allocation->stop_requested &&
            allocation->job->team >= 0;
 }
 
-static bool surplus_fill(const struct rp_round *scheduler, struct surplus *surplus) {
+static bool surplus_fill(const struct rp_scheduler *scheduler, struct surplus *surplus) {
     surplus->of = calloc(scheduler->settings->n_teams + 1, sizeof *surplus->of);
     if (!surplus->of)
         return false;
@@ -41,7 +41,7 @@
 static bool may_stop(const struct surplus *surplus, const struct rp_allocation *allocation,
                      const struct rp_job *job) {
     if (!counts(allocation) || allocation->job->team == job->team ||
-        allocation->job->spec.kind != RP_ARRAY)
+        allocation->job->spec.kind != RP_JOB_ARRAY)
         return false;
     const struct rp_resources *over = &surplus->of[allocation->job->team],
                               *each = &allocation->job->spec.each;
@@ -49,28 +49,29 @@
 }
 
 /* The machine's room once what is being stopped there has ended. */
-static struct rp_resources room_soon(const struct rp_round *scheduler,
+static struct rp_resources room_soon(const struct rp_scheduler *scheduler,
                                      const struct rp_machine *machine) {
-    struct rp_resources room = rp_machine_free(scheduler->cluster, machine);
+    struct rp_resources room = rp_machine_free_resources(scheduler->cluster, machine);
     for (size_t i = 0; i < machine->n_allocations; i++)
-        if (machine->allocations[i].state != RP_ALLOCATION_EXITED && machine->allocations[i].stop)
+        if (machine->allocations[i].state != RP_ALLOCATION_EXITED &&
+            machine->allocations[i].stop_requested)
             rp_resources_add(&room, &machine->allocations[i].job->spec.each);
     return room;
 }
 
-static bool usable_for(const struct rp_round *scheduler, const struct rp_machine *machine,
+static bool usable_for(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
                        const struct rp_job *job) {
-    return rp_machine_usable(machine) && !rp_room_reserved_for(scheduler, machine) &&
-           rp_cluster_allows(scheduler->cluster, &job->spec, machine->type, machine->zone,
-                             machine->spot);
+    return rp_machine_is_usable(machine) && !rp_room_reserved_for(scheduler, machine) &&
+           rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
+                                 machine->spot);
 }
 
 /* Tasks of the job that find room where other work is being stopped already. */
-static uint32_t coming(const struct rp_round *scheduler, const struct rp_job *job) {
+static uint32_t coming(const struct rp_scheduler *scheduler, const struct rp_job *job) {
     uint32_t tasks = 0;
     for (const struct rp_machine *machine = scheduler->cluster->first; machine;
          machine = machine->next) {
-        struct rp_resources now = rp_machine_free(scheduler->cluster, machine),
+        struct rp_resources now = rp_machine_free_resources(scheduler->cluster, machine),
                             soon = room_soon(scheduler, machine);
         if (!usable_for(scheduler, machine, job))
             continue;
@@ -84,7 +85,7 @@
 
 /* Run time that is lost if one task of the job is given room on the machine; negative: it can't be.
  */
-static double stop_cost(const struct rp_round *scheduler, const struct surplus *surplus,
+static double stop_cost(const struct rp_scheduler *scheduler, const struct surplus *surplus,
                         const struct rp_machine *machine, const struct rp_job *job,
                         struct timespec now) {
     struct rp_resources room = room_soon(scheduler, machine);
@@ -96,14 +97,15 @@
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (!may_stop(surplus, allocation, job))
             continue;
-        double ran = rp_ts_zero(allocation->running) ? 0 : rp_ts_since(now, allocation->running);
+        double ran =
+            rp_ts_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
         cost += allocation->job->spec.checkpoint_s > 0 ? fmin(ran, KEPT_PROGRESS_S) : ran;
         rp_resources_add(&room, &allocation->job->spec.each);
     }
     return rp_resources_fit(&job->spec.each, &room) ? cost : -1;
 }
 
-static void stop_work(struct rp_round *scheduler, struct surplus *surplus,
+static void stop_work(struct rp_scheduler *scheduler, struct surplus *surplus,
                       struct rp_machine *machine, const struct rp_job *job) {
     struct rp_resources room = room_soon(scheduler, machine);
     for (size_t i = machine->n_allocations; i-- > 0 && !rp_resources_fit(&job->spec.each, &room);) {
@@ -115,17 +117,18 @@
         surplus->of[allocation->job->team].cpus -= spec->each.cpus;
         surplus->of[allocation->job->team].gpus -= spec->each.gpus;
         if (allocation->state == RP_ALLOCATION_PLANNED) {
-            rp_allocation_drop(scheduler->cluster, machine, i);
+            rp_allocation_remove(scheduler->cluster, machine, i);
             continue;
         }
-        rp_allocation_stop(allocation, spec->checkpoint_s > 0 ? spec->save_s * GRACE_SLACK + 1 : 0);
+        rp_allocation_request_stop(allocation,
+                                   spec->checkpoint_s > 0 ? spec->save_s * GRACE_SLACK + 1 : 0);
         scheduler->n_preempted++;
     }
 }
 
 /* Frees the machine where least is lost; false when there is none. */
-static bool free_one(struct rp_round *scheduler, struct surplus *surplus, const struct rp_job *job,
-                     struct timespec now) {
+static bool free_one(struct rp_scheduler *scheduler, struct surplus *surplus,
+                     const struct rp_job *job, struct timespec now) {
     struct rp_machine *best = NULL;
     double best_cost = 0;
     for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next) {
@@ -146,22 +149,22 @@
 static uint32_t missing(const struct rp_plan *plan, const struct rp_plan_group *group,
                         size_t index) {
     uint32_t placed = 0;
-    for (size_t p = 0; p < plan->n_puts; p++)
-        if (plan->puts[p].group == index && plan->puts[p].now)
-            placed += plan->puts[p].count;
+    for (size_t p = 0; p < plan->n_placements; p++)
+        if (plan->placements[p].group == index && plan->placements[p].now)
+            placed += plan->placements[p].count;
     return placed < group->n ? group->n - placed : 0;
 }
 
-void rp_guarantees_enforce(struct rp_round *scheduler, const struct rp_round_input *input,
-                           const struct rp_plan *plan, struct timespec now) {
+void rp_quota_enforce_guarantees(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
+                                 const struct rp_plan *plan, struct timespec now) {
     struct surplus surplus = {0};
     unsigned stops = 0;
-    if (!scheduler->settings->tuning.preemption || !rp_cluster_settled(scheduler->cluster))
+    if (!scheduler->settings->tuning.preemption || !rp_cluster_is_reconciled(scheduler->cluster))
         return;
-    for (size_t g = 0; g < input->in.n_groups && stops < STOPS_MOST; g++) {
+    for (size_t g = 0; g < input->plan_input.n_groups && stops < STOPS_MOST; g++) {
         const struct rp_plan_group *group = &input->groups[g];
         const struct rp_job *job = group->ref;
-        if (!group->guaranteed || (group->kind == RP_GANG && job->spec.n_tasks > 1))
+        if (!group->guaranteed || (group->kind == RP_JOB_GANG && job->spec.n_tasks > 1))
             continue;
         uint32_t want = missing(plan, group, g), soon = want > 0 ? coming(scheduler, job) : 0;
         if (want <= soon || (!surplus.of && !surplus_fill(scheduler, &surplus)))
--- a/src/scheduler/room.c
+++ b/src/scheduler/room.c
@@ -23,36 +23,37 @@
 
 /* A gang of one task that has room made for it by priority doesn't need it kept. */
 bool rp_room_whole(const struct rp_job *job) {
-    return job->spec.kind == RP_GANG && (job->spec.n_tasks > 1 || job->spec.priority < RP_HIGH);
+    return job->spec.kind == RP_JOB_GANG &&
+           (job->spec.n_tasks > 1 || job->spec.priority < RP_PRIORITY_HIGH);
 }
 
-static void reserve(const struct rp_round *scheduler, struct rp_machine *machine,
+static void reserve(const struct rp_scheduler *scheduler, struct rp_machine *machine,
                     const struct rp_job *job, double for_s) {
-    strcpy(machine->reserved, job->spec.id);
+    strcpy(machine->reserved_for, job->spec.id);
     machine->reserved_until = rp_ts_after(rp_loop_now(scheduler->loop), for_s + RESERVE_SLACK_S);
 }
 
 /* The job that room is kept for on this machine, while it is still waited for. */
-struct rp_job *rp_room_reserved_for(const struct rp_round *scheduler,
+struct rp_job *rp_room_reserved_for(const struct rp_scheduler *scheduler,
                                     const struct rp_machine *machine) {
     struct rp_job *job =
-        *machine->reserved ? rp_jobs_find(scheduler->jobs, machine->reserved) : NULL;
-    if (!job || job->state != RP_JOB_OPEN || !rp_machine_usable(machine) ||
-        job->n_counted >= (rp_room_whole(job) ? job->spec.n_tasks : 1) ||
+        *machine->reserved_for ? rp_jobs_find(scheduler->jobs, machine->reserved_for) : NULL;
+    if (!job || job->state != RP_JOB_OPEN || !rp_machine_is_usable(machine) ||
+        job->n_allocated >= (rp_room_whole(job) ? job->spec.n_tasks : 1) ||
         rp_ts_reached(rp_loop_now(scheduler->loop), machine->reserved_until))
         return NULL;
     if (rp_room_whole(job))
         return job;
-    struct rp_resources room = rp_machine_free(scheduler->cluster, machine);
+    struct rp_resources room = rp_machine_free_resources(scheduler->cluster, machine);
     return rp_resources_fit(&job->spec.each, &room) ? NULL : job;
 }
 
-void rp_room_mark_held(const struct rp_round *scheduler) {
+void rp_room_mark_held(const struct rp_scheduler *scheduler) {
     for (const struct rp_machine *machine = scheduler->cluster->first; machine;
          machine = machine->next) {
         struct rp_job *job = rp_room_reserved_for(scheduler, machine);
         if (job)
-            job->held_round = scheduler->n_rounds;
+            job->reserved_in_cycle = scheduler->n_cycles;
     }
 }
 
@@ -65,7 +66,7 @@
     struct timespec since; /* when its first allocation was planned */
 };
 
-static struct attempt attempt_of(const struct rp_round *scheduler, const struct rp_job *job) {
+static struct attempt attempt_of(const struct rp_scheduler *scheduler, const struct rp_job *job) {
     struct attempt a = {0};
     for (const struct rp_machine *machine = scheduler->cluster->first; machine;
          machine = machine->next)
@@ -74,11 +75,12 @@
             if (allocation->job != job || allocation->state == RP_ALLOCATION_EXITED)
                 continue;
             /* Of two attempts at once the older one is ending: nothing can join it. */
-            a.begun |= allocation->stop || (a.number && allocation->attempt != a.number) ||
+            a.begun |= allocation->stop_requested ||
+                       (a.number && allocation->attempt != a.number) ||
                        (allocation->task_state != RP_TASK_FETCHING &&
                         allocation->task_state != RP_TASK_WAITING);
-            if (!a.number || rp_ts_cmp(allocation->since, a.since) < 0)
-                a.since = allocation->since;
+            if (!a.number || rp_ts_cmp(allocation->planned_at, a.since) < 0)
+                a.since = allocation->planned_at;
             a.number = allocation->attempt;
         }
     return a;
@@ -86,7 +88,7 @@
 
 /* Where the task of this attempt has just exited: until its removal is confirmed, starting the same
  * attempt there again would do nothing. */
-static struct rp_machine *left_on(const struct rp_round *scheduler, const struct rp_job *job,
+static struct rp_machine *left_on(const struct rp_scheduler *scheduler, const struct rp_job *job,
                                   uint32_t task, uint64_t attempt) {
     for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next)
         for (size_t i = 0; i < machine->n_allocations; i++)
@@ -97,7 +99,7 @@
 }
 
 /* Returns false when no machine can take the task now. */
-static bool replace_task(struct rp_round *scheduler, struct rp_job *job, uint32_t task,
+static bool replace_task(struct rp_scheduler *scheduler, struct rp_job *job, uint32_t task,
                          uint64_t attempt) {
     struct rp_machine *last = left_on(scheduler, job, task, attempt), *best = NULL;
     if (last) {
@@ -126,21 +128,21 @@
  * with the same attempt number. So a task that waits on a machine with the image may exit as alone
  * after gang_wait_s, while another fetches for longer: stopping all of them, as for a gang that
  * runs, gave the fetches up, and a gang with a large image never began. */
-static void mend_gang(struct rp_round *scheduler, struct rp_job *job, struct timespec now) {
+static void mend_gang(struct rp_scheduler *scheduler, struct rp_job *job, struct timespec now) {
     struct attempt a = attempt_of(scheduler, job);
     double patience = scheduler->settings->gang_wait_s * MEND_WAITS;
     bool missing = false;
     if (job->gang_attempt != a.number) {
         /* Not the oldest allocation's time: each that exits as alone is followed by a new one. */
         job->gang_attempt = a.number;
-        job->gang_since = a.since;
+        job->gang_incomplete_since = a.since;
     }
-    if (a.begun || rp_ts_since(now, job->gang_since) > patience) {
+    if (a.begun || rp_ts_since(now, job->gang_incomplete_since) > patience) {
         rp_cluster_stop_job(scheduler->cluster, job, 0);
         return;
     }
     for (uint32_t task = 0; task < job->spec.n_tasks; task++)
-        if (rp_job_allocations(job, task) == 0)
+        if (rp_job_n_task_allocations(job, task) == 0)
             missing |= !replace_task(scheduler, job, task, a.number);
     if (!missing)
         job->machine_missing_since = (struct timespec){0};
@@ -154,28 +156,28 @@
 
 /* After a takeover a gang's tasks are heard of one by one: those not heard of yet are no reason to
  * stop the others (every takeover stopped every gang of several tasks). */
-void rp_room_mend_gangs(struct rp_round *scheduler, struct timespec now) {
+void rp_room_mend_gangs(struct rp_scheduler *scheduler, struct timespec now) {
     for (struct rp_job *job = scheduler->jobs->first; job; job = job->next)
-        if (job->spec.kind != RP_GANG || job->state != RP_JOB_OPEN)
+        if (job->spec.kind != RP_JOB_GANG || job->state != RP_JOB_OPEN)
             continue;
-        else if (job->n_counted == 0 || job->n_counted == job->spec.n_tasks)
+        else if (job->n_allocated == 0 || job->n_allocated == job->spec.n_tasks)
             job->machine_missing_since = (struct timespec){0};
-        else if (rp_cluster_job_settled(scheduler->cluster, job))
+        else if (rp_cluster_is_job_reconciled(scheduler->cluster, job))
             mend_gang(scheduler, job, now);
 }
 
 /* ---- room for higher priorities ---- */
 
 static bool may_stop(const struct rp_allocation *allocation, enum rp_priority above) {
-    return allocation->state != RP_ALLOCATION_EXITED && allocation->job->spec.kind == RP_ARRAY &&
-           allocation->job->spec.priority < above;
+    return allocation->state != RP_ALLOCATION_EXITED &&
+           allocation->job->spec.kind == RP_JOB_ARRAY && allocation->job->spec.priority < above;
 }
 
 /* Work that is lost, and that is kept waiting, if the machine's lower tasks are stopped for one
  * task of the job; negative when that wouldn't do. */
-static double stop_price(const struct rp_round *scheduler, const struct rp_machine *machine,
+static double stop_price(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
                          const struct rp_job *job, struct timespec now) {
-    struct rp_resources room = rp_machine_free(scheduler->cluster, machine);
+    struct rp_resources room = rp_machine_free_resources(scheduler->cluster, machine);
     double price = 1;
     for (size_t i = 0; i < machine->n_allocations && !rp_resources_fit(&job->spec.each, &room);
          i++) {
@@ -185,35 +187,37 @@
         rp_resources_add(&room, &allocation->job->spec.each);
         /* What is being stopped already costs nothing more: so a second look chooses the same
          * machine again, and not one more. */
-        if (allocation->stop)
+        if (allocation->stop_requested)
             continue;
-        double ran = allocation->running.tv_sec ? rp_ts_since(now, allocation->running) : 0;
+        double ran =
+            allocation->running_since.tv_sec ? rp_ts_since(now, allocation->running_since) : 0;
         price += allocation->job->spec.checkpoint_s > 0 ? fmin(ran, 5) : ran;
     }
     return rp_resources_fit(&job->spec.each, &room) ? price : -1;
 }
 
-static void stop_for(struct rp_round *scheduler, struct rp_machine *machine,
+static void stop_for(struct rp_scheduler *scheduler, struct rp_machine *machine,
                      const struct rp_job *job) {
-    struct rp_resources room = rp_machine_free(scheduler->cluster, machine);
+    struct rp_resources room = rp_machine_free_resources(scheduler->cluster, machine);
     unsigned stopped = 0;
     double longest = 0;
     for (size_t i = 0; i < machine->n_allocations; i++)
-        if (machine->allocations[i].stop && may_stop(&machine->allocations[i], job->spec.priority))
+        if (machine->allocations[i].stop_requested &&
+            may_stop(&machine->allocations[i], job->spec.priority))
             rp_resources_add(&room, &machine->allocations[i].job->spec.each);
     for (size_t i = machine->n_allocations; i-- > 0 && !rp_resources_fit(&job->spec.each, &room);) {
         struct rp_allocation *allocation = &machine->allocations[i];
-        if (allocation->stop || !may_stop(allocation, job->spec.priority))
+        if (allocation->stop_requested || !may_stop(allocation, job->spec.priority))
             continue;
         rp_resources_add(&room, &allocation->job->spec.each);
         stopped++;
         if (allocation->state == RP_ALLOCATION_PLANNED) {
-            rp_allocation_drop(scheduler->cluster, machine, i);
+            rp_allocation_remove(scheduler->cluster, machine, i);
             continue;
         }
         const struct rp_job_spec *spec = &allocation->job->spec;
         double grace = spec->checkpoint_s > 0 ? spec->save_s * 1.2 + 1 : 0;
-        rp_allocation_stop(allocation, grace);
+        rp_allocation_request_stop(allocation, grace);
         longest = fmax(longest, grace);
         scheduler->n_preempted++;
     }
@@ -223,15 +227,15 @@
 }
 
 /* The machine where room for the job costs least; of those that hold its image, if asked so. */
-static struct rp_machine *cheapest_stop(struct rp_round *scheduler, const struct rp_job *job,
+static struct rp_machine *cheapest_stop(struct rp_scheduler *scheduler, const struct rp_job *job,
                                         bool with_image, struct timespec now) {
     struct rp_machine *best = NULL;
     double best_price = 0;
     for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next) {
-        if (!rp_machine_usable(machine) || rp_room_reserved_for(scheduler, machine) ||
+        if (!rp_machine_is_usable(machine) || rp_room_reserved_for(scheduler, machine) ||
             (with_image && !rp_machine_has_image(machine, job->image_hash)) ||
-            !rp_cluster_allows(scheduler->cluster, &job->spec, machine->type, machine->zone,
-                               machine->spot))
+            !rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
+                                   machine->spot))
             continue;
         double price = stop_price(scheduler, machine, job, now);
         if (price >= 0 && (!best || price < best_price)) {
@@ -243,55 +247,58 @@
 }
 
 static bool may_preempt(const struct rp_job *job) {
-    return job->spec.priority >= RP_HIGH && job->spec.kind == RP_GANG && job->spec.n_tasks == 1;
+    return job->spec.priority >= RP_PRIORITY_HIGH && job->spec.kind == RP_JOB_GANG &&
+           job->spec.n_tasks == 1;
 }
 
 /* An urgent gang that would have to fetch its image, though another machine holds it and only has
  * to be freed of lower work, has that machine freed: saving that work takes less than the fetch,
  * which a whole machine would stand idle for. */
-void rp_room_prefer_holders(struct rp_round *scheduler, const struct rp_round_input *input,
+void rp_room_prefer_holders(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                             struct rp_plan *plan, struct timespec now) {
-    if (!scheduler->settings->tuning.preemption || !rp_cluster_settled(scheduler->cluster))
+    if (!scheduler->settings->tuning.preemption || !rp_cluster_is_reconciled(scheduler->cluster))
         return;
-    for (size_t i = 0; i < plan->n_puts; i++) {
-        struct rp_plan_put *put = &plan->puts[i];
-        const struct rp_job *job = input->groups[put->group].ref;
-        const struct rp_machine *machine =
-            put->machine < input->in.n_machines ? input->machines[put->machine].ref : NULL;
-        if (!put->now || !machine || !may_preempt(job) ||
+    for (size_t i = 0; i < plan->n_placements; i++) {
+        struct rp_placement *placement = &plan->placements[i];
+        const struct rp_job *job = input->groups[placement->group].ref;
+        const struct rp_machine *machine = placement->machine < input->plan_input.n_machines
+                                               ? input->machines[placement->machine].ref
+                                               : NULL;
+        if (!placement->now || !machine || !may_preempt(job) ||
             rp_machine_has_image(machine, job->image_hash))
             continue;
-        double rate = rp_round_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
+        double rate = rp_scheduler_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
         if (rate <= 0 || job->spec.image_gb / rate < HOLDER_WORTH_S)
             continue;
         struct rp_machine *holder = cheapest_stop(scheduler, job, true, now);
         if (!holder)
             continue;
         stop_for(scheduler, holder, job);
-        put->count = 0;
+        placement->count = 0;
     }
 }
 
 /* Only gangs of one task are given room this way, one machine at a time: what is stopped for a
  * larger gang would stand empty until the last of its machines is free. */
-void rp_room_preempt(struct rp_round *scheduler, const struct rp_round_input *input,
+void rp_room_preempt(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                      const struct rp_plan *plan, struct timespec now) {
-    if (!scheduler->settings->tuning.preemption || !rp_cluster_settled(scheduler->cluster))
+    if (!scheduler->settings->tuning.preemption || !rp_cluster_is_reconciled(scheduler->cluster))
         return;
-    for (size_t g = 0; g < input->in.n_groups; g++) {
+    for (size_t g = 0; g < input->plan_input.n_groups; g++) {
         const struct rp_job *job = input->groups[g].ref;
         bool now_placed = false, soon = false;
         if (input->groups[g].held || !may_preempt(job))
             continue;
-        for (size_t p = 0; p < plan->n_puts; p++) {
-            const struct rp_plan_put *put = &plan->puts[p];
-            if (put->group != g)
+        for (size_t p = 0; p < plan->n_placements; p++) {
+            const struct rp_placement *placement = &plan->placements[p];
+            if (placement->group != g)
                 continue;
-            now_placed |= put->now;
-            const struct rp_machine *machine =
-                put->machine < input->in.n_machines ? input->machines[put->machine].ref : NULL;
+            now_placed |= placement->now;
+            const struct rp_machine *machine = placement->machine < input->plan_input.n_machines
+                                                   ? input->machines[placement->machine].ref
+                                                   : NULL;
             soon |= machine && machine->state == RP_MACHINE_UP &&
-                    input->machines[put->machine].busy_s < SOON_S;
+                    input->machines[placement->machine].busy_s < SOON_S;
         }
         struct rp_machine *machine =
             now_placed || soon ? NULL : cheapest_stop(scheduler, job, false, now);
@@ -315,18 +322,18 @@
     return left->start_s < right->start_s ? -1 : left->start_s > right->start_s;
 }
 
-static bool candidate_for(struct rp_round *scheduler, const struct rp_job *job,
+static bool candidate_for(struct rp_scheduler *scheduler, const struct rp_job *job,
                           const struct rp_plan_machine *machine, struct candidate *c,
                           struct timespec now) {
     *c = (struct candidate){.machine = machine->ref};
-    if (!machine->ref || machine->kept || !rp_machine_usable(machine->ref) ||
+    if (!machine->ref || machine->reserved_for || !rp_machine_is_usable(machine->ref) ||
         rp_room_reserved_for(scheduler, machine->ref) ||
-        !rp_cluster_allows(scheduler->cluster, &job->spec, machine->type, machine->zone,
-                           machine->spot) ||
-        rp_plan_part(&job->spec.each, &machine->capacity) <= 0.5)
+        !rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
+                               machine->spot) ||
+        rp_plan_share_of_machine(&job->spec.each, &machine->capacity) <= 0.5)
         return false;
-    c->free_s = rp_plan_fits_after(machine, &job->spec.each);
-    if (c->free_s > SOON_S && job->spec.priority >= RP_HIGH &&
+    c->free_s = rp_plan_fits_after_s(machine, &job->spec.each);
+    if (c->free_s > SOON_S && job->spec.priority >= RP_PRIORITY_HIGH &&
         scheduler->settings->tuning.preemption &&
         stop_price(scheduler, machine->ref, job, now) >= 0) {
         c->stop = true;
@@ -341,14 +348,14 @@
 
 /* The machines, of one zone if need be, that could start the gang soonest; false if there aren't
  * enough of them. They are the first of `list`. */
-static bool soonest(struct rp_round *scheduler, const struct rp_round_input *input,
+static bool soonest(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                     const struct rp_job *job, struct candidate *list, struct timespec now) {
-    size_t n_zones = job->spec.one_zone ? rp_round_catalog(scheduler)->n_zones : 1;
+    size_t n_zones = job->spec.one_zone ? rp_scheduler_catalog(scheduler)->n_zones : 1;
     struct candidate *best = calloc(job->spec.n_tasks, sizeof *best);
     bool found = false;
     for (size_t z = 0; best && z < n_zones; z++) {
         size_t n = 0, want = job->spec.n_tasks;
-        for (size_t i = 0; i < input->in.n_machines; i++)
+        for (size_t i = 0; i < input->plan_input.n_machines; i++)
             if (n_zones == 1 || input->machines[i].zone == (int)z)
                 n += candidate_for(scheduler, job, &input->machines[i], &list[n], now);
         qsort(list, n, sizeof *list, by_start);
@@ -363,7 +370,7 @@
     return found;
 }
 
-static void gather_for(struct rp_round *scheduler, struct rp_job *job,
+static void gather_for(struct rp_scheduler *scheduler, struct rp_job *job,
                        const struct candidate *list) {
     double longest = 0;
     for (uint32_t i = 0; i < job->spec.n_tasks; i++)
@@ -379,18 +386,19 @@
 
 /* Whether the plan has room for all of the gang, either now or on machines still to come up.
  */
-static bool gang_served(const struct rp_round_input *input, const struct rp_plan *plan,
+static bool gang_served(const struct rp_cycle_input *input, const struct rp_plan *plan,
                         size_t group) {
     bool all_now = true, fresh = false;
     size_t puts = 0;
-    for (size_t p = 0; p < plan->n_puts; p++) {
-        const struct rp_plan_put *put = &plan->puts[p];
-        if (put->group != group)
+    for (size_t p = 0; p < plan->n_placements; p++) {
+        const struct rp_placement *placement = &plan->placements[p];
+        if (placement->group != group)
             continue;
-        const struct rp_machine *machine =
-            put->machine < input->in.n_machines ? input->machines[put->machine].ref : NULL;
+        const struct rp_machine *machine = placement->machine < input->plan_input.n_machines
+                                               ? input->machines[placement->machine].ref
+                                               : NULL;
         puts++;
-        all_now &= put->now;
+        all_now &= placement->now;
         fresh |= !machine || machine->state == RP_MACHINE_BOOTING;
     }
     return puts > 0 && (all_now || fresh);
@@ -399,19 +407,19 @@
 /* A task that takes a whole machine mostly finds one soon. Where it doesn't, on few machines that
  * smaller work of its priority keeps full, it waited for ever (incident f8f1). It needs no more
  * than one machine, so several such gangs can have one kept at the same time. */
-static void gather_ones(struct rp_round *scheduler, const struct rp_round_input *input,
+static void gather_ones(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                         const struct rp_plan *plan, struct candidate *list, struct timespec now) {
-    size_t kept = 0, most = 1 + input->in.n_machines / ONES_OF;
-    for (size_t g = 0; g < input->in.n_groups; g++) {
+    size_t kept = 0, most = 1 + input->plan_input.n_machines / ONES_OF;
+    for (size_t g = 0; g < input->plan_input.n_groups; g++) {
         const struct rp_job *job = input->groups[g].ref;
         kept += rp_room_whole(job) && job->spec.n_tasks == 1 && input->groups[g].held;
     }
-    for (size_t g = 0; g < input->in.n_groups && kept < most; g++) {
+    for (size_t g = 0; g < input->plan_input.n_groups && kept < most; g++) {
         const struct rp_plan_group *group = &input->groups[g];
         struct rp_job *job = group->ref;
         if (!rp_room_whole(job) || job->spec.n_tasks != 1 || group->held ||
             group->age_s < GATHER_ONE_S || gang_served(input, plan, g) ||
-            !rp_cluster_job_settled(scheduler->cluster, job) ||
+            !rp_cluster_is_job_reconciled(scheduler->cluster, job) ||
             !soonest(scheduler, input, job, list, now))
             continue;
         gather_for(scheduler, job, list);
@@ -421,21 +429,21 @@
 
 /* The gang of several tasks that waits longest, of the highest priority, for machines that no plan
  * has for it; n_groups: there is none, or machines are being kept for one. */
-static size_t gang_to_gather(struct rp_round *scheduler, const struct rp_round_input *input,
+static size_t gang_to_gather(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                              const struct rp_plan *plan) {
-    size_t chosen = input->in.n_groups;
-    for (size_t g = 0; g < input->in.n_groups; g++) {
+    size_t chosen = input->plan_input.n_groups;
+    for (size_t g = 0; g < input->plan_input.n_groups; g++) {
         const struct rp_plan_group *group = &input->groups[g];
         const struct rp_job *job = group->ref;
         if (!rp_room_whole(job) || job->spec.n_tasks == 1)
             continue;
         if (group->held)
-            return input->in.n_groups; /* one at a time */
-        bool before = chosen == input->in.n_groups ||
+            return input->plan_input.n_groups; /* one at a time */
+        bool before = chosen == input->plan_input.n_groups ||
                       group->priority > input->groups[chosen].priority ||
                       (group->priority == input->groups[chosen].priority &&
                        group->age_s > input->groups[chosen].age_s);
-        if (before && rp_cluster_job_settled(scheduler->cluster, job) &&
+        if (before && rp_cluster_is_job_reconciled(scheduler->cluster, job) &&
             !gang_served(input, plan, g))
             chosen = g;
     }
@@ -446,13 +454,13 @@
  * needs less: on a full fleet a gang of several whole machines would never find them free together.
  * The machines that can be free soonest are kept for one gang at a time; all of them at once, so
  * that no two gangs hold a part each of what both need, and for a bounded time. */
-void rp_room_gather(struct rp_round *scheduler, const struct rp_round_input *input,
+void rp_room_gather(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                     const struct rp_plan *plan, struct timespec now) {
-    struct candidate *list = calloc(input->in.n_machines + 1, sizeof *list);
+    struct candidate *list = calloc(input->plan_input.n_machines + 1, sizeof *list);
     size_t chosen = gang_to_gather(scheduler, input, plan);
     if (!list)
         return;
-    if (chosen < input->in.n_groups &&
+    if (chosen < input->plan_input.n_groups &&
         soonest(scheduler, input, input->groups[chosen].ref, list, now))
         gather_for(scheduler, input->groups[chosen].ref, list);
     gather_ones(scheduler, input, plan, list, now);
@@ -465,21 +473,22 @@
  * already. */
 static bool movable(const struct rp_allocation *allocation, struct timespec now) {
     const struct rp_job_spec *spec = &allocation->job->spec;
-    bool keeps = spec->kind == RP_SERVICE || (spec->checkpoint_s > 0 && spec->kind == RP_ARRAY);
+    bool keeps =
+        spec->kind == RP_JOB_SERVICE || (spec->checkpoint_s > 0 && spec->kind == RP_JOB_ARRAY);
     return allocation->state == RP_ALLOCATION_SEEN && allocation->task_state == RP_TASK_RUNNING &&
-           !allocation->stop && keeps &&
-           rp_ts_since(now, allocation->running) >
-               (spec->kind == RP_SERVICE ? MOVE_AGAIN_S : START_COUNTS_S);
+           !allocation->stop_requested && keeps &&
+           rp_ts_since(now, allocation->running_since) >
+               (spec->kind == RP_JOB_SERVICE ? MOVE_AGAIN_S : START_COUNTS_S);
 }
 
 /* Until the allocation is free by itself. */
-static double stays_s(const struct rp_round *scheduler, const struct rp_machine *machine,
+static double stays_s(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
                       const struct rp_allocation *allocation, struct timespec now) {
     if (allocation->state == RP_ALLOCATION_EXITED)
         return 0;
-    return allocation->job->spec.kind == RP_SERVICE
+    return allocation->job->spec.kind == RP_JOB_SERVICE
                ? STAYS_S
-               : rp_allocation_left_s(scheduler, machine, allocation, now);
+               : rp_allocation_remaining_s(scheduler, machine, allocation, now);
 }
 
 /* The room of every machine, in the order of the cluster's list, as it is used up by tasks that are
@@ -501,7 +510,7 @@
 
 /* The machine that has to be kept least longer for a task that moves to it; -1 when none has room.
  */
-static double cheapest_move(const struct rp_round *scheduler, const struct rooms *rooms,
+static double cheapest_move(const struct rp_scheduler *scheduler, const struct rooms *rooms,
                             const struct rp_machine *from, const struct rp_allocation *allocation,
                             size_t *where, struct timespec now) {
     double left = stays_s(scheduler, from, allocation, now) + MOVE_S + allocation->job->spec.save_s;
@@ -509,10 +518,10 @@
     size_t at = 0;
     for (const struct rp_machine *other = scheduler->cluster->first; other;
          other = other->next, at++) {
-        if (other == from || rooms->source[at] || !rp_machine_usable(other) ||
-            rp_room_reserved_for(scheduler, other) || rp_machine_idle(other) ||
-            !rp_cluster_allows(scheduler->cluster, &allocation->job->spec, other->type, other->zone,
-                               other->spot) ||
+        if (other == from || rooms->source[at] || !rp_machine_is_usable(other) ||
+            rp_room_reserved_for(scheduler, other) || rp_machine_is_idle(other) ||
+            !rp_cluster_is_allowed(scheduler->cluster, &allocation->job->spec, other->type,
+                                   other->zone, other->spot) ||
             !zone_takes(from, other, allocation->job) ||
             !rp_resources_fit(&allocation->job->spec.each, &rooms->free[at]) ||
             !rp_machine_has_image(other, allocation->job->image_hash))
@@ -520,8 +529,8 @@
         double busy = 0;
         for (size_t k = 0; k < other->n_allocations; k++)
             busy = fmax(busy, stays_s(scheduler, other, &other->allocations[k], now));
-        double more = fmax(0, left - busy) *
-                      rp_fleet_price(rp_round_catalog(scheduler), other->type, other->spot);
+        double more = fmax(0, left - busy) * rp_fleet_hourly_price(rp_scheduler_catalog(scheduler),
+                                                                   other->type, other->spot);
         if (best < 0 || more < best) {
             best = more;
             *where = at;
@@ -532,7 +541,7 @@
 
 /* Takes the room for all tasks of `m` on other machines; returns how much longer these have to be
  * kept for them, in money, or a negative number when there is no room: then none is taken. */
-static double move_price(const struct rp_round *scheduler, struct rooms *rooms,
+static double move_price(const struct rp_scheduler *scheduler, struct rooms *rooms,
                          const struct rp_machine *machine, struct timespec now) {
     double price = 0;
     size_t *to = calloc(machine->n_allocations + 1, sizeof *to), n = 0;
@@ -558,24 +567,25 @@
     return price;
 }
 
-static bool type_wanted(const struct rp_round_input *input, int type) {
-    for (size_t g = 0; g < input->in.n_groups; g++)
+static bool type_wanted(const struct rp_cycle_input *input, int type) {
+    for (size_t g = 0; g < input->plan_input.n_groups; g++)
         if (input->groups[g].types >> type & 1)
             return true;
     return false;
 }
 
 /* What is saved if the machine's tasks go elsewhere; negative when they can't, or needn't. */
-static double drain_saving(const struct rp_round *scheduler, const struct rp_round_input *input,
+static double drain_saving(const struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                            struct rooms *rooms, const struct rp_machine *machine,
                            struct timespec now) {
-    double price = rp_fleet_price(rp_round_catalog(scheduler), machine->type, machine->spot),
+    double price =
+               rp_fleet_hourly_price(rp_scheduler_catalog(scheduler), machine->type, machine->spot),
            busy = 0;
-    if (!rp_machine_usable(machine) || rp_machine_idle(machine) || machine->draining ||
+    if (!rp_machine_is_usable(machine) || rp_machine_is_idle(machine) || machine->draining ||
         type_wanted(input, machine->type) || rp_room_reserved_for(scheduler, machine))
         return -1;
     const struct rp_resources *capacity =
-        &rp_round_catalog(scheduler)->types[machine->type].capacity;
+        &rp_scheduler_catalog(scheduler)->types[machine->type].capacity;
     bool ready = capacity->gpus <= 0 && !machine->spot;
     double replicas = 0;
     for (size_t i = 0; i < machine->n_allocations; i++) {
@@ -584,12 +594,12 @@
         if (!movable(&machine->allocations[i], now))
             return -1;
         busy = fmax(busy, stays_s(scheduler, machine, &machine->allocations[i], now));
-        if (machine->allocations[i].job->spec.kind == RP_SERVICE)
-            replicas += rp_plan_part(&machine->allocations[i].job->spec.each, capacity);
+        if (machine->allocations[i].job->spec.kind == RP_JOB_SERVICE)
+            replicas += rp_plan_share_of_machine(&machine->allocations[i].job->spec.each, capacity);
     }
     /* A move is a moment without the replica, and the machine that it frees costs little. */
     if (replicas > MOVE_PART ||
-        (replicas > 0 && rp_ts_since(now, scheduler->replicas_moved) < MOVE_EVERY_S))
+        (replicas > 0 && rp_ts_since(now, scheduler->replicas_moved_at) < MOVE_EVERY_S))
         return -1;
     if (ready &&
         rooms->ready_cpus - rp_services_ready_cpus_of(scheduler->services, machine) <
@@ -610,13 +620,13 @@
 
 /* The room now, less what the machines being drained already move elsewhere: the room found for one
  * machine's tasks must not be found twice. Returns how many these are. */
-static size_t rooms_fill(const struct rp_round *scheduler, struct rooms *rooms,
+static size_t rooms_fill(const struct rp_scheduler *scheduler, struct rooms *rooms,
                          struct timespec now) {
     size_t at = 0, moving = 0;
     rooms->ready_cpus = rp_services_ready_cpus(scheduler->services);
     for (const struct rp_machine *machine = scheduler->cluster->first; machine;
          machine = machine->next, at++) {
-        rooms->free[at] = rp_machine_free(scheduler->cluster, machine);
+        rooms->free[at] = rp_machine_free_resources(scheduler->cluster, machine);
         rooms->source[at] = machine->draining;
         moving += machine->draining;
     }
@@ -627,8 +637,8 @@
     return moving;
 }
 
-static void drain_one(struct rp_round *scheduler, struct rooms *rooms, struct rp_machine *machine,
-                      size_t at, struct timespec now) {
+static void drain_one(struct rp_scheduler *scheduler, struct rooms *rooms,
+                      struct rp_machine *machine, size_t at, struct timespec now) {
     rp_info("machine %s is emptied: tasks=%zu fit elsewhere", machine->name,
             machine->n_allocations);
     (void)move_price(scheduler, rooms, machine, now);
@@ -640,10 +650,10 @@
         if (machine->allocations[i].state == RP_ALLOCATION_EXITED)
             continue;
         /* Replicas are moved one by one (services.c). */
-        if (spec->kind == RP_SERVICE)
-            scheduler->replicas_moved = now;
+        if (spec->kind == RP_JOB_SERVICE)
+            scheduler->replicas_moved_at = now;
         else
-            rp_allocation_stop(&machine->allocations[i], spec->save_s * 1.2 + 1);
+            rp_allocation_request_stop(&machine->allocations[i], spec->save_s * 1.2 + 1);
     }
 }
 
@@ -651,7 +661,7 @@
  * they fit on machines that are kept anyway, and nothing waits for the room, they are stopped with
  * their progress saved, and the machine goes back: one at a time of a small fleet, more of a large
  * one. */
-void rp_room_drain_machines(struct rp_round *scheduler, const struct rp_round_input *input,
+void rp_room_drain_machines(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                             struct timespec now) {
     struct rooms rooms = {.n = scheduler->cluster->n_machines};
     rooms.free = calloc(rooms.n + 1, sizeof *rooms.free);
--- a/src/scheduler/services.c
+++ b/src/scheduler/services.c
@@ -59,37 +59,40 @@
 /* ---- room that lower work gives ---- */
 
 static bool lower(const struct rp_allocation *allocation, const struct rp_job *job) {
-    return allocation->job->spec.kind == RP_ARRAY &&
+    return allocation->job->spec.kind == RP_JOB_ARRAY &&
            allocation->job->spec.priority < job->spec.priority;
 }
 
 /* Stopped without time to save: it is over by the time when a start that follows is carried out. */
 static bool going(const struct rp_allocation *allocation) {
-    return allocation->state == RP_ALLOCATION_SEEN && allocation->stop && allocation->grace_s <= 0;
+    return allocation->state == RP_ALLOCATION_SEEN && allocation->stop_requested &&
+           allocation->grace_s <= 0;
 }
 
 static bool may_go(const struct rp_allocation *allocation, const struct rp_job *job) {
-    return lower(allocation, job) && !allocation->stop &&
+    return lower(allocation, job) && !allocation->stop_requested &&
            (allocation->state == RP_ALLOCATION_SEEN || allocation->state == RP_ALLOCATION_PLANNED);
 }
 
 /* The work that is lost with it, in seconds. */
 static double worth(const struct rp_allocation *allocation, struct timespec now) {
-    double ran = rp_ts_zero(allocation->running) ? 0 : rp_ts_since(now, allocation->running);
+    double ran =
+        rp_ts_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
     double kept = allocation->job->spec.checkpoint_s;
     return allocation->state == RP_ALLOCATION_PLANNED ? 0 : 1 + (kept > 0 ? fmin(ran, kept) : ran);
 }
 
-static void free_allocation(struct rp_freed *freed, const struct rp_allocation *allocation,
-                            const struct rp_job *job) {
+static void free_allocation(struct rp_released_resources *freed,
+                            const struct rp_allocation *allocation, const struct rp_job *job) {
     rp_resources_add(&freed->room, &allocation->job->spec.each);
     if (allocation->job->team == job->team)
         rp_resources_add(&freed->team, &allocation->job->spec.each);
 }
 
 /* What stops under way on the machine give back before anything that is started there now. */
-static struct rp_freed freed_already(const struct rp_machine *machine, const struct rp_job *job) {
-    struct rp_freed freed = {0};
+static struct rp_released_resources freed_already(const struct rp_machine *machine,
+                                                  const struct rp_job *job) {
+    struct rp_released_resources freed = {0};
     for (size_t i = 0; i < machine->n_allocations; i++)
         if (going(&machine->allocations[i]))
             free_allocation(&freed, &machine->allocations[i], job);
@@ -100,8 +103,8 @@
 
 /* What one more task of the job still lacks on the machine. */
 static enum lack lacking(const struct rp_services *services, const struct rp_machine *machine,
-                         const struct rp_job *job, const struct rp_freed *freed) {
-    struct rp_resources room = rp_machine_free(services->cluster, machine);
+                         const struct rp_job *job, const struct rp_released_resources *freed) {
+    struct rp_resources room = rp_machine_free_resources(services->cluster, machine);
     struct rp_resources over = rp_cluster_over_quota(services->cluster, job);
     rp_resources_add(&room, &freed->room);
     if (!rp_resources_fit(&job->spec.each, &room))
@@ -134,7 +137,7 @@
 /* Seconds of work that are lost if the machine makes room for one task; negative: it can't. */
 static double room_price(const struct rp_services *services, struct rp_machine *machine,
                          const struct rp_job *job, struct timespec now) {
-    struct rp_freed freed = freed_already(machine, job);
+    struct rp_released_resources freed = freed_already(machine, job);
     bool taken[ALLOCATIONS_MAX] = {false};
     enum lack lack = lacking(services, machine, job, &freed);
     double price = 0;
@@ -153,20 +156,21 @@
 }
 
 /* Returns what is given back by the time of the start. */
-static struct rp_freed make_room(struct rp_services *services, struct rp_machine *machine,
-                                 const struct rp_job *job, struct timespec now) {
-    struct rp_freed freed = freed_already(machine, job);
+static struct rp_released_resources make_room(struct rp_services *services,
+                                              struct rp_machine *machine, const struct rp_job *job,
+                                              struct timespec now) {
+    struct rp_released_resources freed = freed_already(machine, job);
     for (enum lack lack; (lack = lacking(services, machine, job, &freed)) != LACK_NOTHING;) {
         struct rp_allocation *allocation = cheapest(machine, job, lack, NULL, now);
         if (!allocation)
             break;
         services->n_made_room++;
         if (allocation->state == RP_ALLOCATION_PLANNED) {
-            rp_allocation_drop(services->cluster, machine,
-                               (size_t)(allocation - machine->allocations));
+            rp_allocation_remove(services->cluster, machine,
+                                 (size_t)(allocation - machine->allocations));
             continue; /* its room is free, and its team's part, as counted anew */
         }
-        rp_allocation_stop(allocation, 0);
+        rp_allocation_request_stop(allocation, 0);
         free_allocation(&freed, allocation, job);
     }
     return freed;
@@ -189,7 +193,7 @@
             continue;
         uint64_t hash = allocation->job->image_hash;
         if (hash == job->image_hash)
-            return fmax(FETCH_LEFT_S, own - rp_ts_since(now, allocation->since));
+            return fmax(FETCH_LEFT_S, own - rp_ts_since(now, allocation->planned_at));
         bool known = rp_machine_has_image(machine, hash);
         for (size_t k = 0; k < n; k++)
             known |= others[k] == hash;
@@ -201,13 +205,13 @@
 
 static bool fresh(const struct rp_services *services, const struct rp_machine *machine,
                   struct timespec now) {
-    return !machine->unreached && rp_ts_since(now, machine->last_heard) <
-                                      1.25 * services->settings->report_s + SILENT_SLACK_S;
+    return !machine->unreachable && rp_ts_since(now, machine->last_heard) <
+                                        1.25 * services->settings->report_s + SILENT_SLACK_S;
 }
 
 /* Its room is kept for a gang. */
 static bool kept(const struct rp_machine *machine, struct timespec now) {
-    return *machine->reserved && !rp_ts_reached(now, machine->reserved_until);
+    return *machine->reserved_for && !rp_ts_reached(now, machine->reserved_until);
 }
 
 /* How many more of the job's replicas the zone would have than an even part of them. */
@@ -219,10 +223,10 @@
 /* What speaks against the machine, in seconds; negative: it can't take the task. */
 static double price_of(const struct rp_services *services, struct rp_machine *machine,
                        const struct rp_job *job, struct timespec now) {
-    if (!rp_machine_usable(machine) || machine->draining || kept(machine, now) ||
+    if (!rp_machine_is_usable(machine) || machine->draining || kept(machine, now) ||
         !fresh(services, machine, now) ||
-        !rp_cluster_allows(services->cluster, &job->spec, machine->type, machine->zone,
-                           machine->spot))
+        !rp_cluster_is_allowed(services->cluster, &job->spec, machine->type, machine->zone,
+                               machine->spot))
         return -1;
     double lost = room_price(services, machine, job, now);
     if (lost < 0)
@@ -236,27 +240,28 @@
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state == RP_ALLOCATION_EXITED)
             continue;
-        serves |= allocation->job->spec.kind == RP_SERVICE;
+        serves |= allocation->job->spec.kind == RP_JOB_SERVICE;
         same += allocation->job == job && same < SAME_MOST;
     }
     price += same * SAME_MACHINE_S + zone_excess(services, job, machine->zone) * SAME_ZONE_S;
-    for (unsigned i = 0; i < job->n_error_on; i++)
-        price += strcmp(job->error_on[i], machine->name) == 0 ? FAILED_HERE_S : 0;
-    price += rp_workers_direct_full(machine) ? NEXT_REPORT_S : 0;
-    price += ERROR_S * machine->errors_row + (machine->spot ? SPOT_S : 0) + (gpus ? GPU_S : 0);
+    for (unsigned i = 0; i < job->n_failed_machines; i++)
+        price += strcmp(job->failed_machines[i], machine->name) == 0 ? FAILED_HERE_S : 0;
+    price += rp_workers_is_direct_full(machine) ? NEXT_REPORT_S : 0;
+    price +=
+        ERROR_S * machine->consecutive_errors + (machine->spot ? SPOT_S : 0) + (gpus ? GPU_S : 0);
     return price + (serves ? 0 : KEPT_S);
 }
 
 /* The machine on which the task, which is on none, runs soonest; NULL: on none. */
 static struct rp_machine *best_for(const struct rp_services *services, const struct rp_job *job,
                                    uint32_t task, struct timespec now) {
-    static const struct rp_freed all = {{1e12, 1e12, 1e12}, {1e12, 1e12, 1e12}};
+    static const struct rp_released_resources all = {{1e12, 1e12, 1e12}, {1e12, 1e12, 1e12}};
     struct rp_machine *best = NULL;
     double best_price = 0;
     for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next) {
         double price = price_of(services, machine, job, now);
         if (price < 0 || (best && price >= best_price) ||
-            !rp_cluster_may_start_over(services->cluster, job, task, machine, &all))
+            !rp_cluster_may_start_after_release(services->cluster, job, task, machine, &all))
             continue;
         best = machine;
         best_price = price;
@@ -269,11 +274,11 @@
     struct rp_machine *best = best_for(services, job, task, now);
     if (!best)
         return false;
-    struct rp_freed freed = make_room(services, best, job, now);
-    if (!rp_cluster_may_start_over(services->cluster, job, task, best, &freed))
+    struct rp_released_resources freed = make_room(services, best, job, now);
+    if (!rp_cluster_may_start_after_release(services->cluster, job, task, best, &freed))
         return false;
-    rp_allocation_add(services->cluster, best, job, task, rp_cluster_attempt(services->cluster),
-                      RP_ALLOCATION_PLANNED);
+    rp_allocation_add(services->cluster, best, job, task,
+                      rp_cluster_next_attempt(services->cluster), RP_ALLOCATION_PLANNED);
     services->n_placed++;
     return true;
 }
@@ -289,14 +294,14 @@
 static struct rp_resources quota_lack(const struct rp_services *services,
                                       const struct rp_job *job) {
     struct rp_resources over = rp_cluster_over_quota(services->cluster, job);
-    double more = job->spec.n_tasks - job->n_counted - 1.0;
+    double more = job->spec.n_tasks - job->n_allocated - 1.0;
     over.cpus += more * job->spec.each.cpus;
     over.gpus += more * job->spec.each.gpus;
     for (const struct rp_machine *machine = services->cluster->first; machine;
          machine = machine->next)
         for (size_t i = 0; i < machine->n_allocations; i++) {
             const struct rp_allocation *allocation = &machine->allocations[i];
-            if (allocation->state == RP_ALLOCATION_EXITED || !allocation->stop ||
+            if (allocation->state == RP_ALLOCATION_EXITED || !allocation->stop_requested ||
                 allocation->job->team != job->team)
                 continue;
             over.cpus -= allocation->job->spec.each.cpus;
@@ -328,9 +333,9 @@
         over.gpus -= spec->each.gpus;
         services->n_made_room++;
         if (best->state == RP_ALLOCATION_PLANNED)
-            rp_allocation_drop(services->cluster, from, (size_t)(best - from->allocations));
+            rp_allocation_remove(services->cluster, from, (size_t)(best - from->allocations));
         else
-            rp_allocation_stop(best, spec->checkpoint_s > 0 ? spec->save_s * 1.2 + 1 : 0);
+            rp_allocation_request_stop(best, spec->checkpoint_s > 0 ? spec->save_s * 1.2 + 1 : 0);
     }
 }
 
@@ -370,13 +375,14 @@
         return 0;
     if (machine->state == RP_MACHINE_BOOTING)
         return services->catalog->types[machine->type].capacity.cpus;
-    if (!rp_machine_usable(machine))
+    if (!rp_machine_is_usable(machine))
         return 0;
-    double room = rp_machine_free(services->cluster, machine).cpus;
+    double room = rp_machine_free_resources(services->cluster, machine).cpus;
     for (size_t i = 0; i < machine->n_allocations; i++) {
         const struct rp_allocation *allocation = &machine->allocations[i];
-        if (allocation->state != RP_ALLOCATION_EXITED && allocation->job->spec.kind == RP_ARRAY &&
-            allocation->job->spec.priority < RP_PRODUCTION)
+        if (allocation->state != RP_ALLOCATION_EXITED &&
+            allocation->job->spec.kind == RP_JOB_ARRAY &&
+            allocation->job->spec.priority < RP_PRIORITY_CRITICAL)
             room += allocation->job->spec.each.cpus;
     }
     return fmax(0, room);
@@ -395,25 +401,25 @@
 /* A replica to be started, or one to be stopped, so that it starts elsewhere, that wasn't told yet.
  */
 static bool to_send(const struct rp_allocation *allocation) {
-    return allocation->job->spec.kind == RP_SERVICE &&
+    return allocation->job->spec.kind == RP_JOB_SERVICE &&
            (allocation->state == RP_ALLOCATION_PLANNED ||
-            (going(allocation) && rp_ts_zero(allocation->stop_sent)));
+            (going(allocation) && rp_ts_zero(allocation->stop_sent_at)));
 }
 
 void rp_services_send(struct rp_services *services) {
     for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next)
         for (size_t i = 0; i < machine->n_allocations; i++)
             if (to_send(&machine->allocations[i])) {
-                rp_workers_direct(services->workers, machine);
+                rp_workers_send_direct(services->workers, machine);
                 break;
             }
 }
 
 static void place_job(struct rp_services *services, struct rp_job *job, struct timespec now) {
-    if (!rp_cluster_job_settled(services->cluster, job))
+    if (!rp_cluster_is_job_reconciled(services->cluster, job))
         return;
     for (uint32_t task = 0; task < job->spec.n_tasks; task++)
-        if (rp_job_allocations(job, task) == 0 && !place_task(services, job, task, now)) {
+        if (rp_job_n_task_allocations(job, task) == 0 && !place_task(services, job, task, now)) {
             if (services->settings->tuning.preemption)
                 free_quota(services, job, now);
             return;
@@ -423,15 +429,15 @@
 void rp_services_run(struct rp_services *services) {
     struct timespec now = rp_loop_now(services->loop);
     uint64_t newest = services->counted;
-    if (services->jobs->n_services == 0 || !rp_jobs_may_start(services->jobs))
+    if (services->jobs->n_services == 0 || !rp_jobs_may_start_tasks(services->jobs))
         return;
     for (struct rp_job *job = services->jobs->first; job; job = job->next) {
-        if (job->spec.kind != RP_SERVICE || job->state != RP_JOB_OPEN)
+        if (job->spec.kind != RP_JOB_SERVICE || job->state != RP_JOB_OPEN)
             continue;
-        if (job->created > services->counted)
+        if (job->accepted_revision > services->counted)
             note_arrival(services, job, now);
-        newest = job->created > newest ? job->created : newest;
-        if (job->n_counted < job->spec.n_tasks && rp_ts_reached(now, job->held_until))
+        newest = job->accepted_revision > newest ? job->accepted_revision : newest;
+        if (job->n_allocated < job->spec.n_tasks && rp_ts_reached(now, job->start_backoff_until))
             place_job(services, job, now);
     }
     services->counted = newest;
@@ -443,7 +449,7 @@
 static bool holds_replicas(const struct rp_machine *machine) {
     for (size_t i = 0; i < machine->n_allocations; i++)
         if (machine->allocations[i].state != RP_ALLOCATION_EXITED &&
-            machine->allocations[i].job->spec.kind == RP_SERVICE)
+            machine->allocations[i].job->spec.kind == RP_JOB_SERVICE)
             return true;
     return false;
 }
@@ -451,13 +457,13 @@
 /* Whether some replica is missing, being stopped, or not running yet. */
 static bool any_unsteady(const struct rp_services *services) {
     for (const struct rp_job *job = services->jobs->first; job; job = job->next)
-        if (job->spec.kind == RP_SERVICE && job->state == RP_JOB_OPEN &&
+        if (job->spec.kind == RP_JOB_SERVICE && job->state == RP_JOB_OPEN &&
             job->n_running < job->spec.n_tasks)
             return true;
     for (const struct rp_machine *machine = services->cluster->first; machine;
          machine = machine->next)
         for (size_t i = 0; i < machine->n_allocations; i++)
-            if (machine->allocations[i].job->spec.kind == RP_SERVICE &&
+            if (machine->allocations[i].job->spec.kind == RP_JOB_SERVICE &&
                 going(&machine->allocations[i]))
                 return true;
     return false;
@@ -486,11 +492,11 @@
 static void drain(struct rp_services *services, struct rp_machine *machine, struct timespec now) {
     for (size_t i = 0; i < machine->n_allocations; i++) {
         struct rp_allocation *allocation = &machine->allocations[i];
-        if (allocation->state != RP_ALLOCATION_SEEN || allocation->stop ||
-            allocation->job->spec.kind != RP_SERVICE)
+        if (allocation->state != RP_ALLOCATION_SEEN || allocation->stop_requested ||
+            allocation->job->spec.kind != RP_JOB_SERVICE)
             continue;
         if (could_go(services, machine, allocation, now)) {
-            rp_allocation_stop(allocation, 0);
+            rp_allocation_request_stop(allocation, 0);
             services->n_moved++;
         } else {
             machine->draining = false; /* it stays */
@@ -503,7 +509,7 @@
     if (any_unsteady(services))
         return;
     for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next)
-        if (machine->state == RP_MACHINE_UP && (machine->draining || machine->faulty) &&
+        if (machine->state == RP_MACHINE_UP && (machine->draining || machine->quarantined) &&
             holds_replicas(machine)) {
             drain(services, machine, now);
             return;
@@ -521,7 +527,8 @@
     uint32_t zones = 0;
     for (const struct rp_machine *machine = services->cluster->first; machine;
          machine = machine->next) {
-        if (machine->session == 0 || machine->zone < 0 || machine->state == RP_MACHINE_RETURNING)
+        if (machine->incarnation == 0 || machine->zone < 0 ||
+            machine->state == RP_MACHINE_RELEASING)
             continue;
         known[machine->zone]++;
         silent[machine->zone] += !fresh(services, machine, now);
@@ -550,9 +557,9 @@
     }
     bool cut = machine->zone >= 0 && (doubt >> machine->zone & 1);
     if (machine->probes_failed >= PROBES && !cut &&
-        !rp_fleet_zone_out(services->fleet, machine->zone) &&
+        !rp_fleet_is_zone_silent(services->fleet, machine->zone) &&
         rp_ts_since(now, services->fleet->led_since) > services->settings->report_s * 1.25 + LED_S)
-        rp_fleet_return(services->fleet, machine, "silent, and replicas wait for it");
+        rp_fleet_scale_in(services->fleet, machine, "silent, and replicas wait for it");
     else
         rp_workers_probe(services->workers, machine);
 }
@@ -566,7 +573,7 @@
          machine = machine->next)
         for (size_t i = 0; i < machine->n_allocations; i++)
             kept += machine->allocations[i].state == RP_ALLOCATION_EXITED &&
-                    machine->allocations[i].direct;
+                    machine->allocations[i].started_directly;
     return kept > KEPT_LEAST && kept > KEPT_EACH * services->cluster->n_machines;
 }
 
@@ -574,7 +581,7 @@
     struct rp_services *services = arg;
     struct timespec now = rp_loop_now(services->loop);
     rp_timer_set(services->loop, &services->watch, WATCH_S);
-    if (services->jobs->n_services == 0 || !rp_election_valid(services->workers->election, now))
+    if (services->jobs->n_services == 0 || !rp_election_is_valid(services->workers->election, now))
         return;
     if (much_to_forget(services)) {
         rp_info("many ended attempts are kept known: another term lets workers forget them");
--- a/src/standby/change_log.c
+++ b/src/standby/change_log.c
@@ -40,17 +40,17 @@
 }
 
 static bool is_gone(const struct rp_change_log *log, uint64_t index) {
-    return log->ring[index % RP_CHANGES_KEPT].kind == RP_CHANGE_MACHINE_GONE;
+    return log->ring[index % RP_CHANGES_KEPT].kind == RP_CHANGE_MACHINE_TERMINATED;
 }
 
-size_t rp_change_log_n_gone(const struct rp_change_log *log) {
+size_t rp_change_log_n_terminated(const struct rp_change_log *log) {
     size_t n = 0;
     for (uint64_t i = first_kept(log); i <= log->index; i++)
         n += is_gone(log, i);
     return n;
 }
 
-void rp_change_log_gone(const struct rp_change_log *log, struct rp_change *out) {
+void rp_change_log_terminated(const struct rp_change_log *log, struct rp_change *out) {
     for (uint64_t i = first_kept(log); i <= log->index; i++)
         if (is_gone(log, i))
             *out++ = log->ring[i % RP_CHANGES_KEPT];
--- a/src/standby/change_log.h
+++ b/src/standby/change_log.h
@@ -24,8 +24,8 @@
                          struct rp_stream_message *out);
 /* How many of the kept changes tell that a machine is gone, and these into `out`, which has room
  * for them. A snapshot carries them as well: the machines' records may not be written yet. */
-size_t rp_change_log_n_gone(const struct rp_change_log *log);
-void rp_change_log_gone(const struct rp_change_log *log, struct rp_change *out);
+size_t rp_change_log_n_terminated(const struct rp_change_log *log);
+void rp_change_log_terminated(const struct rp_change_log *log, struct rp_change *out);
 void rp_change_log_free(struct rp_change_log *log);
 
 #endif
