--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -54,30 +54,30 @@
 }
 
 /* The one place where it changes its state. */
-static void set_state(struct rp_standby *standby, enum rp_standby_state at) {
+static void set_state(struct rp_standby *standby, enum rp_standby_state state) {
     static const char *const names[RP_STANDBY_STATES] = {
         "off", "following", "suspecting", "claiming", "fencing", "verifying", "leading"};
     struct timespec now = rp_loop_now(standby->loop);
-    enum rp_standby_state was = standby->at;
-    if (was == at)
+    enum rp_standby_state was = standby->state;
+    if (was == state)
         return;
-    rp_debug("standby: %s -> %s, leader=%s silent=%.2fs", names[was], names[at], standby->leader,
+    rp_debug("standby: %s -> %s, leader=%s silent=%.2fs", names[was], names[state], standby->leader,
              standby->silent_s);
     bool taking_over = was >= RP_STANDBY_CLAIMING && was < RP_STANDBY_LEADING;
     if (was >= RP_STANDBY_SUSPECTING && was < RP_STANDBY_LEADING)
         standby->last_stage_s[was] = rp_ts_since(now, standby->entered[was]);
-    if (was == RP_STANDBY_SUSPECTING && at == RP_STANDBY_FOLLOWING)
+    if (was == RP_STANDBY_SUSPECTING && state == RP_STANDBY_FOLLOWING)
         standby->n_withdrawn++;
-    if (taking_over && at == RP_STANDBY_FOLLOWING)
+    if (taking_over && state == RP_STANDBY_FOLLOWING)
         rp_info("takeover from %s not completed", standby->leader);
-    standby->at = at;
-    standby->entered[at] = now;
-    if (at == RP_STANDBY_SUSPECTING) {
+    standby->state = state;
+    standby->entered[state] = now;
+    if (state == RP_STANDBY_SUSPECTING) {
         memset(standby->last_stage_s, 0, sizeof standby->last_stage_s);
         standby->suspected_at = rp_ts_sub(now, rp_ts(standby->silent_s));
         rp_info("leader %s has been silent for %.2fs", standby->leader, standby->silent_s);
     }
-    if (at == RP_STANDBY_LEADING && taking_over) {
+    if (state == RP_STANDBY_LEADING && taking_over) {
         standby->n_takeovers++;
         standby->last_takeover_s = rp_ts_since(now, standby->suspected_at);
         rp_info("took over from %s in %.2fs", standby->leader, standby->last_takeover_s);
@@ -88,9 +88,9 @@
 
 /* What a standby has to know of the machine as it is now. */
 static struct rp_change change_of(const struct rp_machine *machine) {
-    struct rp_change change = {.kind = RP_CHANGE_MACHINE_UP, .session = machine->session};
-    if (machine->state == RP_MACHINE_RETURNING)
-        change.kind = RP_CHANGE_MACHINE_RETURNING;
+    struct rp_change change = {.kind = RP_CHANGE_MACHINE_UP, .incarnation = machine->incarnation};
+    if (machine->state == RP_MACHINE_RELEASING)
+        change.kind = RP_CHANGE_MACHINE_RELEASING;
     strcpy(change.machine, machine->name);
     strcpy(change.addr, machine->addr);
     return change;
@@ -102,21 +102,21 @@
     if (!standby->settings->tuning.standby)
         return;
     if (gone)
-        change.kind = RP_CHANGE_MACHINE_GONE;
+        change.kind = RP_CHANGE_MACHINE_TERMINATED;
     rp_change_log_add(&standby->log, &change);
 }
 
 static void snapshot(const struct rp_standby *standby, struct rp_stream_message *out) {
     const struct rp_cluster *cluster = standby->cluster;
-    size_t n_gone = rp_change_log_n_gone(&standby->log);
+    size_t n_gone = rp_change_log_n_terminated(&standby->log);
     out->changes = calloc(cluster->n_machines + n_gone + 1, sizeof *out->changes);
     if (!out->changes)
         abort(); /* out of memory: a restart is the honest answer */
-    rp_change_log_gone(&standby->log, out->changes);
+    rp_change_log_terminated(&standby->log, out->changes);
     out->n_changes = n_gone;
     for (const struct rp_machine *machine = cluster->first; machine; machine = machine->next) {
-        bool reachable = *machine->addr && machine->session > 0;
-        if (reachable || machine->state == RP_MACHINE_RETURNING)
+        bool reachable = *machine->addr && machine->incarnation > 0;
+        if (reachable || machine->state == RP_MACHINE_RELEASING)
             out->changes[out->n_changes++] = change_of(machine);
     }
     out->term = standby->log.term;
@@ -138,7 +138,7 @@
     struct rp_stream_message message = {.silent_s = standby->silent_s};
     uint64_t term, index;
     read_target(target, &term, &index);
-    bool leads = standby->election->at == RP_HOLDING && standby->log.term > 0;
+    bool leads = standby->election->state == RP_ELECTION_HOLDING_KEY && standby->log.term > 0;
     if (!leads)
         snprintf(message.leader, sizeof message.leader, "%s", standby->leader);
     else if (term != standby->log.term || !rp_change_log_since(&standby->log, index, &message)) {
@@ -175,15 +175,16 @@
 static void take(struct rp_standby *standby, const struct rp_stream_message *message) {
     if (message->term == 0)
         return;
-    switch (rp_replica_apply(&standby->replica, message)) {
-    case RP_REPLICA_APPLIED:
+    switch (rp_machine_directory_apply(&standby->directory, message)) {
+    case RP_DIRECTORY_APPLIED:
         break;
-    case RP_REPLICA_OLD_TERM:
+    case RP_DIRECTORY_OLD_TERM:
         standby->n_old_terms++;
         break;
-    case RP_REPLICA_GAP:
+    case RP_DIRECTORY_GAP:
         standby->n_gaps++;
-        rp_replica_clear(&standby->replica); /* so that the next question is for a snapshot */
+        rp_machine_directory_clear(
+            &standby->directory); /* so that the next question is for a snapshot */
         break;
     }
 }
@@ -192,11 +193,11 @@
 static void leader_answered(void *arg, const struct rp_answer *answer) {
     struct rp_standby *standby = arg;
     struct rp_stream_message message = {0};
-    if (answer->status == 0 || standby->at > RP_STANDBY_SUSPECTING)
+    if (answer->status == 0 || standby->state > RP_STANDBY_SUSPECTING)
         return;
     standby->silent_s = 0;
     rp_election_note_answer(standby->election, true);
-    if (standby->at == RP_STANDBY_SUSPECTING)
+    if (standby->state == RP_STANDBY_SUSPECTING)
         set_state(standby, RP_STANDBY_FOLLOWING);
     if (read_answer(standby, answer, &message)) {
         take(standby, &message);
@@ -211,7 +212,8 @@
         return;
     standby->asked = now;
     snprintf(target, sizeof target, "%s?term=%llu&index=%llu", RP_PATH_STREAM,
-             (unsigned long long)standby->replica.term, (unsigned long long)standby->replica.index);
+             (unsigned long long)standby->directory.term,
+             (unsigned long long)standby->directory.index);
     standby->net.call(standby->net.ctx, leader->addr, "GET", target, NULL, ASK_WAIT_S,
                       leader_answered, standby);
 }
@@ -290,11 +292,11 @@
     double verdict_s =
         standby->settings->tuning.suspect_after_s + RANK_S * (double)rank_of(standby);
     /* A node that has just begun doesn't know the machines yet: another one does it sooner. */
-    if (standby->replica.term != standby->election->seen_version)
+    if (standby->directory.term != standby->election->seen_version)
         verdict_s += NO_REPLICA_S;
     return standby->silent_s >= verdict_s && others_agree(standby, now) &&
-           rp_state_failing_s(standby->election->state) <= 0 &&
-           rp_ts_since(now, standby->election->looked_at) < LOOK_FRESH_S;
+           rp_kv_failing_s(standby->election->store) <= 0 &&
+           rp_ts_since(now, standby->election->leader_seen_at) < LOOK_FRESH_S;
 }
 
 static void suspect(struct rp_standby *standby, struct timespec now) {
@@ -305,7 +307,7 @@
         note_away(standby, now);
         return;
     }
-    if (standby->at == RP_STANDBY_FOLLOWING) {
+    if (standby->state == RP_STANDBY_FOLLOWING) {
         standby->heard_by_another = standby->missed_by_another = (struct timespec){0};
         set_state(standby, RP_STANDBY_SUSPECTING);
         /* Reports wait here from now on rather than being sent to it. */
@@ -314,7 +316,7 @@
     ask_peers(standby, now, PEERS_ASK_S);
     if (!may_take_over(standby, now))
         return;
-    if (rp_election_depose(standby->election))
+    if (rp_election_fence_leader(standby->election))
         set_state(standby, RP_STANDBY_CLAIMING);
     else
         standby->silent_s -= RETRY_S;
@@ -337,12 +339,12 @@
 
 /* What the election does, in the words of a takeover. */
 static void claim(struct rp_standby *standby) {
-    switch (standby->election->at) {
-    case RP_FOLLOWING:
+    switch (standby->election->state) {
+    case RP_ELECTION_FOLLOWING:
         standby->silent_s -= RETRY_S;
         set_state(standby, RP_STANDBY_FOLLOWING);
         break;
-    case RP_DEPOSING:
+    case RP_ELECTION_OVERWRITING_KEY:
         break;
     default:
         set_state(standby, RP_STANDBY_FENCING);
@@ -354,12 +356,12 @@
     struct rp_standby *standby = arg;
     struct timespec now = rp_loop_now(standby->loop);
     rp_timer_set(standby->loop, &standby->timer, TICK_S);
-    if (standby->at == RP_STANDBY_OFF && standby->election->fenced_terms)
+    if (standby->state == RP_STANDBY_OFF && standby->election->fenced_terms)
         set_state(standby, RP_STANDBY_FOLLOWING);
-    switch (standby->at) {
+    switch (standby->state) {
     case RP_STANDBY_FOLLOWING:
     case RP_STANDBY_SUSPECTING:
-        if (standby->election->at == RP_FOLLOWING)
+        if (standby->election->state == RP_ELECTION_FOLLOWING)
             follow(standby, now);
         break;
     case RP_STANDBY_CLAIMING:
@@ -390,11 +392,12 @@
     while (standby->n_fencing < FENCE_WINDOW && standby->next_to_fence < standby->n_to_fence) {
         const char *name = standby->to_fence[standby->next_to_fence++];
         struct rp_machine *machine = rp_machine_find(standby->cluster, name);
-        const struct rp_replica_machine *known = rp_replica_find(&standby->replica, name);
-        if (!machine || !known || !*known->addr || machine->state != RP_MACHINE_UNKNOWN)
+        const struct rp_directory_machine *known =
+            rp_machine_directory_find(&standby->directory, name);
+        if (!machine || !known || !*known->addr || machine->state != RP_MACHINE_UNRECONCILED)
             continue;
         standby->n_fencing++;
-        rp_workers_fence(standby->workers, machine, known->addr, known->session, machine_fenced,
+        rp_workers_fence(standby->workers, machine, known->addr, known->incarnation, machine_fenced,
                          standby);
     }
 }
@@ -408,7 +411,7 @@
     if (!standby->to_fence)
         return; /* their reports do the same, later */
     for (const struct rp_machine *machine = cluster->first; machine; machine = machine->next)
-        if (machine->state == RP_MACHINE_UNKNOWN &&
+        if (machine->state == RP_MACHINE_UNRECONCILED &&
             (answered_too || rp_ts_zero(machine->first_answer)))
             strcpy(standby->to_fence[standby->n_to_fence++], machine->name);
 }
@@ -417,21 +420,22 @@
  * else would tell for seconds that it is gone: the cloud's answer to the same request does. */
 static void return_again(struct rp_standby *standby) {
     for (struct rp_machine *machine = standby->cluster->first; machine; machine = machine->next) {
-        const struct rp_replica_machine *known = rp_replica_find(&standby->replica, machine->name);
-        if ((known && known->returning) ||
-            rp_gone_machines_has(&standby->replica.gone, machine->name))
-            rp_fleet_return(standby->workers->fleet, machine, "the leader before gave it back");
+        const struct rp_directory_machine *known =
+            rp_machine_directory_find(&standby->directory, machine->name);
+        if ((known && known->releasing) ||
+            rp_tombstones_has(&standby->directory.tombstones, machine->name))
+            rp_fleet_scale_in(standby->workers->fleet, machine, "the leader before gave it back");
     }
 }
 
 static void fence_due(void *arg) {
     struct rp_standby *standby = arg;
-    if (standby->at != RP_STANDBY_LEADING)
+    if (standby->state != RP_STANDBY_LEADING)
         return;
     list_to_fence(standby, standby->second_pass);
     rp_debug("showing this term's token: machines=%zu, in the replica=%zu of term=%llu",
-             standby->n_to_fence, standby->replica.n_machines,
-             (unsigned long long)standby->replica.term);
+             standby->n_to_fence, standby->directory.n_machines,
+             (unsigned long long)standby->directory.term);
     fence_some(standby);
     if (!standby->second_pass)
         rp_timer_set(standby->loop, &standby->fence_timer, SECOND_PASS_S);
@@ -451,7 +455,7 @@
     rp_timer_cancel(standby->loop, &standby->fence_timer);
     standby->cluster->on_machine = NULL;
     rp_change_log_free(&standby->log);
-    rp_replica_free(&standby->replica);
+    rp_machine_directory_free(&standby->directory);
     free(standby->to_fence);
     standby->to_fence = NULL;
     free(standby->peers);
@@ -459,17 +463,17 @@
 }
 
 void rp_standby_elected(struct rp_standby *standby) {
-    rp_change_log_begin(&standby->log, standby->election->token);
-    if (standby->at == RP_STANDBY_OFF)
+    rp_change_log_begin(&standby->log, standby->election->fencing_token);
+    if (standby->state == RP_STANDBY_OFF)
         return;
-    if (standby->at == RP_STANDBY_CLAIMING)
+    if (standby->state == RP_STANDBY_CLAIMING)
         set_state(standby, RP_STANDBY_FENCING);
     set_state(standby,
-              standby->at == RP_STANDBY_FENCING ? RP_STANDBY_VERIFYING : RP_STANDBY_FOLLOWING);
+              standby->state == RP_STANDBY_FENCING ? RP_STANDBY_VERIFYING : RP_STANDBY_FOLLOWING);
 }
 
 void rp_standby_lead(struct rp_standby *standby) {
-    if (standby->at == RP_STANDBY_OFF)
+    if (standby->state == RP_STANDBY_OFF)
         return;
     set_state(standby, RP_STANDBY_LEADING);
     standby->n_fenced = standby->n_unfenced = 0;
@@ -486,7 +490,7 @@
     standby->workers->direct_left = 0;
     standby->leader[0] = '\0';
     standby->silent_s = 0;
-    if (standby->at != RP_STANDBY_OFF)
+    if (standby->state != RP_STANDBY_OFF)
         set_state(standby, RP_STANDBY_FOLLOWING);
 }
 
@@ -497,12 +501,13 @@
     unsigned long refused = 0;
     for (int i = 0; i < RP_STREAM_FAULTS; i++)
         refused += standby->n_refused[i];
-    bool leads = standby->at == RP_STANDBY_LEADING;
+    bool leads = standby->state == RP_STANDBY_LEADING;
     return json_pack(
         "{s:s,s:I,s:I,s:I,s:f,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:I,s:{s:f,s:f,s:f,s:f,s:f}}", "state",
-        names[standby->at], "term", (json_int_t)(leads ? standby->log.term : standby->replica.term),
-        "index", (json_int_t)(leads ? standby->log.index : standby->replica.index), "machines",
-        (json_int_t)(leads ? standby->cluster->n_machines : standby->replica.n_machines),
+        names[standby->state], "term",
+        (json_int_t)(leads ? standby->log.term : standby->directory.term), "index",
+        (json_int_t)(leads ? standby->log.index : standby->directory.index), "machines",
+        (json_int_t)(leads ? standby->cluster->n_machines : standby->directory.n_machines),
         "silent_s", standby->silent_s, "takeovers", (json_int_t)standby->n_takeovers, "withdrawn",
         (json_int_t)standby->n_withdrawn, "snapshots_sent", (json_int_t)standby->n_snapshots,
         "messages_refused", (json_int_t)refused, "old_terms", (json_int_t)standby->n_old_terms,
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -41,9 +41,9 @@
     struct rp_cluster *cluster;
     struct rp_workers *workers;
     const struct rp_settings *settings;
-    enum rp_standby_state at;
-    struct rp_change_log log;  /* while this node leads */
-    struct rp_replica replica; /* while another one does */
+    enum rp_standby_state state;
+    struct rp_change_log log;              /* while this node leads */
+    struct rp_machine_directory directory; /* while another one does */
     struct rp_timer timer, fence_timer;
     struct timespec ticked;
     char leader[RP_TEXT_MAX]; /* whose silence is counted */
--- a/src/standby/stream_message.c
+++ b/src/standby/stream_message.c
@@ -31,8 +31,8 @@
 static json_t *change_json(const struct rp_change *change) {
     switch (change->kind) {
     case RP_CHANGE_MACHINE_UP:
-        return json_pack("[s,s,I]", change->machine, change->addr, (json_int_t)change->session);
-    case RP_CHANGE_MACHINE_RETURNING:
+        return json_pack("[s,s,I]", change->machine, change->addr, (json_int_t)change->incarnation);
+    case RP_CHANGE_MACHINE_RELEASING:
         return json_pack("[s,s]", change->machine, RETURNING);
     default:
         return json_pack("[s]", change->machine);
@@ -116,8 +116,8 @@
 
 static bool read_change(const json_t *object, struct rp_change *out,
                         struct rp_stream_error *error) {
-    static const enum rp_change_kind kinds[] = {RP_CHANGE_MACHINE_GONE, RP_CHANGE_MACHINE_RETURNING,
-                                                RP_CHANGE_MACHINE_UP};
+    static const enum rp_change_kind kinds[] = {RP_CHANGE_MACHINE_TERMINATED,
+                                                RP_CHANGE_MACHINE_RELEASING, RP_CHANGE_MACHINE_UP};
     size_t n = json_array_size(object);
     memset(out, 0, sizeof *out);
     if (n < 1 || n > sizeof kinds / sizeof kinds[0])
@@ -125,9 +125,9 @@
     out->kind = kinds[n - 1];
     if (!read_text(json_array_get(object, 0), out->machine, sizeof out->machine) || !*out->machine)
         return fail(error, RP_STREAM_BAD_FIELD, "machine");
-    if (out->kind == RP_CHANGE_MACHINE_GONE)
+    if (out->kind == RP_CHANGE_MACHINE_TERMINATED)
         return true;
-    if (out->kind == RP_CHANGE_MACHINE_RETURNING) {
+    if (out->kind == RP_CHANGE_MACHINE_RELEASING) {
         const char *word = json_string_value(json_array_get(object, 1));
         return (word && strcmp(word, RETURNING) == 0) ||
                fail(error, RP_STREAM_BAD_FIELD, "returning");
@@ -137,7 +137,7 @@
     const json_t *session = json_array_get(object, 2);
     if (!json_is_integer(session) || json_integer_value(session) < 1)
         return fail(error, RP_STREAM_BAD_FIELD, "session");
-    out->session = (uint64_t)json_integer_value(session);
+    out->incarnation = (uint64_t)json_integer_value(session);
     return true;
 }
 
--- a/src/standby/stream_message.h
+++ b/src/standby/stream_message.h
@@ -17,15 +17,15 @@
 
 enum rp_change_kind {
     RP_CHANGE_MACHINE_UP,        /* it reports: its address and session are known */
-    RP_CHANGE_MACHINE_RETURNING, /* the cloud is being told to take it back */
-    RP_CHANGE_MACHINE_GONE       /* it is certainly gone */
+    RP_CHANGE_MACHINE_RELEASING, /* the cloud is being told to take it back */
+    RP_CHANGE_MACHINE_TERMINATED /* it is certainly gone */
 };
 
 struct rp_change {
     enum rp_change_kind kind;
     char machine[RP_TEXT_MAX];
     char addr[RP_TEXT_MAX]; /* of a machine that is up */
-    uint64_t session;       /* the same */
+    uint64_t incarnation;   /* the same */
 };
 
 /* What a node answers to one that asks for the stream. */
--- a/src/store/records.c
+++ b/src/store/records.c
@@ -153,14 +153,14 @@
     return rp_wire_spec_read(json_object_get(value, "spec"), spec, why);
 }
 
-json_t *rp_record_over(enum rp_job_word word) {
-    return json_pack("{s:s}", "end", word == RP_JOB_DONE ? "done" : "cancelled");
+json_t *rp_record_terminal(enum rp_job_phase phase) {
+    return json_pack("{s:s}", "end", phase == RP_JOB_DONE ? "done" : "cancelled");
 }
 
-bool rp_record_over_read(json_t *value, enum rp_job_word *word) {
+bool rp_record_terminal_read(json_t *value, enum rp_job_phase *phase) {
     const char *end = json_string_value(json_object_get(value, "end"));
-    *word = end && strcmp(end, "done") == 0 ? RP_JOB_DONE : RP_JOB_CANCELLED;
-    return end && (*word == RP_JOB_DONE || strcmp(end, "cancelled") == 0);
+    *phase = end && strcmp(end, "done") == 0 ? RP_JOB_DONE : RP_JOB_CANCELLED;
+    return end && (*phase == RP_JOB_DONE || strcmp(end, "cancelled") == 0);
 }
 
 json_t *rp_record_progress(const uint8_t *bits, size_t n_bytes) {
@@ -197,7 +197,7 @@
     return true;
 }
 
-static void put_lease(json_t *value, const char *name, const struct rp_deposed_lease *lease) {
+static void put_lease(json_t *value, const char *name, const struct rp_fenced_lease *lease) {
     if (lease->lease)
         json_object_set_new(
             value, name,
@@ -205,19 +205,19 @@
 }
 
 /* A lease without a sensible length is none: nobody takes over from its holder. */
-static struct rp_deposed_lease read_lease(const json_t *value, const char *name) {
+static struct rp_fenced_lease read_lease(const json_t *value, const char *name) {
     const json_t *object = json_object_get(value, name);
     json_int_t id = json_integer_value(json_object_get(object, "lease"));
     double ttl_s = json_number_value(json_object_get(object, "ttl"));
     if (id <= 0 || !(ttl_s > 0))
-        return (struct rp_deposed_lease){0};
-    return (struct rp_deposed_lease){.lease = (uint64_t)id, .ttl_s = ttl_s};
+        return (struct rp_fenced_lease){0};
+    return (struct rp_fenced_lease){.lease = (uint64_t)id, .ttl_s = ttl_s};
 }
 
 json_t *rp_record_leader(const struct rp_leader_record *record) {
     json_t *value = json_pack("{s:s}", "node", record->node);
     put_lease(value, "own", &record->own);
-    put_lease(value, "deposed", &record->deposed);
+    put_lease(value, "deposed", &record->fenced);
     return value;
 }
 
@@ -228,7 +228,7 @@
         return false;
     strcpy(out->node, node);
     out->own = read_lease(value, "own");
-    out->deposed = read_lease(value, "deposed");
+    out->fenced = read_lease(value, "deposed");
     return true;
 }
 
@@ -237,11 +237,11 @@
     return json_pack("{s:s}", "node", node);
 }
 
-json_t *rp_record_rental(const struct rp_rental_record *record, const char *const *names,
-                         const bool *up, size_t n) {
-    json_t *value =
-        json_pack("{s:s,s:s,s:b,s:i,s:f}", "type", record->type, "zone", record->zone, "spot",
-                  record->spot, "count", (int)record->count, "asked", rp_ts_s(record->asked));
+json_t *rp_record_provision(const struct rp_provision_record *record, const char *const *names,
+                            const bool *up, size_t n) {
+    json_t *value = json_pack("{s:s,s:s,s:b,s:i,s:f}", "type", record->type, "zone", record->zone,
+                              "spot", record->spot, "count", (int)record->count, "asked",
+                              rp_ts_s(record->requested_at));
     if (!record->answered)
         return value;
     json_t *list = json_array(), *ups = json_array();
@@ -255,7 +255,7 @@
     return value;
 }
 
-bool rp_record_rental_up(json_t *value, const char *name) {
+bool rp_record_provision_is_up(json_t *value, const char *name) {
     json_t *ups = json_object_get(value, "up");
     for (size_t i = 0; i < json_array_size(ups); i++) {
         const char *up = json_string_value(json_array_get(ups, i));
@@ -265,7 +265,7 @@
     return false;
 }
 
-bool rp_record_rental_read(json_t *value, struct rp_rental_record *out) {
+bool rp_record_provision_read(json_t *value, struct rp_provision_record *out) {
     const char *type = json_string_value(json_object_get(value, "type"));
     const char *zone = json_string_value(json_object_get(value, "zone"));
     memset(out, 0, sizeof *out);
@@ -277,15 +277,15 @@
     strcpy(out->zone, zone);
     out->spot = json_is_true(json_object_get(value, "spot"));
     out->count = (unsigned)json_integer_value(json_object_get(value, "count"));
-    out->asked = rp_ts(json_number_value(json_object_get(value, "asked")));
+    out->requested_at = rp_ts(json_number_value(json_object_get(value, "asked")));
     out->answered = json_is_array(json_object_get(value, "machines"));
     return true;
 }
 
-size_t rp_record_rental_names(json_t *value) {
+size_t rp_record_provision_n_names(json_t *value) {
     return json_array_size(json_object_get(value, "machines"));
 }
 
-const char *rp_record_rental_name(json_t *value, size_t i) {
+const char *rp_record_provision_name(json_t *value, size_t i) {
     return json_string_value(json_array_get(json_object_get(value, "machines"), i));
 }
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -13,9 +13,9 @@
  */
 #define RP_KEY_FENCE RP_KEY_ROOT "open/!fence"
 #define RP_KEY_OPEN RP_KEY_ROOT "open/"         /* jobs that are not over, by id */
-#define RP_KEY_OVER RP_KEY_ROOT "over/"         /* how a job ended, kept for ever */
+#define RP_KEY_TERMINAL RP_KEY_ROOT "over/"     /* how a job ended, kept for ever */
 #define RP_KEY_PROGRESS RP_KEY_ROOT "progress/" /* tasks done, by id and chunk */
-#define RP_KEY_RENTAL RP_KEY_ROOT "rental/"     /* rental requests and their machines */
+#define RP_KEY_PROVISION RP_KEY_ROOT "rental/"  /* rental requests and their machines */
 #define RP_KEY_PART RP_KEY_ROOT "part/" /* the rest of job records that one value can't hold */
 #define RP_KEY_VERSION                                                                             \
     RP_KEY_ROOT "version/"                   /* nodes that know the format below, while they live */
@@ -60,8 +60,8 @@
 
 json_t *rp_record_open(const struct rp_job_spec *spec, struct timespec accepted);
 bool rp_record_open_read(json_t *value, struct rp_job_spec *spec, struct timespec *accepted);
-json_t *rp_record_over(enum rp_job_word word);
-bool rp_record_over_read(json_t *value, enum rp_job_word *word);
+json_t *rp_record_terminal(enum rp_job_phase phase);
+bool rp_record_terminal_read(json_t *value, enum rp_job_phase *phase);
 json_t *rp_record_progress(const uint8_t *bits, size_t n_bytes);
 bool rp_record_progress_read(json_t *value, uint8_t *bits, size_t n_bytes);
 json_t *rp_record_version(const char *node);
@@ -69,7 +69,7 @@
 
 /* A lease of an earlier leader that a takeover has to end: while its holder could renew it, it
  * could go on answering workers, and afterwards for `ttl_s` at the most. */
-struct rp_deposed_lease {
+struct rp_fenced_lease {
     uint64_t lease; /* 0: none */
     double ttl_s;
 };
@@ -77,27 +77,27 @@
 struct rp_leader_record {
     char node[RP_TEXT_MAX];
     /* What a takeover has to end; none when the leader's node doesn't take part in takeovers. */
-    struct rp_deposed_lease own;
-    struct rp_deposed_lease deposed; /* of the leader before, when this one took over from it */
+    struct rp_fenced_lease own;
+    struct rp_fenced_lease fenced; /* of the leader before, when this one took over from it */
 };
 /* Without `own` and `deposed` the record is that of the version in production. */
 json_t *rp_record_leader(const struct rp_leader_record *record);
 bool rp_record_leader_read(const json_t *value, struct rp_leader_record *out);
 json_t *rp_record_fence(const char *node);
 
-struct rp_rental_record {
+struct rp_provision_record {
     char type[RP_TEXT_MAX], zone[RP_TEXT_MAX];
     bool spot;
     unsigned count;
-    struct timespec asked; /* time of day */
-    bool answered;         /* the names are known */
+    struct timespec requested_at; /* time of day */
+    bool answered;                /* the names are known */
 };
 /* `up[i]`: the machine has reported, and may hold tasks. */
-json_t *rp_record_rental(const struct rp_rental_record *record, const char *const *names,
-                         const bool *up, size_t n);
-bool rp_record_rental_read(json_t *value, struct rp_rental_record *out);
-size_t rp_record_rental_names(json_t *value);
-const char *rp_record_rental_name(json_t *value, size_t i);
-bool rp_record_rental_up(json_t *value, const char *name);
+json_t *rp_record_provision(const struct rp_provision_record *record, const char *const *names,
+                            const bool *up, size_t n);
+bool rp_record_provision_read(json_t *value, struct rp_provision_record *out);
+size_t rp_record_provision_n_names(json_t *value);
+const char *rp_record_provision_name(json_t *value, size_t i);
+bool rp_record_provision_is_up(json_t *value, const char *name);
 
 #endif
--- a/src/upgrade/format_upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -11,12 +11,12 @@
 
 static void tick(void *arg);
 
-void rp_upgrade_init(struct rp_upgrade *upgrade, struct rp_loop *loop,
-                     struct rp_state_client *state, struct rp_election *election,
-                     const struct rp_settings *settings, void (*on_change)(void *arg), void *arg) {
+void rp_upgrade_init(struct rp_upgrade *upgrade, struct rp_loop *loop, struct rp_kv_client *store,
+                     struct rp_election *election, const struct rp_settings *settings,
+                     void (*on_change)(void *arg), void *arg) {
     memset(upgrade, 0, sizeof *upgrade);
     upgrade->loop = loop;
-    upgrade->state = state;
+    upgrade->store = store;
     upgrade->election = election;
     upgrade->settings = settings;
     upgrade->on_change = on_change;
@@ -24,40 +24,40 @@
     upgrade->timer = (struct rp_timer){.fn = tick, .arg = upgrade};
 }
 
-bool rp_upgrade_active(const struct rp_upgrade *upgrade) {
-    return upgrade->at == RP_UPGRADE_ACTIVE;
+bool rp_upgrade_is_active(const struct rp_upgrade *upgrade) {
+    return upgrade->state == RP_UPGRADE_ACTIVE;
 }
 
-const char *rp_upgrade_word(const struct rp_upgrade *upgrade) {
+const char *rp_upgrade_state_name(const struct rp_upgrade *upgrade) {
     static const char *const words[] = {"looking",   "leasing", "announcing",
                                         "announced", "active",  "too old"};
-    return words[upgrade->at];
+    return words[upgrade->state];
 }
 
-static void dropped(void *arg, const struct rp_state_result *result) {
+static void dropped(void *arg, const struct rp_kv_result *result) {
     (void)arg;
     (void)result;
 }
 
 /* The one place where it changes its state. What is active stays so. */
-static void set_state(struct rp_upgrade *upgrade, enum rp_upgrade_state at) {
-    if (upgrade->at == at || upgrade->at >= RP_UPGRADE_ACTIVE)
+static void set_state(struct rp_upgrade *upgrade, enum rp_upgrade_state state) {
+    if (upgrade->state == state || upgrade->state >= RP_UPGRADE_ACTIVE)
         return;
-    upgrade->at = at;
-    if (at < RP_UPGRADE_ACTIVE)
+    upgrade->state = state;
+    if (state < RP_UPGRADE_ACTIVE)
         return;
     rp_timer_cancel(upgrade->loop, &upgrade->timer);
     if (upgrade->lease)
-        rp_state_lease_end(upgrade->state, upgrade->lease, dropped, NULL);
+        rp_kv_lease_revoke(upgrade->store, upgrade->lease, dropped, NULL);
     upgrade->lease = 0;
-    if (at == RP_UPGRADE_ACTIVE)
+    if (state == RP_UPGRADE_ACTIVE)
         rp_info("format %d is active", RP_FORMAT);
     else
         rp_error("a format later than %d is active: this version keeps away", RP_FORMAT);
     upgrade->on_change(upgrade->arg);
 }
 
-void rp_upgrade_read(struct rp_upgrade *upgrade, const json_t *record) {
+void rp_upgrade_on_activation_record(struct rp_upgrade *upgrade, const json_t *record) {
     if (record && rp_record_format(record) >= RP_FORMAT)
         set_state(upgrade,
                   rp_record_format(record) > RP_FORMAT ? RP_UPGRADE_TOO_OLD : RP_UPGRADE_ACTIVE);
@@ -65,13 +65,13 @@
 
 /* ---- this node's record ---- */
 
-static void announced(void *arg, const struct rp_state_result *result) {
+static void announced(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
-    if (upgrade->at != RP_UPGRADE_ANNOUNCING)
+    if (upgrade->state != RP_UPGRADE_ANNOUNCING)
         return;
-    if (result->outcome == RP_STATE_BAD)
+    if (result->outcome == RP_KV_BAD_REQUEST)
         upgrade->lease = 0; /* it has ended meanwhile */
-    set_state(upgrade, result->outcome == RP_STATE_OK ? RP_UPGRADE_ANNOUNCED : RP_UPGRADE_LOOKING);
+    set_state(upgrade, result->outcome == RP_KV_OK ? RP_UPGRADE_ANNOUNCED : RP_UPGRADE_LOOKING);
 }
 
 static void announce(struct rp_upgrade *upgrade) {
@@ -80,24 +80,24 @@
     rp_key(key, RP_KEY_VERSION, upgrade->settings->node);
     rp_wire_txn_put(txn, key, rp_record_version(upgrade->settings->node), upgrade->lease);
     set_state(upgrade, RP_UPGRADE_ANNOUNCING);
-    rp_state_txn(upgrade->state, RP_SHARE_LEADERSHIP, txn, announced, upgrade);
+    rp_kv_txn(upgrade->store, RP_KV_BUDGET_LEADERSHIP, txn, announced, upgrade);
 }
 
-static void leased(void *arg, const struct rp_state_result *result) {
+static void leased(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
-    if (upgrade->at != RP_UPGRADE_LEASING)
+    if (upgrade->state != RP_UPGRADE_LEASING)
         return;
     set_state(upgrade, RP_UPGRADE_LOOKING);
-    if (result->outcome != RP_STATE_OK || !rp_wire_lease(result->body))
+    if (result->outcome != RP_KV_OK || !rp_wire_lease(result->body))
         return;
     upgrade->lease = rp_wire_lease(result->body);
-    upgrade->touched = rp_loop_now(upgrade->loop);
+    upgrade->renewed_at = rp_loop_now(upgrade->loop);
     announce(upgrade);
 }
 
-static void touched(void *arg, const struct rp_state_result *result) {
+static void touched(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
-    if (result->outcome != RP_STATE_MISSING || upgrade->at != RP_UPGRADE_ANNOUNCED)
+    if (result->outcome != RP_KV_NOT_FOUND || upgrade->state != RP_UPGRADE_ANNOUNCED)
         return;
     upgrade->lease = 0;
     set_state(upgrade, RP_UPGRADE_LOOKING);
@@ -105,10 +105,10 @@
 
 /* ---- the activation ---- */
 
-static void activated(void *arg, const struct rp_state_result *result) {
+static void activated(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
     upgrade->activating = false;
-    if (result->outcome == RP_STATE_OK) {
+    if (result->outcome == RP_KV_OK) {
         rp_info("every node knows format %d: activated", RP_FORMAT);
         set_state(upgrade, RP_UPGRADE_ACTIVE);
     }
@@ -152,58 +152,58 @@
     return NULL;
 }
 
-static void listed(void *arg, const struct rp_state_result *result) {
+static void listed(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
     upgrade->activating = false;
-    if (result->outcome != RP_STATE_OK || upgrade->at != RP_UPGRADE_ANNOUNCED ||
-        !rp_election_valid(upgrade->election, rp_loop_now(upgrade->loop)))
+    if (result->outcome != RP_KV_OK || upgrade->state != RP_UPGRADE_ANNOUNCED ||
+        !rp_election_is_valid(upgrade->election, rp_loop_now(upgrade->loop)))
         return;
     json_t *txn = activation(upgrade, result->body);
     if (!txn)
         return;
     upgrade->activating = true;
-    rp_state_txn(upgrade->state, RP_SHARE_LEADERSHIP, txn, activated, upgrade);
+    rp_kv_txn(upgrade->store, RP_KV_BUDGET_LEADERSHIP, txn, activated, upgrade);
 }
 
-static void looked(void *arg, const struct rp_state_result *result) {
+static void looked(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
     struct rp_item item;
-    bool first = !upgrade->looked;
-    if (upgrade->at >= RP_UPGRADE_ACTIVE)
+    bool first = !upgrade->activation_read;
+    if (upgrade->state >= RP_UPGRADE_ACTIVE)
         return;
-    upgrade->looked |= result->outcome == RP_STATE_OK || result->outcome == RP_STATE_MISSING;
-    if (result->outcome == RP_STATE_OK && rp_wire_item(result->body, &item)) {
-        rp_upgrade_read(upgrade, item.value);
+    upgrade->activation_read |= result->outcome == RP_KV_OK || result->outcome == RP_KV_NOT_FOUND;
+    if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
+        rp_upgrade_on_activation_record(upgrade, item.value);
         return;
     }
-    if (first && upgrade->looked)
+    if (first && upgrade->activation_read)
         upgrade->on_change(upgrade->arg);
     /* A node that keeps to the old forms says nothing, and so counts as old. */
-    if (result->outcome != RP_STATE_MISSING || upgrade->settings->tuning.keep_old_forms)
+    if (result->outcome != RP_KV_NOT_FOUND || upgrade->settings->tuning.keep_old_forms)
         return;
     struct timespec now = rp_loop_now(upgrade->loop);
-    if (upgrade->at == RP_UPGRADE_LOOKING && upgrade->lease) {
+    if (upgrade->state == RP_UPGRADE_LOOKING && upgrade->lease) {
         announce(upgrade);
-    } else if (upgrade->at == RP_UPGRADE_LOOKING) {
+    } else if (upgrade->state == RP_UPGRADE_LOOKING) {
         set_state(upgrade, RP_UPGRADE_LEASING);
-        rp_state_lease(upgrade->state, LEASE_S, leased, upgrade);
-    } else if (upgrade->at == RP_UPGRADE_ANNOUNCED &&
-               rp_ts_since(now, upgrade->touched) >= TOUCH_S) {
-        upgrade->touched = now;
-        rp_state_touch(upgrade->state, upgrade->lease, touched, upgrade);
+        rp_kv_lease_grant(upgrade->store, LEASE_S, leased, upgrade);
+    } else if (upgrade->state == RP_UPGRADE_ANNOUNCED &&
+               rp_ts_since(now, upgrade->renewed_at) >= TOUCH_S) {
+        upgrade->renewed_at = now;
+        rp_kv_lease_renew(upgrade->store, upgrade->lease, touched, upgrade);
     }
-    if (upgrade->at == RP_UPGRADE_ANNOUNCED && !upgrade->activating &&
-        rp_election_valid(upgrade->election, now)) {
+    if (upgrade->state == RP_UPGRADE_ANNOUNCED && !upgrade->activating &&
+        rp_election_is_valid(upgrade->election, now)) {
         upgrade->activating = true;
-        rp_state_list(upgrade->state, RP_SHARE_LEADERSHIP, RP_KEY_VERSION, NULL, 1000, listed,
-                      upgrade);
+        rp_kv_list(upgrade->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_VERSION, NULL, 1000, listed,
+                   upgrade);
     }
 }
 
 static void tick(void *arg) {
     struct rp_upgrade *upgrade = arg;
     rp_timer_set(upgrade->loop, &upgrade->timer, TICK_S);
-    rp_state_get(upgrade->state, RP_SHARE_LEADERSHIP, RP_KEY_FORMAT, looked, upgrade);
+    rp_kv_get(upgrade->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_FORMAT, looked, upgrade);
 }
 
 void rp_upgrade_start(struct rp_upgrade *upgrade) {
--- a/src/upgrade/format_upgrade.h
+++ b/src/upgrade/format_upgrade.h
@@ -19,28 +19,28 @@
 
 struct rp_upgrade {
     struct rp_loop *loop;
-    struct rp_state_client *state;
+    struct rp_kv_client *store;
     struct rp_election *election;
     const struct rp_settings *settings;
-    enum rp_upgrade_state at;
+    enum rp_upgrade_state state;
     uint64_t lease;
-    struct timespec touched;
+    struct timespec renewed_at;
     bool activating;
-    bool looked;    /* the service has told whether a format is active */
-    size_t n_known; /* nodes seen to know the format, by the leader */
+    bool activation_read; /* the service has told whether a format is active */
+    size_t n_known;       /* nodes seen to know the format, by the leader */
     struct rp_timer timer;
     void (*on_change)(void *arg);
     void *arg;
 };
 
-void rp_upgrade_init(struct rp_upgrade *upgrade, struct rp_loop *loop,
-                     struct rp_state_client *state, struct rp_election *election,
-                     const struct rp_settings *settings, void (*on_change)(void *arg), void *arg);
+void rp_upgrade_init(struct rp_upgrade *upgrade, struct rp_loop *loop, struct rp_kv_client *store,
+                     struct rp_election *election, const struct rp_settings *settings,
+                     void (*on_change)(void *arg), void *arg);
 void rp_upgrade_start(struct rp_upgrade *upgrade);
 void rp_upgrade_stop(struct rp_upgrade *upgrade);
-bool rp_upgrade_active(const struct rp_upgrade *upgrade);
+bool rp_upgrade_is_active(const struct rp_upgrade *upgrade);
 /* Somebody has read the activation's record; NULL: there is none. */
-void rp_upgrade_read(struct rp_upgrade *upgrade, const json_t *record);
-const char *rp_upgrade_word(const struct rp_upgrade *upgrade);
+void rp_upgrade_on_activation_record(struct rp_upgrade *upgrade, const json_t *record);
+const char *rp_upgrade_state_name(const struct rp_upgrade *upgrade);
 
 #endif
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -66,12 +66,12 @@
 
 /* A report that waits here for a leader. The connection may go meanwhile, and its buffer with it.
  */
-struct rp_waiting_report {
+struct rp_waiting_heartbeat {
     struct rp_request *req;
     struct timespec until;
     char *body;
     size_t len;
-    struct rp_waiting_report *next;
+    struct rp_waiting_heartbeat *next;
 };
 
 /* Sent away without a name, a worker tries node after node, a second each and four at one that
@@ -79,21 +79,21 @@
  * instead, where the news of a leader will come. */
 static bool may_come_soon(const struct rp_workers *workers, struct timespec now) {
     const struct rp_election *election = workers->election;
-    bool coming = election->at == RP_HOLDING ? rp_election_valid(election, now)
-                                             : !rp_election_leader(election, now);
-    return !workers->ready && coming && rp_state_failing_s(election->state) <= 0;
+    bool coming = election->state == RP_ELECTION_HOLDING_KEY ? rp_election_is_valid(election, now)
+                                                             : !rp_election_leader(election, now);
+    return !workers->ready && coming && rp_kv_failing_s(election->store) <= 0;
 }
 
 static void wait_for_leader(struct rp_workers *workers, struct rp_request *req) {
-    struct rp_waiting_report *waiting = calloc(1, sizeof *waiting);
+    struct rp_waiting_heartbeat *waiting = calloc(1, sizeof *waiting);
     if (!waiting || !(waiting->body = malloc(req->len + 1)))
         abort(); /* out of memory: a restart is the honest answer */
     memcpy(waiting->body, req->body, req->len);
     waiting->req = req;
     waiting->len = req->len;
     waiting->until = rp_ts_after(rp_loop_now(workers->loop), WAIT_FOR_LEADER_S);
-    waiting->next = workers->waiting_reports;
-    workers->waiting_reports = waiting;
+    waiting->next = workers->waiting_heartbeats;
+    workers->waiting_heartbeats = waiting;
     if (!workers->waiting_timer.heap_index)
         rp_timer_set(workers->loop, &workers->waiting_timer, WAIT_STEP_S);
 }
@@ -102,32 +102,33 @@
     struct rp_workers *workers = arg;
     struct timespec now = rp_loop_now(workers->loop);
     bool wait = may_come_soon(workers, now);
-    struct rp_waiting_report *list = workers->waiting_reports, *waiting;
-    workers->waiting_reports = NULL;
+    struct rp_waiting_heartbeat *list = workers->waiting_heartbeats, *waiting;
+    workers->waiting_heartbeats = NULL;
     while ((waiting = list)) {
         list = waiting->next;
         if (wait && !rp_ts_reached(now, waiting->until)) {
-            waiting->next = workers->waiting_reports;
-            workers->waiting_reports = waiting;
+            waiting->next = workers->waiting_heartbeats;
+            workers->waiting_heartbeats = waiting;
             continue;
         }
         waiting->req->body = waiting->body;
         waiting->req->len = waiting->len;
         if (workers->ready)
-            rp_workers_report(workers, waiting->req);
+            rp_workers_on_heartbeat(workers, waiting->req);
         else
             not_here(workers, waiting->req);
         free(waiting->body);
         free(waiting);
     }
-    if (workers->waiting_reports)
+    if (workers->waiting_heartbeats)
         rp_timer_set(workers->loop, &workers->waiting_timer, WAIT_STEP_S);
 }
 
 /* Every answer renews a lease, and so lets what runs there run on: only a leader whose lease is
  * provable may give one, and only while it hears what users cancel. */
 static bool may_answer(const struct rp_workers *workers, struct timespec now) {
-    return rp_election_valid(workers->election, now) && rp_jobs_may_answer(workers->jobs);
+    return rp_election_is_valid(workers->election, now) &&
+           rp_jobs_may_answer_heartbeats(workers->jobs);
 }
 
 /* ---- reading the report into the cluster state ---- */
@@ -143,7 +144,7 @@
 }
 
 static void add_unknown_task(struct rp_workers *workers, struct rp_machine *machine,
-                             const struct rp_task_report *status) {
+                             const struct rp_task_status *status) {
     struct rp_unknown_task unknown_task = {.task = status->task,
                                            .attempt = status->attempt,
                                            .exited = status->state == RP_TASK_EXITED};
@@ -163,48 +164,52 @@
                           const struct rp_allocation *allocation) {
     struct rp_job *job = allocation->job;
     struct timespec now = rp_loop_now(workers->loop);
-    if (allocation->stop || (allocation->why != RP_EXIT_DONE && allocation->why != RP_EXIT_ERROR))
+    if (allocation->stop_requested ||
+        (allocation->exit_reason != RP_EXIT_DONE && allocation->exit_reason != RP_EXIT_ERROR))
         return;
-    if (!rp_ts_zero(allocation->running) &&
-        rp_ts_since(now, allocation->running) > REPLICA_STEADY_S) {
-        job->ends_row = job->n_error_on = 0;
+    if (!rp_ts_zero(allocation->running_since) &&
+        rp_ts_since(now, allocation->running_since) > REPLICA_STEADY_S) {
+        job->consecutive_early_exits = job->n_failed_machines = 0;
         return;
     }
-    unsigned before = job->n_error_on;
-    bool held = !rp_ts_reached(now, job->held_until);
-    if (!rp_task_errors_note(job, machine) && held)
+    unsigned before = job->n_failed_machines;
+    bool held = !rp_ts_reached(now, job->start_backoff_until);
+    if (!rp_quarantine_note_job_failure(job, machine) && held)
         return;
-    if (!rp_task_errors_job_suspect(job) && allocation->why == RP_EXIT_ERROR)
-        rp_task_errors_count(workers->cluster, job, machine, now);
-    job->ends_row++;
-    double pause = before == 0 ? 0 : ldexp(REPLICA_PAUSE_S, (int)fmin(job->ends_row, 8) - 2);
-    job->held_until = rp_ts_after(now, fmin(pause, REPLICA_PAUSE_MAX_S));
+    if (!rp_quarantine_is_job_suspected(job) && allocation->exit_reason == RP_EXIT_ERROR)
+        rp_quarantine_count_machine_error(workers->cluster, job, machine, now);
+    job->consecutive_early_exits++;
+    double pause =
+        before == 0 ? 0 : ldexp(REPLICA_PAUSE_S, (int)fmin(job->consecutive_early_exits, 8) - 2);
+    job->start_backoff_until = rp_ts_after(now, fmin(pause, REPLICA_PAUSE_MAX_S));
 }
 
 static void task_exited(struct rp_workers *workers, struct rp_machine *machine,
                         struct rp_allocation *allocation) {
     struct rp_job *job = allocation->job;
     struct timespec now = rp_loop_now(workers->loop);
-    bool ran = allocation->running.tv_sec != 0;
+    bool ran = allocation->running_since.tv_sec != 0;
     rp_debug("task %s/%u attempt=%llu exited on %s why=%d", job->spec.id, allocation->task,
-             (unsigned long long)allocation->attempt, machine->name, (int)allocation->why);
-    if (job->spec.kind == RP_SERVICE)
+             (unsigned long long)allocation->attempt, machine->name, (int)allocation->exit_reason);
+    if (job->spec.kind == RP_JOB_SERVICE)
         replica_ended(workers, machine, allocation);
-    switch (allocation->why) {
+    switch (allocation->exit_reason) {
     case RP_EXIT_DONE:
         if (ran)
-            rp_jobs_observe(workers->jobs, job, rp_ts_since(now, allocation->running));
+            rp_jobs_record_run_time(workers->jobs, job,
+                                    rp_ts_since(now, allocation->running_since));
         rp_jobs_task_done(workers->jobs, job, allocation->task);
-        rp_task_errors_success(workers->cluster, job, machine);
+        rp_quarantine_on_task_success(workers->cluster, job, machine);
         break;
     case RP_EXIT_ERROR:
-        if (job->spec.kind != RP_SERVICE)
-            rp_task_errors_failure(workers->cluster, job, machine, now);
+        if (job->spec.kind != RP_JOB_SERVICE)
+            rp_quarantine_on_task_error(workers->cluster, job, machine, now);
         break;
-    case RP_EXIT_NO_ROOM:
-    case RP_EXIT_BUSY:
-    case RP_EXIT_UNKNOWN:
-        job->held_until = rp_ts_after(now, allocation->why == RP_EXIT_UNKNOWN ? 5 : 1);
+    case RP_EXIT_NO_CAPACITY:
+    case RP_EXIT_ALREADY_PRESENT:
+    case RP_EXIT_UNKNOWN_TASK:
+        job->start_backoff_until =
+            rp_ts_after(now, allocation->exit_reason == RP_EXIT_UNKNOWN_TASK ? 5 : 1);
         break;
     default:
         break;
@@ -212,7 +217,7 @@
 }
 
 static void read_task(struct rp_workers *workers, struct rp_machine *machine,
-                      const struct rp_task_report *status) {
+                      const struct rp_task_status *status) {
     struct rp_job *job = rp_jobs_find(workers->jobs, status->job);
     if (!job || status->task >= job->spec.n_tasks) {
         add_unknown_task(workers, machine, status);
@@ -222,8 +227,8 @@
     if (!allocation) {
         /* An old copy of a report, read before any newer one, may name an allocation that is long
          * gone; one that shows our token doesn't. */
-        if (status->state != RP_TASK_EXITED && machine->token_seen &&
-            rp_job_allocations(job, status->task))
+        if (status->state != RP_TASK_EXITED && machine->fencing_token_seen &&
+            rp_job_n_task_allocations(job, status->task))
             rp_error("task %s/%u may be in two places, one is %s", job->spec.id, status->task,
                      machine->name);
         allocation = rp_allocation_add(workers->cluster, machine, job, status->task,
@@ -236,29 +241,29 @@
     if (status->state == RP_TASK_EXITED) {
         rp_allocation_set_state(workers->cluster, machine, allocation, RP_ALLOCATION_EXITED);
         allocation->task_state = status->state;
-        allocation->why = status->why;
+        allocation->exit_reason = status->exit_reason;
         task_exited(workers, machine, allocation);
         return;
     }
     rp_allocation_set_state(workers->cluster, machine, allocation, RP_ALLOCATION_SEEN);
     if (status->state == RP_TASK_RUNNING && allocation->task_state != RP_TASK_RUNNING) {
         job->n_running++;
-        allocation->running = rp_loop_now(workers->loop);
+        allocation->running_since = rp_loop_now(workers->loop);
         rp_debug("task %s/%u runs on %s, %.1fs after its start", job->spec.id, status->task,
-                 machine->name, rp_ts_since(allocation->running, allocation->since));
+                 machine->name, rp_ts_since(allocation->running_since, allocation->planned_at));
     } else if (status->state != RP_TASK_RUNNING && allocation->task_state == RP_TASK_RUNNING) {
         job->n_running--;
     }
     if (status->state != RP_TASK_FETCHING && allocation->task_state == RP_TASK_FETCHING)
         rp_machine_note_image(workers->cluster, machine, job->image_hash, job->spec.image_gb);
     allocation->task_state = status->state;
-    double ran = allocation->running.tv_sec
-                     ? rp_ts_since(rp_loop_now(workers->loop), allocation->running)
+    double ran = allocation->running_since.tv_sec
+                     ? rp_ts_since(rp_loop_now(workers->loop), allocation->running_since)
                      : 0;
     if (ran > job->run_floor_s)
         job->run_floor_s = ran;
-    if (job->state != RP_JOB_OPEN || rp_job_task_done(job, status->task))
-        rp_allocation_stop(allocation, 0);
+    if (job->state != RP_JOB_OPEN || rp_job_is_task_done(job, status->task))
+        rp_allocation_request_stop(allocation, 0);
 }
 
 /* ---- machines whose reports come, but which our answers don't reach ---- */
@@ -269,23 +274,24 @@
  * elsewhere by then. Until that shows, the machine gets no work, and it goes back in the end
  * (fleet.c). */
 static void note_hearing(struct rp_workers *workers, struct rp_machine *machine,
-                         const struct rp_report *heartbeat) {
+                         const struct rp_heartbeat *heartbeat) {
     struct timespec now = rp_loop_now(workers->loop);
-    bool first = machine->session == 0;
+    bool first = machine->incarnation == 0;
     /* Reports are report_s apart, give or take a quarter: where that is 4 s, every second report of
      * a good machine came later than 4 s after the one before, and a quarter of a large fleet stood
      * idle as deaf. One that got no answer asks another node first: by then 6 s are over. */
     double limit = fmax(ANSWER_WAIT_S, workers->settings->report_s * 1.25 + REPORT_SLACK_S);
     /* Answers to direct commands have numbers of their own in between. */
-    bool follows = heartbeat->session == machine->session && heartbeat->seq > machine->report_seq &&
-                   heartbeat->seq <= machine->report_seq + 1 + machine->n_direct &&
-                   rp_ts_since(now, machine->last_report) < limit;
+    bool follows = heartbeat->incarnation == machine->incarnation &&
+                   heartbeat->seq > machine->heartbeat_seq &&
+                   heartbeat->seq <= machine->heartbeat_seq + 1 + machine->n_direct &&
+                   rp_ts_since(now, machine->last_heartbeat) < limit;
     if (first || follows) {
-        if (rp_machine_misses_answers(machine) &&
+        if (rp_machine_is_one_way_partitioned(machine) &&
             rp_ts_since(now, machine->answers_lost_since) > ANSWER_WAIT_S)
             rp_info("machine %s gets answers again", machine->name);
         machine->answers_lost_since = (struct timespec){0};
-    } else if (!rp_machine_misses_answers(machine)) {
+    } else if (!rp_machine_is_one_way_partitioned(machine)) {
         machine->answers_lost_since = now;
         rp_debug("machine %s: nothing shows that it gets answers", machine->name);
     }
@@ -299,22 +305,22 @@
     for (size_t i = machine->n_allocations; i-- > 0;) {
         struct rp_allocation *allocation = &machine->allocations[i];
         bool in_flight = allocation->state == RP_ALLOCATION_SENT && allocation->sent_seq >= seq;
-        bool may_arrive = allocation->state == RP_ALLOCATION_SENT && allocation->direct;
+        bool may_arrive = allocation->state == RP_ALLOCATION_SENT && allocation->started_directly;
         if (!allocation->marked && allocation->state != RP_ALLOCATION_PLANNED && !in_flight &&
             !may_arrive && allocation->seen_seq < seq)
-            rp_allocation_drop(workers->cluster, machine, i);
+            rp_allocation_remove(workers->cluster, machine, i);
     }
 }
 
 static void take_notice(struct rp_workers *workers, struct rp_machine *machine,
-                        const struct rp_report *heartbeat) {
+                        const struct rp_heartbeat *heartbeat) {
     if (!heartbeat->has_notice)
         return;
-    if (!machine->noticed)
+    if (!machine->has_spot_notice)
         rp_info("machine %s is taken back in %.1fs, places=%zu", machine->name, heartbeat->notice_s,
                 machine->n_allocations);
-    machine->noticed = true;
-    machine->notice_end = rp_ts_after(rp_loop_now(workers->loop), heartbeat->notice_s);
+    machine->has_spot_notice = true;
+    machine->spot_notice_end = rp_ts_after(rp_loop_now(workers->loop), heartbeat->notice_s);
     for (size_t i = machine->n_allocations; i-- > 0;) {
         if (i >= machine->n_allocations)
             continue; /* stopping a gang has dropped allocations here */
@@ -325,25 +331,25 @@
             allocation->task_state == RP_TASK_FETCHING || allocation->task_state == RP_TASK_WAITING;
         /* A gang's progress is safe only if all of its tasks are told within gang_peer_s: each
          * machine reports before that. */
-        if (spec->kind == RP_GANG && spec->n_tasks > 1 && !allocation->stop)
+        if (spec->kind == RP_JOB_GANG && spec->n_tasks > 1 && !allocation->stop_requested)
             rp_cluster_stop_job(workers->cluster, allocation->job,
                                 spec->checkpoint_s > 0 && !idle ? grace : 0);
         else if (allocation->state == RP_ALLOCATION_PLANNED)
-            rp_allocation_drop(workers->cluster, machine, i);
-        else if (spec->kind == RP_SERVICE)
-            rp_allocation_stop(allocation,
-                               0); /* so it runs elsewhere sooner than when the machine goes */
+            rp_allocation_remove(workers->cluster, machine, i);
+        else if (spec->kind == RP_JOB_SERVICE)
+            rp_allocation_request_stop(
+                allocation, 0); /* so it runs elsewhere sooner than when the machine goes */
         else if (idle)
-            rp_allocation_stop(allocation, 0);
+            rp_allocation_request_stop(allocation, 0);
         else if (spec->checkpoint_s > 0)
-            rp_allocation_stop(allocation, grace);
+            rp_allocation_request_stop(allocation, grace);
     }
 }
 
 /* A report that was on its way while an answer to a direct command came: what it lists is older
  * than what is known; it still settles starts in earlier reports' answers. */
 static void mark_listed(struct rp_workers *workers, struct rp_machine *machine,
-                        const struct rp_report *heartbeat) {
+                        const struct rp_heartbeat *heartbeat) {
     for (size_t i = 0; i < heartbeat->n_tasks; i++) {
         struct rp_job *job = rp_jobs_find(workers->jobs, heartbeat->tasks[i].job);
         struct rp_allocation *allocation =
@@ -356,17 +362,18 @@
 }
 
 static void read_report(struct rp_workers *workers, struct rp_machine *machine,
-                        const struct rp_report *heartbeat) {
+                        const struct rp_heartbeat *heartbeat) {
     note_hearing(workers, machine, heartbeat);
-    if (heartbeat->session > machine->session && machine->session > 0)
-        rp_machine_session_over(workers->cluster, machine);
-    bool behind = heartbeat->session == machine->session && heartbeat->seq < machine->seq;
-    rp_machine_note_contact(workers->cluster, machine, heartbeat->addr, heartbeat->session);
-    machine->report_seq = heartbeat->seq;
+    if (heartbeat->incarnation > machine->incarnation && machine->incarnation > 0)
+        rp_machine_end_incarnation(workers->cluster, machine);
+    bool behind = heartbeat->incarnation == machine->incarnation && heartbeat->seq < machine->seq;
+    rp_machine_note_contact(workers->cluster, machine, heartbeat->addr, heartbeat->incarnation);
+    machine->heartbeat_seq = heartbeat->seq;
     machine->n_direct = 0;
-    machine->last_report = machine->last_heard = rp_loop_now(workers->loop);
-    machine->unreached = machine->fenced = false;
-    rp_machine_note_token(workers->cluster, machine, heartbeat->token == workers->election->token);
+    machine->last_heartbeat = machine->last_heard = rp_loop_now(workers->loop);
+    machine->unreachable = machine->fenced = false;
+    rp_machine_note_fencing_token(workers->cluster, machine,
+                                  heartbeat->fencing_token == workers->election->fencing_token);
     for (size_t i = 0; i < machine->n_allocations; i++)
         machine->allocations[i].marked = false;
     if (behind) {
@@ -381,9 +388,9 @@
     take_notice(workers, machine, heartbeat);
     /* Only a report that shows our token proves that no start of an earlier leader is still on
      * its way; until then the machine may hold more than it says. */
-    if (machine->state != RP_MACHINE_RETURNING && machine->token_seen)
+    if (machine->state != RP_MACHINE_RELEASING && machine->fencing_token_seen)
         rp_machine_set_state(workers->cluster, machine, RP_MACHINE_UP);
-    rp_fleet_came_up(workers->fleet, machine);
+    rp_fleet_record_up(workers->fleet, machine);
 }
 
 /* ---- commands ---- */
@@ -393,12 +400,12 @@
     size_t n;
 };
 
-static void command(struct batch *batch, enum rp_op op, const char *job, uint32_t task,
+static void command(struct batch *batch, enum rp_command_kind op, const char *job, uint32_t task,
                     uint64_t attempt, double grace_s) {
     if (batch->n == COMMANDS_MAX)
         return;
     struct rp_command *command = &batch->list[batch->n++];
-    command->op = op;
+    command->kind = op;
     strcpy(command->job, job);
     command->task = task;
     command->attempt = attempt;
@@ -408,10 +415,10 @@
 static void command_unknown_tasks(struct batch *batch, const struct rp_machine *machine) {
     for (size_t i = 0; i < machine->n_unknown_tasks; i++) {
         const struct rp_unknown_task *unknown_task = &machine->unknown_tasks[i];
-        if (unknown_task->exited && !machine->token_seen)
+        if (unknown_task->exited && !machine->fencing_token_seen)
             continue;
-        command(batch, unknown_task->exited ? RP_OP_FORGET : RP_OP_STOP, unknown_task->job,
-                unknown_task->task, unknown_task->attempt, 0);
+        command(batch, unknown_task->exited ? RP_COMMAND_FORGET : RP_COMMAND_STOP,
+                unknown_task->job, unknown_task->task, unknown_task->attempt, 0);
     }
 }
 
@@ -421,12 +428,13 @@
 static bool may_forget(const struct rp_workers *workers, const struct rp_machine *machine,
                        const struct rp_allocation *allocation) {
     /* Until the token is seen, an earlier leader's start may still be on its way. */
-    if (!machine->token_seen ||
-        (allocation->direct && allocation->attempt >> 32 == workers->election->token))
+    if (!machine->fencing_token_seen ||
+        (allocation->started_directly &&
+         allocation->attempt >> 32 == workers->election->fencing_token))
         return false;
     /* A result must be durable before the worker may lose it. */
-    return allocation->why != RP_EXIT_DONE ||
-           rp_job_task_durable(allocation->job, allocation->task);
+    return allocation->exit_reason != RP_EXIT_DONE ||
+           rp_job_is_task_durable(allocation->job, allocation->task);
 }
 
 /* Stops and removals: they can be repeated and late without harm. */
@@ -437,18 +445,18 @@
         const char *job = allocation->job->spec.id;
         if (allocation->state == RP_ALLOCATION_EXITED) {
             if (may_forget(workers, machine, allocation))
-                command(batch, RP_OP_FORGET, job, allocation->task, allocation->attempt, 0);
-        } else if (allocation->stop && allocation->state != RP_ALLOCATION_PLANNED) {
+                command(batch, RP_COMMAND_FORGET, job, allocation->task, allocation->attempt, 0);
+        } else if (allocation->stop_requested && allocation->state != RP_ALLOCATION_PLANNED) {
             bool saving = allocation->task_state == RP_TASK_SAVING && allocation->grace_s > 0;
             if (saving)
                 continue;
-            allocation->stop_sent = now;
+            allocation->stop_sent_at = now;
             allocation->job->interrupted = true;
             /* A direct start that nothing has been heard of may still arrive, after this stop:
              * started and stopped in one go, its attempt is known there, and over. */
-            if (allocation->direct && allocation->state == RP_ALLOCATION_SENT)
-                command(batch, RP_OP_START, job, allocation->task, allocation->attempt, 0);
-            command(batch, RP_OP_STOP, job, allocation->task, allocation->attempt,
+            if (allocation->started_directly && allocation->state == RP_ALLOCATION_SENT)
+                command(batch, RP_COMMAND_START, job, allocation->task, allocation->attempt, 0);
+            command(batch, RP_COMMAND_STOP, job, allocation->task, allocation->attempt,
                     allocation->grace_s);
         }
     }
@@ -456,9 +464,9 @@
 
 static bool start_still_good(struct rp_workers *workers, const struct rp_machine *machine,
                              const struct rp_allocation *allocation) {
-    return allocation->job->state == RP_JOB_OPEN && rp_machine_usable(machine) &&
-           rp_cluster_job_settled(workers->cluster, allocation->job) &&
-           rp_jobs_may_start(workers->jobs);
+    return allocation->job->state == RP_JOB_OPEN && rp_machine_is_usable(machine) &&
+           rp_cluster_is_job_reconciled(workers->cluster, allocation->job) &&
+           rp_jobs_may_start_tasks(workers->jobs);
 }
 
 /* A direct start whose answer was lost is said again: the same attempt can't begin twice. */
@@ -466,14 +474,14 @@
                           struct rp_machine *machine) {
     for (size_t i = 0; i < machine->n_allocations; i++) {
         struct rp_allocation *allocation = &machine->allocations[i];
-        if (allocation->state != RP_ALLOCATION_SENT || !allocation->direct ||
-            allocation->direct_open || allocation->stop)
+        if (allocation->state != RP_ALLOCATION_SENT || !allocation->started_directly ||
+            allocation->direct_start_pending || allocation->stop_requested)
             continue;
-        command(batch, RP_OP_START, allocation->job->spec.id, allocation->task, allocation->attempt,
-                0);
+        command(batch, RP_COMMAND_START, allocation->job->spec.id, allocation->task,
+                allocation->attempt, 0);
         if (!start_still_good(workers, machine, allocation)) {
-            rp_allocation_stop(allocation, 0);
-            command(batch, RP_OP_STOP, allocation->job->spec.id, allocation->task,
+            rp_allocation_request_stop(allocation, 0);
+            command(batch, RP_COMMAND_STOP, allocation->job->spec.id, allocation->task,
                     allocation->attempt, 0);
         }
     }
@@ -483,8 +491,8 @@
  * only services' replicas are, and, within bounds, what a takeover would delay. */
 static bool starts_directly(const struct rp_workers *workers, const struct rp_machine *machine,
                             const struct rp_job *job) {
-    return job->spec.kind == RP_SERVICE ||
-           (job->spec.kind == RP_ARRAY && machine->fenced && workers->direct_left > 0);
+    return job->spec.kind == RP_JOB_SERVICE ||
+           (job->spec.kind == RP_JOB_ARRAY && machine->fenced && workers->direct_left > 0);
 }
 
 static void command_starts(struct rp_workers *workers, struct batch *batch,
@@ -495,17 +503,17 @@
             (direct && !starts_directly(workers, machine, allocation->job)))
             continue;
         if (!start_still_good(workers, machine, allocation)) {
-            rp_allocation_drop(workers->cluster, machine, i);
+            rp_allocation_remove(workers->cluster, machine, i);
             continue;
         }
         if (batch->n == COMMANDS_MAX)
             return;
-        command(batch, RP_OP_START, allocation->job->spec.id, allocation->task, allocation->attempt,
-                0);
+        command(batch, RP_COMMAND_START, allocation->job->spec.id, allocation->task,
+                allocation->attempt, 0);
         rp_allocation_set_state(workers->cluster, machine, allocation, RP_ALLOCATION_SENT);
-        allocation->sent_seq = machine->report_seq;
-        allocation->direct = allocation->direct_open = direct;
-        workers->direct_left -= direct && allocation->job->spec.kind == RP_ARRAY;
+        allocation->sent_seq = machine->heartbeat_seq;
+        allocation->started_directly = allocation->direct_start_pending = direct;
+        workers->direct_left -= direct && allocation->job->spec.kind == RP_JOB_ARRAY;
         workers->n_starts++;
         rp_metrics_add(workers->metrics, RP_METRIC_START,
                        rp_job_age_s(allocation->job, rp_loop_now(workers->loop)));
@@ -525,51 +533,52 @@
     }
     if (machine) {
         struct timespec held = rp_ts_after(received, rp_workers_lease_s(workers->settings));
-        if (rp_ts_cmp(held, machine->held_until) > 0)
-            machine->held_until = held;
+        if (rp_ts_cmp(held, machine->lease_expiry) > 0)
+            machine->lease_expiry = held;
         machine->last_answer = now;
         if (rp_ts_zero(machine->first_answer))
             machine->first_answer = now;
     }
     respond(req, 200,
-            rp_wire_report_answer(workers->election->token, batch ? batch->list : NULL,
+            rp_wire_report_answer(workers->election->fencing_token, batch ? batch->list : NULL,
                                   batch ? batch->n : 0));
 }
 
 /* The machine of the report; NULL if nobody's record names it and it may be a copy of a report sent
  * long ago, by a machine that is gone: only one that shows our token proves that there is one. */
 static struct rp_machine *machine_of(struct rp_workers *workers,
-                                     const struct rp_report *heartbeat) {
+                                     const struct rp_heartbeat *heartbeat) {
     struct rp_machine *machine = rp_machine_find(workers->cluster, heartbeat->machine);
-    if (!machine && heartbeat->token != workers->election->token)
+    if (!machine && heartbeat->fencing_token != workers->election->fencing_token)
         return NULL;
     if (!machine) {
         /* Nobody's record names it, so no leader has ever started anything on it. */
         rp_info("machine %s reports and is in no record: adopted", heartbeat->machine);
         machine = rp_machine_add(workers->cluster, heartbeat->machine, RP_MACHINE_BOOTING);
     }
-    rp_fleet_describe(workers->fleet, machine, heartbeat->type, heartbeat->zone, heartbeat->spot);
+    rp_fleet_describe_machine(workers->fleet, machine, heartbeat->type, heartbeat->zone,
+                              heartbeat->spot);
     return machine;
 }
 
 /* A machine that may hold tasks of an earlier leader and shows no sign of our answers is answered
  * no more: so its lease ends, and with it what it holds. Once it is lost it may come back. */
 static bool starved(const struct rp_workers *workers, const struct rp_machine *machine) {
-    return machine->state == RP_MACHINE_UNKNOWN && !rp_ts_zero(machine->first_answer) &&
+    return machine->state == RP_MACHINE_UNRECONCILED && !rp_ts_zero(machine->first_answer) &&
            rp_ts_since(rp_loop_now(workers->loop), machine->first_answer) > TOKEN_PATIENCE_S;
 }
 
 /* A report of a session that is over, held back on its way by a cut: what it lists is gone, and
  * runs elsewhere by now. Only results stay true. */
 static void take_results(struct rp_workers *workers, const struct rp_machine *machine,
-                         const struct rp_report *heartbeat) {
-    if (heartbeat->session < machine->session)
+                         const struct rp_heartbeat *heartbeat) {
+    if (heartbeat->incarnation < machine->incarnation)
         return;
     for (size_t i = 0; i < heartbeat->n_tasks; i++) {
-        const struct rp_task_report *status = &heartbeat->tasks[i];
+        const struct rp_task_status *status = &heartbeat->tasks[i];
         struct rp_job *job = rp_jobs_find(workers->jobs, status->job);
         if (job && status->task < job->spec.n_tasks && status->state == RP_TASK_EXITED &&
-            status->why == RP_EXIT_DONE)
+            status->exit_reason == RP_EXIT_DONE)
             rp_jobs_task_done(workers->jobs, job, status->task);
     }
 }
@@ -586,7 +595,7 @@
      * lease; one that was about to go back, while the cloud didn't answer, for ever. */
     command_unknown_tasks(&batch, machine);
     command_ends(workers, &batch, machine, rp_loop_now(workers->loop));
-    if (machine->token_seen) {
+    if (machine->fencing_token_seen) {
         command_again(workers, &batch, machine);
         command_starts(workers, &batch, machine, false);
     }
@@ -609,35 +618,36 @@
                  const struct rp_machine *machine) {
     if (workers->n_held == workers->cap_held) {
         size_t cap = workers->cap_held ? workers->cap_held * 2 : 64;
-        struct rp_held_report *held = realloc(workers->held, cap * sizeof *held);
+        struct rp_held_heartbeat *held = realloc(workers->held_heartbeats, cap * sizeof *held);
         if (!held)
             abort(); /* out of memory: a restart is the honest answer */
-        workers->held = held;
+        workers->held_heartbeats = held;
         workers->cap_held = cap;
     }
-    struct rp_held_report *h = &workers->held[workers->n_held++];
-    *h = (struct rp_held_report){.req = req,
-                                 .session = machine->session,
-                                 .seq = machine->report_seq,
-                                 .received = rp_loop_now(workers->loop)};
+    struct rp_held_heartbeat *h = &workers->held_heartbeats[workers->n_held++];
+    *h = (struct rp_held_heartbeat){.req = req,
+                                    .incarnation = machine->incarnation,
+                                    .seq = machine->heartbeat_seq,
+                                    .received = rp_loop_now(workers->loop)};
     strcpy(h->machine, machine->name);
 }
 
 static void handle(struct rp_workers *workers, struct rp_request *req,
-                   const struct rp_report *heartbeat) {
+                   const struct rp_heartbeat *heartbeat) {
     struct rp_machine *machine = machine_of(workers, heartbeat);
     struct timespec received = rp_loop_now(workers->loop);
     if (!machine) {
         answer(workers, req, NULL, NULL, received);
         return;
     }
-    if (machine->state == RP_MACHINE_LOST && machine->lost_session > 0 &&
-        heartbeat->session == machine->lost_session) {
+    if (machine->state == RP_MACHINE_LOST && machine->lost_incarnation > 0 &&
+        heartbeat->incarnation == machine->lost_incarnation) {
         take_results(workers, machine, heartbeat);
         respond(req, 503, rp_wire_error("this session's lease has ended"));
         return;
     }
-    if (machine->state == RP_MACHINE_LOST && heartbeat->token != workers->election->token) {
+    if (machine->state == RP_MACHINE_LOST &&
+        heartbeat->fencing_token != workers->election->fencing_token) {
         /* It may be of a session that is over, or of the next one, of which nothing can be there.
          * Once it shows our token it is the next one's. (Taken for a report of the lost session,
          * the reports of all machines that were cut off during a takeover were refused until they
@@ -646,8 +656,9 @@
         answer(workers, req, machine, NULL, received);
         return;
     }
-    bool old = heartbeat->session < machine->session ||
-               (heartbeat->session == machine->session && heartbeat->seq <= machine->report_seq);
+    bool old = heartbeat->incarnation < machine->incarnation ||
+               (heartbeat->incarnation == machine->incarnation &&
+                heartbeat->seq <= machine->heartbeat_seq);
     if (old) {
         /* A copy, late by seconds or by many leases: it proves nothing, and its answer renews no
          * lease, for nobody waits for it. */
@@ -665,27 +676,27 @@
         return;
     }
     bool news =
-        machine->state != RP_MACHINE_RETURNING && (busy_allocations(machine) < busy || !was_up);
-    if (news && workers->on_room && !workers->on_room(workers->arg))
+        machine->state != RP_MACHINE_RELEASING && (busy_allocations(machine) < busy || !was_up);
+    if (news && workers->on_capacity_freed && !workers->on_capacity_freed(workers->arg))
         hold(workers, req, machine);
     else
         answer_with_commands(workers, req, machine, received);
 }
 
-void rp_workers_answer_held(struct rp_workers *workers) {
-    struct rp_held_report *held = workers->held;
+void rp_workers_answer_held_heartbeats(struct rp_workers *workers) {
+    struct rp_held_heartbeat *held = workers->held_heartbeats;
     size_t n = workers->n_held;
-    workers->held = NULL;
+    workers->held_heartbeats = NULL;
     workers->n_held = workers->cap_held = 0;
     for (size_t i = 0; i < n; i++) {
         struct rp_machine *machine =
             workers->ready ? rp_machine_find(workers->cluster, held[i].machine) : NULL;
         if (!workers->ready)
             not_here(workers, held[i].req);
-        else if (!machine || machine->session != held[i].session ||
-                 machine->report_seq != held[i].seq)
+        else if (!machine || machine->incarnation != held[i].incarnation ||
+                 machine->heartbeat_seq != held[i].seq)
             respond(held[i].req, 503, rp_wire_error("a newer report is known"));
-        else if (machine->state == RP_MACHINE_LOST || machine->state == RP_MACHINE_RETURNING)
+        else if (machine->state == RP_MACHINE_LOST || machine->state == RP_MACHINE_RELEASING)
             respond(held[i].req, 503, rp_wire_error("this machine goes back"));
         else
             answer_with_commands(workers, held[i].req, machine, held[i].received);
@@ -712,8 +723,8 @@
     if (!command->attempts)
         abort();
     command->w = workers;
-    command->token = workers->election->token;
-    command->session = machine->session;
+    command->token = workers->election->fencing_token;
+    command->session = machine->incarnation;
     strcpy(command->machine, machine->name);
     return command;
 }
@@ -725,22 +736,22 @@
 
 /* The machine that was asked, if it still is in the same session under the same leader. */
 static struct rp_machine *direct_machine(const struct direct *command) {
-    struct rp_machine *machine = command->w->election->token == command->token
+    struct rp_machine *machine = command->w->election->fencing_token == command->token
                                      ? rp_machine_find(command->w->cluster, command->machine)
                                      : NULL;
-    return machine && machine->session == command->session ? machine : NULL;
+    return machine && machine->incarnation == command->session ? machine : NULL;
 }
 
 /* Takes in what the machine lists, if nothing newer is known. Nothing is concluded from what it
  * doesn't list, and no lease is renewed. */
 static void take_listing(struct rp_workers *workers, struct rp_machine *machine,
-                         const struct rp_report *heartbeat) {
+                         const struct rp_heartbeat *heartbeat) {
     machine->last_heard = rp_loop_now(workers->loop);
-    if (heartbeat->session != machine->session || heartbeat->seq <= machine->seq)
+    if (heartbeat->incarnation != machine->incarnation || heartbeat->seq <= machine->seq)
         return;
     machine->seq = heartbeat->seq;
     for (size_t i = 0; i < heartbeat->n_tasks; i++) {
-        const struct rp_task_report *status = &heartbeat->tasks[i];
+        const struct rp_task_status *status = &heartbeat->tasks[i];
         struct rp_job *job = rp_jobs_find(workers->jobs, status->job);
         /* What this leader hasn't started, reports tell of. */
         if (job && status->task < job->spec.n_tasks &&
@@ -758,11 +769,11 @@
             mine |= allocation->attempt == command->attempts[k];
         if (!mine)
             continue;
-        allocation->direct_open = false;
+        allocation->direct_start_pending = false;
         /* Refused whole, or never sent. (Carried out, it is listed: in this answer, or in a newer
          * report that came before it. Without an answer it may still arrive.) */
         if (allocation->state == RP_ALLOCATION_SENT && refused)
-            rp_allocation_drop(command->w->cluster, machine, i);
+            rp_allocation_remove(command->w->cluster, machine, i);
     }
 }
 
@@ -770,7 +781,7 @@
     struct direct *command = arg;
     struct rp_workers *workers = command->w;
     struct rp_machine *machine = direct_machine(command);
-    struct rp_report heartbeat;
+    struct rp_heartbeat heartbeat;
     bool read = machine && (answer->status == 200 || answer->status == 409) &&
                 rp_wire_report(answer->body, answer->len, &heartbeat);
     if (!machine)
@@ -778,47 +789,47 @@
     workers->n_direct_lost += !read;
     size_t busy = busy_allocations(machine);
     if (read) {
-        if (heartbeat.token > workers->election->token)
-            rp_election_doubt(workers->election);
+        if (heartbeat.fencing_token > workers->election->fencing_token)
+            rp_election_verify(workers->election);
         take_listing(workers, machine, &heartbeat);
-        rp_report_free(&heartbeat);
+        rp_heartbeat_free(&heartbeat);
     }
     settle_direct(command, machine, answer->unsent || (read && answer->status == 409));
-    machine->unreached = answer->unsent;
-    if ((busy_allocations(machine) < busy || answer->unsent) && workers->on_room)
-        workers->on_room(workers->arg);
+    machine->unreachable = answer->unsent;
+    if ((busy_allocations(machine) < busy || answer->unsent) && workers->on_capacity_freed)
+        workers->on_capacity_freed(workers->arg);
 out:
     direct_free(command);
 }
 
-bool rp_workers_direct_full(const struct rp_machine *machine) {
+bool rp_workers_is_direct_full(const struct rp_machine *machine) {
     size_t n = 0;
     for (size_t i = 0; i < machine->n_allocations; i++)
-        n +=
-            machine->allocations[i].state == RP_ALLOCATION_EXITED && machine->allocations[i].direct;
+        n += machine->allocations[i].state == RP_ALLOCATION_EXITED &&
+             machine->allocations[i].started_directly;
     return n >= DIRECT_KEPT;
 }
 
 static void note_attempts(struct direct *command, const struct batch *batch) {
     for (size_t i = 0; i < batch->n; i++)
-        if (batch->list[i].op == RP_OP_START)
+        if (batch->list[i].kind == RP_COMMAND_START)
             command->attempts[command->n++] = batch->list[i].attempt;
 }
 
-void rp_workers_direct(struct rp_workers *workers, struct rp_machine *machine) {
+void rp_workers_send_direct(struct rp_workers *workers, struct rp_machine *machine) {
     struct timespec now = rp_loop_now(workers->loop);
     struct batch batch = {.list = calloc(COMMANDS_MAX, sizeof *batch.list)};
     /* Else it goes with the answer to the next report. */
-    if (!batch.list || !rp_machine_usable(machine) || !*machine->addr ||
-        rp_workers_direct_full(machine) || !rp_election_valid(workers->election, now))
+    if (!batch.list || !rp_machine_is_usable(machine) || !*machine->addr ||
+        rp_workers_is_direct_full(machine) || !rp_election_is_valid(workers->election, now))
         goto out;
     for (size_t i = 0; i < machine->n_allocations; i++) {
         struct rp_allocation *allocation = &machine->allocations[i];
-        if (allocation->stop && allocation->grace_s <= 0 &&
+        if (allocation->stop_requested && allocation->grace_s <= 0 &&
             allocation->state == RP_ALLOCATION_SEEN) {
             allocation->job->interrupted = true;
-            allocation->stop_sent = now;
-            command(&batch, RP_OP_STOP, allocation->job->spec.id, allocation->task,
+            allocation->stop_sent_at = now;
+            command(&batch, RP_COMMAND_STOP, allocation->job->spec.id, allocation->task,
                     allocation->attempt, 0);
         }
     }
@@ -827,7 +838,8 @@
         goto out;
     struct direct *d = direct_new(workers, machine, batch.n);
     note_attempts(d, &batch);
-    char *body = rp_wire_direct(workers->election->token, machine->session, batch.list, batch.n);
+    char *body =
+        rp_wire_direct(workers->election->fencing_token, machine->incarnation, batch.list, batch.n);
     machine->n_direct++;
     workers->n_direct++;
     workers->net.call_once(workers->net.ctx, machine->addr, "POST", RP_PATH_DIRECT, body, DIRECT_S,
@@ -883,17 +895,18 @@
  * report that it sent before now. Newer than any report so far, it counts as one: what was sent
  * before it is refused, and the worker reports again. */
 static bool take_fenced(struct rp_workers *workers, struct rp_machine *machine,
-                        const struct rp_report *heartbeat) {
-    bool newer = heartbeat->session > machine->session ||
-                 (heartbeat->session == machine->session && heartbeat->seq > machine->seq);
-    bool first = machine->state == RP_MACHINE_UNKNOWN;
-    if (heartbeat->token != workers->election->token || !newer || !(first || machine->fenced))
+                        const struct rp_heartbeat *heartbeat) {
+    bool newer = heartbeat->incarnation > machine->incarnation ||
+                 (heartbeat->incarnation == machine->incarnation && heartbeat->seq > machine->seq);
+    bool first = machine->state == RP_MACHINE_UNRECONCILED;
+    if (heartbeat->fencing_token != workers->election->fencing_token || !newer ||
+        !(first || machine->fenced))
         return false;
     if (first)
-        rp_fleet_describe(workers->fleet, machine, heartbeat->type, heartbeat->zone,
-                          heartbeat->spot);
+        rp_fleet_describe_machine(workers->fleet, machine, heartbeat->type, heartbeat->zone,
+                                  heartbeat->spot);
     if (first)
-        machine->held_until =
+        machine->lease_expiry =
             rp_ts_after(rp_loop_now(workers->loop), rp_workers_lease_s(workers->settings));
     read_report(workers, machine, heartbeat);
     machine->fenced = true;
@@ -904,25 +917,26 @@
     struct fence *fence = arg;
     struct direct *command = fence->direct;
     struct rp_workers *workers = command->w;
-    struct rp_machine *machine = workers->election->token == command->token
+    struct rp_machine *machine = workers->election->fencing_token == command->token
                                      ? rp_machine_find(workers->cluster, command->machine)
                                      : NULL;
-    struct rp_report heartbeat;
+    struct rp_heartbeat heartbeat;
     bool fenced = false, again = false;
     if (machine && (answer->status == 200 || answer->status == 409) &&
         rp_wire_report(answer->body, answer->len, &heartbeat)) {
         bool same = strcmp(heartbeat.machine, command->machine) == 0;
-        if (same && heartbeat.token > command->token)
-            rp_election_doubt(workers->election);
+        if (same && heartbeat.fencing_token > command->token)
+            rp_election_verify(workers->election);
         fenced = same && answer->status == 200 && take_fenced(workers, machine, &heartbeat);
         machine->n_direct += !fenced; /* this answer has used a number since the newest report */
-        bool other_session = same && answer->status == 409 && heartbeat.session != command->session;
+        bool other_session =
+            same && answer->status == 409 && heartbeat.incarnation != command->session;
         again = other_session || (fenced && machine->n_unknown_live > 0);
-        command->session = heartbeat.session;
-        rp_report_free(&heartbeat);
+        command->session = heartbeat.incarnation;
+        rp_heartbeat_free(&heartbeat);
     }
-    if (fenced && workers->on_room)
-        workers->on_room(workers->arg);
+    if (fenced && workers->on_capacity_freed)
+        workers->on_capacity_freed(workers->arg);
     if (again && fence->n_sent < FENCE_SENT_MOST)
         fence_send(fence, machine);
     else
@@ -930,12 +944,12 @@
 }
 
 void rp_workers_fence(struct rp_workers *workers, struct rp_machine *machine, const char *addr,
-                      uint64_t session, rp_workers_fenced_fn fn, void *arg) {
+                      uint64_t incarnation, rp_workers_fenced_fn fn, void *arg) {
     struct fence *fence = calloc(1, sizeof *fence);
     if (!fence)
         abort(); /* out of memory: a restart is the honest answer */
     *fence = (struct fence){.direct = direct_new(workers, machine, 0), .fn = fn, .arg = arg};
-    fence->direct->session = session;
+    fence->direct->session = incarnation;
     snprintf(fence->addr, sizeof fence->addr, "%s", addr);
     fence_send(fence, machine);
 }
@@ -951,13 +965,13 @@
     for (struct rp_machine *machine = workers->cluster->first; machine && workers->direct_left > 0;
          machine = machine->next)
         if (machine->fenced && has_planned(machine))
-            rp_workers_direct(workers, machine);
+            rp_workers_send_direct(workers, machine);
 }
 
 static void probe_answered(void *arg, const struct rp_answer *answer) {
     struct direct *command = arg;
     struct rp_machine *machine = direct_machine(command);
-    struct rp_report heartbeat;
+    struct rp_heartbeat heartbeat;
     if (!machine)
         goto out;
     machine->probing = false;
@@ -966,7 +980,7 @@
         goto out;
     machine->probes_failed = 0;
     take_listing(command->w, machine, &heartbeat);
-    rp_report_free(&heartbeat);
+    rp_heartbeat_free(&heartbeat);
 out:
     direct_free(command);
 }
@@ -975,28 +989,28 @@
     if (machine->probing || !*machine->addr)
         return;
     machine->probing = true;
-    machine->probed = rp_loop_now(workers->loop);
+    machine->probed_at = rp_loop_now(workers->loop);
     machine->n_direct++;
     workers->net.call_once(workers->net.ctx, machine->addr, "GET", RP_PATH_SHOW, NULL, PROBE_S,
                            probe_answered, direct_new(workers, machine, 0));
 }
 
 void rp_workers_close(struct rp_workers *workers) {
-    free(workers->held);
-    workers->held = NULL;
+    free(workers->held_heartbeats);
+    workers->held_heartbeats = NULL;
     workers->n_held = workers->cap_held = 0;
     rp_timer_cancel(workers->loop, &workers->waiting_timer);
-    while (workers->waiting_reports) {
-        struct rp_waiting_report *waiting = workers->waiting_reports;
-        workers->waiting_reports = waiting->next;
+    while (workers->waiting_heartbeats) {
+        struct rp_waiting_heartbeat *waiting = workers->waiting_heartbeats;
+        workers->waiting_heartbeats = waiting->next;
         free(waiting->body);
         free(waiting);
     }
 }
 
-void rp_workers_report(struct rp_workers *workers, struct rp_request *req) {
-    struct rp_report report;
-    workers->n_reports++;
+void rp_workers_on_heartbeat(struct rp_workers *workers, struct rp_request *req) {
+    struct rp_heartbeat report;
+    workers->n_heartbeats++;
     if (may_come_soon(workers, rp_loop_now(workers->loop))) {
         wait_for_leader(workers, req);
         return;
@@ -1009,13 +1023,13 @@
         respond(req, 400, rp_wire_error("not a report"));
         return;
     }
-    if (rp_fleet_gone(workers->fleet, report.machine)) {
+    if (rp_fleet_is_terminated(workers->fleet, report.machine)) {
         respond(req, 503, rp_wire_error("this machine has been returned"));
-    } else if (report.token > workers->election->token) {
-        rp_election_doubt(workers->election);
+    } else if (report.fencing_token > workers->election->fencing_token) {
+        rp_election_verify(workers->election);
         respond(req, 503, rp_wire_error("a newer token is known"));
     } else {
         handle(workers, req, &report);
     }
-    rp_report_free(&report);
+    rp_heartbeat_free(&report);
 }
--- a/tests/behaviour/behaviour_digest.c
+++ b/tests/behaviour/behaviour_digest.c
@@ -298,9 +298,9 @@
                                                     {"LTJF-ED", "STJF-LAA", "ESW-EAA", "EDF-CP"},
                                                     {"SRW-CFH", "FCFS-FFH", "ESW-BF", "RR-SM"}};
     static const struct rp_objective objectives[] = {
-        {.kind = RP_AIM_FINISHED, .class_name = "a", .within_s = 90, .share = 0.9},
-        {.kind = RP_AIM_DEADLINE, .class_name = "a", .times = 1, .share = 0.9},
-        {.kind = RP_AIM_WAIT, .class_name = "g", .within_s = 30, .share = 0.9}};
+        {.kind = RP_OBJECTIVE_FINISHED, .class_name = "a", .within_s = 90, .share = 0.9},
+        {.kind = RP_OBJECTIVE_DEADLINE, .class_name = "a", .times = 1, .share = 0.9},
+        {.kind = RP_OBJECTIVE_WAIT, .class_name = "g", .within_s = 30, .share = 0.9}};
     settings->objectives = malloc(sizeof objectives);
     if (!settings->objectives)
         abort();
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -520,7 +520,7 @@
         task_exit(worker, task, "no_room", sim->now);
     else
         task->ready = sim->now + 0.5 + sim_uniform(sim);
-    if (sim->breakage == SIM_REPLICAS_NEVER_START && sim->jobs[j].spec.kind == RP_SERVICE)
+    if (sim->breakage == SIM_REPLICAS_NEVER_START && sim->jobs[j].spec.kind == RP_JOB_SERVICE)
         task->ready = 1e9;
     if (sim->breakage == SIM_LARGE_NEVER_BEGIN && sim->jobs[j].spec.n_tasks >= SIM_LARGE)
         task->ready = 1e9;
@@ -672,7 +672,7 @@
 
 static void task_step(struct sim *sim, struct sim_worker *worker, struct sim_task *task) {
     struct sim_job *job = &sim->jobs[task->job_index];
-    bool gang = job->spec.kind == RP_GANG;
+    bool gang = job->spec.kind == RP_JOB_GANG;
     switch (task->state) {
     case RP_TASK_FETCHING:
         if (sim->now < task->ready)
@@ -699,7 +699,7 @@
         } else if (worker->bad && sim->now > task->began + 0.5) {
             sim->n_errors++;
             task_exit(worker, task, "error", sim->now);
-        } else if (job->spec.kind == RP_SERVICE) {
+        } else if (job->spec.kind == RP_JOB_SERVICE) {
             if (sim_chance(sim, sim->faults.end_s > 0 ? SIM_STEP_S / sim->faults.end_s : 0) ||
                 job->faulty)
                 task_exit(worker, task, sim_chance(sim, 0.5) ? "done" : "error", sim->now);
@@ -1265,7 +1265,7 @@
     if (!node->alive)
         return false;
     return node->old_node ? sim_old_engine->leads(node->old_node)
-                          : node->node->at == RP_NODE_LEADING;
+                          : node->node->state == RP_NODE_LEADING;
 }
 
 int sim_leader(const struct sim *sim) {
@@ -1318,7 +1318,7 @@
         sim_broken(sim, "forgotten: %s gets 404", job->spec.id);
     if ((event->status == 400 || event->status == 422) && job->accepted)
         sim_broken(sim, "forgotten: %s gets %d", job->spec.id, event->status);
-    bool untold = sim->breakage == SIM_GANGS_ARE_NOT_SERVED && job->spec.kind == RP_GANG;
+    bool untold = sim->breakage == SIM_GANGS_ARE_NOT_SERVED && job->spec.kind == RP_JOB_GANG;
     if (untold && word && strcmp(word, "done") == 0)
         word = "running";
     if (sim->breakage == SIM_ANSWERS_ARE_OLD && job->told_done)
@@ -1461,7 +1461,7 @@
         if ((node != event->node && !event->for_next) || sim->cut_from_workers == node + 1 ||
             inside != from_inside)
             continue;
-        node_receive(sim, node, "POST", RP_PATH_REPORT, event->body, EV_REPORT_ANSWER,
+        node_receive(sim, node, "POST", RP_PATH_HEARTBEAT, event->body, EV_REPORT_ANSWER,
                      event->worker, event->flight, 0);
     }
     sim->n_kept -= event->for_next;
--- a/tests/sim_check.c
+++ b/tests/sim_check.c
@@ -60,7 +60,7 @@
 }
 
 void sim_check_done(struct sim *sim, const struct sim_job *job) {
-    if (job->spec.kind == RP_SERVICE)
+    if (job->spec.kind == RP_JOB_SERVICE)
         sim_broken(sim, "not_done: service %s is called done", job->spec.id);
     for (uint32_t i = 0; i < job->spec.n_tasks; i++)
         if (!job->done[i])
@@ -101,7 +101,7 @@
 static void check_replicas(struct sim *sim) {
     for (int j = 0; j < sim->n_jobs; j++) {
         struct sim_job *job = &sim->jobs[j];
-        if (job->spec.kind != RP_SERVICE || !job->accepted || job->cancel_asked)
+        if (job->spec.kind != RP_JOB_SERVICE || !job->accepted || job->cancel_asked)
             continue;
         bool up[SIM_JOB_TASKS] = {false};
         for (int i = 0; i < sim->size.workers; i++)
@@ -130,9 +130,9 @@
     unsigned asked[4] = {0}, served[4] = {0};
     for (int i = 0; i < sim->n_jobs; i++) {
         const struct sim_job *job = &sim->jobs[i];
-        if (!job->accepted || job->cancel_asked || job->spec.kind == RP_SERVICE)
+        if (!job->accepted || job->cancel_asked || job->spec.kind == RP_JOB_SERVICE)
             continue;
-        int kinds[3] = {job->spec.kind == RP_GANG, job->spec.n_tasks >= SIM_LARGE ? 2 : -1,
+        int kinds[3] = {job->spec.kind == RP_JOB_GANG, job->spec.n_tasks >= SIM_LARGE ? 2 : -1,
                         limited(job) ? -1 : 3};
         for (int k = 0; k < 3; k++)
             if (kinds[k] >= 0) {
@@ -239,13 +239,13 @@
     for (int j = 0; j < sim->n_jobs; j++) {
         struct sim_job *job = &sim->jobs[j];
         const struct rp_job_spec *spec = &job->spec;
-        bool gang = spec->kind == RP_GANG;
+        bool gang = spec->kind == RP_JOB_GANG;
         unsigned missing = 0;
         for (uint32_t t = 0; t < spec->n_tasks; t++)
             missing += !job->done[t] && !survey->placed[j][t];
         unsigned need = gang ? spec->n_tasks : 1;
         bool waits = job->accepted && !job->cancel_asked && !job->told_done && !job->faulty &&
-                     spec->kind != RP_SERVICE && (gang ? missing == need : missing > 0);
+                     spec->kind != RP_JOB_SERVICE && (gang ? missing == need : missing > 0);
         double limit = sim->settings[0].teams[0].cpus_max;
         if (!limited(job))
             limit = INFINITY;
--- a/tests/sim_trouble.c
+++ b/tests/sim_trouble.c
@@ -48,8 +48,9 @@
 
 static void deliver_kept(struct sim *sim) {
     int leader = sim_leader(sim);
-    uint64_t token =
-        leader >= 0 && sim->nodes[leader].node ? sim->nodes[leader].node->election.token : 0;
+    uint64_t token = leader >= 0 && sim->nodes[leader].node
+                         ? sim->nodes[leader].node->election.fencing_token
+                         : 0;
     if (!token || token == sim->last_token)
         return;
     sim->last_token = token;
--- a/tests/test_election.c
+++ b/tests/test_election.c
@@ -17,12 +17,12 @@
 }
 
 static void holding_alone_is_not_enough(void **state) {
-    struct rp_election election = {.at = RP_HOLDING, .valid_until = rp_ts(50)};
+    struct rp_election election = {.state = RP_ELECTION_HOLDING_KEY, .valid_until = rp_ts(50)};
     (void)state;
-    assert_true(rp_election_valid(&election, rp_ts(49.9)));
-    assert_false(rp_election_valid(&election, rp_ts(50)));
-    election.at = RP_FOLLOWING;
-    assert_false(rp_election_valid(&election, rp_ts(49.9)));
+    assert_true(rp_election_is_valid(&election, rp_ts(49.9)));
+    assert_false(rp_election_is_valid(&election, rp_ts(50)));
+    election.state = RP_ELECTION_FOLLOWING;
+    assert_false(rp_election_is_valid(&election, rp_ts(49.9)));
 }
 
 struct fired {
@@ -56,28 +56,31 @@
 }
 
 static void bucket_keeps_its_rate(void **state) {
-    struct rp_bucket bucket;
+    struct rp_token_bucket bucket;
     double taken = 0;
     (void)state;
-    rp_bucket_init(&bucket, 10, 5, rp_ts(0));
+    rp_token_bucket_init(&bucket, 10, 5, rp_ts(0));
     for (int i = 0; i <= 1000; i++)
-        while (rp_bucket_has(&bucket, 1, rp_ts(i * 0.01))) {
-            rp_bucket_take(&bucket, 1);
+        while (rp_token_bucket_has(&bucket, 1, rp_ts(i * 0.01))) {
+            rp_token_bucket_take(&bucket, 1);
             taken++;
         }
     assert_true(taken >= 100 && taken <= 106);
     /* More than the bucket ever holds passes when it is full, and is paid back. */
-    assert_true(rp_bucket_has(&bucket, 50, rp_ts(100)));
-    rp_bucket_take(&bucket, 50);
-    assert_false(rp_bucket_has(&bucket, 1, rp_ts(104)));
-    assert_true(rp_bucket_has(&bucket, 1, rp_ts(105)));
+    assert_true(rp_token_bucket_has(&bucket, 50, rp_ts(100)));
+    rp_token_bucket_take(&bucket, 50);
+    assert_false(rp_token_bucket_has(&bucket, 1, rp_ts(104)));
+    assert_true(rp_token_bucket_has(&bucket, 1, rp_ts(105)));
 }
 
 /* Knowledge of a leader goes stale: a node cut from the state service sent workers round in
  * circles. */
 static void stale_leader_is_not_named(void **state) {
-    struct rp_election election = {
-        .at = RP_FOLLOWING, .node = "n0", .leader = "n1", .ttl_s = 10, .looked_at = rp_ts(50)};
+    struct rp_election election = {.state = RP_ELECTION_FOLLOWING,
+                                   .node = "n0",
+                                   .leader = "n1",
+                                   .ttl_s = 10,
+                                   .leader_seen_at = rp_ts(50)};
     (void)state;
     assert_string_equal(rp_election_leader(&election, rp_ts(55)), "n1");
     assert_null(rp_election_leader(&election, rp_ts(63)));
@@ -86,11 +89,11 @@
     election.loop = &loop;
     rp_election_note_answer(&election, false);
     assert_null(rp_election_leader(&election, rp_ts(52)));
-    election.looked_at = rp_ts(61);
+    election.leader_seen_at = rp_ts(61);
     assert_string_equal(rp_election_leader(&election, rp_ts(61.6)), "n1");
     rp_election_note_answer(&election, true);
     assert_string_equal(rp_election_leader(&election, rp_ts(62)), "n1");
-    election.at = RP_HOLDING;
+    election.state = RP_ELECTION_HOLDING_KEY;
     assert_null(rp_election_leader(&election, rp_ts(62)));
 }
 
@@ -115,8 +118,8 @@
         asked->reads++;
 }
 
-static void count_refusal(void *arg, const struct rp_state_result *result) {
-    *(int *)arg += result->outcome == RP_STATE_REFUSED;
+static void count_refusal(void *arg, const struct rp_kv_result *result) {
+    *(int *)arg += result->outcome == RP_KV_REFUSED;
 }
 
 static json_t *one_write(void) {
@@ -127,22 +130,22 @@
  * through at once. Each has its own queue, a burst passes, and what waits too long is refused. */
 static void queries_dont_delay_submissions(void **state) {
     struct rp_loop loop;
-    struct rp_state_client client;
+    struct rp_kv_client client;
     struct asked asked = {0};
     struct rp_net net = {.ctx = &asked, .call = keep_call};
     int refused = 0;
     (void)state;
     assert_int_equal(rp_loop_init(&loop, true), 0);
     loop.virtual_now = rp_ts(100);
-    rp_state_client_init(&client, &loop, net, "state", 200, 20, 5, 0.6);
+    rp_kv_client_init(&client, &loop, net, "state", 200, 20, 5, 0.6);
     for (int i = 0; i < 200; i++)
-        rp_state_get(&client, RP_SHARE_QUERIES, "a/b", count_refusal, &refused);
+        rp_kv_get(&client, RP_KV_BUDGET_QUERIES, "a/b", count_refusal, &refused);
     assert_true(asked.reads < 40);
     for (int i = 0; i < 5; i++)
-        rp_state_txn(&client, RP_SHARE_SUBMISSIONS, one_write(), count_refusal, &refused);
+        rp_kv_txn(&client, RP_KV_BUDGET_SUBMISSIONS, one_write(), count_refusal, &refused);
     assert_int_equal(asked.writes, 5);
     for (int i = 0; i < 20; i++)
-        rp_state_txn(&client, RP_SHARE_SUBMISSIONS, one_write(), count_refusal, &refused);
+        rp_kv_txn(&client, RP_KV_BUDGET_SUBMISSIONS, one_write(), count_refusal, &refused);
     assert_int_equal(asked.writes, 5);
     assert_int_equal(refused, 0);
     for (int i = 0; i < 50; i++)
@@ -151,7 +154,7 @@
     assert_int_equal(client.n_shed, refused);
     for (int i = 0; i < asked.reads + asked.writes; i++)
         asked.fn[i](asked.arg[i], &(struct rp_answer){.status = 404, .body = ""});
-    rp_state_client_close(&client);
+    rp_kv_client_close(&client);
     rp_loop_close(&loop);
 }
 
@@ -160,24 +163,24 @@
  * of incident 5bf9. */
 static void submissions_use_what_is_left(void **state) {
     struct rp_loop loop;
-    struct rp_state_client client;
+    struct rp_kv_client client;
     struct asked asked = {0};
     struct rp_net net = {.ctx = &asked, .call = keep_call};
     int refused = 0;
     (void)state;
     assert_int_equal(rp_loop_init(&loop, true), 0);
     loop.virtual_now = rp_ts(100);
-    rp_state_client_init(&client, &loop, net, "state", 200, 20, 5, 0.6);
+    rp_kv_client_init(&client, &loop, net, "state", 200, 20, 5, 0.6);
     for (int i = 0; i < 45; i++) {
         rp_loop_advance(&loop, rp_ts(100 + i / 3.0));
-        rp_state_txn(&client, RP_SHARE_SUBMISSIONS, one_write(), count_refusal, &refused);
+        rp_kv_txn(&client, RP_KV_BUDGET_SUBMISSIONS, one_write(), count_refusal, &refused);
     }
     rp_loop_advance(&loop, rp_ts(116));
     assert_int_equal(refused, 0);
     assert_int_equal(asked.writes, 45);
     for (int i = 0; i < asked.writes; i++)
         asked.fn[i](asked.arg[i], &(struct rp_answer){.status = 200, .body = ""});
-    rp_state_client_close(&client);
+    rp_kv_client_close(&client);
     rp_loop_close(&loop);
 }
 
@@ -211,7 +214,7 @@
 /* A node that has taken the key at 100 s with lease 7, by revision 5. */
 struct led {
     struct rp_loop loop;
-    struct rp_state_client client;
+    struct rp_kv_client client;
     struct rp_election e;
     struct asked asked;
     int changes;
@@ -222,19 +225,19 @@
     memset(led, 0, sizeof *led);
     assert_int_equal(rp_loop_init(&led->loop, true), 0);
     led->loop.virtual_now = rp_ts(100);
-    rp_state_client_init(&led->client, &led->loop, net, "state", 200, 20, 3, 0.6);
+    rp_kv_client_init(&led->client, &led->loop, net, "state", 200, 20, 3, 0.6);
     rp_election_init(&led->e, &led->loop, &led->client, "n0", 10, 1, note_change, note_change,
                      &led->changes);
     rp_election_start(&led->e);
     rp_loop_advance(&led->loop, rp_ts(100.01));
     take_key(&led->asked, "{\"lashing\":7}", "{\"ledger_rev\":5}");
-    assert_true(led->e.at == RP_HOLDING && led->e.token == 5);
+    assert_true(led->e.state == RP_ELECTION_HOLDING_KEY && led->e.fencing_token == 5);
 }
 
 static void led_close(struct led *led) {
     time_out_rest(&led->asked);
     rp_election_stop(&led->e);
-    rp_state_client_close(&led->client);
+    rp_kv_client_close(&led->client);
     rp_loop_close(&led->loop);
 }
 
@@ -250,12 +253,12 @@
     rp_election_resign(&led.e, 0);
     rp_loop_advance(&led.loop, rp_ts(102.5));
     take_key(&led.asked, "{\"lashing\":8}", "{\"ledger_rev\":9}");
-    assert_true(led.e.at == RP_HOLDING && led.e.token == 9);
+    assert_true(led.e.state == RP_ELECTION_HOLDING_KEY && led.e.fencing_token == 9);
     struct timespec until = led.e.valid_until;
     rp_loop_advance(&led.loop, rp_ts(104)); /* the renewal of lease 8 is under way */
     answer_call(&led.asked, old, 200, "{}");
     assert_int_equal(rp_ts_cmp(led.e.valid_until, until), 0);
-    assert_int_equal(led.e.at, RP_HOLDING);
+    assert_int_equal(led.e.state, RP_ELECTION_HOLDING_KEY);
     answer_last(&led.asked, 200, "{}");
     assert_int_equal(rp_ts_cmp(led.e.valid_until, until), 1);
     assert_int_equal(led.changes, 3);
@@ -273,11 +276,11 @@
     for (double t = 101.1; t < 104.9; t += 1.1) {
         rp_loop_advance(&led.loop, rp_ts(t));
         answer_last(&led.asked, 200, own);
-        assert_int_equal(led.e.at, RP_FOLLOWING);
+        assert_int_equal(led.e.state, RP_ELECTION_FOLLOWING);
     }
     rp_loop_advance(&led.loop, rp_ts(106.5));
     answer_last(&led.asked, 200, own);
-    assert_int_equal(led.e.at, RP_LEASING);
+    assert_int_equal(led.e.state, RP_ELECTION_ACQUIRING_LEASE);
     led_close(&led);
 }
 
--- a/tests/test_lookup.c
+++ b/tests/test_lookup.c
@@ -41,7 +41,7 @@
 struct world {
     struct rp_loop loop;
     struct service service;
-    struct rp_state_client state;
+    struct rp_kv_client state;
     struct rp_settings settings;
     struct rp_job_lookup lookup;
 };
@@ -52,15 +52,15 @@
     world->settings.state_fit.txn_ops = 2;
     assert_int_equal(rp_loop_init(&world->loop, true), 0);
     world->loop.virtual_now = rp_ts(100);
-    rp_state_client_init(&world->state, &world->loop, net, "state", RPS, 10, 1, 0.6);
+    rp_kv_client_init(&world->state, &world->loop, net, "state", RPS, 10, 1, 0.6);
     rp_job_lookup_init(&world->lookup, &world->loop, &world->state, &world->settings);
     while (!rp_job_lookup_pays(&world->lookup))
-        rp_bucket_take(&world->state.requests[RP_SHARE_QUERIES], 1);
+        rp_token_bucket_take(&world->state.requests[RP_KV_BUDGET_QUERIES], 1);
 }
 
 static void world_close(struct world *world) {
     rp_job_lookup_close(&world->lookup);
-    rp_state_client_close(&world->state);
+    rp_kv_client_close(&world->state);
     rp_loop_close(&world->loop);
 }
 
@@ -133,23 +133,25 @@
 }
 
 static void final_states_are_kept(void **state) {
-    struct rp_final_states *states = calloc(1, sizeof *states);
-    enum rp_job_word word;
+    struct rp_terminal_states *terminal_states = calloc(1, sizeof *terminal_states);
+    enum rp_job_phase phase;
     (void)state;
-    assert_non_null(states);
-    assert_false(rp_final_states_find(states, "j-000001", &word));
-    rp_final_states_note(states, "j-000001", RP_JOB_DONE);
-    rp_final_states_note(states, "j-000002", RP_JOB_CANCELLED);
-    assert_true(rp_final_states_find(states, "j-000001", &word) && word == RP_JOB_DONE);
-    assert_true(rp_final_states_find(states, "j-000002", &word) && word == RP_JOB_CANCELLED);
+    assert_non_null(terminal_states);
+    assert_false(rp_terminal_states_find(terminal_states, "j-000001", &phase));
+    rp_terminal_states_note(terminal_states, "j-000001", RP_JOB_DONE);
+    rp_terminal_states_note(terminal_states, "j-000002", RP_JOB_CANCELLED);
+    assert_true(rp_terminal_states_find(terminal_states, "j-000001", &phase) &&
+                phase == RP_JOB_DONE);
+    assert_true(rp_terminal_states_find(terminal_states, "j-000002", &phase) &&
+                phase == RP_JOB_CANCELLED);
     /* Beyond the bound old ones go; none is ever mistaken for another. */
-    for (int i = 0; i < 3 * RP_FINAL_STATES_KEPT; i++) {
+    for (int i = 0; i < 3 * RP_TERMINAL_STATES_MAX; i++) {
         char id[RP_ID_MAX];
         snprintf(id, sizeof id, "j-%06d", 100 + i);
-        assert_false(rp_final_states_find(states, id, &word));
-        rp_final_states_note(states, id, RP_JOB_DONE);
+        assert_false(rp_terminal_states_find(terminal_states, id, &phase));
+        rp_terminal_states_note(terminal_states, id, RP_JOB_DONE);
     }
-    free(states);
+    free(terminal_states);
 }
 
 int main(int argc, char **argv) {
--- a/tests/test_meetings.c
+++ b/tests/test_meetings.c
@@ -90,7 +90,7 @@
         confirmed += sim->jobs[i].told_cancelled;
     /* The meeting came about: users were told by others, the leader didn't hear of it. */
     assert_true(confirmed >= 1);
-    assert_true(rp_jobs_stale_s(&sim->nodes[leader].node->jobs) > 0);
+    assert_true(rp_jobs_staleness_s(&sim->nodes[leader].node->jobs) > 0);
     sim->outage_until = sim->now + outage_s;
     run(sim, fmax(sim->size.cancel_s + 20, outage_s + 20));
     rest(sim);
@@ -150,25 +150,25 @@
     int leader = sim_leader(sim);
     struct rp_node *node = sim->nodes[leader].node;
     unsigned long life = sim->nodes[leader].life;
-    uint64_t token = node->election.token;
-    double most = rp_settings_news_s(node->settings);
+    uint64_t token = node->election.fencing_token;
+    double most = rp_settings_max_staleness_s(node->settings);
     sim->nodes[leader].refused_until = sim->now + 2;
     sim->jobs[0].cancel_at = sim->now;
     run(sim, 1.9);
     assert_true(sim->jobs[0].told_cancelled);
     sim->outage_until = sim->now + 18;
     run(sim, 17.9);
-    assert_true(rp_jobs_stale_s(&node->jobs) > most);
-    assert_false(rp_jobs_may_answer(&node->jobs));
-    for (int i = 0; i < 400 && !rp_jobs_may_answer(&node->jobs); i++)
+    assert_true(rp_jobs_staleness_s(&node->jobs) > most);
+    assert_false(rp_jobs_may_answer_heartbeats(&node->jobs));
+    for (int i = 0; i < 400 && !rp_jobs_may_answer_heartbeats(&node->jobs); i++)
         run(sim, 0.02);
     /* It leads on, knows of the cancellation before it answers, and no task of it is let run on. */
-    assert_true(sim->nodes[leader].life == life && node->election.token == token);
+    assert_true(sim->nodes[leader].life == life && node->election.fencing_token == token);
     const struct rp_job *job = rp_jobs_find(&node->jobs, sim->jobs[0].spec.id);
     assert_true(!job || job->state == RP_JOB_CLOSED);
     run(sim, 8);
     assert_int_equal(running_tasks(sim, 0), 0);
-    assert_true(node->election.token == token);
+    assert_true(node->election.fencing_token == token);
     rest(sim);
 }
 
@@ -207,7 +207,7 @@
         for (int i = 0; i < 10; i++)
             sim_submit(sim, 1, "sweep", 6, 1, 120, 0);
         run(sim, 40);
-        uint64_t token = leader_of(sim)->election.token;
+        uint64_t token = leader_of(sim)->election.fencing_token;
         for (int i = 0; i < 10; i++)
             sim->jobs[i].cancel_at = sim->now - 0.5 + 0.5 * i;
         if (seed % 3 == 0)
@@ -217,7 +217,7 @@
         else
             rp_election_resign(&leader_of(sim)->election, 5);
         run(sim, 16);
-        assert_true(leader_of(sim)->election.token > token);
+        assert_true(leader_of(sim)->election.fencing_token > token);
         for (int i = 0; i < 10; i++)
             confirmed += sim->jobs[i].told_cancelled;
         rest(sim);
@@ -254,7 +254,8 @@
                 struct sim_worker *worker = &sim->workers[k];
                 /* It hangs as soon as it has taken the new leader's first answer. */
                 if (worker->used && worker->up && worker->n_tasks > 0 && worker->hung_until <= 0 &&
-                    worker->session == 1 && worker->token == leader_of(sim)->election.token) {
+                    worker->session == 1 &&
+                    worker->token == leader_of(sim)->election.fencing_token) {
                     worker->hung_until = sim->now + 21;
                     hung++;
                 }
@@ -279,7 +280,7 @@
     for (struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
         if (machine->state == RP_MACHINE_UP && machine->n_allocations > 0) {
             on_it += (int)machine->n_allocations;
-            rp_fleet_return(&node->fleet, machine, "to see what becomes of its tasks");
+            rp_fleet_scale_in(&node->fleet, machine, "to see what becomes of its tasks");
         }
     assert_true(on_it >= 50);
     run(sim, 1);
@@ -299,13 +300,13 @@
         run(sim, 20);
         for (int i = 0; i < 12; i++) {
             sim->jobs[i % sim->n_jobs].cancel_at = i == 5 ? sim->now : 0;
-            uint64_t token = sim_leader(sim) >= 0 ? leader_of(sim)->election.token : 0;
+            uint64_t token = sim_leader(sim) >= 0 ? leader_of(sim)->election.fencing_token : 0;
             if (sim_leader(sim) >= 0)
                 sim_crash(sim, sim_leader(sim), i % 2 ? 0.1 : 3);
             if (i == 6)
                 sim->outage_until = sim->now + 12;
             run(sim, 10);
-            changes += sim_leader(sim) >= 0 && leader_of(sim)->election.token != token;
+            changes += sim_leader(sim) >= 0 && leader_of(sim)->election.fencing_token != token;
         }
         assert_true(changes >= 10);
         rest(sim);
@@ -521,7 +522,7 @@
         submit_some(sim, 30);
         run(sim, 110);
         assert_int_equal(sim_count_stored(sim, RP_KEY_OPEN "j-9"), 0);
-        assert_int_equal(sim_count_stored(sim, RP_KEY_OVER "j-9"), 0);
+        assert_int_equal(sim_count_stored(sim, RP_KEY_TERMINAL "j-9"), 0);
         asked += sim->n_odd;
         answered += sim->n_odd_answered;
         rest(sim);
--- a/tests/test_plan.c
+++ b/tests/test_plan.c
@@ -16,8 +16,8 @@
     return (struct rp_plan_machine){.type = type,
                                     .price = 1,
                                     .capacity = {cpus, 0, cpus * 4},
-                                    .room = {room, 0, cpus * 4},
-                                    .later = {room, 0, cpus * 4},
+                                    .free_now = {room, 0, cpus * 4},
+                                    .free_later = {room, 0, cpus * 4},
                                     .wait_s = 30};
 }
 
@@ -48,9 +48,9 @@
 
 static uint32_t put_on(const struct rp_plan *plan, size_t group, size_t machine) {
     uint32_t n = 0;
-    for (size_t i = 0; i < plan->n_puts; i++)
-        if (plan->puts[i].group == group && plan->puts[i].machine == machine)
-            n += plan->puts[i].count;
+    for (size_t i = 0; i < plan->n_placements; i++)
+        if (plan->placements[i].group == group && plan->placements[i].machine == machine)
+            n += plan->placements[i].count;
     return n;
 }
 
@@ -68,13 +68,13 @@
     struct rp_plan_input in = input(NULL, 0, machines, 2, groups, 1);
     struct rp_plan plan;
     (void)state;
-    rp_plan_by(&in, fcfs_sm, &plan); /* the smaller machine first */
+    rp_plan_build(&in, fcfs_sm, &plan); /* the smaller machine first */
     assert_int_equal(put_on(&plan, 0, 1), 5);
     assert_int_equal(put_on(&plan, 0, 0), 3);
     assert_int_equal(plan.n_now, 8);
-    assert_int_equal(plan.n_fresh, 0);
+    assert_int_equal(plan.n_new_machines, 0);
     rp_plan_free(&plan);
-    rp_plan_by(&in, (struct rp_heuristic){RP_FCFS, RP_LM}, &plan);
+    rp_plan_build(&in, (struct rp_heuristic){RP_FCFS, RP_LM}, &plan);
     assert_int_equal(put_on(&plan, 0, 0), 8);
     rp_plan_free(&plan);
 }
@@ -86,18 +86,18 @@
     struct rp_plan_input in = input(kinds, 3, NULL, 0, groups, 1);
     struct rp_plan plan;
     (void)state;
-    rp_plan_by(&in, fcfs_sm, &plan);
-    assert_int_equal(plan.n_fresh, 2);
-    assert_int_equal(plan.fresh[0], 2); /* spot: 80 CPUs for 1 */
+    rp_plan_build(&in, fcfs_sm, &plan);
+    assert_int_equal(plan.n_new_machines, 2);
+    assert_int_equal(plan.new_machines[0], 2); /* spot: 80 CPUs for 1 */
     assert_int_equal(plan.n_wait, 40);
     rp_plan_free(&plan);
     groups[0].spot = false;
-    rp_plan_by(&in, fcfs_sm, &plan);
-    assert_int_equal(plan.fresh[0], 1); /* 21 against 16 */
+    rp_plan_build(&in, fcfs_sm, &plan);
+    assert_int_equal(plan.new_machines[0], 1); /* 21 against 16 */
     rp_plan_free(&plan);
     kinds[1].refused = true;
-    rp_plan_by(&in, fcfs_sm, &plan);
-    assert_int_equal(plan.n_fresh, 5); /* the next best, while the best is refused */
+    rp_plan_build(&in, fcfs_sm, &plan);
+    assert_int_equal(plan.n_new_machines, 5); /* the next best, while the best is refused */
     rp_plan_free(&plan);
 }
 
@@ -108,9 +108,9 @@
     struct rp_plan_input in = input(kinds, 1, machines, 1, groups, 1);
     struct rp_plan plan;
     (void)state;
-    machines[0].later.cpus = 8; /* free before another machine could be up */
-    rp_plan_by(&in, fcfs_sm, &plan);
-    assert_int_equal(plan.n_fresh, 0);
+    machines[0].free_later.cpus = 8; /* free before another machine could be up */
+    rp_plan_build(&in, fcfs_sm, &plan);
+    assert_int_equal(plan.n_new_machines, 0);
     assert_int_equal(plan.n_now, 0);
     assert_int_equal(plan.n_wait, 8);
     rp_plan_free(&plan);
@@ -122,18 +122,18 @@
     struct rp_plan_input in = input(NULL, 0, machines, 2, groups, 2);
     struct rp_plan plan;
     (void)state;
-    groups[0].kind = groups[1].kind = RP_GANG;
+    groups[0].kind = groups[1].kind = RP_JOB_GANG;
     groups[0].age_s = 100;
-    rp_plan_by(&in, fcfs_sm, &plan);
+    rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(put_on(&plan, 0, 0) + put_on(&plan, 0, 1), 0);
     assert_int_equal(put_on(&plan, 1, 0) + put_on(&plan, 1, 1), 2);
     rp_plan_free(&plan);
     /* In one zone: the second zone holds it, the first doesn't. */
     machines[1].zone = 1;
-    machines[1].capacity.cpus = machines[1].room.cpus = machines[1].later.cpus = 16;
+    machines[1].capacity.cpus = machines[1].free_now.cpus = machines[1].free_later.cpus = 16;
     groups[1].one_zone = true;
     groups[0].n = 9;
-    rp_plan_by(&in, fcfs_sm, &plan);
+    rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(put_on(&plan, 1, 1), 2);
     rp_plan_free(&plan);
 }
@@ -147,14 +147,14 @@
     (void)state;
     machines[1].zone = 1;
     groups[0].spread = true;
-    rp_plan_by(&in, fcfs_sm, &plan);
+    rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(put_on(&plan, 0, 0), 5);
     assert_int_equal(put_on(&plan, 0, 1), 4);
     rp_plan_free(&plan);
     in.teams = team;
     in.n_teams = 1;
     groups[0].team = 0;
-    rp_plan_by(&in, fcfs_sm, &plan);
+    rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(plan.n_now, 4);
     rp_plan_free(&plan);
 }
@@ -166,20 +166,20 @@
     struct rp_plan plan;
     (void)state;
     groups[0].age_s = 1000;
-    groups[1].priority = RP_HIGH;
-    rp_plan_by(&in, fcfs_sm, &plan);
+    groups[1].priority = RP_PRIORITY_HIGH;
+    rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(put_on(&plan, 1, 0), 1);
     assert_int_equal(put_on(&plan, 0, 0), 0);
     rp_plan_free(&plan);
 }
 
 static void portfolio_takes_least_left_then_cheapest(void **state) {
-    struct rp_plan a = {.left = 1, .cost = 5}, b = {.left = 0, .cost = 9},
-                   c = {.left = 0, .cost = 8};
+    struct rp_plan a = {.unplaced_work = 1, .cost = 5}, b = {.unplaced_work = 0, .cost = 9},
+                   c = {.unplaced_work = 0, .cost = 8};
     (void)state;
-    assert_true(rp_plan_better(&b, &a));
-    assert_true(rp_plan_better(&c, &b));
-    assert_false(rp_plan_better(&b, &c));
+    assert_true(rp_plan_is_better(&b, &a));
+    assert_true(rp_plan_is_better(&c, &b));
+    assert_false(rp_plan_is_better(&b, &c));
 }
 
 /* Whatever the input: no machine is overfilled, nothing is put where it isn't allowed, gangs are
@@ -200,14 +200,15 @@
             int t = (int)gsl_rng_uniform_int(rng, 2);
             double cpus = t ? 32 : 8;
             machines[i] = machine(t, cpus, floor(gsl_rng_uniform(rng) * cpus));
-            machines[i].later.cpus += floor(gsl_rng_uniform(rng) * (cpus - machines[i].room.cpus));
+            machines[i].free_later.cpus +=
+                floor(gsl_rng_uniform(rng) * (cpus - machines[i].free_now.cpus));
             machines[i].zone = (int)gsl_rng_uniform_int(rng, 2);
             machines[i].spot = gsl_rng_uniform(rng) < 0.3;
         }
         for (size_t i = 0; i < ng; i++) {
             groups[i] =
                 group(1 + (uint32_t)gsl_rng_uniform_int(rng, 20), 1 + gsl_rng_uniform(rng) * 6, 30);
-            groups[i].kind = gsl_rng_uniform(rng) < 0.3 ? RP_GANG : RP_ARRAY;
+            groups[i].kind = gsl_rng_uniform(rng) < 0.3 ? RP_JOB_GANG : RP_JOB_ARRAY;
             groups[i].spot = gsl_rng_uniform(rng) < 0.5;
             groups[i].one_zone = gsl_rng_uniform(rng) < 0.3;
             groups[i].zones = 1 + (uint32_t)gsl_rng_uniform_int(rng, 3);
@@ -222,33 +223,37 @@
         struct rp_plan plan;
         double now_used[40] = {0}, used[40] = {0}, team_used = 0;
         uint32_t placed[20] = {0}, zone_used[20][2] = {{0}};
-        rp_plan_by(&in, heuristic, &plan);
+        rp_plan_build(&in, heuristic, &plan);
         assert_false(plan.failed);
-        for (size_t i = 0; i < plan.n_puts; i++) {
-            const struct rp_plan_put *put = &plan.puts[i];
-            bool fresh = put->machine >= nm;
-            const struct rp_plan_kind *kd = fresh ? &kinds[plan.fresh[put->machine - nm]] : NULL;
-            int zone = fresh ? kd->zone : machines[put->machine].zone;
-            bool spot = fresh ? kd->spot : machines[put->machine].spot;
-            used[put->machine] += put->count * groups[put->group].each.cpus;
-            now_used[put->machine] += put->now ? put->count * groups[put->group].each.cpus : 0;
-            placed[put->group] += put->count;
-            zone_used[put->group][zone] += put->count;
-            team_used +=
-                groups[put->group].team == 0 ? put->count * groups[put->group].each.cpus : 0;
-            assert_true(groups[put->group].zones >> zone & 1);
-            assert_true(!spot || groups[put->group].spot);
-            assert_false(fresh && put->now);
+        for (size_t i = 0; i < plan.n_placements; i++) {
+            const struct rp_placement *placement = &plan.placements[i];
+            bool fresh = placement->machine >= nm;
+            const struct rp_plan_kind *kd =
+                fresh ? &kinds[plan.new_machines[placement->machine - nm]] : NULL;
+            int zone = fresh ? kd->zone : machines[placement->machine].zone;
+            bool spot = fresh ? kd->spot : machines[placement->machine].spot;
+            used[placement->machine] += placement->count * groups[placement->group].each.cpus;
+            now_used[placement->machine] +=
+                placement->now ? placement->count * groups[placement->group].each.cpus : 0;
+            placed[placement->group] += placement->count;
+            zone_used[placement->group][zone] += placement->count;
+            team_used += groups[placement->group].team == 0
+                             ? placement->count * groups[placement->group].each.cpus
+                             : 0;
+            assert_true(groups[placement->group].zones >> zone & 1);
+            assert_true(!spot || groups[placement->group].spot);
+            assert_false(fresh && placement->now);
         }
-        for (size_t i = 0; i < nm + plan.n_fresh; i++) {
-            double later =
-                i < nm ? machines[i].later.cpus : kinds[plan.fresh[i - nm]].capacity.cpus;
+        for (size_t i = 0; i < nm + plan.n_new_machines; i++) {
+            double later = i < nm ? machines[i].free_later.cpus
+                                  : kinds[plan.new_machines[i - nm]].capacity.cpus;
             assert_true(used[i] <= later + 1e-6);
-            assert_true(i >= nm || now_used[i] <= machines[i].room.cpus + 1e-6);
+            assert_true(i >= nm || now_used[i] <= machines[i].free_now.cpus + 1e-6);
         }
         for (size_t i = 0; i < ng; i++) {
             assert_true(placed[i] <= groups[i].n);
-            assert_true(groups[i].kind != RP_GANG || placed[i] == 0 || placed[i] == groups[i].n);
+            assert_true(groups[i].kind != RP_JOB_GANG || placed[i] == 0 ||
+                        placed[i] == groups[i].n);
             assert_true(!groups[i].one_zone || !zone_used[i][0] || !zone_used[i][1]);
             for (int z = 0; z < 2; z++)
                 assert_true(!groups[i].spread || zone_used[i][z] <= groups[i].spread_max);
@@ -275,11 +280,11 @@
     groups[0].slack_s = 10; /* about to be late, and far too large to be in time */
     groups[1].begin = true; /* the first task of another large one */
     struct rp_plan_input in = input(NULL, 0, machines, MACHINES, groups, 4);
-    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    rp_plan_build(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
     uint32_t placed[4] = {0};
-    for (size_t i = 0; i < plan.n_puts; i++)
-        placed[plan.puts[i].group] += plan.puts[i].count;
-    assert_true(plan.short_of_room[0] && !plan.short_of_room[1]);
+    for (size_t i = 0; i < plan.n_placements; i++)
+        placed[plan.placements[i].group] += plan.placements[i].count;
+    assert_true(plan.short_of_capacity[0] && !plan.short_of_capacity[1]);
     assert_int_equal(placed[1], 1);
     assert_int_equal(placed[2], 299);
     assert_int_equal(placed[3], 20);
@@ -288,8 +293,8 @@
     /* With time enough for all, nothing is given up. */
     for (int i = 0; i < 4; i++)
         groups[i].slack_s = 2000;
-    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
-    assert_false(plan.short_of_room[0]);
+    rp_plan_build(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    assert_false(plan.short_of_capacity[0]);
     rp_plan_free(&plan);
 }
 
@@ -302,19 +307,19 @@
     struct rp_plan plan;
     int gang, other;
     (void)state;
-    groups[0].kind = RP_GANG;
+    groups[0].kind = RP_JOB_GANG;
     groups[0].held = true;
     groups[0].ref = &gang;
     groups[1].ref = &other;
-    machines[0].kept = machines[1].kept = &gang;
-    machines[2].room.cpus = machines[2].later.cpus = 6;
-    rp_plan_by(&in, fcfs_sm, &plan);
+    machines[0].reserved_for = machines[1].reserved_for = &gang;
+    machines[2].free_now.cpus = machines[2].free_later.cpus = 6;
+    rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(put_on(&plan, 1, 0) + put_on(&plan, 1, 1), 0);
     assert_int_equal(put_on(&plan, 1, 2), 3);
     assert_int_equal(put_on(&plan, 0, 0), 0);
     rp_plan_free(&plan);
-    machines[1].room.cpus = machines[1].later.cpus = 8;
-    rp_plan_by(&in, fcfs_sm, &plan);
+    machines[1].free_now.cpus = machines[1].free_later.cpus = 8;
+    rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(put_on(&plan, 0, 0) + put_on(&plan, 0, 1), 2);
     assert_int_equal(put_on(&plan, 1, 2), 3);
     rp_plan_free(&plan);
@@ -329,15 +334,15 @@
     struct rp_plan plan;
     (void)state;
     for (int i = 0; i < 2; i++) {
-        machines[i].capacity.gpus = machines[i].room.gpus = machines[i].later.gpus = 4;
-        machines[i].spare = (struct rp_resources){3, 0, 20};
+        machines[i].capacity.gpus = machines[i].free_now.gpus = machines[i].free_later.gpus = 4;
+        machines[i].spare_now = (struct rp_resources){3, 0, 20};
     }
     machines[0].busy_s = machines[0].own_busy_s = 60;
     machines[1].busy_s = 60; /* by such work itself: that would keep the machine for ever */
     machines[1].own_busy_s = 5;
     groups[0].types = 1;
     groups[0].spare_types = 2;
-    rp_plan_by(&in, fcfs_sm, &plan);
+    rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(put_on(&plan, 0, 0), 3);
     assert_int_equal(put_on(&plan, 0, 1), 0);
     rp_plan_free(&plan);
@@ -353,14 +358,14 @@
     (void)state;
     for (int i = 0; i < MACHINES; i++) {
         m[i] = machine(0, 8, 8);
-        m[i].room.cpus = m[i].later.cpus = i < 40 ? 8 : 0.5;
+        m[i].free_now.cpus = m[i].free_later.cpus = i < 40 ? 8 : 0.5;
     }
     for (int i = 0; i < GROUPS; i++)
         g[i] = group(100, 1, 30);
     struct rp_plan_input in = input(NULL, 0, m, MACHINES, g, GROUPS);
-    rp_plan_by(&in, fcfs_sm, &plan);
+    rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(plan.n_now, 320);
-    assert_true(plan.n_looks > 0 && plan.n_looks < 1000);
+    assert_true(plan.n_probes > 0 && plan.n_probes < 1000);
     rp_plan_free(&plan);
     free(m);
     free(g);
@@ -381,10 +386,10 @@
         groups[i].slack_s = i == 0 ? 30 : i == 2 ? 60 : 50;
         groups[i].class_jobs = i == 3 ? 40 : 1;
     }
-    groups[3].kind = RP_GANG;
+    groups[3].kind = RP_JOB_GANG;
     struct rp_plan_input in = input(NULL, 0, machines, 10, groups, 4);
-    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
-    assert_true(plan.short_of_room[0]);
+    rp_plan_build(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    assert_true(plan.short_of_capacity[0]);
     for (size_t i = 0; i < 10; i++)
         small += put_on(&plan, 2, i);
     assert_int_equal(small, 8);
@@ -398,13 +403,13 @@
     struct rp_plan_input in = input(NULL, 0, machines, 1, groups, 2);
     struct rp_plan plan;
     (void)state;
-    groups[0].priority = RP_PRODUCTION;
-    groups[1].priority = RP_LOW;
-    rp_plan_by(&in, fcfs_sm, &plan);
+    groups[0].priority = RP_PRIORITY_CRITICAL;
+    groups[1].priority = RP_PRIORITY_LOW;
+    rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(put_on(&plan, 1, 0), 0);
     rp_plan_free(&plan);
     groups[1].guaranteed = true;
-    rp_plan_by(&in, fcfs_sm, &plan);
+    rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(put_on(&plan, 1, 0), 6);
     assert_int_equal(put_on(&plan, 0, 0), 2);
     rp_plan_free(&plan);
@@ -429,15 +434,15 @@
     groups[40].slack_s = 60;
     groups[40].class_jobs = 1;
     struct rp_plan_input in = input(NULL, 0, machines, 10, groups, 41);
-    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
-    assert_true(plan.short_of_room[0]);
+    rp_plan_build(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    assert_true(plan.short_of_capacity[0]);
     for (size_t i = 0; i < 10; i++)
         rare += put_on(&plan, 40, i);
     assert_int_equal(rare, 80);
     rp_plan_free(&plan);
     /* As one job of many it is given up, as before. */
     groups[40].class_jobs = 40;
-    rp_plan_by(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    rp_plan_build(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
     rare = 0;
     for (size_t i = 0; i < 10; i++)
         rare += put_on(&plan, 40, i);
--- a/tests/test_settings.c
+++ b/tests/test_settings.c
@@ -160,7 +160,7 @@
     for (double lease = 4; lease < 60; lease *= 1.3)
         for (double more = 1; more < 60; more *= 1.2) {
             if (read_platform(lease, lease + more, "56", &settings) == 0) {
-                double news = rp_settings_news_s(&settings);
+                double news = rp_settings_max_staleness_s(&settings);
                 sound++;
                 assert_true(news > settings.tuning.leader_ttl_s);
                 assert_true((news + lease) * 1.001 + 3 < lease + more);
@@ -171,7 +171,7 @@
         }
     assert_true(sound >= 100);
     assert_int_equal(read_platform(14, 39, "56", &settings), 0);
-    assert_true(rp_settings_news_s(&settings) == settings.tuning.leader_ttl_s + 4.5);
+    assert_true(rp_settings_max_staleness_s(&settings) == settings.tuning.leader_ttl_s + 4.5);
     rp_settings_free(&settings);
 }
 
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -90,13 +90,13 @@
         sim_submit(sim, 1, "sweep", 30, 1, 60, 0);
     sim_run(sim, 60);
     int leader = sim_leader(sim);
-    unsigned long returned = sim->nodes[leader].node->fleet.n_returned;
+    unsigned long returned = sim->nodes[leader].node->fleet.n_released;
     assert_true(sim->nodes[leader].node->cluster.n_machines >= 4);
     sim->cut_from_workers = leader + 1;
     sim_run(sim, 11);
     assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
-    assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.n_returned, 0);
-    assert_true(sim->nodes[leader].node->fleet.n_returned <= returned + 1);
+    assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.n_released, 0);
+    assert_true(sim->nodes[leader].node->fleet.n_released <= returned + 1);
     assert_string_equal(sim->broken, "");
     sim_free(sim);
 }
@@ -243,7 +243,7 @@
     sim_run(sim, 35);
     struct rp_cluster *cluster = &sim->nodes[sim_leader(sim)].node->cluster;
     const struct rp_machine *machine = rp_machine_find(cluster, name);
-    assert_true(!machine || !rp_machine_usable(machine));
+    assert_true(!machine || !rp_machine_is_usable(machine));
     assert_true(!machine || machine->n_allocations == 0);
     sim_run(sim, 40);
     assert_null(rp_machine_find(cluster, name));
@@ -266,7 +266,7 @@
     worker->deaf_until = sim->now + 1000;
     sim_crash(sim, sim_leader(sim), 3);
     sim_run(sim, 45);
-    assert_true(rp_cluster_settled(&sim->nodes[sim_leader(sim)].node->cluster));
+    assert_true(rp_cluster_is_reconciled(&sim->nodes[sim_leader(sim)].node->cluster));
     sim_run(sim, 120);
     assert_string_equal(sim->broken, "");
     assert_true(sim_all_over(sim));
@@ -521,9 +521,10 @@
         for (const struct rp_machine *machine = node->cluster.first; machine;
              machine = machine->next) {
             const struct rp_job *job =
-                *machine->reserved ? rp_jobs_find(&node->jobs, machine->reserved) : NULL;
-            if (!job || job->state != RP_JOB_OPEN || job->n_counted > 0 || machine->faulty ||
-                machine->noticed || rp_ts_reached(rp_loop_now(node->loop), machine->reserved_until))
+                *machine->reserved_for ? rp_jobs_find(&node->jobs, machine->reserved_for) : NULL;
+            if (!job || job->state != RP_JOB_OPEN || job->n_allocated > 0 || machine->quarantined ||
+                machine->has_spot_notice ||
+                rp_ts_reached(rp_loop_now(node->loop), machine->reserved_until))
                 continue;
             kept += machine->n_allocations == 0;
             assert_int_equal(machine->state, RP_MACHINE_UP);
@@ -548,7 +549,8 @@
         assert_non_null(settings->objectives);
         settings->n_objectives = 1;
         /* So the arrays come first in every order. */
-        settings->objectives[0] = (struct rp_objective){.kind = RP_AIM_FINISHED, .within_s = 90};
+        settings->objectives[0] =
+            (struct rp_objective){.kind = RP_OBJECTIVE_FINISHED, .within_s = 90};
         strcpy(settings->objectives[0].class_name, "a");
     }
     for (int i = 0; i < 90; i++)
@@ -582,7 +584,7 @@
         for (int k = 0; sim_leader(sim) >= 0 && k < sim->size.workers; k++) {
             const struct rp_machine *machine =
                 rp_machine_find(&sim->nodes[sim_leader(sim)].node->cluster, sim->workers[k].name);
-            assert_true(!machine || !machine->faulty);
+            assert_true(!machine || !machine->quarantined);
         }
     }
     assert_true(sim->n_errors >= 20);
@@ -799,7 +801,7 @@
         assert_int_equal(sim_leader(sim), leader);
         for (const struct rp_job *job = node->jobs.first; job; job = job->next)
             for (uint32_t t = 0; t < job->spec.n_tasks; t++)
-                assert_true(rp_job_allocations(job, t) <= 1);
+                assert_true(rp_job_n_task_allocations(job, t) <= 1);
     }
     sim_run(sim, 200);
     assert_string_equal(sim->broken, "");
@@ -829,16 +831,17 @@
         sim_crash(sim, sim_leader(sim), 3);
     sim_run(sim, 30);
     const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
-    assert_true(rp_fleet_zone_out(&node->fleet, 0));
+    assert_true(rp_fleet_is_zone_silent(&node->fleet, 0));
     int lost = 0;
     for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
         lost += machine->zone == 0 && machine->state == RP_MACHINE_LOST;
     assert_int_equal(lost, before);
     sim->cut_zone = 0;
     sim_run(sim, 14);
-    assert_false(rp_fleet_zone_out(&node->fleet, 0));
+    assert_false(rp_fleet_is_zone_silent(&node->fleet, 0));
     for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
-        in_zone += machine->zone == 0 && machine->state == RP_MACHINE_UP && machine->session > 1;
+        in_zone +=
+            machine->zone == 0 && machine->state == RP_MACHINE_UP && machine->incarnation > 1;
     assert_int_equal(in_zone, before);
     sim_run(sim, 200);
     assert_string_equal(sim->broken, "");
@@ -891,11 +894,12 @@
     (void)state;
     struct sim *sim = large_fleet(31, 10);
     const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
-    unsigned long reads = sim->n_state_reads, polls = sim->n_polls, looks = node->round.n_looks;
-    unsigned long rounds = node->round.n_rounds;
+    unsigned long reads = sim->n_state_reads, polls = sim->n_polls,
+                  looks = node->scheduler.n_probes;
+    unsigned long rounds = node->scheduler.n_cycles;
     sim_run(sim, 8);
     for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
-        assert_false(rp_machine_misses_answers(machine));
+        assert_false(rp_machine_is_one_way_partitioned(machine));
     assert_true(sim->n_idle >= 500);
     /* A task's exit is reported after up to 0.5 s and what follows it starts with the answer. */
     assert_true(sim->idle_s / (double)sim->n_idle < 1.5);
@@ -903,9 +907,9 @@
     /* Two for a job that is over; and each node's look at the leader's key, twice a second. */
     assert_true(sim->n_state_reads - reads <= 2 * (sim->n_polls - polls) + 5 * 2 * 8 + 10);
     /* Each heuristic may look at each machine a few times, not once for every group. */
-    rounds = node->round.n_rounds - rounds;
+    rounds = node->scheduler.n_cycles - rounds;
     assert_true(rounds > 0);
-    assert_true(node->round.n_looks - looks < 6 * 1304 * rounds);
+    assert_true(node->scheduler.n_probes - looks < 6 * 1304 * rounds);
     assert_string_equal(sim->broken, "");
     sim_free(sim);
 }
@@ -923,12 +927,13 @@
     assert_true(sim_leader(sim) >= 0);
     const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
     unsigned long records = node->jobs.n_jobs;
-    for (const struct rp_rental *request = node->fleet.rentals; request; request = request->next)
+    for (const struct rp_provision_request *request = node->fleet.provision_requests; request;
+         request = request->next)
         records++;
     assert_true(sim->n_state_lists - lists <= 3); /* jobs, progress, rentals: a page each */
     assert_true(sim->n_rows_read - rows <= 2 * records);
     sim_run(sim, 6);
-    assert_true(rp_cluster_settled(&sim->nodes[sim_leader(sim)].node->cluster));
+    assert_true(rp_cluster_is_reconciled(&sim->nodes[sim_leader(sim)].node->cluster));
     assert_int_equal(kept_sessions(sim), sessions);
     assert_true(machines_in(sim, RP_MACHINE_UP) >= before - 5);
     assert_true(sim->next_machine <= rented + 20);
@@ -946,7 +951,7 @@
     sim_run(sim, 23);
     assert_true(sim_leader(sim) >= 0);
     sim_run(sim, 9);
-    assert_int_equal(sim->nodes[leader].node->at, RP_NODE_FOLLOWING);
+    assert_int_equal(sim->nodes[leader].node->state, RP_NODE_FOLLOWING);
     assert_true(kept_sessions(sim) >= sessions - sessions / 20);
     assert_true(sim->next_machine <= rented + 20);
     assert_string_equal(sim->broken, "");
@@ -999,13 +1004,13 @@
     assert_string_equal(sim->broken, "");
     assert_true(machines_in(sim, RP_MACHINE_UP) >= 3950);
     int leader = sim_leader(sim), sessions = kept_sessions(sim), rented = sim->next_machine;
-    assert_int_equal(sim->nodes[leader].node->round.n_over_bounds, 0);
+    assert_int_equal(sim->nodes[leader].node->scheduler.n_over_bounds, 0);
     sim_crash(sim, leader, 60);
     sim_run(sim, 24);
     assert_string_equal(sim->broken, "");
     assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
     struct rp_node *node = sim->nodes[sim_leader(sim)].node;
-    assert_true(rp_cluster_settled(&node->cluster));
+    assert_true(rp_cluster_is_reconciled(&node->cluster));
     assert_true(node->cluster.n_machines >= 3950);
     assert_true(kept_sessions(sim) >= sessions - sessions / 100);
     assert_true(sim->next_machine <= rented + 40);
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -44,7 +44,7 @@
 }
 
 static uint64_t token_of(const struct sim *sim) {
-    return sim->nodes[sim_leader(sim)].node->election.token;
+    return sim->nodes[sim_leader(sim)].node->election.fencing_token;
 }
 
 static unsigned long takeovers(const struct sim *sim) {
@@ -123,7 +123,7 @@
         run(sim, 4.5);
         assert_true(pause_s > 2 ? takeovers(sim) == 1 : token_of(sim) == token);
         run(sim, pause_s);
-        assert_true(pause_s < 2 || sim->nodes[leader].node->at == RP_NODE_FOLLOWING);
+        assert_true(pause_s < 2 || sim->nodes[leader].node->state == RP_NODE_FOLLOWING);
         rest(sim);
     }
 }
@@ -168,9 +168,9 @@
     sim->nodes[leader].stalled_until = sim->now + 4.5;
     run(sim, 6.5);
     assert_int_equal(takeovers(sim), 0);
-    assert_int_equal(sim->nodes[leader].node->election.token, token);
-    assert_true(rp_election_valid(&sim->nodes[leader].node->election,
-                                  rp_loop_now(&sim->nodes[leader].loop)));
+    assert_int_equal(sim->nodes[leader].node->election.fencing_token, token);
+    assert_true(rp_election_is_valid(&sim->nodes[leader].node->election,
+                                     rp_loop_now(&sim->nodes[leader].loop)));
     rest(sim);
 }
 
@@ -181,11 +181,11 @@
         struct sim *sim = busy_world(seed, 5);
         int leader = sim_leader(sim), claims = 0, holders = 0;
         for (int i = 0; i < sim->n_nodes; i++)
-            claims += i != leader && rp_election_depose(&sim->nodes[i].node->election);
+            claims += i != leader && rp_election_fence_leader(&sim->nodes[i].node->election);
         assert_true(claims >= 2);
         run(sim, 3);
         for (int i = 0; i < sim->n_nodes; i++)
-            holders += sim->nodes[i].node->election.at == RP_HOLDING;
+            holders += sim->nodes[i].node->election.state == RP_ELECTION_HOLDING_KEY;
         assert_int_equal(holders, 1);
         assert_true(sim_leader(sim) != leader);
         rest(sim);
@@ -195,8 +195,9 @@
 /* The standby's process ends at each stage of its claim while the leader only stands still; nobody
  * may lead beside the leader when it goes on. */
 static void standby_ends_while_claiming(void **state) {
-    static const enum rp_election_state stages[] = {RP_DEPOSING, RP_FENCING, RP_LEASING,
-                                                    RP_CLAIMING};
+    static const enum rp_election_state stages[] = {
+        RP_ELECTION_OVERWRITING_KEY, RP_ELECTION_REVOKING_LEASE, RP_ELECTION_ACQUIRING_LEASE,
+        RP_ELECTION_CLAIMING_KEY};
     (void)state;
     for (unsigned long seed = 70; seed < 78; seed++) {
         struct sim *sim = busy_world(seed, 3);
@@ -206,7 +207,7 @@
         for (int i = 0; i < 400 && ended < 0; i++) {
             run(sim, 0.02);
             for (int k = 0; k < sim->n_nodes; k++)
-                if (sim->nodes[k].alive && sim->nodes[k].node->election.at == stage)
+                if (sim->nodes[k].alive && sim->nodes[k].node->election.state == stage)
                     ended = k;
         }
         assert_true(ended >= 0);
@@ -256,7 +257,7 @@
         for (int i = 0; i < 10; i++)
             submit_for_guests(sim, sim->now + 3 + 0.2 * i, 3, 4);
         assert_true(until_started(sim, token, 30) <= TAKEOVER_MOST_S);
-        assert_false(rp_cluster_settled(&sim->nodes[sim_leader(sim)].node->cluster));
+        assert_false(rp_cluster_is_reconciled(&sim->nodes[sim_leader(sim)].node->cluster));
         rest(sim);
     }
 }
@@ -286,7 +287,7 @@
     for (int i = 0; i < 60; i++) {
         run(sim, 0.1);
         for (int k = 0; k < sim->n_nodes; k++)
-            if (k != from && sim->nodes[k].alive && sim->nodes[k].node->at == RP_NODE_LEADING)
+            if (k != from && sim->nodes[k].alive && sim->nodes[k].node->state == RP_NODE_LEADING)
                 return k;
     }
     fail_msg("nobody has taken over");
@@ -346,7 +347,7 @@
         sim->cut_node = leader + 1;
         for (int i = 0; i < 60; i++)
             submit_for_guests(sim, sim->now + 0.02 * i, 2, 8);
-        assert_true(rp_election_depose(&sim->nodes[leader ? 0 : 1].node->election));
+        assert_true(rp_election_fence_leader(&sim->nodes[leader ? 0 : 1].node->election));
         taken_over(sim, leader);
         run(sim, 20);
         sim->cut_zone = sim->cut_node = 0;
@@ -365,12 +366,12 @@
         struct rp_node *node = sim->nodes[leader].node;
         assert_non_null(node->cluster.first);
         node->fleet.deleting = true; /* the request will go, but hasn't gone yet */
-        rp_fleet_return(&node->fleet, node->cluster.first, "for the test");
+        rp_fleet_scale_in(&node->fleet, node->cluster.first, "for the test");
         run(sim, 0.5);
         sim_crash(sim, leader, 20);
         assert_true(until_started(sim, token, 20) <= TAKEOVER_MOST_S);
         run(sim, 1);
-        assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.n_returned, 1);
+        assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.n_released, 1);
         rest(sim);
     }
 }
@@ -386,10 +387,11 @@
         assert_non_null(node->cluster.first);
         char name[RP_TEXT_MAX];
         strcpy(name, node->cluster.first->name);
-        for (struct rp_rental *request = node->fleet.rentals; request; request = request->next)
+        for (struct rp_provision_request *request = node->fleet.provision_requests; request;
+             request = request->next)
             request->retry =
                 rp_ts_after(rp_loop_now(node->loop), 60); /* no record is written any more */
-        rp_fleet_return(&node->fleet, node->cluster.first, "for the test");
+        rp_fleet_scale_in(&node->fleet, node->cluster.first, "for the test");
         run(sim, 1);
         assert_null(rp_machine_find(&node->cluster, name));
         /* Standbys that have begun since then hear of it by their first snapshot. */
--- a/tests/test_stream.c
+++ b/tests/test_stream.c
@@ -9,13 +9,13 @@
 #define MUTATIONS 4000
 
 static struct rp_change change_of(unsigned machine, bool gone) {
-    struct rp_change change = {.kind = gone ? RP_CHANGE_MACHINE_GONE : RP_CHANGE_MACHINE_UP,
-                               .session = machine % 7 + 1};
+    struct rp_change change = {.kind = gone ? RP_CHANGE_MACHINE_TERMINATED : RP_CHANGE_MACHINE_UP,
+                               .incarnation = machine % 7 + 1};
     snprintf(change.machine, sizeof change.machine, "vm-%06u", machine);
     if (!gone)
         snprintf(change.addr, sizeof change.addr, "10.0.%u.%u:9000", machine / 250, machine % 250);
     else
-        change.session = 0;
+        change.incarnation = 0;
     return change;
 }
 
@@ -52,7 +52,7 @@
         free(text);
     }
     struct rp_change changes[3] = {change_of(1, false), change_of(2, true), change_of(3, true)};
-    changes[2].kind = RP_CHANGE_MACHINE_RETURNING;
+    changes[2].kind = RP_CHANGE_MACHINE_RELEASING;
     struct rp_stream_message sent = {.term = 9, .index = 3, .changes = changes, .n_changes = 3},
                              got;
     char *text = rp_stream_encode(&sent);
@@ -122,10 +122,10 @@
 /* Whatever comes is either read or refused; the sanitizers watch. */
 static void mutations_do_no_harm(void **state) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
-    struct rp_replica *replica = calloc(1, sizeof *replica);
+    struct rp_machine_directory *directory = calloc(1, sizeof *directory);
     unsigned long read = 0, refused = 0;
     (void)state;
-    assert_non_null(replica);
+    assert_non_null(directory);
     gsl_rng_set(rng, 4);
     for (int i = 0; i < MUTATIONS; i++) {
         struct rp_stream_message sent = snapshot_of(1 + (unsigned)gsl_rng_uniform_int(rng, 5)), got;
@@ -138,7 +138,7 @@
         if (gsl_rng_uniform_int(rng, 5) == 0)
             len = gsl_rng_uniform_int(rng, len);
         if (rp_stream_decode(text, len, &got, &error)) {
-            (void)rp_replica_apply(replica, &got);
+            (void)rp_machine_directory_apply(directory, &got);
             rp_stream_message_free(&got);
             read++;
         } else {
@@ -149,8 +149,8 @@
         free(text);
     }
     assert_true(read > 100 && refused > 100);
-    rp_replica_free(replica);
-    free(replica);
+    rp_machine_directory_free(directory);
+    free(directory);
     gsl_rng_free(rng);
 }
 
@@ -159,14 +159,14 @@
 static void replica_catches_up(void **state) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     struct rp_change_log log = {0};
-    struct rp_replica *replica = calloc(1, sizeof *replica);
+    struct rp_machine_directory *directory = calloc(1, sizeof *directory);
     bool up[200] = {false};
     size_t n_up = 0;
     (void)state;
-    assert_non_null(replica);
+    assert_non_null(directory);
     gsl_rng_set(rng, 5);
     rp_change_log_begin(&log, 3);
-    replica->term = 3;
+    directory->term = 3;
     for (int i = 0; i < 30000; i++) {
         unsigned machine = (unsigned)gsl_rng_uniform_int(rng, 200);
         struct rp_change change = change_of(machine, up[machine]);
@@ -174,51 +174,52 @@
         rp_change_log_add(&log, &change);
         up[machine] = !up[machine];
         n_up += up[machine] ? 1 : (size_t)-1;
-        if (i % 40 || !rp_change_log_since(&log, replica->index, &message))
+        if (i % 40 || !rp_change_log_since(&log, directory->index, &message))
             continue;
         if (gsl_rng_uniform_int(rng, 3) > 0)
-            assert_int_equal(rp_replica_apply(replica, &message), RP_REPLICA_APPLIED);
+            assert_int_equal(rp_machine_directory_apply(directory, &message), RP_DIRECTORY_APPLIED);
         rp_stream_message_free(&message);
     }
     struct rp_stream_message message = {0};
-    assert_true(rp_change_log_since(&log, replica->index, &message));
-    assert_int_equal(rp_replica_apply(replica, &message), RP_REPLICA_APPLIED);
+    assert_true(rp_change_log_since(&log, directory->index, &message));
+    assert_int_equal(rp_machine_directory_apply(directory, &message), RP_DIRECTORY_APPLIED);
     rp_stream_message_free(&message);
-    assert_int_equal(replica->index, log.index);
-    assert_int_equal(replica->n_machines, n_up);
+    assert_int_equal(directory->index, log.index);
+    assert_int_equal(directory->n_machines, n_up);
     for (unsigned m = 0; m < 200; m++)
-        assert_true(up[m] == (rp_replica_find(replica, change_of(m, true).machine) != NULL));
-    rp_replica_free(replica);
+        assert_true(up[m] ==
+                    (rp_machine_directory_find(directory, change_of(m, true).machine) != NULL));
+    rp_machine_directory_free(directory);
     rp_change_log_free(&log);
-    free(replica);
+    free(directory);
     gsl_rng_free(rng);
 }
 
 static void gaps_and_old_terms_are_told(void **state) {
-    struct rp_replica *replica = calloc(1, sizeof *replica);
+    struct rp_machine_directory *directory = calloc(1, sizeof *directory);
     struct rp_change_log log = {0};
     struct rp_stream_message message = {0};
     struct rp_change change = change_of(1, false);
     (void)state;
-    assert_non_null(replica);
+    assert_non_null(directory);
     rp_change_log_begin(&log, 5);
     for (size_t i = 0; i < RP_CHANGES_KEPT + 10; i++)
         rp_change_log_add(&log, &change);
     assert_false(rp_change_log_since(&log, 3, &message)); /* not kept any more */
     assert_false(rp_change_log_since(&log, log.index + 1, &message));
     assert_true(rp_change_log_since(&log, log.index - 5, &message));
-    assert_int_equal(rp_replica_apply(replica, &message), RP_REPLICA_GAP);
-    assert_int_equal(replica->n_machines, 0);
-    replica->term = 6;
-    assert_int_equal(rp_replica_apply(replica, &message), RP_REPLICA_OLD_TERM);
+    assert_int_equal(rp_machine_directory_apply(directory, &message), RP_DIRECTORY_GAP);
+    assert_int_equal(directory->n_machines, 0);
+    directory->term = 6;
+    assert_int_equal(rp_machine_directory_apply(directory, &message), RP_DIRECTORY_OLD_TERM);
     rp_stream_message_free(&message);
     message = snapshot_of(10);
-    assert_int_equal(rp_replica_apply(replica, &message), RP_REPLICA_APPLIED);
-    assert_int_equal(replica->n_machines, 10);
+    assert_int_equal(rp_machine_directory_apply(directory, &message), RP_DIRECTORY_APPLIED);
+    assert_int_equal(directory->n_machines, 10);
     rp_stream_message_free(&message);
-    rp_replica_free(replica);
+    rp_machine_directory_free(directory);
     rp_change_log_free(&log);
-    free(replica);
+    free(directory);
 }
 
 int main(int argc, char **argv) {
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -119,10 +119,10 @@
     for (int i = 0; i < 12; i++)
         sim_submit(sim, 1 + i * 14, "service", 40, 1, 0, 30 + i * 14);
     sim_run(sim, 60);
-    uint64_t token = sim->nodes[sim_leader(sim)].node->election.token;
+    uint64_t token = sim->nodes[sim_leader(sim)].node->election.fencing_token;
     sim_run(sim, 160);
     assert_true(sim_leader(sim) >= 0);
-    assert_true(sim->nodes[sim_leader(sim)].node->election.token > token);
+    assert_true(sim->nodes[sim_leader(sim)].node->election.fencing_token > token);
     sim_run(sim, 10);
     for (int i = 0; i < sim->size.workers; i++)
         for (int k = 0; sim->workers[i].used && k < sim->workers[i].n_tasks; k++)
@@ -354,7 +354,7 @@
         n += snprintf(text + n, sizeof text - (size_t)n, "%s\"vm-with-a-long-name-%06d\"",
                       i ? "," : "", i);
     snprintf(text + n, sizeof text - (size_t)n, "],\"up\":[\"vm-with-a-long-name-000003\"]}");
-    sim_store(sim, RP_KEY_RENTAL "r-1-1", text);
+    sim_store(sim, RP_KEY_PROVISION "r-1-1", text);
     sim_run(sim, 4);
     assert_true(sim->activated > 0);
     sim_lower_limits(sim);
@@ -367,7 +367,7 @@
         sim_crash(sim, sim_leader(sim) >= 0 ? sim_leader(sim) : 0, 0.3);
     }
     sim_run(sim, 150);
-    assert_null(sim_stored(sim, RP_KEY_RENTAL "r-1-1"));
+    assert_null(sim_stored(sim, RP_KEY_PROVISION "r-1-1"));
     struct rp_request none_such = {0};
     (void)none_such;
     int other = sim_submit(sim, sim->now, "sweep", 40, 1, 10, 0);
@@ -451,8 +451,8 @@
         {RP_KEY_OPEN "j-900002", "[1,2]"},
         {RP_KEY_OPEN "j-900003", "{\"f\":2,\"parts\":2,\"text\":\"{\"}"},
         {RP_KEY_PROGRESS "j-900001/u07", "{\"f\":3,\"done\":\"ff\"}"},
-        {RP_KEY_RENTAL "x-1", "{\"f\":9,\"machines\":\"?\"}"},
-        {RP_KEY_RENTAL "x-2", "7"}};
+        {RP_KEY_PROVISION "x-1", "{\"f\":9,\"machines\":\"?\"}"},
+        {RP_KEY_PROVISION "x-2", "7"}};
     struct sim *sim = sim_new(49, &none, SIM_SOUND, 3);
     (void)state;
     for (size_t i = 0; i < sizeof odd / sizeof odd[0]; i++)
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -43,8 +43,8 @@
     (void)state;
     assert_true(rp_wire_submission(good, strlen(good), &spec, why));
     assert_string_equal(spec.id, "j-000412");
-    assert_int_equal(spec.kind, RP_GANG);
-    assert_int_equal(spec.priority, RP_HIGH);
+    assert_int_equal(spec.kind, RP_JOB_GANG);
+    assert_int_equal(spec.priority, RP_PRIORITY_HIGH);
     assert_int_equal(spec.n_tasks, 16);
     assert_int_equal(spec.n_types, 1);
     assert_true(spec.zone[0] == '\0' && spec.one_zone && spec.deadline_s == 900);
@@ -85,14 +85,14 @@
         "\"loaners\":true,\"stint\":1,\"tick\":88,\"warrant\":41,\"recall_s\":7.5,\"lifts\":["
         "{\"lift\":\"j-000412/3\",\"pull\":2,\"tension\":\"running\"},"
         "{\"lift\":\"j-000398/0\",\"pull\":1,\"tension\":\"exited\",\"slack_reason\":\"done\"}]}";
-    struct rp_report heartbeat;
+    struct rp_heartbeat heartbeat;
     (void)state;
     assert_true(rp_wire_report(text, strlen(text), &heartbeat));
     assert_int_equal(heartbeat.n_tasks, 2);
     assert_int_equal(heartbeat.tasks[0].task, 3);
-    assert_int_equal(heartbeat.tasks[1].why, RP_EXIT_DONE);
-    assert_true(heartbeat.has_notice && heartbeat.notice_s == 7.5 && heartbeat.token == 41);
-    rp_report_free(&heartbeat);
+    assert_int_equal(heartbeat.tasks[1].exit_reason, RP_EXIT_DONE);
+    assert_true(heartbeat.has_notice && heartbeat.notice_s == 7.5 && heartbeat.fencing_token == 41);
+    rp_heartbeat_free(&heartbeat);
     assert_false(rp_wire_report("{}", 2, &heartbeat));
     assert_false(rp_wire_report("{\"sheave\":\"vm-1\"}", 17, &heartbeat));
 }
@@ -111,7 +111,7 @@
         bool job = round % 2;
         char text[1024], why[128];
         struct rp_job_spec spec;
-        struct rp_report heartbeat;
+        struct rp_heartbeat heartbeat;
         strcpy(text, job ? good : report);
         size_t len = strlen(text);
         for (unsigned k = 0; k <= gsl_rng_uniform_int(rng, 3); k++)
@@ -122,7 +122,7 @@
             rp_job_spec_free(&spec);
         } else if (!job && rp_wire_report(text, len, &heartbeat)) {
             assert_true(heartbeat.n_tasks <= 1 && strlen(heartbeat.machine) < RP_TEXT_MAX);
-            rp_report_free(&heartbeat);
+            rp_heartbeat_free(&heartbeat);
         }
     }
     gsl_rng_free(rng);
@@ -134,8 +134,10 @@
     (void)state;
     assert_non_null(command);
     for (int i = 0; i < 400; i++) {
-        command[i] = (struct rp_command){
-            .op = RP_OP_STOP, .task = 99999, .attempt = UINT64_MAX >> 1, .grace_s = 12.3456789};
+        command[i] = (struct rp_command){.kind = RP_COMMAND_STOP,
+                                         .task = 99999,
+                                         .attempt = UINT64_MAX >> 1,
+                                         .grace_s = 12.3456789};
         strcpy(command[i].job, "j-12345678901234567890");
     }
     char *text = rp_wire_report_answer(UINT64_MAX >> 1, command, 400);
@@ -201,15 +203,15 @@
 static void records_of_production(void **state) {
     struct rp_job_spec spec;
     struct timespec at;
-    struct rp_rental_record record;
+    struct rp_provision_record record;
     const char *names[] = {"vm-000006", "vm-000007"};
     const bool up[] = {true, false};
     uint8_t bits[RP_CHUNK_BYTES] = {0x0f, 0xa0, 1}, back[RP_CHUNK_BYTES] = {0};
-    enum rp_job_word word;
+    enum rp_job_phase phase;
     (void)state;
     json_t *value = json_loads(production_job, 0, NULL);
     assert_true(rp_record_open_read(value, &spec, &at));
-    assert_true(spec.kind == RP_GANG && spec.n_tasks == 2 && spec.one_zone && spec.spot);
+    assert_true(spec.kind == RP_JOB_GANG && spec.n_tasks == 2 && spec.one_zone && spec.spot);
     json_decref(value);
     value = rp_record_open(&spec, at);
     assert_int_equal(rp_record_format(value), 1);
@@ -219,14 +221,15 @@
     same(value, production_job);
     rp_job_spec_free(&spec);
     value = json_loads(production_rental, 0, NULL);
-    assert_true(rp_record_rental_read(value, &record) && record.answered && record.count == 2);
-    assert_true(rp_record_rental_up(value, names[0]) && !rp_record_rental_up(value, names[1]));
+    assert_true(rp_record_provision_read(value, &record) && record.answered && record.count == 2);
+    assert_true(rp_record_provision_is_up(value, names[0]) &&
+                !rp_record_provision_is_up(value, names[1]));
     json_decref(value);
-    value = rp_record_rental(&record, names, up, 2);
+    value = rp_record_provision(&record, names, up, 2);
     json_object_set_new(value, "asked", json_real(1796179601.61427));
     same(value, production_rental);
-    same(rp_record_over(RP_JOB_DONE), "{\"end\":\"done\"}");
-    same(rp_record_over(RP_JOB_CANCELLED), "{\"end\":\"cancelled\"}");
+    same(rp_record_terminal(RP_JOB_DONE), "{\"end\":\"done\"}");
+    same(rp_record_terminal(RP_JOB_CANCELLED), "{\"end\":\"cancelled\"}");
     const struct rp_leader_record leader = {.node = "n0"};
     same(rp_record_leader(&leader), "{\"node\":\"n0\"}");
     same(rp_record_progress(bits, sizeof bits), "{\"done\":\"0fa001\"}");
@@ -234,10 +237,10 @@
     assert_true(rp_record_progress_read(value, back, sizeof back) && memcmp(bits, back, 3) == 0);
     json_decref(value);
     value = json_loads("{\"end\":\"cancelled\"}", 0, NULL);
-    assert_true(rp_record_over_read(value, &word) && word == RP_JOB_CANCELLED);
+    assert_true(rp_record_terminal_read(value, &phase) && phase == RP_JOB_CANCELLED);
     json_decref(value);
     value = json_loads("{\"end\":\"of a later version\"}", 0, NULL);
-    assert_false(rp_record_over_read(value, &word));
+    assert_false(rp_record_terminal_read(value, &phase));
     json_decref(value);
 }
 
