--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -80,7 +80,8 @@
 
 void rp_machine_remove(struct rp_cluster *cluster, struct rp_machine *machine) {
     rp_machine_end_incarnation(cluster, machine);
-    if (cluster->on_machine && (machine->incarnation > 0 || machine->state == RP_MACHINE_RELEASING))
+    if (cluster->on_machine &&
+        (machine->contact.incarnation > 0 || machine->state == RP_MACHINE_RELEASING))
         cluster->on_machine(cluster->on_machine_arg, machine, true);
     struct rp_machine **link =
         &cluster->buckets[rp_hash_string(machine->name) % RP_CLUSTER_BUCKETS];
@@ -112,7 +113,7 @@
     }
     if (state == RP_MACHINE_LOST) {
         machine->lost_since = now;
-        machine->lost_incarnation = machine->incarnation;
+        machine->contact.lost_incarnation = machine->contact.incarnation;
         rp_info("machine %s lost: silent beyond its lease, places=%zu", machine->name,
                 machine->n_allocations);
         rp_machine_end_incarnation(cluster, machine);
@@ -120,15 +121,15 @@
     machine->state = state;
     cluster->unreconciled_stale = true;
     if (state == RP_MACHINE_RELEASING)
-        machine->releasing_since = now;
+        machine->scale_in.since = now;
     if (state == RP_MACHINE_RELEASING && cluster->on_machine)
         cluster->on_machine(cluster->on_machine_arg, machine, false);
 }
 
 void rp_machine_note_contact(struct rp_cluster *cluster, struct rp_machine *machine,
                              const char *addr, uint64_t incarnation) {
-    bool changed = machine->incarnation != incarnation || strcmp(machine->addr, addr) != 0;
-    machine->incarnation = incarnation;
+    bool changed = machine->contact.incarnation != incarnation || strcmp(machine->addr, addr) != 0;
+    machine->contact.incarnation = incarnation;
     snprintf(machine->addr, sizeof machine->addr, "%s", addr);
     if (changed && cluster->on_machine)
         cluster->on_machine(cluster->on_machine_arg, machine, false);
@@ -136,9 +137,9 @@
 
 void rp_machine_note_fencing_token(struct rp_cluster *cluster, struct rp_machine *machine,
                                    bool seen) {
-    if (machine->fencing_token_seen != seen)
+    if (machine->contact.fencing_token_seen != seen)
         cluster->unreconciled_stale = true;
-    machine->fencing_token_seen = seen;
+    machine->contact.fencing_token_seen = seen;
 }
 
 void rp_machine_clear_unknown_tasks(struct rp_cluster *cluster, struct rp_machine *machine) {
@@ -177,13 +178,13 @@
 /* The machine may hold tasks of an earlier leader that it hasn't told us of yet. */
 static bool may_hold_more(const struct rp_machine *machine) {
     return machine->state == RP_MACHINE_UNRECONCILED ||
-           (machine->state == RP_MACHINE_RELEASING && !machine->fencing_token_seen);
+           (machine->state == RP_MACHINE_RELEASING && !machine->contact.fencing_token_seen);
 }
 
 static bool unsettled(const struct rp_cluster *cluster, const struct rp_machine *machine) {
     return machine->state == RP_MACHINE_UNRECONCILED ||
-           (machine->state == RP_MACHINE_RELEASING && !machine->fencing_token_seen &&
-            !rp_ts_reached(rp_loop_now(cluster->loop), machine->lease_expiry));
+           (machine->state == RP_MACHINE_RELEASING && !machine->contact.fencing_token_seen &&
+            !rp_ts_reached(rp_loop_now(cluster->loop), machine->contact.lease_expiry));
 }
 
 /* Every start asks who is unsettled: the machines that may be are listed anew only after one of
@@ -254,14 +255,15 @@
 }
 
 bool rp_machine_is_one_way_partitioned(const struct rp_machine *machine) {
-    return !rp_ts_zero(machine->answers_lost_since);
+    return !rp_ts_zero(machine->contact.answers_lost_since);
 }
 
 bool rp_machine_is_usable(const struct rp_machine *machine) {
     return machine->state == RP_MACHINE_UP && machine->recorded && machine->up_recorded &&
-           machine->fencing_token_seen && !machine->has_spot_notice && !machine->quarantined &&
-           !machine->suspected && !rp_machine_is_one_way_partitioned(machine) &&
-           machine->n_unknown_live == 0 && machine->type >= 0 && machine->zone >= 0;
+           machine->contact.fencing_token_seen && !machine->spot_notice.received &&
+           !machine->health.quarantined && !machine->health.suspected &&
+           !rp_machine_is_one_way_partitioned(machine) && machine->n_unknown_live == 0 &&
+           machine->type >= 0 && machine->zone >= 0;
 }
 
 bool rp_cluster_is_allowed(const struct rp_cluster *cluster, const struct rp_job_spec *spec,
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -60,36 +60,75 @@
 
 struct rp_provision_request;
 
+/* The exchange with a machine's worker, and what it proves. A time of zero: never. */
+struct rp_machine_contact {
+    uint64_t incarnation;   /* of the worker; it grows each time the worker's lease expires */
+    uint64_t seq;           /* of the newest message: a heartbeat or a direct command's answer */
+    uint64_t heartbeat_seq; /* of the newest heartbeat */
+    unsigned n_direct;      /* direct commands and probes sent since that heartbeat */
+    bool unreachable;       /* a direct command found no way there, and nothing has come since */
+    bool probing;           /* a probe is under way */
+    unsigned probes_failed; /* in a row */
+    struct timespec probed_at;
+    bool fencing_token_seen;    /* the newest heartbeat shows this leader's token */
+    bool known_by_fencing_only; /* it answered a new leader's token, but sent no heartbeat yet */
+    struct timespec last_heartbeat;
+    struct timespec last_heard;   /* the newest message of any kind */
+    struct timespec lease_expiry; /* its tasks are gone by then unless it is answered again */
+    struct timespec first_answer, last_answer; /* sent by this leader */
+    uint64_t lost_incarnation;          /* in which it was lost; 0: none that this leader knows */
+    struct timespec answers_lost_since; /* heartbeats arrive, but answers don't get there */
+};
+
+/* The cloud is about to take a spot machine away. */
+struct rp_spot_notice {
+    bool received;
+    struct timespec ends_at;
+};
+
+/* Errors of tasks, as evidence against the machine (quarantine.h). */
+struct rp_machine_health {
+    unsigned consecutive_errors; /* since the last task that ended well */
+    unsigned n_error_jobs;       /* jobs that these errors were of */
+    uint64_t last_error_job;     /* the last of them, as a hash of its id */
+    bool suspected;              /* either the machine or that job is at fault */
+    struct timespec suspected_until;
+    bool quarantined;
+};
+
+/* Capacity kept for one job. */
+struct rp_reservation {
+    char job_id[RP_ID_MAX]; /* "": none */
+    struct timespec until;
+};
+
+/* The way of a machine back to the cloud. */
+struct rp_scale_in {
+    bool draining;         /* its work moves elsewhere first */
+    struct timespec since; /* in RP_MACHINE_RELEASING */
+    bool delete_sent;
+    unsigned n_lists_missing; /* lists of the cloud, in a row, that didn't name it */
+    bool listed_failed;       /* the cloud lists it as failed */
+};
+
 struct rp_machine {
+    /* What it is. */
     char name[RP_TEXT_MAX], addr[RP_TEXT_MAX];
-    enum rp_machine_state state;
     int type; /* index in the catalog; -1: a type that it doesn't have */
     int zone; /* index in the catalog's zones; -1: unknown */
     bool spot;
+    /* Its lifecycle. */
+    enum rp_machine_state state;
     bool recorded;    /* its name is durable */
     bool up_recorded; /* and that it is up: only then may starts go to it */
     struct rp_provision_request *provision_request;
-    uint64_t incarnation;
-    uint64_t seq;           /* of its newest message: a report or the answer to a direct command */
-    uint64_t heartbeat_seq; /* of its newest report */
-    unsigned n_direct;      /* direct commands and questions sent since then */
-    bool unreachable;       /* a direct command found no way to it, and nothing has come since */
-    bool probing;           /* it is being asked whether it is there */
-    unsigned probes_failed;
-    struct timespec probed_at;
-    bool fencing_token_seen; /* its newest report shows our token */
-    bool fenced; /* known by its answer to a new leader's token alone: no report has come yet */
-    bool has_spot_notice; /* the cloud takes it away soon */
-    struct timespec spot_notice_end;
-    struct timespec requested_at, up_at, last_heartbeat;
-    struct timespec last_heard;   /* the newest message of any kind */
-    struct timespec lease_expiry; /* its tasks are gone by then unless it is answered again */
-    struct timespec first_answer, last_answer; /* ours; zero: none yet */
-    struct timespec lost_since, releasing_since;
-    uint64_t
-        lost_incarnation; /* the session that it was lost in, 0: none that this leader heard of */
-    struct timespec
-        answers_lost_since; /* its reports come, but our answers don't reach it; zero: they do */
+    struct timespec requested_at, up_at, lost_since;
+    struct rp_scale_in scale_in;
+    struct rp_machine_contact contact;
+    struct rp_spot_notice spot_notice;
+    struct rp_machine_health health;
+    struct rp_reservation reservation;
+    /* What it holds. */
     struct rp_allocation *allocations;
     size_t n_allocations, cap_allocations;
     struct rp_unknown_task *unknown_tasks;
@@ -97,18 +136,6 @@
     size_t n_unknown_live; /* of them those that haven't exited, and those beyond the bound */
     struct rp_image *images;
     size_t n_images, cap_images;
-    unsigned consecutive_errors; /* errors since the last task that ended well */
-    unsigned n_error_jobs;       /* jobs that they were of */
-    uint64_t last_error_job;     /* the last of them */
-    bool suspected;              /* the machine or that job */
-    struct timespec suspected_until;
-    bool quarantined;
-    bool draining;                /* its work moves elsewhere, then it goes back */
-    char reserved_for[RP_ID_MAX]; /* room is kept here for this job, "" for none */
-    struct timespec reserved_until;
-    bool delete_sent;
-    unsigned list_missing;
-    bool listed_failed;
     struct rp_machine *prev, *next;
     struct rp_machine *hash_next;
 };
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -283,7 +283,7 @@
          machine = machine->next)
         if (machine->provision_request == rental) {
             names[n] = machine->name;
-            up[n] = machine->up_recorded || machine->incarnation > 0;
+            up[n] = machine->up_recorded || machine->contact.incarnation > 0;
             if (request)
                 strcpy(request->names[n], up[n] ? machine->name : "");
             n++;
@@ -567,7 +567,7 @@
         struct rp_machine *machine = rp_machine_find(fleet->cluster, request->names[i]);
         if (!machine)
             continue;
-        machine->delete_sent = false;
+        machine->scale_in.delete_sent = false;
         if (answer->status != 200)
             continue; /* asked again by the tick */
         fleet->n_released++;
@@ -584,9 +584,9 @@
 static bool may_delete(const struct rp_fleet *fleet, const struct rp_machine *machine,
                        struct timespec now) {
     bool told = !fleet->settings->tuning.standby ||
-                rp_ts_since(now, machine->releasing_since) > TOLD_S ||
+                rp_ts_since(now, machine->scale_in.since) > TOLD_S ||
                 rp_ts_since(now, fleet->led_since) < LED_LATELY_S;
-    return machine->state == RP_MACHINE_RELEASING && !machine->delete_sent && told;
+    return machine->state == RP_MACHINE_RELEASING && !machine->scale_in.delete_sent && told;
 }
 
 static void delete_some(struct rp_fleet *fleet) {
@@ -598,7 +598,7 @@
     for (struct rp_machine *machine = fleet->cluster->first; machine && n < DELETE_MAX;
          machine = machine->next)
         if (may_delete(fleet, machine, now)) {
-            machine->delete_sent = true;
+            machine->scale_in.delete_sent = true;
             names[n++] = machine->name;
         }
     if (n == 0)
@@ -643,8 +643,8 @@
         }
         return;
     }
-    machine->list_missing = 0;
-    machine->listed_failed = listed->state == RP_LISTED_FAILED;
+    machine->scale_in.n_lists_missing = 0;
+    machine->scale_in.listed_failed = listed->state == RP_LISTED_FAILED;
     rp_fleet_describe_machine(fleet, machine, listed->type, listed->zone, listed->spot);
     /* The age at the list's time bounds the rental's time from below. */
     struct timespec rented = rp_ts_sub(now, rp_ts(listed->age_s + fleet->settings->list_lag_s));
@@ -655,7 +655,7 @@
 
 static bool silent(const struct rp_fleet *fleet, const struct rp_machine *machine) {
     return machine->state != RP_MACHINE_BOOTING &&
-           rp_ts_since(rp_loop_now(fleet->loop), machine->last_heartbeat) >
+           rp_ts_since(rp_loop_now(fleet->loop), machine->contact.last_heartbeat) >
                1.5 * fleet->settings->report_s + 0.5;
 }
 
@@ -665,9 +665,10 @@
         /* A machine that has been listed stays listed until it is gone, and an old one has been,
          * but lists come out of order: two in a row must lack it, and the deletion's answer makes
          * it certain. */
-        bool missing = ++machine->list_missing > 2 && rp_ts_since(now, machine->requested_at) >
-                                                          4 * fleet->settings->list_lag_s + 5;
-        if (machine->listed_failed)
+        bool missing =
+            ++machine->scale_in.n_lists_missing > 2 &&
+            rp_ts_since(now, machine->requested_at) > 4 * fleet->settings->list_lag_s + 5;
+        if (machine->scale_in.listed_failed)
             rp_fleet_scale_in(fleet, machine, "failed by the cloud's list");
         else if (missing && (machine->state == RP_MACHINE_BOOTING || silent(fleet, machine)))
             rp_fleet_scale_in(fleet, machine, "gone by the cloud's list");
@@ -759,7 +760,7 @@
 /* How long nothing has shown that the machine gets our answers. */
 static double answers_lost_for_s(const struct rp_machine *machine, struct timespec now) {
     return rp_machine_is_one_way_partitioned(machine)
-               ? rp_ts_since(now, machine->answers_lost_since)
+               ? rp_ts_since(now, machine->contact.answers_lost_since)
                : 0;
 }
 
@@ -781,14 +782,14 @@
     struct timespec newest = {0};
     for (const struct rp_machine *machine = fleet->cluster->first; machine;
          machine = machine->next) {
-        if (machine->incarnation == 0 || machine->has_spot_notice ||
+        if (machine->contact.incarnation == 0 || machine->spot_notice.received ||
             machine->state == RP_MACHINE_RELEASING)
             continue;
         known++;
-        if (rp_ts_cmp(machine->last_heartbeat, newest) > 0)
-            newest = machine->last_heartbeat;
+        if (rp_ts_cmp(machine->contact.last_heartbeat, newest) > 0)
+            newest = machine->contact.last_heartbeat;
         quiet += answers_lost_for_s(machine, now) > ANSWERS_LOST_SURE_S ||
-                 rp_ts_since(now, machine->last_heartbeat) > limit;
+                 rp_ts_since(now, machine->contact.last_heartbeat) > limit;
     }
     bool most = known >= 4 && (double)quiet >= ISOLATED_SHARE * (double)known;
     bool many = known >= 4 && (double)quiet >= DOUBTFUL_SHARE * (double)known;
@@ -824,11 +825,11 @@
         return; /* after a takeover all are heard of anew */
     for (const struct rp_machine *machine = fleet->cluster->first; machine;
          machine = machine->next) {
-        if (!machine->up_recorded || machine->zone < 0 || machine->has_spot_notice ||
+        if (!machine->up_recorded || machine->zone < 0 || machine->spot_notice.received ||
             machine->state == RP_MACHINE_RELEASING)
             continue;
         known[machine->zone]++;
-        quiet[machine->zone] += rp_ts_since(now, machine->last_heartbeat) > limit;
+        quiet[machine->zone] += rp_ts_since(now, machine->contact.last_heartbeat) > limit;
     }
     for (int z = 0; z < RP_ZONES_MAX; z++)
         if (known[z] >= 4 && (double)quiet[z] >= ISOLATED_SHARE * (double)known[z]) {
@@ -874,22 +875,23 @@
     switch (machine->state) {
     case RP_MACHINE_UNRECONCILED:
     case RP_MACHINE_UP:
-        if (rp_ts_reached(now, machine->lease_expiry)) {
+        if (rp_ts_reached(now, machine->contact.lease_expiry)) {
             rp_machine_set_state(fleet->cluster, machine, RP_MACHINE_LOST);
             fleet->machine_lost = true;
         } else if (!cut_off && rp_machine_is_one_way_partitioned(machine) &&
-                   rp_ts_since(now, machine->answers_lost_since) > ANSWERS_LOST_RETURN_S)
+                   rp_ts_since(now, machine->contact.answers_lost_since) > ANSWERS_LOST_RETURN_S)
             rp_fleet_scale_in(fleet, machine, "gets no answers");
-        else if (machine->has_spot_notice && rp_ts_since(now, machine->spot_notice_end) > 1 &&
-                 silent(fleet, machine))
+        else if (machine->spot_notice.received &&
+                 rp_ts_since(now, machine->spot_notice.ends_at) > 1 && silent(fleet, machine))
             rp_fleet_scale_in(fleet, machine, "taken back");
         else if (machine->state == RP_MACHINE_UP &&
-                 (machine->quarantined || machine->has_spot_notice || machine->draining) &&
+                 (machine->health.quarantined || machine->spot_notice.received ||
+                  machine->scale_in.draining) &&
                  rp_machine_is_idle(machine))
             rp_fleet_scale_in(fleet, machine,
-                              machine->quarantined       ? "faulty"
-                              : machine->has_spot_notice ? "taken back soon"
-                                                         : "its work fits elsewhere");
+                              machine->health.quarantined     ? "faulty"
+                              : machine->spot_notice.received ? "taken back soon"
+                                                              : "its work fits elsewhere");
         break;
     case RP_MACHINE_LOST:
         if (!cut_off && answers_lost_for_s(machine, now) > ANSWERS_LOST_RETURN_S)
@@ -915,7 +917,7 @@
     double next = TICK_S;
     for (const struct rp_machine *machine = fleet->cluster->first; machine;
          machine = machine->next) {
-        double left = rp_ts_since(machine->lease_expiry, now);
+        double left = rp_ts_since(machine->contact.lease_expiry, now);
         if ((machine->state == RP_MACHINE_UP || machine->state == RP_MACHINE_UNRECONCILED) &&
             left > 0)
             next = fmin(next, left + TICK_LEAST_S / 10);
@@ -994,7 +996,7 @@
          * was deposed, after the end of what it had renewed. */
         struct timespec last =
             rp_ts_cmp(fleet->election->cleared_at, now) > 0 ? fleet->election->cleared_at : now;
-        machine->lease_expiry = rp_ts_after(last, rp_workers_lease_s(fleet->settings));
+        machine->contact.lease_expiry = rp_ts_after(last, rp_workers_lease_s(fleet->settings));
     }
     /* What a split that was cut short has left names nothing that another doesn't. */
     const char *name;
--- a/src/cluster/quarantine.c
+++ b/src/cluster/quarantine.c
@@ -29,18 +29,18 @@
 }
 
 static void forgive(struct rp_machine *machine) {
-    machine->consecutive_errors = machine->n_error_jobs = 0;
-    machine->last_error_job = 0;
-    machine->suspected = false;
+    machine->health.consecutive_errors = machine->health.n_error_jobs = 0;
+    machine->health.last_error_job = 0;
+    machine->health.suspected = false;
 }
 
 static void condemn(struct rp_cluster *cluster, struct rp_machine *machine,
                     const struct rp_job *job) {
-    if (machine->quarantined)
+    if (machine->health.quarantined)
         return;
     rp_info("machine %s is faulty: errors=%u, last job=%s", machine->name,
-            machine->consecutive_errors, job->spec.id);
-    machine->quarantined = true;
+            machine->health.consecutive_errors, job->spec.id);
+    machine->health.quarantined = true;
     for (struct rp_job *j = cluster->jobs->first; j; j = j->next)
         for (unsigned i = 0; i < j->n_failed_machines; i++)
             if (strcmp(j->failed_machines[i], machine->name) == 0) {
@@ -55,18 +55,18 @@
  * back, with its images (incident 4d52). Two jobs' are, or one's whose tasks end well elsewhere. */
 void rp_quarantine_count_machine_error(struct rp_cluster *cluster, const struct rp_job *job,
                                        struct rp_machine *machine, struct timespec now) {
-    machine->consecutive_errors++;
-    if (machine->last_error_job != rp_hash_string(job->spec.id)) {
-        machine->last_error_job = rp_hash_string(job->spec.id);
-        machine->n_error_jobs++;
+    machine->health.consecutive_errors++;
+    if (machine->health.last_error_job != rp_hash_string(job->spec.id)) {
+        machine->health.last_error_job = rp_hash_string(job->spec.id);
+        machine->health.n_error_jobs++;
     }
-    if (machine->consecutive_errors < cluster->settings->tuning.faulty_after)
+    if (machine->health.consecutive_errors < cluster->settings->tuning.faulty_after)
         return;
-    if (works(job) || machine->n_error_jobs >= 2) {
+    if (works(job) || machine->health.n_error_jobs >= 2) {
         condemn(cluster, machine, job);
     } else {
-        machine->suspected = true;
-        machine->suspected_until = rp_ts_after(now, SUSPICION_S);
+        machine->health.suspected = true;
+        machine->health.suspected_until = rp_ts_after(now, SUSPICION_S);
     }
 }
 
@@ -74,8 +74,8 @@
 static void clear_machines(struct rp_cluster *cluster, const struct rp_job *job) {
     for (unsigned i = 0; i < job->n_failed_machines; i++) {
         struct rp_machine *machine = rp_machine_find(cluster, job->failed_machines[i]);
-        if (machine && machine->n_error_jobs <= 1 &&
-            machine->last_error_job == rp_hash_string(job->spec.id))
+        if (machine && machine->health.n_error_jobs <= 1 &&
+            machine->health.last_error_job == rp_hash_string(job->spec.id))
             forgive(machine);
     }
 }
@@ -104,12 +104,12 @@
         return;
     for (unsigned i = job->n_failed_machines; i-- > 0;) {
         struct rp_machine *other = rp_machine_find(cluster, job->failed_machines[i]);
-        if (other && other->consecutive_errors >= cluster->settings->tuning.faulty_after)
+        if (other && other->health.consecutive_errors >= cluster->settings->tuning.faulty_after)
             condemn(cluster, other, job);
     }
 }
 
 void rp_quarantine_step(struct rp_machine *machine, struct timespec now) {
-    if (machine->suspected && rp_ts_reached(now, machine->suspected_until))
-        machine->suspected = false;
+    if (machine->health.suspected && rp_ts_reached(now, machine->health.suspected_until))
+        machine->health.suspected = false;
 }
--- a/src/scheduler/cycle_input.c
+++ b/src/scheduler/cycle_input.c
@@ -183,9 +183,9 @@
     if (machine->state == RP_MACHINE_BOOTING)
         return rp_ts_since(now, machine->requested_at) <
                rp_scheduler_catalog(scheduler)->types[machine->type].boot_s * OVERDUE;
-    return machine->state == RP_MACHINE_UP && !machine->quarantined && !machine->suspected &&
-           !machine->has_spot_notice && !machine->draining &&
-           !rp_machine_is_one_way_partitioned(machine);
+    return machine->state == RP_MACHINE_UP && !machine->health.quarantined &&
+           !machine->health.suspected && !machine->spot_notice.received &&
+           !machine->scale_in.draining && !rp_machine_is_one_way_partitioned(machine);
 }
 
 /* What the GPU work known now takes of a machine that it fills: a task that takes all GPUs what it
--- a/src/scheduler/room.c
+++ b/src/scheduler/room.c
@@ -29,18 +29,19 @@
 
 static void reserve(const struct rp_scheduler *scheduler, struct rp_machine *machine,
                     const struct rp_job *job, double for_s) {
-    strcpy(machine->reserved_for, job->spec.id);
-    machine->reserved_until = rp_ts_after(rp_loop_now(scheduler->loop), for_s + RESERVE_SLACK_S);
+    strcpy(machine->reservation.job_id, job->spec.id);
+    machine->reservation.until = rp_ts_after(rp_loop_now(scheduler->loop), for_s + RESERVE_SLACK_S);
 }
 
 /* The job that room is kept for on this machine, while it is still waited for. */
 struct rp_job *rp_room_reserved_for(const struct rp_scheduler *scheduler,
                                     const struct rp_machine *machine) {
-    struct rp_job *job =
-        *machine->reserved_for ? rp_jobs_find(scheduler->jobs, machine->reserved_for) : NULL;
+    struct rp_job *job = *machine->reservation.job_id
+                             ? rp_jobs_find(scheduler->jobs, machine->reservation.job_id)
+                             : NULL;
     if (!job || job->state != RP_JOB_OPEN || !rp_machine_is_usable(machine) ||
         job->n_allocated >= (rp_room_whole(job) ? job->spec.n_tasks : 1) ||
-        rp_ts_reached(rp_loop_now(scheduler->loop), machine->reserved_until))
+        rp_ts_reached(rp_loop_now(scheduler->loop), machine->reservation.until))
         return NULL;
     if (rp_room_whole(job))
         return job;
@@ -581,8 +582,9 @@
     double price =
                rp_fleet_hourly_price(rp_scheduler_catalog(scheduler), machine->type, machine->spot),
            busy = 0;
-    if (!rp_machine_is_usable(machine) || rp_machine_is_idle(machine) || machine->draining ||
-        type_wanted(input, machine->type) || rp_room_reserved_for(scheduler, machine))
+    if (!rp_machine_is_usable(machine) || rp_machine_is_idle(machine) ||
+        machine->scale_in.draining || type_wanted(input, machine->type) ||
+        rp_room_reserved_for(scheduler, machine))
         return -1;
     const struct rp_resources *capacity =
         &rp_scheduler_catalog(scheduler)->types[machine->type].capacity;
@@ -627,12 +629,12 @@
     for (const struct rp_machine *machine = scheduler->cluster->first; machine;
          machine = machine->next, at++) {
         rooms->free[at] = rp_machine_free_resources(scheduler->cluster, machine);
-        rooms->source[at] = machine->draining;
-        moving += machine->draining;
+        rooms->source[at] = machine->scale_in.draining;
+        moving += machine->scale_in.draining;
     }
     for (const struct rp_machine *machine = scheduler->cluster->first; machine;
          machine = machine->next)
-        if (machine->draining)
+        if (machine->scale_in.draining)
             (void)move_price(scheduler, rooms, machine, now);
     return moving;
 }
@@ -644,7 +646,7 @@
     (void)move_price(scheduler, rooms, machine, now);
     rooms->source[at] = true;
     rooms->ready_cpus -= rp_services_ready_cpus_of(scheduler->services, machine);
-    machine->draining = true;
+    machine->scale_in.draining = true;
     for (size_t i = 0; i < machine->n_allocations; i++) {
         const struct rp_job_spec *spec = &machine->allocations[i].job->spec;
         if (machine->allocations[i].state == RP_ALLOCATION_EXITED)
--- a/src/scheduler/services.c
+++ b/src/scheduler/services.c
@@ -205,13 +205,14 @@
 
 static bool fresh(const struct rp_services *services, const struct rp_machine *machine,
                   struct timespec now) {
-    return !machine->unreachable && rp_ts_since(now, machine->last_heard) <
-                                        1.25 * services->settings->report_s + SILENT_SLACK_S;
+    return !machine->contact.unreachable &&
+           rp_ts_since(now, machine->contact.last_heard) <
+               1.25 * services->settings->report_s + SILENT_SLACK_S;
 }
 
 /* Its room is kept for a gang. */
 static bool kept(const struct rp_machine *machine, struct timespec now) {
-    return *machine->reserved_for && !rp_ts_reached(now, machine->reserved_until);
+    return *machine->reservation.job_id && !rp_ts_reached(now, machine->reservation.until);
 }
 
 /* How many more of the job's replicas the zone would have than an even part of them. */
@@ -223,7 +224,7 @@
 /* What speaks against the machine, in seconds; negative: it can't take the task. */
 static double price_of(const struct rp_services *services, struct rp_machine *machine,
                        const struct rp_job *job, struct timespec now) {
-    if (!rp_machine_is_usable(machine) || machine->draining || kept(machine, now) ||
+    if (!rp_machine_is_usable(machine) || machine->scale_in.draining || kept(machine, now) ||
         !fresh(services, machine, now) ||
         !rp_cluster_is_allowed(services->cluster, &job->spec, machine->type, machine->zone,
                                machine->spot))
@@ -247,8 +248,8 @@
     for (unsigned i = 0; i < job->n_failed_machines; i++)
         price += strcmp(job->failed_machines[i], machine->name) == 0 ? FAILED_HERE_S : 0;
     price += rp_workers_is_direct_full(machine) ? NEXT_REPORT_S : 0;
-    price +=
-        ERROR_S * machine->consecutive_errors + (machine->spot ? SPOT_S : 0) + (gpus ? GPU_S : 0);
+    price += ERROR_S * machine->health.consecutive_errors + (machine->spot ? SPOT_S : 0) +
+             (gpus ? GPU_S : 0);
     return price + (serves ? 0 : KEPT_S);
 }
 
@@ -370,7 +371,7 @@
 
 double rp_services_ready_cpus_of(const struct rp_services *services,
                                  const struct rp_machine *machine) {
-    if (machine->type < 0 || machine->spot || machine->draining ||
+    if (machine->type < 0 || machine->spot || machine->scale_in.draining ||
         services->catalog->types[machine->type].capacity.gpus > 0)
         return 0;
     if (machine->state == RP_MACHINE_BOOTING)
@@ -499,7 +500,7 @@
             rp_allocation_request_stop(allocation, 0);
             services->n_moved++;
         } else {
-            machine->draining = false; /* it stays */
+            machine->scale_in.draining = false; /* it stays */
         }
         return;
     }
@@ -509,7 +510,8 @@
     if (any_unsteady(services))
         return;
     for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next)
-        if (machine->state == RP_MACHINE_UP && (machine->draining || machine->quarantined) &&
+        if (machine->state == RP_MACHINE_UP &&
+            (machine->scale_in.draining || machine->health.quarantined) &&
             holds_replicas(machine)) {
             drain(services, machine, now);
             return;
@@ -527,7 +529,7 @@
     uint32_t zones = 0;
     for (const struct rp_machine *machine = services->cluster->first; machine;
          machine = machine->next) {
-        if (machine->incarnation == 0 || machine->zone < 0 ||
+        if (machine->contact.incarnation == 0 || machine->zone < 0 ||
             machine->state == RP_MACHINE_RELEASING)
             continue;
         known[machine->zone]++;
@@ -550,13 +552,14 @@
                           struct timespec now) {
     if (machine->state != RP_MACHINE_UP || !holds_replicas(machine))
         return;
-    double silent = rp_ts_since(now, machine->last_heard) - 1.25 * services->settings->report_s;
+    double silent =
+        rp_ts_since(now, machine->contact.last_heard) - 1.25 * services->settings->report_s;
     if (silent < PROBE_SLACK_S) {
-        machine->probes_failed = 0;
+        machine->contact.probes_failed = 0;
         return;
     }
     bool cut = machine->zone >= 0 && (doubt >> machine->zone & 1);
-    if (machine->probes_failed >= PROBES && !cut &&
+    if (machine->contact.probes_failed >= PROBES && !cut &&
         !rp_fleet_is_zone_silent(services->fleet, machine->zone) &&
         rp_ts_since(now, services->fleet->led_since) > services->settings->report_s * 1.25 + LED_S)
         rp_fleet_scale_in(services->fleet, machine, "silent, and replicas wait for it");
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -88,7 +88,8 @@
 
 /* What a standby has to know of the machine as it is now. */
 static struct rp_change change_of(const struct rp_machine *machine) {
-    struct rp_change change = {.kind = RP_CHANGE_MACHINE_UP, .incarnation = machine->incarnation};
+    struct rp_change change = {.kind = RP_CHANGE_MACHINE_UP,
+                               .incarnation = machine->contact.incarnation};
     if (machine->state == RP_MACHINE_RELEASING)
         change.kind = RP_CHANGE_MACHINE_RELEASING;
     strcpy(change.machine, machine->name);
@@ -115,7 +116,7 @@
     rp_change_log_terminated(&standby->log, out->changes);
     out->n_changes = n_gone;
     for (const struct rp_machine *machine = cluster->first; machine; machine = machine->next) {
-        bool reachable = *machine->addr && machine->incarnation > 0;
+        bool reachable = *machine->addr && machine->contact.incarnation > 0;
         if (reachable || machine->state == RP_MACHINE_RELEASING)
             out->changes[out->n_changes++] = change_of(machine);
     }
@@ -412,7 +413,7 @@
         return; /* their reports do the same, later */
     for (const struct rp_machine *machine = cluster->first; machine; machine = machine->next)
         if (machine->state == RP_MACHINE_UNRECONCILED &&
-            (answered_too || rp_ts_zero(machine->first_answer)))
+            (answered_too || rp_ts_zero(machine->contact.first_answer)))
             strcpy(standby->to_fence[standby->n_to_fence++], machine->name);
 }
 
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -227,7 +227,7 @@
     if (!allocation) {
         /* An old copy of a report, read before any newer one, may name an allocation that is long
          * gone; one that shows our token doesn't. */
-        if (status->state != RP_TASK_EXITED && machine->fencing_token_seen &&
+        if (status->state != RP_TASK_EXITED && machine->contact.fencing_token_seen &&
             rp_job_n_task_allocations(job, status->task))
             rp_error("task %s/%u may be in two places, one is %s", job->spec.id, status->task,
                      machine->name);
@@ -235,7 +235,7 @@
                                        status->attempt, RP_ALLOCATION_SEEN);
     }
     allocation->marked = true;
-    allocation->seen_seq = machine->seq;
+    allocation->seen_seq = machine->contact.seq;
     if (allocation->state == RP_ALLOCATION_EXITED)
         return;
     if (status->state == RP_TASK_EXITED) {
@@ -276,23 +276,24 @@
 static void note_hearing(struct rp_workers *workers, struct rp_machine *machine,
                          const struct rp_heartbeat *heartbeat) {
     struct timespec now = rp_loop_now(workers->loop);
-    bool first = machine->incarnation == 0;
+    bool first = machine->contact.incarnation == 0;
     /* Reports are report_s apart, give or take a quarter: where that is 4 s, every second report of
      * a good machine came later than 4 s after the one before, and a quarter of a large fleet stood
      * idle as deaf. One that got no answer asks another node first: by then 6 s are over. */
     double limit = fmax(ANSWER_WAIT_S, workers->settings->report_s * 1.25 + REPORT_SLACK_S);
     /* Answers to direct commands have numbers of their own in between. */
-    bool follows = heartbeat->incarnation == machine->incarnation &&
-                   heartbeat->seq > machine->heartbeat_seq &&
-                   heartbeat->seq <= machine->heartbeat_seq + 1 + machine->n_direct &&
-                   rp_ts_since(now, machine->last_heartbeat) < limit;
+    bool follows =
+        heartbeat->incarnation == machine->contact.incarnation &&
+        heartbeat->seq > machine->contact.heartbeat_seq &&
+        heartbeat->seq <= machine->contact.heartbeat_seq + 1 + machine->contact.n_direct &&
+        rp_ts_since(now, machine->contact.last_heartbeat) < limit;
     if (first || follows) {
         if (rp_machine_is_one_way_partitioned(machine) &&
-            rp_ts_since(now, machine->answers_lost_since) > ANSWER_WAIT_S)
+            rp_ts_since(now, machine->contact.answers_lost_since) > ANSWER_WAIT_S)
             rp_info("machine %s gets answers again", machine->name);
-        machine->answers_lost_since = (struct timespec){0};
+        machine->contact.answers_lost_since = (struct timespec){0};
     } else if (!rp_machine_is_one_way_partitioned(machine)) {
-        machine->answers_lost_since = now;
+        machine->contact.answers_lost_since = now;
         rp_debug("machine %s: nothing shows that it gets answers", machine->name);
     }
 }
@@ -316,11 +317,11 @@
                         const struct rp_heartbeat *heartbeat) {
     if (!heartbeat->has_notice)
         return;
-    if (!machine->has_spot_notice)
+    if (!machine->spot_notice.received)
         rp_info("machine %s is taken back in %.1fs, places=%zu", machine->name, heartbeat->notice_s,
                 machine->n_allocations);
-    machine->has_spot_notice = true;
-    machine->spot_notice_end = rp_ts_after(rp_loop_now(workers->loop), heartbeat->notice_s);
+    machine->spot_notice.received = true;
+    machine->spot_notice.ends_at = rp_ts_after(rp_loop_now(workers->loop), heartbeat->notice_s);
     for (size_t i = machine->n_allocations; i-- > 0;) {
         if (i >= machine->n_allocations)
             continue; /* stopping a gang has dropped allocations here */
@@ -364,14 +365,15 @@
 static void read_report(struct rp_workers *workers, struct rp_machine *machine,
                         const struct rp_heartbeat *heartbeat) {
     note_hearing(workers, machine, heartbeat);
-    if (heartbeat->incarnation > machine->incarnation && machine->incarnation > 0)
+    if (heartbeat->incarnation > machine->contact.incarnation && machine->contact.incarnation > 0)
         rp_machine_end_incarnation(workers->cluster, machine);
-    bool behind = heartbeat->incarnation == machine->incarnation && heartbeat->seq < machine->seq;
+    bool behind = heartbeat->incarnation == machine->contact.incarnation &&
+                  heartbeat->seq < machine->contact.seq;
     rp_machine_note_contact(workers->cluster, machine, heartbeat->addr, heartbeat->incarnation);
-    machine->heartbeat_seq = heartbeat->seq;
-    machine->n_direct = 0;
-    machine->last_heartbeat = machine->last_heard = rp_loop_now(workers->loop);
-    machine->unreachable = machine->fenced = false;
+    machine->contact.heartbeat_seq = heartbeat->seq;
+    machine->contact.n_direct = 0;
+    machine->contact.last_heartbeat = machine->contact.last_heard = rp_loop_now(workers->loop);
+    machine->contact.unreachable = machine->contact.known_by_fencing_only = false;
     rp_machine_note_fencing_token(workers->cluster, machine,
                                   heartbeat->fencing_token == workers->election->fencing_token);
     for (size_t i = 0; i < machine->n_allocations; i++)
@@ -379,7 +381,7 @@
     if (behind) {
         mark_listed(workers, machine, heartbeat);
     } else {
-        machine->seq = heartbeat->seq;
+        machine->contact.seq = heartbeat->seq;
         rp_machine_clear_unknown_tasks(workers->cluster, machine);
         for (size_t i = 0; i < heartbeat->n_tasks; i++)
             read_task(workers, machine, &heartbeat->tasks[i]);
@@ -388,7 +390,7 @@
     take_notice(workers, machine, heartbeat);
     /* Only a report that shows our token proves that no start of an earlier leader is still on
      * its way; until then the machine may hold more than it says. */
-    if (machine->state != RP_MACHINE_RELEASING && machine->fencing_token_seen)
+    if (machine->state != RP_MACHINE_RELEASING && machine->contact.fencing_token_seen)
         rp_machine_set_state(workers->cluster, machine, RP_MACHINE_UP);
     rp_fleet_record_up(workers->fleet, machine);
 }
@@ -415,7 +417,7 @@
 static void command_unknown_tasks(struct batch *batch, const struct rp_machine *machine) {
     for (size_t i = 0; i < machine->n_unknown_tasks; i++) {
         const struct rp_unknown_task *unknown_task = &machine->unknown_tasks[i];
-        if (unknown_task->exited && !machine->fencing_token_seen)
+        if (unknown_task->exited && !machine->contact.fencing_token_seen)
             continue;
         command(batch, unknown_task->exited ? RP_COMMAND_FORGET : RP_COMMAND_STOP,
                 unknown_task->job, unknown_task->task, unknown_task->attempt, 0);
@@ -428,7 +430,7 @@
 static bool may_forget(const struct rp_workers *workers, const struct rp_machine *machine,
                        const struct rp_allocation *allocation) {
     /* Until the token is seen, an earlier leader's start may still be on its way. */
-    if (!machine->fencing_token_seen ||
+    if (!machine->contact.fencing_token_seen ||
         (allocation->started_directly &&
          allocation->attempt >> 32 == workers->election->fencing_token))
         return false;
@@ -492,7 +494,8 @@
 static bool starts_directly(const struct rp_workers *workers, const struct rp_machine *machine,
                             const struct rp_job *job) {
     return job->spec.kind == RP_JOB_SERVICE ||
-           (job->spec.kind == RP_JOB_ARRAY && machine->fenced && workers->direct_left > 0);
+           (job->spec.kind == RP_JOB_ARRAY && machine->contact.known_by_fencing_only &&
+            workers->direct_left > 0);
 }
 
 static void command_starts(struct rp_workers *workers, struct batch *batch,
@@ -511,7 +514,7 @@
         command(batch, RP_COMMAND_START, allocation->job->spec.id, allocation->task,
                 allocation->attempt, 0);
         rp_allocation_set_state(workers->cluster, machine, allocation, RP_ALLOCATION_SENT);
-        allocation->sent_seq = machine->heartbeat_seq;
+        allocation->sent_seq = machine->contact.heartbeat_seq;
         allocation->started_directly = allocation->direct_start_pending = direct;
         workers->direct_left -= direct && allocation->job->spec.kind == RP_JOB_ARRAY;
         workers->n_starts++;
@@ -533,11 +536,11 @@
     }
     if (machine) {
         struct timespec held = rp_ts_after(received, rp_workers_lease_s(workers->settings));
-        if (rp_ts_cmp(held, machine->lease_expiry) > 0)
-            machine->lease_expiry = held;
-        machine->last_answer = now;
-        if (rp_ts_zero(machine->first_answer))
-            machine->first_answer = now;
+        if (rp_ts_cmp(held, machine->contact.lease_expiry) > 0)
+            machine->contact.lease_expiry = held;
+        machine->contact.last_answer = now;
+        if (rp_ts_zero(machine->contact.first_answer))
+            machine->contact.first_answer = now;
     }
     respond(req, 200,
             rp_wire_report_answer(workers->election->fencing_token, batch ? batch->list : NULL,
@@ -564,15 +567,17 @@
 /* A machine that may hold tasks of an earlier leader and shows no sign of our answers is answered
  * no more: so its lease ends, and with it what it holds. Once it is lost it may come back. */
 static bool starved(const struct rp_workers *workers, const struct rp_machine *machine) {
-    return machine->state == RP_MACHINE_UNRECONCILED && !rp_ts_zero(machine->first_answer) &&
-           rp_ts_since(rp_loop_now(workers->loop), machine->first_answer) > TOKEN_PATIENCE_S;
+    return machine->state == RP_MACHINE_UNRECONCILED &&
+           !rp_ts_zero(machine->contact.first_answer) &&
+           rp_ts_since(rp_loop_now(workers->loop), machine->contact.first_answer) >
+               TOKEN_PATIENCE_S;
 }
 
 /* A report of a session that is over, held back on its way by a cut: what it lists is gone, and
  * runs elsewhere by now. Only results stay true. */
 static void take_results(struct rp_workers *workers, const struct rp_machine *machine,
                          const struct rp_heartbeat *heartbeat) {
-    if (heartbeat->incarnation < machine->incarnation)
+    if (heartbeat->incarnation < machine->contact.incarnation)
         return;
     for (size_t i = 0; i < heartbeat->n_tasks; i++) {
         const struct rp_task_status *status = &heartbeat->tasks[i];
@@ -595,7 +600,7 @@
      * lease; one that was about to go back, while the cloud didn't answer, for ever. */
     command_unknown_tasks(&batch, machine);
     command_ends(workers, &batch, machine, rp_loop_now(workers->loop));
-    if (machine->fencing_token_seen) {
+    if (machine->contact.fencing_token_seen) {
         command_again(workers, &batch, machine);
         command_starts(workers, &batch, machine, false);
     }
@@ -626,8 +631,8 @@
     }
     struct rp_held_heartbeat *h = &workers->held_heartbeats[workers->n_held++];
     *h = (struct rp_held_heartbeat){.req = req,
-                                    .incarnation = machine->incarnation,
-                                    .seq = machine->heartbeat_seq,
+                                    .incarnation = machine->contact.incarnation,
+                                    .seq = machine->contact.heartbeat_seq,
                                     .received = rp_loop_now(workers->loop)};
     strcpy(h->machine, machine->name);
 }
@@ -640,8 +645,8 @@
         answer(workers, req, NULL, NULL, received);
         return;
     }
-    if (machine->state == RP_MACHINE_LOST && machine->lost_incarnation > 0 &&
-        heartbeat->incarnation == machine->lost_incarnation) {
+    if (machine->state == RP_MACHINE_LOST && machine->contact.lost_incarnation > 0 &&
+        heartbeat->incarnation == machine->contact.lost_incarnation) {
         take_results(workers, machine, heartbeat);
         respond(req, 503, rp_wire_error("this session's lease has ended"));
         return;
@@ -656,9 +661,9 @@
         answer(workers, req, machine, NULL, received);
         return;
     }
-    bool old = heartbeat->incarnation < machine->incarnation ||
-               (heartbeat->incarnation == machine->incarnation &&
-                heartbeat->seq <= machine->heartbeat_seq);
+    bool old = heartbeat->incarnation < machine->contact.incarnation ||
+               (heartbeat->incarnation == machine->contact.incarnation &&
+                heartbeat->seq <= machine->contact.heartbeat_seq);
     if (old) {
         /* A copy, late by seconds or by many leases: it proves nothing, and its answer renews no
          * lease, for nobody waits for it. */
@@ -693,8 +698,8 @@
             workers->ready ? rp_machine_find(workers->cluster, held[i].machine) : NULL;
         if (!workers->ready)
             not_here(workers, held[i].req);
-        else if (!machine || machine->incarnation != held[i].incarnation ||
-                 machine->heartbeat_seq != held[i].seq)
+        else if (!machine || machine->contact.incarnation != held[i].incarnation ||
+                 machine->contact.heartbeat_seq != held[i].seq)
             respond(held[i].req, 503, rp_wire_error("a newer report is known"));
         else if (machine->state == RP_MACHINE_LOST || machine->state == RP_MACHINE_RELEASING)
             respond(held[i].req, 503, rp_wire_error("this machine goes back"));
@@ -724,7 +729,7 @@
         abort();
     command->w = workers;
     command->token = workers->election->fencing_token;
-    command->session = machine->incarnation;
+    command->session = machine->contact.incarnation;
     strcpy(command->machine, machine->name);
     return command;
 }
@@ -739,17 +744,18 @@
     struct rp_machine *machine = command->w->election->fencing_token == command->token
                                      ? rp_machine_find(command->w->cluster, command->machine)
                                      : NULL;
-    return machine && machine->incarnation == command->session ? machine : NULL;
+    return machine && machine->contact.incarnation == command->session ? machine : NULL;
 }
 
 /* Takes in what the machine lists, if nothing newer is known. Nothing is concluded from what it
  * doesn't list, and no lease is renewed. */
 static void take_listing(struct rp_workers *workers, struct rp_machine *machine,
                          const struct rp_heartbeat *heartbeat) {
-    machine->last_heard = rp_loop_now(workers->loop);
-    if (heartbeat->incarnation != machine->incarnation || heartbeat->seq <= machine->seq)
+    machine->contact.last_heard = rp_loop_now(workers->loop);
+    if (heartbeat->incarnation != machine->contact.incarnation ||
+        heartbeat->seq <= machine->contact.seq)
         return;
-    machine->seq = heartbeat->seq;
+    machine->contact.seq = heartbeat->seq;
     for (size_t i = 0; i < heartbeat->n_tasks; i++) {
         const struct rp_task_status *status = &heartbeat->tasks[i];
         struct rp_job *job = rp_jobs_find(workers->jobs, status->job);
@@ -795,7 +801,7 @@
         rp_heartbeat_free(&heartbeat);
     }
     settle_direct(command, machine, answer->unsent || (read && answer->status == 409));
-    machine->unreachable = answer->unsent;
+    machine->contact.unreachable = answer->unsent;
     if ((busy_allocations(machine) < busy || answer->unsent) && workers->on_capacity_freed)
         workers->on_capacity_freed(workers->arg);
 out:
@@ -838,9 +844,9 @@
         goto out;
     struct direct *d = direct_new(workers, machine, batch.n);
     note_attempts(d, &batch);
-    char *body =
-        rp_wire_direct(workers->election->fencing_token, machine->incarnation, batch.list, batch.n);
-    machine->n_direct++;
+    char *body = rp_wire_direct(workers->election->fencing_token, machine->contact.incarnation,
+                                batch.list, batch.n);
+    machine->contact.n_direct++;
     workers->n_direct++;
     workers->net.call_once(workers->net.ctx, machine->addr, "POST", RP_PATH_DIRECT, body, DIRECT_S,
                            direct_answered, d);
@@ -880,7 +886,7 @@
     struct batch batch = {.list = calloc(COMMANDS_MAX, sizeof *batch.list)};
     if (!batch.list)
         abort(); /* out of memory: a restart is the honest answer */
-    if (machine->fenced)
+    if (machine->contact.known_by_fencing_only)
         command_unknown_tasks(&batch, machine);
     char *body = rp_wire_direct(fence->direct->token, fence->direct->session, batch.list, batch.n);
     fence->n_sent++;
@@ -896,20 +902,21 @@
  * before it is refused, and the worker reports again. */
 static bool take_fenced(struct rp_workers *workers, struct rp_machine *machine,
                         const struct rp_heartbeat *heartbeat) {
-    bool newer = heartbeat->incarnation > machine->incarnation ||
-                 (heartbeat->incarnation == machine->incarnation && heartbeat->seq > machine->seq);
+    bool newer = heartbeat->incarnation > machine->contact.incarnation ||
+                 (heartbeat->incarnation == machine->contact.incarnation &&
+                  heartbeat->seq > machine->contact.seq);
     bool first = machine->state == RP_MACHINE_UNRECONCILED;
     if (heartbeat->fencing_token != workers->election->fencing_token || !newer ||
-        !(first || machine->fenced))
+        !(first || machine->contact.known_by_fencing_only))
         return false;
     if (first)
         rp_fleet_describe_machine(workers->fleet, machine, heartbeat->type, heartbeat->zone,
                                   heartbeat->spot);
     if (first)
-        machine->lease_expiry =
+        machine->contact.lease_expiry =
             rp_ts_after(rp_loop_now(workers->loop), rp_workers_lease_s(workers->settings));
     read_report(workers, machine, heartbeat);
-    machine->fenced = true;
+    machine->contact.known_by_fencing_only = true;
     return true;
 }
 
@@ -928,7 +935,8 @@
         if (same && heartbeat.fencing_token > command->token)
             rp_election_verify(workers->election);
         fenced = same && answer->status == 200 && take_fenced(workers, machine, &heartbeat);
-        machine->n_direct += !fenced; /* this answer has used a number since the newest report */
+        machine->contact.n_direct +=
+            !fenced; /* this answer has used a number since the newest report */
         bool other_session =
             same && answer->status == 409 && heartbeat.incarnation != command->session;
         again = other_session || (fenced && machine->n_unknown_live > 0);
@@ -940,7 +948,7 @@
     if (again && fence->n_sent < FENCE_SENT_MOST)
         fence_send(fence, machine);
     else
-        fence_end(fence, machine && machine->fenced);
+        fence_end(fence, machine && machine->contact.known_by_fencing_only);
 }
 
 void rp_workers_fence(struct rp_workers *workers, struct rp_machine *machine, const char *addr,
@@ -964,7 +972,7 @@
 void rp_workers_send_fenced(struct rp_workers *workers) {
     for (struct rp_machine *machine = workers->cluster->first; machine && workers->direct_left > 0;
          machine = machine->next)
-        if (machine->fenced && has_planned(machine))
+        if (machine->contact.known_by_fencing_only && has_planned(machine))
             rp_workers_send_direct(workers, machine);
 }
 
@@ -974,11 +982,11 @@
     struct rp_heartbeat heartbeat;
     if (!machine)
         goto out;
-    machine->probing = false;
-    machine->probes_failed++;
+    machine->contact.probing = false;
+    machine->contact.probes_failed++;
     if (answer->status != 200 || !rp_wire_report(answer->body, answer->len, &heartbeat))
         goto out;
-    machine->probes_failed = 0;
+    machine->contact.probes_failed = 0;
     take_listing(command->w, machine, &heartbeat);
     rp_heartbeat_free(&heartbeat);
 out:
@@ -986,11 +994,11 @@
 }
 
 void rp_workers_probe(struct rp_workers *workers, struct rp_machine *machine) {
-    if (machine->probing || !*machine->addr)
+    if (machine->contact.probing || !*machine->addr)
         return;
-    machine->probing = true;
-    machine->probed_at = rp_loop_now(workers->loop);
-    machine->n_direct++;
+    machine->contact.probing = true;
+    machine->contact.probed_at = rp_loop_now(workers->loop);
+    machine->contact.n_direct++;
     workers->net.call_once(workers->net.ctx, machine->addr, "GET", RP_PATH_SHOW, NULL, PROBE_S,
                            probe_answered, direct_new(workers, machine, 0));
 }
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -520,11 +520,12 @@
         const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
         for (const struct rp_machine *machine = node->cluster.first; machine;
              machine = machine->next) {
-            const struct rp_job *job =
-                *machine->reserved_for ? rp_jobs_find(&node->jobs, machine->reserved_for) : NULL;
-            if (!job || job->state != RP_JOB_OPEN || job->n_allocated > 0 || machine->quarantined ||
-                machine->has_spot_notice ||
-                rp_ts_reached(rp_loop_now(node->loop), machine->reserved_until))
+            const struct rp_job *job = *machine->reservation.job_id
+                                           ? rp_jobs_find(&node->jobs, machine->reservation.job_id)
+                                           : NULL;
+            if (!job || job->state != RP_JOB_OPEN || job->n_allocated > 0 ||
+                machine->health.quarantined || machine->spot_notice.received ||
+                rp_ts_reached(rp_loop_now(node->loop), machine->reservation.until))
                 continue;
             kept += machine->n_allocations == 0;
             assert_int_equal(machine->state, RP_MACHINE_UP);
@@ -584,7 +585,7 @@
         for (int k = 0; sim_leader(sim) >= 0 && k < sim->size.workers; k++) {
             const struct rp_machine *machine =
                 rp_machine_find(&sim->nodes[sim_leader(sim)].node->cluster, sim->workers[k].name);
-            assert_true(!machine || !machine->quarantined);
+            assert_true(!machine || !machine->health.quarantined);
         }
     }
     assert_true(sim->n_errors >= 20);
@@ -840,8 +841,8 @@
     sim_run(sim, 14);
     assert_false(rp_fleet_is_zone_silent(&node->fleet, 0));
     for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
-        in_zone +=
-            machine->zone == 0 && machine->state == RP_MACHINE_UP && machine->incarnation > 1;
+        in_zone += machine->zone == 0 && machine->state == RP_MACHINE_UP &&
+                   machine->contact.incarnation > 1;
     assert_int_equal(in_zone, before);
     sim_run(sim, 200);
     assert_string_equal(sim->broken, "");
