--- a/src/api/status.h
+++ b/src/api/status.h
@@ -1,11 +1,34 @@
 /* What a node tells of itself on its peers' port (`GET /status`), for operators and their tools.
  * The fields are listed in docs/operations.md; names stay as they are. */
-#ifndef RP_STATUS_H
-#define RP_STATUS_H
+#ifndef RP_API_STATUS_H
+#define RP_API_STATUS_H
 
-#include "controller/node.h"
+#include "api/user_api.h"
+#include "scheduler/scheduler.h"
+#include "standby/standby.h"
+
+/* The parts of a node that the status is read from. */
+struct rp_status_sources {
+    struct rp_loop *loop;
+    const struct rp_settings *settings;
+    const char *node_state; /* "following", "recovering", "leading" */
+    bool leading;
+    const struct rp_catalog *catalog;
+    const struct rp_kv_client *store;
+    const struct rp_election *election;
+    const struct rp_upgrade *upgrade;
+    const struct rp_jobs *jobs;
+    const struct rp_cluster *cluster;
+    const struct rp_fleet *fleet;
+    const struct rp_workers *workers;
+    const struct rp_services *services;
+    const struct rp_scheduler *scheduler;
+    const struct rp_standby *standby;
+    const struct rp_metrics *metrics;
+    const struct rp_user_api *api;
+};
 
 /* The node's state, counters and latencies as JSON; the caller frees it. NULL: out of memory. */
-char *rp_status_json(const struct rp_node *node);
+char *rp_status_json(const struct rp_status_sources *sources);
 
 #endif
--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -1,9 +1,8 @@
-/* The users' interface: every node serves it straight from the state service, whose reads and
- * conditional writes are linearizable, so no node can give an older answer than another. */
+#include "api/user_api.h"
+
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
-#include "controller/node.h"
 #include "protocol/wire.h"
 
 #define TRIES 4
@@ -22,7 +21,7 @@
 };
 
 struct op {
-    struct rp_node *node;
+    struct rp_user_api *api;
     struct rp_request *req;
     enum op_kind kind;
     enum op_state state;
@@ -43,9 +42,9 @@
     operation->state = OP_ANSWERED;
     if (status == 400 || status == 422)
         rp_info("submission %s refused with %d: %s", operation->id, status, operation->why);
-    rp_metrics_add(&operation->node->metrics,
+    rp_metrics_add(operation->api->metrics,
                    operation->kind == OP_SUBMIT ? RP_METRIC_SUBMIT : RP_METRIC_QUERY,
-                   rp_ts_since(rp_loop_now(operation->node->loop), operation->since));
+                   rp_ts_since(rp_loop_now(operation->api->loop), operation->since));
     operation->req->respond(operation->req, status, body ? body : "{}", retry_after);
     free(body);
     rp_job_spec_free(&operation->spec);
@@ -65,20 +64,20 @@
     struct rp_job_status st = {.phase = phase};
     strcpy(st.id, operation->id);
     if (phase == RP_JOB_QUEUED && status == 200)
-        rp_node_fill_running_counts(operation->node, &st);
+        operation->api->fill_running_counts(operation->api->arg, &st);
     op_answer(operation, status, rp_wire_job_status(&st), 0);
 }
 
 /* The job's end, as the state service has it: it stays so, and this node answers by itself next
  * time. */
 static void op_final(struct op *operation, enum rp_job_phase phase) {
-    rp_terminal_states_note(&operation->node->terminal_states, operation->id, phase);
+    rp_terminal_states_note(operation->api->terminal_states, operation->id, phase);
     op_status(operation, 200, phase);
 }
 
 static bool op_known_final(struct op *operation) {
     enum rp_job_phase phase;
-    if (!rp_terminal_states_find(&operation->node->terminal_states, operation->id, &phase))
+    if (!rp_terminal_states_find(operation->api->terminal_states, operation->id, &phase))
         return false;
     op_status(operation, 200, phase);
     return true;
@@ -147,8 +146,8 @@
 
 /* What a value may have: until every node knows better, today's limit. */
 static size_t value_limit(const struct op *operation) {
-    const struct rp_settings *settings = operation->node->settings;
-    bool fit = rp_upgrade_is_active(&operation->node->upgrade);
+    const struct rp_settings *settings = operation->api->settings;
+    bool fit = rp_upgrade_is_active(operation->api->upgrade);
     return (size_t)((fit ? settings->state_fit : settings->state).value_kb * 1024);
 }
 
@@ -158,8 +157,8 @@
     struct op *operation = arg;
     struct rp_item item;
     if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item))
-        rp_upgrade_on_activation_record(&operation->node->upgrade, item.value);
-    if (rp_upgrade_is_active(&operation->node->upgrade)) {
+        rp_upgrade_on_activation_record(operation->api->upgrade, item.value);
+    if (rp_upgrade_is_active(operation->api->upgrade)) {
         op_next(operation, OP_WRITE);
         return;
     }
@@ -171,7 +170,7 @@
     struct op *operation = arg;
     if (result->outcome == RP_KV_OK) {
         if (operation->kind == OP_SUBMIT) {
-            operation->node->n_accepted++;
+            operation->api->n_accepted++;
             rp_debug("job %s accepted", operation->id);
             op_status(operation, 201, RP_JOB_QUEUED);
         } else {
@@ -215,22 +214,22 @@
 
 /* The pieces in which the job's record is written: one mostly. 0: no transaction can hold it. */
 static size_t submission_pieces(struct op *operation, json_t **pieces, size_t max) {
-    struct rp_node *node = operation->node;
+    struct rp_user_api *api = operation->api;
     size_t most = operation->value_most ? operation->value_most : value_limit(operation);
     struct timespec wall;
     clock_gettime(CLOCK_REALTIME, &wall);
-    pieces[0] = rp_jobs_mark_format(&node->jobs, rp_record_open(&operation->spec, wall));
+    pieces[0] = rp_upgrade_mark_record(api->upgrade, rp_record_open(&operation->spec, wall));
     if (rp_record_size(pieces[0]) <= most)
         return 1;
     json_decref(pieces[0]);
-    forget_useless_types(&node->catalog, &operation->spec);
-    json_t *record = rp_jobs_mark_format(&node->jobs, rp_record_open(&operation->spec, wall));
+    forget_useless_types(api->catalog_source->catalog, &operation->spec);
+    json_t *record = rp_upgrade_mark_record(api->upgrade, rp_record_open(&operation->spec, wall));
     if (rp_record_size(record) <= most) {
         pieces[0] = record;
         return 1;
     }
     size_t count =
-        rp_upgrade_is_active(&node->upgrade) ? rp_record_cut(record, most, pieces, max) : 0;
+        rp_upgrade_is_active(api->upgrade) ? rp_record_cut(record, most, pieces, max) : 0;
     json_decref(record);
     return count;
 }
@@ -240,11 +239,11 @@
 static void write_submission(struct op *operation) {
     char open[RP_KEY_MAX], over[RP_KEY_MAX], part[RP_KEY_MAX];
     json_t *pieces[RP_PARTS_MAX];
-    size_t max = operation->node->settings->state_fit.txn_ops;
+    size_t max = operation->api->settings->state_fit.txn_ops;
     size_t count = submission_pieces(operation, pieces, max < RP_PARTS_MAX ? max : RP_PARTS_MAX);
     if (count == 0) {
         strcpy(operation->why, "the description is longer than the state service can keep");
-        operation->refusal = rp_upgrade_is_active(&operation->node->upgrade) ? 422 : 503;
+        operation->refusal = rp_upgrade_is_active(operation->api->upgrade) ? 422 : 503;
         op_next(operation, OP_READ_OPEN);
         return;
     }
@@ -258,7 +257,7 @@
         rp_key_part(part, operation->id, (unsigned)i);
         rp_wire_txn_put(txn, part, pieces[i], 0);
     }
-    rp_kv_txn(&operation->node->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
+    rp_kv_txn(operation->api->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
 }
 
 static void write_cancellation(struct op *operation) {
@@ -270,8 +269,8 @@
     rp_wire_txn_delete(txn, open);
     rp_wire_txn_put(
         txn, over,
-        rp_jobs_mark_format(&operation->node->jobs, rp_record_terminal(RP_JOB_CANCELLED)), 0);
-    rp_kv_txn(&operation->node->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
+        rp_upgrade_mark_record(operation->api->upgrade, rp_record_terminal(RP_JOB_CANCELLED)), 0);
+    rp_kv_txn(operation->api->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
 }
 
 static enum rp_kv_budget op_share(const struct op *operation) {
@@ -284,18 +283,18 @@
     operation->state = state;
     switch (state) {
     case OP_LOOK_UP:
-        rp_job_lookup_add(&operation->node->job_lookup, operation->id, looked_up, operation);
+        rp_job_lookup_add(operation->api->job_lookup, operation->id, looked_up, operation);
         break;
     case OP_READ_OPEN:
         rp_key(key, RP_KEY_OPEN, operation->id);
-        rp_kv_get(&operation->node->store, op_share(operation), key, open_read, operation);
+        rp_kv_get(operation->api->store, op_share(operation), key, open_read, operation);
         break;
     case OP_READ_OVER:
         rp_key(key, RP_KEY_TERMINAL, operation->id);
-        rp_kv_get(&operation->node->store, op_share(operation), key, over_read, operation);
+        rp_kv_get(operation->api->store, op_share(operation), key, over_read, operation);
         break;
     case OP_READ_FORMAT:
-        rp_kv_get(&operation->node->store, op_share(operation), RP_KEY_FORMAT, format_read,
+        rp_kv_get(operation->api->store, op_share(operation), RP_KEY_FORMAT, format_read,
                   operation);
         break;
     case OP_WRITE:
@@ -309,41 +308,41 @@
     }
 }
 
-static struct op *op_new(struct rp_node *node, struct rp_request *req, enum op_kind kind) {
+static struct op *op_new(struct rp_user_api *api, struct rp_request *req, enum op_kind kind) {
     struct op *operation = calloc(1, sizeof *operation);
     if (!operation) {
         req->respond(req, 503, "{}", RETRY_AFTER_S);
         return NULL;
     }
-    operation->node = node;
+    operation->api = api;
     operation->req = req;
     operation->kind = kind;
-    operation->since = rp_loop_now(node->loop);
+    operation->since = rp_loop_now(api->loop);
     return operation;
 }
 
 /* 422, 503 or 0. */
-static int judge(const struct rp_node *node, const struct rp_job_spec *spec, char why[128]) {
-    int index = rp_settings_team(node->settings, spec->team);
+static int judge(const struct rp_user_api *api, const struct rp_job_spec *spec, char why[128]) {
+    int index = rp_settings_team(api->settings, spec->team);
     bool fits = false;
     double tasks = spec->kind == RP_JOB_ARRAY ? 1 : spec->n_tasks;
     if (index < 0) {
         strcpy(why, "unknown team");
         return 422;
     }
-    if (!node->catalog_source.known) {
+    if (!api->catalog_source->known) {
         strcpy(why, "machine types are not known yet");
         return 503;
     }
-    for (size_t t = 0; t < node->catalog.n_types; t++)
-        for (size_t z = 0; z < node->catalog.n_zones; z++)
-            fits |= (node->catalog.types[t].zones >> z & 1) &&
-                    rp_cluster_is_allowed(&node->cluster, spec, (int)t, (int)z, false);
+    for (size_t t = 0; t < api->catalog_source->catalog->n_types; t++)
+        for (size_t z = 0; z < api->catalog_source->catalog->n_zones; z++)
+            fits |= (api->catalog_source->catalog->types[t].zones >> z & 1) &&
+                    rp_cluster_is_allowed(api->cluster, spec, (int)t, (int)z, false);
     if (!fits) {
         strcpy(why, "a task fits no allowed machine type");
         return 422;
     }
-    const struct rp_team *team = &node->settings->teams[index];
+    const struct rp_team *team = &api->settings->teams[index];
     if ((team->cpus_max > 0 && tasks * spec->each.cpus > team->cpus_max + 1e-9) ||
         (team->gpus_max > 0 && tasks * spec->each.gpus > team->gpus_max + 1e-9)) {
         strcpy(why, "needs more than the team's limit");
@@ -352,8 +351,8 @@
     return 0;
 }
 
-void rp_api_submit(struct rp_node *node, struct rp_request *req) {
-    struct op *operation = op_new(node, req, OP_SUBMIT);
+void rp_user_api_submit(struct rp_user_api *api, struct rp_request *req) {
+    struct op *operation = op_new(api, req, OP_SUBMIT);
     if (!operation)
         return;
     if (!rp_wire_submission_id(req->body, req->len, operation->id)) {
@@ -366,25 +365,25 @@
     if (!rp_wire_submission(req->body, req->len, &operation->spec, operation->why))
         operation->refusal = 400;
     else
-        operation->refusal = judge(node, &operation->spec, operation->why);
+        operation->refusal = judge(api, &operation->spec, operation->why);
     /* A known job is answered before anything is found wrong with the rest of the request. */
     bool service = !operation->refusal && operation->spec.kind == RP_JOB_SERVICE;
-    op_next(operation, operation->refusal                                 ? OP_READ_OPEN
-                       : service && !rp_upgrade_is_active(&node->upgrade) ? OP_READ_FORMAT
-                                                                          : OP_WRITE);
+    op_next(operation, operation->refusal                               ? OP_READ_OPEN
+                       : service && !rp_upgrade_is_active(api->upgrade) ? OP_READ_FORMAT
+                                                                        : OP_WRITE);
 }
 
-void rp_api_query(struct rp_node *node, struct rp_request *req, const char *id) {
-    struct op *operation = op_new(node, req, OP_QUERY);
+void rp_user_api_query(struct rp_user_api *api, struct rp_request *req, const char *id) {
+    struct op *operation = op_new(api, req, OP_QUERY);
     if (!operation)
         return;
     strcpy(operation->id, id);
     if (!op_known_final(operation))
-        op_next(operation, rp_job_lookup_pays(&node->job_lookup) ? OP_LOOK_UP : OP_READ_OPEN);
+        op_next(operation, rp_job_lookup_pays(api->job_lookup) ? OP_LOOK_UP : OP_READ_OPEN);
 }
 
-void rp_api_cancel(struct rp_node *node, struct rp_request *req, const char *id) {
-    struct op *operation = op_new(node, req, OP_CANCEL);
+void rp_user_api_cancel(struct rp_user_api *api, struct rp_request *req, const char *id) {
+    struct op *operation = op_new(api, req, OP_CANCEL);
     if (!operation)
         return;
     strcpy(operation->id, id);
--- /dev/null
+++ b/src/api/user_api.h
@@ -0,0 +1,37 @@
+/* The users' interface: submissions, queries and cancellations of jobs. Every node serves it
+ * straight from the key-value store, whose reads and conditional writes are linearizable, so no
+ * node can give an older answer than another. */
+#ifndef RP_API_USER_API_H
+#define RP_API_USER_API_H
+
+#include "base/metrics.h"
+#include "cloud/catalog_source.h"
+#include "cluster/cluster.h"
+#include "jobs/job_lookup.h"
+#include "jobs/terminal_states.h"
+
+/* What the users' interface needs of a node; all of it is the node's and outlives this. */
+struct rp_user_api {
+    struct rp_loop *loop;
+    const struct rp_settings *settings;
+    struct rp_kv_client *store;
+    struct rp_upgrade *upgrade;
+    const struct rp_catalog_source *catalog_source;
+    const struct rp_cluster *cluster; /* asked only what its catalog allows */
+    struct rp_job_lookup *job_lookup;
+    struct rp_terminal_states *terminal_states;
+    struct rp_metrics *metrics;
+    /* Fills in the counts of an open job's tasks, as far as this node knows them, for display. */
+    void (*fill_running_counts)(void *arg, struct rp_job_status *status);
+    void *arg;
+    unsigned long n_accepted; /* submissions that this node has written */
+};
+
+/* Each answers `req` exactly once, now or later. */
+void rp_user_api_submit(struct rp_user_api *api, struct rp_request *req);
+/* `id` must be valid (rp_wire_id_valid). */
+void rp_user_api_query(struct rp_user_api *api, struct rp_request *req, const char *id);
+/* The same. */
+void rp_user_api_cancel(struct rp_user_api *api, struct rp_request *req, const char *id);
+
+#endif
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -7,7 +7,6 @@
 #include "cluster/quarantine.h"
 #include "base/log.h"
 #include "protocol/wire.h"
-#include "worker/workers.h"
 
 #define TICK_S 0.5
 #define TICK_LEAST_S 0.02
@@ -290,7 +289,8 @@
         }
     if (request)
         request->n = n;
-    return rp_jobs_mark_format(fleet->jobs, rp_record_provision(&rental->record, names, up, n));
+    return rp_upgrade_mark_record(fleet->jobs->upgrade,
+                                  rp_record_provision(&rental->record, names, up, n));
 }
 
 /* A record that names more machines than a value may hold (the version before wrote up to 50, and
@@ -996,7 +996,8 @@
          * was deposed, after the end of what it had renewed. */
         struct timespec last =
             rp_ts_cmp(fleet->election->cleared_at, now) > 0 ? fleet->election->cleared_at : now;
-        machine->contact.lease_expiry = rp_ts_after(last, rp_workers_lease_s(fleet->settings));
+        machine->contact.lease_expiry =
+            rp_ts_after(last, rp_settings_worker_lease_s(fleet->settings));
     }
     /* What a split that was cut short has left names nothing that another doesn't. */
     const char *name;
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -5,12 +5,13 @@
 #include <stdlib.h>
 #include <string.h>
 #include "operator.pb-c.h"
-#include "scheduler/planner.h"
+#include "model/heuristic.h"
 #include "config/text_format.h"
 
 /* Workers drop a report's answer after this long. */
 #define LATE_COMMANDS_S 4.0
 #define LEASE_DRIFT 1.002 /* four times what clocks may drift */
+#define LEASE_MARGIN_S 0.25
 /* The news of a leader whose watch is sound are never older than its hold and an answer's time. */
 #define NEWS_WAIT_S 4.5
 
@@ -412,3 +413,7 @@
     }
     return mistakes;
 }
+
+double rp_settings_worker_lease_s(const struct rp_settings *settings) {
+    return settings->lease_s * LEASE_DRIFT + LEASE_MARGIN_S;
+}
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -89,6 +89,9 @@
 double rp_settings_max_staleness_s(const struct rp_settings *settings);
 /* What the two files say together: periods and time-outs that contradict one another. */
 int rp_settings_check(const struct rp_settings *settings, FILE *errors);
+/* Seconds after an answer to a heartbeat until which the machine's tasks may still run, on our
+ * clock: the lease, with the drift between clocks and a margin. */
+double rp_settings_worker_lease_s(const struct rp_settings *settings);
 void rp_settings_free(struct rp_settings *settings);
 /* The team's index in the list, or -1. */
 int rp_settings_team(const struct rp_settings *settings, const char *name);
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -34,6 +34,7 @@
 static void on_catalog(void *arg);
 static void summary_due(void *arg);
 static void health_due(void *arg);
+static void fill_running_counts(void *arg, struct rp_job_status *status);
 
 int rp_node_init(struct rp_node *node, struct rp_loop *loop, struct rp_net net,
                  const struct rp_settings *settings) {
@@ -70,6 +71,17 @@
                      &node->fleet, settings, &node->catalog);
     rp_scheduler_init(&node->scheduler, loop, &node->election, &node->cluster, &node->jobs,
                       &node->fleet, &node->services, settings, &node->metrics);
+    node->api = (struct rp_user_api){.loop = loop,
+                                     .settings = settings,
+                                     .store = &node->store,
+                                     .upgrade = &node->upgrade,
+                                     .catalog_source = &node->catalog_source,
+                                     .cluster = &node->cluster,
+                                     .job_lookup = &node->job_lookup,
+                                     .terminal_states = &node->terminal_states,
+                                     .metrics = &node->metrics,
+                                     .fill_running_counts = fill_running_counts,
+                                     .arg = node};
     node->jobs.on_loaded = on_loaded;
     node->jobs.on_closed = on_closed;
     node->jobs.on_changed = on_room;
@@ -371,7 +383,8 @@
                        HEALTH_S, health_came, node);
 }
 
-void rp_node_fill_running_counts(const struct rp_node *node, struct rp_job_status *status) {
+static void fill_running_counts(void *arg, struct rp_job_status *status) {
+    const struct rp_node *node = arg;
     status->phase = RP_JOB_QUEUED;
     status->done = status->running = 0;
     if (node->state == RP_NODE_LEADING) {
@@ -390,6 +403,28 @@
         status->phase = RP_JOB_RUNNING;
 }
 
+static char *status_json(const struct rp_node *node) {
+    static const char *const states[] = {"following", "recovering", "leading"};
+    const struct rp_status_sources sources = {.loop = node->loop,
+                                              .settings = node->settings,
+                                              .node_state = states[node->state],
+                                              .leading = node->state == RP_NODE_LEADING,
+                                              .catalog = &node->catalog,
+                                              .store = &node->store,
+                                              .election = &node->election,
+                                              .upgrade = &node->upgrade,
+                                              .jobs = &node->jobs,
+                                              .cluster = &node->cluster,
+                                              .fleet = &node->fleet,
+                                              .workers = &node->workers,
+                                              .services = &node->services,
+                                              .scheduler = &node->scheduler,
+                                              .standby = &node->standby,
+                                              .metrics = &node->metrics,
+                                              .api = &node->api};
+    return rp_status_json(&sources);
+}
+
 static void respond_text(struct rp_request *req, char *text) {
     req->respond(req, text ? 200 : 503, text ? text : "{}", 0);
     free(text);
@@ -411,7 +446,7 @@
                          : "{\"state_answers\":false,\"version\":\"" RP_VERSION "\"}",
                      0);
     else if (get && strcmp(req->target, PATH_STATUS) == 0)
-        respond_text(req, rp_status_json(node));
+        respond_text(req, status_json(node));
     else
         req->respond(req, 404, "{\"error\":\"no such path\"}", 0);
 }
@@ -453,9 +488,9 @@
     if (!rp_wire_id_valid(id))
         refuse(req, 404, "no such job");
     else if (cancel)
-        rp_api_cancel(node, req, id);
+        rp_user_api_cancel(&node->api, req, id);
     else
-        rp_api_query(node, req, id);
+        rp_user_api_query(&node->api, req, id);
 }
 
 void rp_node_client_request(void *arg, struct rp_request *req) {
@@ -475,7 +510,7 @@
             refuse(req, 405, "method not allowed");
     } else if (strcmp(t, RP_PATH_JOBS) == 0) {
         if (post)
-            rp_api_submit(node, req);
+            rp_user_api_submit(&node->api, req);
         else
             refuse(req, 405, "method not allowed");
     } else if (strncmp(t, RP_PATH_JOBS "/", jobs + 1) == 0) {
--- a/src/controller/node.h
+++ b/src/controller/node.h
@@ -2,6 +2,7 @@
 #ifndef RP_NODE_H
 #define RP_NODE_H
 
+#include "api/user_api.h"
 #include "cloud/catalog_source.h"
 #include "cloud/cloud_client.h"
 #include "election/election.h"
@@ -49,6 +50,7 @@
     struct rp_image_index image_index;
     struct rp_standby standby;
     struct rp_metrics metrics;
+    struct rp_user_api api;
     struct rp_timer summary_timer, retry_timer;
     struct timespec summary_asked;
     struct rp_timer capacity_timer, health_timer;
@@ -57,7 +59,6 @@
     /* What the leader last told of running jobs, for display by other nodes. */
     struct rp_job_status *summary;
     size_t n_summary;
-    unsigned long n_accepted;
     bool electing; /* takes part in elections */
     bool leaving;
 };
@@ -73,11 +74,7 @@
 /* Requests from other nodes and operators. */
 void rp_node_peer_request(void *node, struct rp_request *req);
 
-/* api.c: the users' interface. */
-void rp_api_submit(struct rp_node *node, struct rp_request *req);
-void rp_api_query(struct rp_node *node, struct rp_request *req, const char *id);
-void rp_api_cancel(struct rp_node *node, struct rp_request *req, const char *id);
+/* Whether users may be sent here: what `GET /healthz` answers. */
 bool rp_node_healthy(const struct rp_node *node);
-void rp_node_fill_running_counts(const struct rp_node *node, struct rp_job_status *status);
 
 #endif
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -794,7 +794,8 @@
     rp_wire_txn_if(txn, key, job->version);
     rp_wire_txn_delete(txn, key);
     rp_key(key, RP_KEY_TERMINAL, job->spec.id);
-    rp_wire_txn_put(txn, key, rp_jobs_mark_format(jobs, rp_record_terminal(RP_JOB_DONE)), 0);
+    rp_wire_txn_put(txn, key,
+                    rp_upgrade_mark_record(jobs->upgrade, rp_record_terminal(RP_JOB_DONE)), 0);
     /* The move itself is atomic; the records that nobody reads any more go as they fit, with it or
      * after it. */
     request->left = job->stored;
@@ -802,10 +803,6 @@
     rp_kv_txn(jobs->store, RP_KV_BUDGET_LEADER, txn, finished, request);
 }
 
-json_t *rp_jobs_mark_format(const struct rp_jobs *jobs, json_t *record) {
-    return rp_upgrade_is_active(jobs->upgrade) ? rp_record_mark(record) : record;
-}
-
 /* The units that a piece covers. */
 static uint64_t units_of(unsigned piece, bool unit) {
     return unit ? UINT64_C(1) << piece
@@ -943,8 +940,9 @@
     request->n++;
     piece_key(key, job->spec.id, piece, unit);
     rp_wire_txn_if(txn, key, *saved_rev(job, piece, unit));
-    rp_wire_txn_put(txn, key, rp_jobs_mark_format(jobs, rp_record_progress(job->done + at, bytes)),
-                    0);
+    rp_wire_txn_put(
+        txn, key, rp_upgrade_mark_record(jobs->upgrade, rp_record_progress(job->done + at, bytes)),
+        0);
     job->dirty_units &= ~units_of(piece, unit);
     job->writing_units |= units_of(piece, unit);
 }
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -158,8 +158,6 @@
 bool rp_job_is_task_durable(const struct rp_job *job, uint32_t task);
 /* A worker has reported the task done (of a gang: any task). */
 void rp_jobs_task_done(struct rp_jobs *jobs, struct rp_job *job, uint32_t task);
-/* Marks a record with its format, once that is active. */
-json_t *rp_jobs_mark_format(const struct rp_jobs *jobs, json_t *record);
 void rp_jobs_release(struct rp_jobs *jobs, struct rp_job *job);
 void rp_jobs_record_run_time(struct rp_jobs *jobs, struct rp_job *job, double run_s);
 /* The expected run time of one of the job's tasks. */
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -5,6 +5,7 @@
 #include <string.h>
 #include "scheduler/quota.h"
 #include "base/log.h"
+#include "scheduler/reservation.h"
 #include "scheduler/room.h"
 #include "scheduler/cycle_input.h"
 
@@ -149,7 +150,7 @@
          * puts anything there: given back at its unit's end, it was rented again at once, for
          * minutes on end, and the gang never had all of them together. */
         if (!machine || wanted[i] || !rp_machine_is_idle(machine) ||
-            machine->state != RP_MACHINE_UP || rp_room_reserved_for(scheduler, machine))
+            machine->state != RP_MACHINE_UP || rp_reservation_job(scheduler, machine))
             continue;
         double age = rp_ts_since(now, machine->requested_at);
         double into = fmod(age, tuning->billing_unit_s);
--- a/src/scheduler/cycle.h
+++ b/src/scheduler/cycle.h
@@ -1,36 +1,9 @@
-/* The leader's round: builds the planner's input, runs the portfolio, applies the winner,
- * returns idle machines. */
-#ifndef RP_ROUND_H
-#define RP_ROUND_H
+/* The leader's scheduling cycle: builds the planner's input, runs the portfolio of heuristics,
+ * applies the winning plan and scales idle machines in. */
+#ifndef RP_SCHEDULER_CYCLE_H
+#define RP_SCHEDULER_CYCLE_H
 
-#include "cluster/fleet.h"
-#include "base/metrics.h"
-#include "scheduler/planner.h"
-#include "scheduler/services.h"
-
-struct rp_scheduler {
-    struct rp_loop *loop;
-    struct rp_election *election;
-    struct rp_cluster *cluster;
-    struct rp_jobs *jobs;
-    struct rp_fleet *fleet;
-    struct rp_services *services;
-    const struct rp_settings *settings;
-    struct rp_metrics *metrics;
-    struct rp_heuristic heuristics[RP_HEURISTICS_MAX];
-    size_t n_heuristics;
-    unsigned long wins[RP_HEURISTICS_MAX];
-    unsigned long n_cycles, n_preempted;
-    unsigned long n_over_bounds; /* rounds that left jobs out */
-    unsigned long n_probes;      /* machines looked at by plans */
-    struct timespec last_cycle_at;
-    struct timespec replicas_moved_at;       /* when a machine with replicas was last drained */
-    struct rp_resources whole[RP_TYPES_MAX]; /* what its GPU work takes of a type when full */
-    bool short_of_capacity[2];               /* as the last plan said */
-    double last_cycle_s;                     /* the last round's own time */
-    struct rp_timer timer;
-    bool active;
-};
+#include "scheduler/scheduler.h"
 
 void rp_scheduler_init(struct rp_scheduler *scheduler, struct rp_loop *loop,
                        struct rp_election *election, struct rp_cluster *cluster,
@@ -40,9 +13,5 @@
 void rp_scheduler_stop(struct rp_scheduler *scheduler);
 /* One round now. */
 void rp_scheduler_run_cycle(struct rp_scheduler *scheduler);
-/* Seconds until the task's estimated end. */
-double rp_allocation_remaining_s(const struct rp_scheduler *scheduler,
-                                 const struct rp_machine *machine,
-                                 const struct rp_allocation *allocation, struct timespec now);
 
 #endif
--- a/src/scheduler/cycle_input.c
+++ b/src/scheduler/cycle_input.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include "cluster/quarantine.h"
 #include "base/log.h"
-#include "scheduler/room.h"
+#include "scheduler/reservation.h"
 
 #define SUSPECT_TASKS 2 /* of a job that has failed wherever it was started, at a time */
 #define NO_LIMIT 1e15
@@ -167,8 +167,8 @@
     out->spare_now = spare_room(scheduler, machine);
     describe_work(scheduler, machine, out, ends, now);
     /* Room being made for a job isn't given to others while the rest of it is still in use. */
-    const struct rp_job *job = rp_room_reserved_for(scheduler, machine);
-    if (job && rp_room_whole(job)) {
+    const struct rp_job *job = rp_reservation_job(scheduler, machine);
+    if (job && rp_reservation_is_exclusive(job)) {
         out->reserved_for = job;
     } else if (job) {
         rp_resources_sub(&out->free_now, &job->spec.each);
@@ -233,7 +233,7 @@
     input->ends = calloc(allocations, sizeof *input->ends);
     if (!input->machines || !input->ends)
         return;
-    rp_room_mark_held(scheduler);
+    rp_reservation_mark_jobs(scheduler);
     for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next)
         if (plannable(scheduler, machine, now)) {
             describe_machine(scheduler, machine, &input->machines[input->plan_input.n_machines++],
--- a/src/scheduler/cycle_input.h
+++ b/src/scheduler/cycle_input.h
@@ -2,7 +2,7 @@
 #ifndef RP_ROUND_INPUT_H
 #define RP_ROUND_INPUT_H
 
-#include "scheduler/cycle.h"
+#include "scheduler/scheduler.h"
 
 struct rp_cycle_input {
     struct rp_plan_input plan_input;
@@ -23,8 +23,9 @@
                           struct timespec now);
 void rp_cycle_input_free(struct rp_cycle_input *input);
 
-static inline const struct rp_catalog *rp_scheduler_catalog(const struct rp_scheduler *scheduler) {
-    return scheduler->fleet->catalog;
-}
+/* Seconds until the task's estimated end. */
+double rp_allocation_remaining_s(const struct rp_scheduler *scheduler,
+                                 const struct rp_machine *machine,
+                                 const struct rp_allocation *allocation, struct timespec now);
 
 #endif
--- a/src/scheduler/planner.h
+++ b/src/scheduler/planner.h
@@ -4,6 +4,7 @@
 #ifndef RP_PLAN_H
 #define RP_PLAN_H
 
+#include "model/heuristic.h"
 #include "model/model.h"
 
 /* A machine that is returned costs at least this long (PROTOCOL, price). */
@@ -12,31 +13,6 @@
 /* Time to spare of jobs that no aim speaks of. */
 #define RP_NO_OBJECTIVE_S 1e6
 
-enum rp_job_order { RP_FCFS, RP_RR, RP_LJF, RP_SJF, RP_LTJF, RP_STJF, RP_EDF, RP_SRW, RP_ESW };
-enum rp_machine_order {
-    RP_RND,
-    RP_LM,
-    RP_SM,
-    RP_LA,
-    RP_EA,
-    RP_LD,
-    RP_ED,
-    RP_LAA,
-    RP_EAA,
-    RP_CFH,
-    RP_FFH,
-    RP_BF, /* least room first */
-    RP_CP  /* cheapest capacity first */
-};
-
-struct rp_heuristic {
-    enum rp_job_order jobs;
-    enum rp_machine_order machines;
-};
-
-/* "FCFS-SM" and the like: the paper's {job selection}-{machine selection}. */
-bool rp_heuristic_named(const char *name, struct rp_heuristic *out);
-
 struct rp_plan_kind {
     int type, zone;
     bool spot;
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -3,7 +3,7 @@
 #include <math.h>
 #include <stdlib.h>
 #include "base/log.h"
-#include "scheduler/room.h"
+#include "scheduler/reservation.h"
 
 #define EPS 1e-9
 #define STOPS_MOST 64       /* machines freed in one round */
@@ -61,7 +61,7 @@
 
 static bool usable_for(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
                        const struct rp_job *job) {
-    return rp_machine_is_usable(machine) && !rp_room_reserved_for(scheduler, machine) &&
+    return rp_machine_is_usable(machine) && !rp_reservation_job(scheduler, machine) &&
            rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
                                  machine->spot);
 }
--- a/src/scheduler/room.c
+++ b/src/scheduler/room.c
@@ -4,10 +4,10 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
+#include "scheduler/reservation.h"
 
 #define START_COUNTS_S 31 /* a start that is stopped sooner counts for no aim (PROTOCOL) */
 #define MOVE_S 10         /* stopping a task here and starting it there */
-#define RESERVE_SLACK_S 6 /* after the estimated end of what a reservation waits for */
 #define HOLDER_WORTH_S 15 /* a fetch this long is worth freeing a machine with the image */
 #define DRAINING_OF 40    /* one machine, and one more of so many, may be draining at a time */
 #define GATHER_MAX_S 60   /* a machine that isn't free by then isn't kept for a gang */
@@ -21,43 +21,6 @@
 #define MOVE_EVERY_S 20   /* such machines are drained one after the other */
 #define STAYS_S 300       /* how much longer a replica is expected to be wanted */
 
-/* A gang of one task that has room made for it by priority doesn't need it kept. */
-bool rp_room_whole(const struct rp_job *job) {
-    return job->spec.kind == RP_JOB_GANG &&
-           (job->spec.n_tasks > 1 || job->spec.priority < RP_PRIORITY_HIGH);
-}
-
-static void reserve(const struct rp_scheduler *scheduler, struct rp_machine *machine,
-                    const struct rp_job *job, double for_s) {
-    strcpy(machine->reservation.job_id, job->spec.id);
-    machine->reservation.until = rp_ts_after(rp_loop_now(scheduler->loop), for_s + RESERVE_SLACK_S);
-}
-
-/* The job that room is kept for on this machine, while it is still waited for. */
-struct rp_job *rp_room_reserved_for(const struct rp_scheduler *scheduler,
-                                    const struct rp_machine *machine) {
-    struct rp_job *job = *machine->reservation.job_id
-                             ? rp_jobs_find(scheduler->jobs, machine->reservation.job_id)
-                             : NULL;
-    if (!job || job->state != RP_JOB_OPEN || !rp_machine_is_usable(machine) ||
-        job->n_allocated >= (rp_room_whole(job) ? job->spec.n_tasks : 1) ||
-        rp_ts_reached(rp_loop_now(scheduler->loop), machine->reservation.until))
-        return NULL;
-    if (rp_room_whole(job))
-        return job;
-    struct rp_resources room = rp_machine_free_resources(scheduler->cluster, machine);
-    return rp_resources_fit(&job->spec.each, &room) ? NULL : job;
-}
-
-void rp_room_mark_held(const struct rp_scheduler *scheduler) {
-    for (const struct rp_machine *machine = scheduler->cluster->first; machine;
-         machine = machine->next) {
-        struct rp_job *job = rp_room_reserved_for(scheduler, machine);
-        if (job)
-            job->reserved_in_cycle = scheduler->n_cycles;
-    }
-}
-
 /* ---- gangs that lost a task ---- */
 
 /* What is known of a gang's attempt. */
@@ -105,11 +68,11 @@
     struct rp_machine *last = left_on(scheduler, job, task, attempt), *best = NULL;
     if (last) {
         /* It holds the image by now: it is kept for the task. */
-        reserve(scheduler, last, job, 0);
+        rp_reservation_make(scheduler, last, job, 0);
         return false;
     }
     for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next) {
-        const struct rp_job *kept = rp_room_reserved_for(scheduler, machine);
+        const struct rp_job *kept = rp_reservation_job(scheduler, machine);
         if ((kept && kept != job) || !rp_cluster_may_start(scheduler->cluster, job, task, machine))
             continue;
         bool has = rp_machine_has_image(machine, job->image_hash);
@@ -222,7 +185,7 @@
         longest = fmax(longest, grace);
         scheduler->n_preempted++;
     }
-    reserve(scheduler, machine, job, longest);
+    rp_reservation_make(scheduler, machine, job, longest);
     if (stopped)
         rp_info("job %s gets room on %s: tasks stopped=%u", job->spec.id, machine->name, stopped);
 }
@@ -233,7 +196,7 @@
     struct rp_machine *best = NULL;
     double best_price = 0;
     for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next) {
-        if (!rp_machine_is_usable(machine) || rp_room_reserved_for(scheduler, machine) ||
+        if (!rp_machine_is_usable(machine) || rp_reservation_job(scheduler, machine) ||
             (with_image && !rp_machine_has_image(machine, job->image_hash)) ||
             !rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
                                    machine->spot))
@@ -328,7 +291,7 @@
                           struct timespec now) {
     *c = (struct candidate){.machine = machine->ref};
     if (!machine->ref || machine->reserved_for || !rp_machine_is_usable(machine->ref) ||
-        rp_room_reserved_for(scheduler, machine->ref) ||
+        rp_reservation_job(scheduler, machine->ref) ||
         !rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
                                machine->spot) ||
         rp_plan_share_of_machine(&job->spec.each, &machine->capacity) <= 0.5)
@@ -379,7 +342,7 @@
     for (uint32_t i = 0; i < job->spec.n_tasks; i++) {
         if (list[i].stop)
             stop_for(scheduler, list[i].machine, job);
-        reserve(scheduler, list[i].machine, job, longest + GATHER_SLACK_S);
+        rp_reservation_make(scheduler, list[i].machine, job, longest + GATHER_SLACK_S);
     }
     rp_info("job %s: machines=%u are kept for it, free in %.0fs", job->spec.id, job->spec.n_tasks,
             longest);
@@ -413,12 +376,12 @@
     size_t kept = 0, most = 1 + input->plan_input.n_machines / ONES_OF;
     for (size_t g = 0; g < input->plan_input.n_groups; g++) {
         const struct rp_job *job = input->groups[g].ref;
-        kept += rp_room_whole(job) && job->spec.n_tasks == 1 && input->groups[g].held;
+        kept += rp_reservation_is_exclusive(job) && job->spec.n_tasks == 1 && input->groups[g].held;
     }
     for (size_t g = 0; g < input->plan_input.n_groups && kept < most; g++) {
         const struct rp_plan_group *group = &input->groups[g];
         struct rp_job *job = group->ref;
-        if (!rp_room_whole(job) || job->spec.n_tasks != 1 || group->held ||
+        if (!rp_reservation_is_exclusive(job) || job->spec.n_tasks != 1 || group->held ||
             group->age_s < GATHER_ONE_S || gang_served(input, plan, g) ||
             !rp_cluster_is_job_reconciled(scheduler->cluster, job) ||
             !soonest(scheduler, input, job, list, now))
@@ -436,7 +399,7 @@
     for (size_t g = 0; g < input->plan_input.n_groups; g++) {
         const struct rp_plan_group *group = &input->groups[g];
         const struct rp_job *job = group->ref;
-        if (!rp_room_whole(job) || job->spec.n_tasks == 1)
+        if (!rp_reservation_is_exclusive(job) || job->spec.n_tasks == 1)
             continue;
         if (group->held)
             return input->plan_input.n_groups; /* one at a time */
@@ -520,7 +483,7 @@
     for (const struct rp_machine *other = scheduler->cluster->first; other;
          other = other->next, at++) {
         if (other == from || rooms->source[at] || !rp_machine_is_usable(other) ||
-            rp_room_reserved_for(scheduler, other) || rp_machine_is_idle(other) ||
+            rp_reservation_job(scheduler, other) || rp_machine_is_idle(other) ||
             !rp_cluster_is_allowed(scheduler->cluster, &allocation->job->spec, other->type,
                                    other->zone, other->spot) ||
             !zone_takes(from, other, allocation->job) ||
@@ -584,7 +547,7 @@
            busy = 0;
     if (!rp_machine_is_usable(machine) || rp_machine_is_idle(machine) ||
         machine->scale_in.draining || type_wanted(input, machine->type) ||
-        rp_room_reserved_for(scheduler, machine))
+        rp_reservation_job(scheduler, machine))
         return -1;
     const struct rp_resources *capacity =
         &rp_scheduler_catalog(scheduler)->types[machine->type].capacity;
--- a/src/upgrade/format_upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -213,3 +213,7 @@
 void rp_upgrade_stop(struct rp_upgrade *upgrade) {
     rp_timer_cancel(upgrade->loop, &upgrade->timer);
 }
+
+json_t *rp_upgrade_mark_record(const struct rp_upgrade *upgrade, json_t *record) {
+    return rp_upgrade_is_active(upgrade) ? rp_record_mark(record) : record;
+}
--- a/src/upgrade/format_upgrade.h
+++ b/src/upgrade/format_upgrade.h
@@ -41,6 +41,9 @@
 bool rp_upgrade_is_active(const struct rp_upgrade *upgrade);
 /* Somebody has read the activation's record; NULL: there is none. */
 void rp_upgrade_on_activation_record(struct rp_upgrade *upgrade, const json_t *record);
+/* Marks a record with the format of today once that is active. Takes `record` over, and returns it.
+ */
+json_t *rp_upgrade_mark_record(const struct rp_upgrade *upgrade, json_t *record);
 const char *rp_upgrade_state_name(const struct rp_upgrade *upgrade);
 
 #endif
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -10,8 +10,6 @@
 /* Below the 64 KiB that a line of an answer may have, at some 90 bytes a command. */
 #define COMMANDS_MAX 400
 /* Drift of both clocks with room to spare, and the steps of timers. */
-#define LEASE_DRIFT 1.002
-#define LEASE_MARGIN_S 0.25
 /* A worker waits so long for an answer, then it goes to another node (PROTOCOL). */
 #define ANSWER_WAIT_S 4.0
 #define REPORT_SLACK_S 0.75 /* of a report's time on its way */
@@ -47,10 +45,6 @@
     workers->waiting_timer = (struct rp_timer){.fn = waiting_due, .arg = workers};
 }
 
-double rp_workers_lease_s(const struct rp_settings *settings) {
-    return settings->lease_s * LEASE_DRIFT + LEASE_MARGIN_S;
-}
-
 static void respond(struct rp_request *req, int status, char *body) {
     req->respond(req, status, body ? body : "{}", 0);
     free(body);
@@ -535,7 +529,7 @@
         return;
     }
     if (machine) {
-        struct timespec held = rp_ts_after(received, rp_workers_lease_s(workers->settings));
+        struct timespec held = rp_ts_after(received, rp_settings_worker_lease_s(workers->settings));
         if (rp_ts_cmp(held, machine->contact.lease_expiry) > 0)
             machine->contact.lease_expiry = held;
         machine->contact.last_answer = now;
@@ -914,7 +908,7 @@
                                   heartbeat->spot);
     if (first)
         machine->contact.lease_expiry =
-            rp_ts_after(rp_loop_now(workers->loop), rp_workers_lease_s(workers->settings));
+            rp_ts_after(rp_loop_now(workers->loop), rp_settings_worker_lease_s(workers->settings));
     read_report(workers, machine, heartbeat);
     machine->contact.known_by_fencing_only = true;
     return true;
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -64,7 +64,5 @@
 void rp_workers_answer_held_heartbeats(struct rp_workers *workers);
 /* Forgets them unanswered: the process ends. */
 void rp_workers_close(struct rp_workers *workers);
-/* How long after an answer the machine's tasks may still live, on our clock. */
-double rp_workers_lease_s(const struct rp_settings *settings);
 
 #endif
