--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,6 +1,6 @@
 /* Lines on standard error: time, level, node, term, text. The only global of the project. */
-#ifndef RP_LOG_H
-#define RP_LOG_H
+#ifndef RP_BASE_LOG_H
+#define RP_BASE_LOG_H
 
 #include <stdint.h>
 
--- a/src/base/loop.h
+++ b/src/base/loop.h
@@ -1,8 +1,8 @@
 /* The project's event loop: epoll for descriptors, a heap for timers.
  * In virtual mode there are no descriptors and time moves only by rp_loop_advance: the tests
  * drive whole nodes this way. */
-#ifndef RP_LOOP_H
-#define RP_LOOP_H
+#ifndef RP_BASE_LOOP_H
+#define RP_BASE_LOOP_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- /dev/null
+++ b/src/base/memory.c
@@ -0,0 +1,23 @@
+#include "base/memory.h"
+
+#include <stdint.h>
+#include <stdlib.h>
+
+#include "base/log.h"
+
+static void *checked(void *memory, size_t n, size_t size) {
+    if (memory)
+        return memory;
+    rp_error("out of memory: n=%zu size_bytes=%zu", n, size);
+    abort();
+}
+
+void *rp_alloc(size_t n, size_t size) {
+    return checked(calloc(n ? n : 1, size), n, size);
+}
+
+void *rp_realloc(void *array, size_t n, size_t size) {
+    if (size > 0 && n > SIZE_MAX / size)
+        return checked(NULL, n, size);
+    return checked(realloc(array, n * size), n, size);
+}
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,6 +1,6 @@
 /* Latencies as histograms, for the status page. */
-#ifndef RP_METRICS_H
-#define RP_METRICS_H
+#ifndef RP_BASE_METRICS_H
+#define RP_BASE_METRICS_H
 
 #include <gsl/gsl_histogram.h>
 #include <jansson.h>
--- a/src/base/net.h
+++ b/src/base/net.h
@@ -1,7 +1,7 @@
 /* How the parts of a node reach other hosts. The program plugs in the HTTP client; the tests plug
  * in a simulated network. */
-#ifndef RP_NET_H
-#define RP_NET_H
+#ifndef RP_BASE_NET_H
+#define RP_BASE_NET_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/base/timeutil.h
+++ b/src/base/timeutil.h
@@ -1,6 +1,6 @@
 /* Arithmetic on the standard library's time types. Instants are CLOCK_MONOTONIC unless said. */
-#ifndef RP_TIMEUTIL_H
-#define RP_TIMEUTIL_H
+#ifndef RP_BASE_TIMEUTIL_H
+#define RP_BASE_TIMEUTIL_H
 
 #include <math.h>
 #include <stdbool.h>
--- a/src/base/token_bucket.h
+++ b/src/base/token_bucket.h
@@ -1,6 +1,6 @@
 /* Rate budgets, as token buckets. */
-#ifndef RP_BUCKET_H
-#define RP_BUCKET_H
+#ifndef RP_BASE_TOKEN_BUCKET_H
+#define RP_BASE_TOKEN_BUCKET_H
 
 #include "base/timeutil.h"
 
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 #include "base/log.h"
-#include "store/records.h"
 #include "protocol/wire.h"
+#include "store/records.h"
 
 #define CLOUD_RETRY_S 0.5
 #define STORED_AFTER_S 0.7 /* the cloud's own word is preferred, if it comes soon */
--- a/src/cloud/catalog_source.h
+++ b/src/cloud/catalog_source.h
@@ -1,12 +1,12 @@
 /* Where a node has the machine types from: the cloud, or, while the cloud doesn't answer, what a
  * leader has stored of them. Without the types a node can't judge submissions, nor lead. */
-#ifndef RP_CATALOG_SOURCE_H
-#define RP_CATALOG_SOURCE_H
+#ifndef RP_CLOUD_CATALOG_SOURCE_H
+#define RP_CLOUD_CATALOG_SOURCE_H
 
 #include "cloud/cloud_client.h"
+#include "config/settings.h"
 #include "election/election.h"
 #include "model/model.h"
-#include "config/settings.h"
 #include "store/kv_client.h"
 #include "upgrade/format_upgrade.h"
 
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -1,10 +1,10 @@
 /* The cloud as the fleet sees it: requests within its rate, deletions and rentals before lists. */
-#ifndef RP_CLOUD_CLIENT_H
-#define RP_CLOUD_CLIENT_H
+#ifndef RP_CLOUD_CLOUD_CLIENT_H
+#define RP_CLOUD_CLOUD_CLIENT_H
 
-#include "base/token_bucket.h"
 #include "base/loop.h"
 #include "base/net.h"
+#include "base/token_bucket.h"
 
 enum rp_cloud_urgency { RP_CLOUD_URGENT, RP_CLOUD_ROUTINE, RP_CLOUD_URGENCIES };
 
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -1,8 +1,8 @@
 /* Who may be where: machines, and on each the tasks that may be on it. A task may be started only
  * by rp_cluster_may_start's leave, which counts everything that MAY be on a machine: in flight,
  * fetching, stopping, on machines that can't be reached. */
-#ifndef RP_CLUSTER_H
-#define RP_CLUSTER_H
+#ifndef RP_CLUSTER_CLUSTER_H
+#define RP_CLUSTER_CLUSTER_H
 
 #include "jobs/jobs.h"
 #include "model/model.h"
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -4,8 +4,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "cluster/quarantine.h"
 #include "base/log.h"
+#include "cluster/quarantine.h"
 #include "protocol/wire.h"
 
 #define TICK_S 0.5
--- a/src/cluster/fleet.h
+++ b/src/cluster/fleet.h
@@ -1,6 +1,6 @@
 /* Machines and rentals: what is rented, recorded, watched in the cloud's list and returned. */
-#ifndef RP_FLEET_H
-#define RP_FLEET_H
+#ifndef RP_CLUSTER_FLEET_H
+#define RP_CLUSTER_FLEET_H
 
 #include "cloud/cloud_client.h"
 #include "cluster/cluster.h"
--- a/src/cluster/image_index.h
+++ b/src/cluster/image_index.h
@@ -1,13 +1,13 @@
 /* Which images the machines hold, as the leader knows it, kept by the other nodes for the time
  * after it: a new leader otherwise knows only of the images of tasks that run. Hints and no more: a
  * wrong one costs a fetch, and no rule depends on any. */
-#ifndef RP_IMAGE_INDEX_H
-#define RP_IMAGE_INDEX_H
+#ifndef RP_CLUSTER_IMAGE_INDEX_H
+#define RP_CLUSTER_IMAGE_INDEX_H
 
 #include <jansson.h>
-#include "election/election.h"
 #include "base/net.h"
 #include "cluster/cluster.h"
+#include "election/election.h"
 
 struct rp_image_index {
     struct rp_loop *loop;
--- a/src/cluster/quarantine.h
+++ b/src/cluster/quarantine.h
@@ -1,7 +1,7 @@
 /* Whose fault an error is: the machine's, which fails whatever starts there, or the job's, which
  * was submitted with a mistake and fails wherever it starts. */
-#ifndef RP_TASK_ERRORS_H
-#define RP_TASK_ERRORS_H
+#ifndef RP_CLUSTER_QUARANTINE_H
+#define RP_CLUSTER_QUARANTINE_H
 
 #include "cluster/cluster.h"
 
--- a/src/cluster/tombstones.h
+++ b/src/cluster/tombstones.h
@@ -1,8 +1,8 @@
 /* Names of machines that are certainly gone, so that late news of them is void. A copy of a report
  * may come minutes after its machine; the set keeps the latest RP_TOMBSTONES_MAX names, as hashes.
  */
-#ifndef RP_GONE_MACHINES_H
-#define RP_GONE_MACHINES_H
+#ifndef RP_CLUSTER_TOMBSTONES_H
+#define RP_CLUSTER_TOMBSTONES_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -4,9 +4,9 @@
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
-#include "operator.pb-c.h"
-#include "model/heuristic.h"
 #include "config/text_format.h"
+#include "model/heuristic.h"
+#include "operator.pb-c.h"
 
 /* Workers drop a report's answer after this long. */
 #define LATE_COMMANDS_S 4.0
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,6 +1,6 @@
 /* The platform's JSON file and the operators' text-format file. */
-#ifndef RP_SETTINGS_H
-#define RP_SETTINGS_H
+#ifndef RP_CONFIG_SETTINGS_H
+#define RP_CONFIG_SETTINGS_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/config/text_format.h
+++ b/src/config/text_format.h
@@ -1,7 +1,7 @@
 /* A strict reader of protobuf's text format, driven by protobuf-c's descriptors: Debian has no
  * C library for it. Unknown fields, duplicates and wrong types are refused with line and column. */
-#ifndef RP_TEXT_FORMAT_H
-#define RP_TEXT_FORMAT_H
+#ifndef RP_CONFIG_TEXT_FORMAT_H
+#define RP_CONFIG_TEXT_FORMAT_H
 
 #include <protobuf-c/protobuf-c.h>
 
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -3,8 +3,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "base/log.h"
 #include "api/status.h"
+#include "base/log.h"
 #include "protocol/wire.h"
 
 #define SUMMARY_S 2.0
--- a/src/controller/node.h
+++ b/src/controller/node.h
@@ -1,22 +1,22 @@
 /* A node: all parts put together, with the network plugged in from outside. */
-#ifndef RP_NODE_H
-#define RP_NODE_H
+#ifndef RP_CONTROLLER_NODE_H
+#define RP_CONTROLLER_NODE_H
 
 #include "api/user_api.h"
+#include "base/metrics.h"
+#include "base/net.h"
 #include "cloud/catalog_source.h"
 #include "cloud/cloud_client.h"
-#include "election/election.h"
-#include "jobs/terminal_states.h"
+#include "cluster/cluster.h"
 #include "cluster/fleet.h"
 #include "cluster/image_index.h"
+#include "config/settings.h"
+#include "election/election.h"
 #include "jobs/job_lookup.h"
 #include "jobs/jobs.h"
-#include "base/metrics.h"
-#include "base/net.h"
-#include "cluster/cluster.h"
+#include "jobs/terminal_states.h"
 #include "scheduler/cycle.h"
 #include "scheduler/services.h"
-#include "config/settings.h"
 #include "standby/standby.h"
 #include "store/kv_client.h"
 #include "upgrade/format_upgrade.h"
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
-#include "store/records.h"
 #include "protocol/wire.h"
+#include "store/records.h"
 
 /* The steady clock may run 0.05% fast against the service's: four times that, and a little for
  * the clock's steps and a turn that ends between the check and the sending. */
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -6,11 +6,11 @@
  * leader's (deposing), ends the lease (fencing), and only then takes a lease of its own. From then
  * on the earlier leader can renew nothing; it may act on what it renewed before until `cleared_at`.
  * docs/safety.md, "Takeovers", has the argument. */
-#ifndef RP_ELECTION_H
-#define RP_ELECTION_H
+#ifndef RP_ELECTION_ELECTION_H
+#define RP_ELECTION_ELECTION_H
 
-#include "store/records.h"
 #include "store/kv_client.h"
+#include "store/records.h"
 
 enum rp_election_state {
     RP_ELECTION_FOLLOWING,       /* looks at the key now and then */
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -1,11 +1,11 @@
 /* HTTP/1.1 server and client on the loop. */
-#ifndef RP_HTTP_H
-#define RP_HTTP_H
+#ifndef RP_HTTP_HTTP_H
+#define RP_HTTP_HTTP_H
 
 #include <stddef.h>
-#include "http/parser.h"
 #include "base/loop.h"
 #include "base/net.h"
+#include "http/parser.h"
 
 struct rp_http_conn;
 struct rp_http_call;
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -1,6 +1,6 @@
 /* HTTP/1.1 messages, parsed as their bytes arrive, with strict limits. */
-#ifndef RP_HTTP_PARSE_H
-#define RP_HTTP_PARSE_H
+#ifndef RP_HTTP_PARSER_H
+#define RP_HTTP_PARSER_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/jobs/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -3,8 +3,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "store/records.h"
 #include "protocol/wire.h"
+#include "store/records.h"
 
 #define CONDITIONS_PER_CHANGE 4 /* of a transaction (PROTOCOL) */
 #define BATCH_MOST 64
--- a/src/jobs/job_lookup.h
+++ b/src/jobs/job_lookup.h
@@ -2,11 +2,11 @@
  * A transaction without changes compares up to `batch_max` keys at once, where reading them would
  * cost a request each. It is meant for the time when the budget for questions is used up: the
  * longer questions have to wait, the more of them share a request. */
-#ifndef RP_JOB_LOOKUP_H
-#define RP_JOB_LOOKUP_H
+#ifndef RP_JOBS_JOB_LOOKUP_H
+#define RP_JOBS_JOB_LOOKUP_H
 
-#include "model/model.h"
 #include "config/settings.h"
+#include "model/model.h"
 #include "store/kv_client.h"
 
 enum rp_lookup_result {
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -1,12 +1,12 @@
 /* The leader's table of jobs that are not over: loaded from the state service, kept up by a watch;
  * what is done is made durable from here. */
-#ifndef RP_JOBS_H
-#define RP_JOBS_H
+#ifndef RP_JOBS_JOBS_H
+#define RP_JOBS_JOBS_H
 
+#include "config/settings.h"
 #include "election/election.h"
 #include "model/model.h"
 #include "store/records.h"
-#include "config/settings.h"
 #include "upgrade/format_upgrade.h"
 
 enum rp_job_state {
--- a/src/jobs/terminal_states.h
+++ b/src/jobs/terminal_states.h
@@ -1,8 +1,8 @@
 /* The final states of jobs, as this node has read or written them in the state service. A job that
  * is done or cancelled stays so, and its record is never written again: what is kept here is as
  * good as a new read, costs no request, and is known during an outage as well. */
-#ifndef RP_FINAL_STATES_H
-#define RP_FINAL_STATES_H
+#ifndef RP_JOBS_TERMINAL_STATES_H
+#define RP_JOBS_TERMINAL_STATES_H
 
 #include "model/model.h"
 
--- a/src/main.c
+++ b/src/main.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 #include <sys/signalfd.h>
-#include "http/http.h"
 #include "base/log.h"
 #include "controller/node.h"
+#include "http/http.h"
 
 #define LEAVE_S 0.5  /* for the last answers, and for giving the key up */
 #define OWN_LEAST 64 /* connections for calls of this node's own, */
--- a/src/model/model.h
+++ b/src/model/model.h
@@ -1,6 +1,6 @@
 /* The field's terms: what every part of the service speaks of. */
-#ifndef RP_MODEL_H
-#define RP_MODEL_H
+#ifndef RP_MODEL_MODEL_H
+#define RP_MODEL_MODEL_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/protocol/wire.h
+++ b/src/protocol/wire.h
@@ -1,6 +1,6 @@
 /* All outside words: the only module that knows the protocol's names. */
-#ifndef RP_WIRE_H
-#define RP_WIRE_H
+#ifndef RP_PROTOCOL_WIRE_H
+#define RP_PROTOCOL_WIRE_H
 
 #include <jansson.h>
 #include "model/model.h"
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -3,11 +3,11 @@
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
-#include "scheduler/quota.h"
 #include "base/log.h"
+#include "scheduler/cycle_input.h"
+#include "scheduler/quota.h"
 #include "scheduler/reservation.h"
 #include "scheduler/room.h"
-#include "scheduler/cycle_input.h"
 
 static void tick(void *arg);
 
--- a/src/scheduler/cycle_input.c
+++ b/src/scheduler/cycle_input.c
@@ -3,8 +3,8 @@
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
-#include "cluster/quarantine.h"
 #include "base/log.h"
+#include "cluster/quarantine.h"
 #include "scheduler/reservation.h"
 
 #define SUSPECT_TASKS 2 /* of a job that has failed wherever it was started, at a time */
--- a/src/scheduler/cycle_input.h
+++ b/src/scheduler/cycle_input.h
@@ -1,6 +1,6 @@
 /* The leader's cluster state as the planner sees it. */
-#ifndef RP_ROUND_INPUT_H
-#define RP_ROUND_INPUT_H
+#ifndef RP_SCHEDULER_CYCLE_INPUT_H
+#define RP_SCHEDULER_CYCLE_INPUT_H
 
 #include "scheduler/scheduler.h"
 
--- a/src/scheduler/planner.h
+++ b/src/scheduler/planner.h
@@ -1,8 +1,8 @@
 /* Planning: a pure function of a snapshot of the cluster. No I/O, no clock; randomness comes in as
  * a seed. Tasks of a job are alike, so work is planned by groups: a job's startable tasks together.
  */
-#ifndef RP_PLAN_H
-#define RP_PLAN_H
+#ifndef RP_SCHEDULER_PLANNER_H
+#define RP_SCHEDULER_PLANNER_H
 
 #include "model/heuristic.h"
 #include "model/model.h"
--- a/src/scheduler/quota.h
+++ b/src/scheduler/quota.h
@@ -1,7 +1,7 @@
 /* Teams' guarantees: while a team's unfinished work fits within its guarantee it waits for no other
  * team. What others run beyond their own guarantees is stopped for it, whatever its priority. */
-#ifndef RP_GUARANTEES_H
-#define RP_GUARANTEES_H
+#ifndef RP_SCHEDULER_QUOTA_H
+#define RP_SCHEDULER_QUOTA_H
 
 #include "scheduler/cycle_input.h"
 
--- a/src/scheduler/room.h
+++ b/src/scheduler/room.h
@@ -1,7 +1,7 @@
 /* What no plan does: gangs that lost a task, room made for work that finds none, machines drained
  * at the end of a load. */
-#ifndef RP_ROOM_H
-#define RP_ROOM_H
+#ifndef RP_SCHEDULER_ROOM_H
+#define RP_SCHEDULER_ROOM_H
 
 #include "scheduler/cycle_input.h"
 
--- a/src/scheduler/services.c
+++ b/src/scheduler/services.c
@@ -2,8 +2,8 @@
 
 #include <math.h>
 #include <string.h>
-#include "cluster/fleet.h"
 #include "base/log.h"
+#include "cluster/fleet.h"
 
 /* What makes a machine worse for a replica, in seconds of a later start. */
 #define SAME_MACHINE_S 0.4 /* for each replica of the job that one loss would take as well */
--- a/src/scheduler/services.h
+++ b/src/scheduler/services.h
@@ -1,8 +1,8 @@
 /* Where replicas of services go. They start between the rounds, as soon as it is known that one is
  * missing: on the machine where it runs soonest, lower work making room for it if need be. What
  * finds no machine is left to the plan, which rents for it. */
-#ifndef RP_SERVICES_H
-#define RP_SERVICES_H
+#ifndef RP_SCHEDULER_SERVICES_H
+#define RP_SCHEDULER_SERVICES_H
 
 #include "worker/workers.h"
 
--- a/src/standby/change_log.h
+++ b/src/standby/change_log.h
@@ -1,7 +1,7 @@
 /* The leader's log of changes, from which standbys are served. It keeps the latest RP_CHANGES_KEPT
  * of the term and never waits for anybody: a standby that is further behind gets a snapshot. */
-#ifndef RP_CHANGE_LOG_H
-#define RP_CHANGE_LOG_H
+#ifndef RP_STANDBY_CHANGE_LOG_H
+#define RP_STANDBY_CHANGE_LOG_H
 
 #include "standby/stream_message.h"
 
--- a/src/standby/machine_directory.h
+++ b/src/standby/machine_directory.h
@@ -1,7 +1,7 @@
 /* A standby's copy of the leader's machine directory. It tells where a machine can be asked, and
  * proves nothing: what runs there is told by the machine itself. */
-#ifndef RP_REPLICA_H
-#define RP_REPLICA_H
+#ifndef RP_STANDBY_MACHINE_DIRECTORY_H
+#define RP_STANDBY_MACHINE_DIRECTORY_H
 
 #include "cluster/tombstones.h"
 #include "standby/stream_message.h"
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -4,13 +4,13 @@
  * too, the node takes over: it deposes the leader (election.h), reads the records, leads, and shows
  * its token to every machine at once by direct commands instead of waiting for their reports.
  * docs/standby.md has the design. */
-#ifndef RP_STANDBY_H
-#define RP_STANDBY_H
+#ifndef RP_STANDBY_STANDBY_H
+#define RP_STANDBY_STANDBY_H
 
-#include "standby/change_log.h"
+#include "base/net.h"
 #include "cluster/cluster.h"
 #include "election/election.h"
-#include "base/net.h"
+#include "standby/change_log.h"
 #include "standby/machine_directory.h"
 #include "worker/workers.h"
 
--- a/src/standby/stream_message.h
+++ b/src/standby/stream_message.h
@@ -1,7 +1,7 @@
 /* Messages by which a standby follows the leader: changes of the machine directory, or a compressed
  * snapshot of all of it. The one place that knows their JSON form. */
-#ifndef RP_STREAM_MESSAGE_H
-#define RP_STREAM_MESSAGE_H
+#ifndef RP_STANDBY_STREAM_MESSAGE_H
+#define RP_STANDBY_STREAM_MESSAGE_H
 
 #include <stdbool.h>
 #include <stddef.h>
--- a/src/store/kv_client.h
+++ b/src/store/kv_client.h
@@ -1,11 +1,11 @@
 /* The state service as the rest of the node sees it: requests within budgets, plain outcomes. */
-#ifndef RP_STATE_CLIENT_H
-#define RP_STATE_CLIENT_H
+#ifndef RP_STORE_KV_CLIENT_H
+#define RP_STORE_KV_CLIENT_H
 
 #include <jansson.h>
-#include "base/token_bucket.h"
 #include "base/loop.h"
 #include "base/net.h"
+#include "base/token_bucket.h"
 
 enum rp_kv_outcome {
     RP_KV_OK,
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -1,6 +1,6 @@
 /* What the service keeps in the state service: keys and values of its own making. */
-#ifndef RP_RECORDS_H
-#define RP_RECORDS_H
+#ifndef RP_STORE_RECORDS_H
+#define RP_STORE_RECORDS_H
 
 #include <jansson.h>
 #include "model/model.h"
--- a/src/upgrade/format_upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 #include "base/log.h"
-#include "store/records.h"
 #include "protocol/wire.h"
+#include "store/records.h"
 
 #define TICK_S 0.5
 #define LEASE_S 10.0 /* a node that is gone counts as old so much later */
--- a/src/upgrade/format_upgrade.h
+++ b/src/upgrade/format_upgrade.h
@@ -2,11 +2,11 @@
  * that lives as long as it does; once every node of the settings has one, the leader writes the
  * activation, on the condition of all of them and of its leadership. It is never undone. Until a
  * node knows of it, it writes what the version before reads and means the same. */
-#ifndef RP_UPGRADE_H
-#define RP_UPGRADE_H
+#ifndef RP_UPGRADE_FORMAT_UPGRADE_H
+#define RP_UPGRADE_FORMAT_UPGRADE_H
 
-#include "election/election.h"
 #include "config/settings.h"
+#include "election/election.h"
 
 enum rp_upgrade_state {
     RP_UPGRADE_LOOKING,    /* has not read the activation yet, or it isn't there */
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -3,8 +3,8 @@
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
-#include "cluster/quarantine.h"
 #include "base/log.h"
+#include "cluster/quarantine.h"
 #include "protocol/wire.h"
 
 /* Below the 64 KiB that a line of an answer may have, at some 90 bytes a command. */
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -1,10 +1,10 @@
 /* Workers' reports and the commands that go back in their answers. */
-#ifndef RP_WORKERS_H
-#define RP_WORKERS_H
+#ifndef RP_WORKER_WORKERS_H
+#define RP_WORKER_WORKERS_H
 
-#include "cluster/fleet.h"
 #include "base/metrics.h"
 #include "cluster/cluster.h"
+#include "cluster/fleet.h"
 
 /* A report that brought news, whose answer waits for the round that this calls for. */
 struct rp_held_heartbeat {
--- a/tests/behaviour/behaviour_digest.c
+++ b/tests/behaviour/behaviour_digest.c
@@ -16,8 +16,8 @@
 #include <time.h>
 #include <unistd.h>
 #include "base/log.h"
-#include "sim.h"
 #include "protocol/wire.h"
+#include "sim.h"
 
 #define DAY_S 150.0                  /* troubles last for so long */
 #define REST_S 100.0                 /* and then the work comes to its end */
--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -10,8 +10,8 @@
 #include <string.h>
 #include <sys/wait.h>
 #include <unistd.h>
-#include "http/http.h"
 #include "base/log.h"
+#include "http/http.h"
 #include "sim.h"
 
 #define NODES 3
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -6,8 +6,8 @@
 
 #include <gsl/gsl_rng.h>
 #include <jansson.h>
-#include "engine.h"
 #include "controller/node.h"
+#include "engine.h"
 
 #define SIM_NODES_MAX 5
 #define SIM_WORKERS 4200
--- a/tests/test.h
+++ b/tests/test.h
@@ -6,11 +6,13 @@
 #include <stdarg.h>
 #include <stddef.h>
 #include <stdint.h>
-#include <cmocka.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
+/* Needs the headers above. */
+#include <cmocka.h>
+
 /* Each test has a name of its own for ctest: the first argument chooses one. */
 static inline void choose_test(int argc, char **argv) {
     if (argc > 1)
--- a/tests/test_lookup.c
+++ b/tests/test_lookup.c
@@ -2,8 +2,8 @@
 #include "test.h"
 
 #include <jansson.h>
-#include "jobs/terminal_states.h"
 #include "jobs/job_lookup.h"
+#include "jobs/terminal_states.h"
 
 #define CALLS_MAX 16
 #define RPS 10.0 /* on one node: 5.4 questions a second, the first 4 at once */
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -3,8 +3,8 @@
 
 #include <dlfcn.h>
 #include "base/log.h"
-#include "store/records.h"
 #include "sim.h"
+#include "store/records.h"
 
 #define DAY_S 150
 #define REST_S 200
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -1,10 +1,10 @@
 /* Outside words to structs and back; records. */
 #include "test.h"
 
-#include <math.h>
 #include <gsl/gsl_rng.h>
-#include "store/records.h"
+#include <math.h>
 #include "protocol/wire.h"
+#include "store/records.h"
 
 static const char good[] =
     "{\"ref\":\"j-000412\",\"rig\":\"train\",\"crew\":\"vision\",\"haul\":\"ensemble\","
