--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -3,6 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
+#include "base/string_copy.h"
 #include "protocol/wire.h"
 
 #define TRIES 4
@@ -62,7 +63,7 @@
 
 static void op_status(struct op *operation, int status, enum rp_job_phase phase) {
     struct rp_job_status st = {.phase = phase};
-    strcpy(st.id, operation->id);
+    rp_string_copy(st.id, sizeof st.id, operation->id);
     if (phase == RP_JOB_QUEUED && status == 200)
         operation->api->fill_running_counts(operation->api->arg, &st);
     op_answer(operation, status, rp_wire_job_status(&st), 0);
@@ -242,7 +243,8 @@
     size_t max = operation->api->settings->state_fit.txn_ops;
     size_t count = submission_pieces(operation, pieces, max < RP_PARTS_MAX ? max : RP_PARTS_MAX);
     if (count == 0) {
-        strcpy(operation->why, "the description is longer than the state service can keep");
+        rp_string_copy(operation->why, sizeof operation->why,
+                       "the description is longer than the state service can keep");
         operation->refusal = rp_upgrade_is_active(operation->api->upgrade) ? 422 : 503;
         op_next(operation, OP_READ_OPEN);
         return;
@@ -356,7 +358,7 @@
     if (!operation)
         return;
     if (!rp_wire_submission_id(req->body, req->len, operation->id)) {
-        strcpy(operation->why, "not a JSON object with a valid id");
+        rp_string_copy(operation->why, sizeof operation->why, "not a JSON object with a valid id");
         op_answer(operation, 400, rp_wire_error(operation->why), 0);
         return;
     }
@@ -377,7 +379,7 @@
     struct op *operation = op_new(api, req, OP_QUERY);
     if (!operation)
         return;
-    strcpy(operation->id, id);
+    rp_string_copy(operation->id, sizeof operation->id, id);
     if (!op_known_final(operation))
         op_next(operation, rp_job_lookup_pays(api->job_lookup) ? OP_LOOK_UP : OP_READ_OPEN);
 }
@@ -386,7 +388,7 @@
     struct op *operation = op_new(api, req, OP_CANCEL);
     if (!operation)
         return;
-    strcpy(operation->id, id);
+    rp_string_copy(operation->id, sizeof operation->id, id);
     if (!op_known_final(operation))
         op_next(operation, OP_READ_OPEN);
 }
--- a/src/cloud/cloud_client.c
+++ b/src/cloud/cloud_client.c
@@ -2,6 +2,7 @@
 
 #include <stdlib.h>
 #include <string.h>
+#include "base/memory.h"
 
 #define ANSWER_S 5.0
 
@@ -76,9 +77,7 @@
 
 void rp_cloud_call(struct rp_cloud_client *client, enum rp_cloud_urgency urgency,
                    const char *method, const char *target, char *body, rp_answer_fn fn, void *arg) {
-    struct rp_cloud_call *call = calloc(1, sizeof *call);
-    if (!call)
-        abort(); /* out of memory: a restart is the honest answer */
+    struct rp_cloud_call *call = rp_alloc(1, sizeof *call);
     *call = (struct rp_cloud_call){.client = client,
                                    .method = strdup(method),
                                    .target = strdup(target),
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -4,6 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
+#include "base/memory.h"
 
 int rp_cluster_init(struct rp_cluster *cluster, struct rp_loop *loop, struct rp_jobs *jobs,
                     const struct rp_settings *settings, const struct rp_catalog *catalog) {
@@ -56,9 +57,7 @@
 
 struct rp_machine *rp_machine_add(struct rp_cluster *cluster, const char *name,
                                   enum rp_machine_state state) {
-    struct rp_machine *machine = calloc(1, sizeof *machine);
-    if (!machine)
-        abort(); /* out of memory: a restart is the honest answer */
+    struct rp_machine *machine = rp_alloc(1, sizeof *machine);
     strncpy(machine->name, name, sizeof machine->name - 1);
     machine->state = state;
     machine->type = machine->zone = -1;
@@ -150,9 +149,7 @@
 bool rp_machine_add_unknown_task(struct rp_cluster *cluster, struct rp_machine *machine,
                                  const struct rp_unknown_task *unknown_tasks) {
     if (!machine->unknown_tasks)
-        machine->unknown_tasks = calloc(RP_UNKNOWN_TASKS_KEPT, sizeof *machine->unknown_tasks);
-    if (!machine->unknown_tasks)
-        abort(); /* out of memory: a restart is the honest answer */
+        machine->unknown_tasks = rp_alloc(RP_UNKNOWN_TASKS_KEPT, sizeof *machine->unknown_tasks);
     bool full = machine->n_unknown_tasks == RP_UNKNOWN_TASKS_KEPT;
     if (full || !unknown_tasks->exited) {
         cluster->n_with_unknown_live += machine->n_unknown_live == 0;
@@ -196,9 +193,7 @@
     if (cluster->cap_unreconciled < cluster->n_machines) {
         free(cluster->unreconciled);
         cluster->cap_unreconciled = cluster->n_machines * 2;
-        cluster->unreconciled = calloc(cluster->cap_unreconciled, sizeof(struct rp_machine *));
-        if (!cluster->unreconciled)
-            abort(); /* out of memory: a restart is the honest answer */
+        cluster->unreconciled = rp_alloc(cluster->cap_unreconciled, sizeof(struct rp_machine *));
     }
     for (struct rp_machine *machine = cluster->first; machine; machine = machine->next)
         if (may_hold_more(machine))
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -5,6 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
+#include "base/memory.h"
+#include "base/string_copy.h"
 #include "cluster/quarantine.h"
 #include "protocol/wire.h"
 
@@ -53,9 +55,7 @@
 };
 
 static struct request *request_new(struct rp_fleet *fleet, const char *rental) {
-    struct request *request = calloc(1, sizeof *request);
-    if (!request)
-        abort(); /* out of memory: a restart is the honest answer */
+    struct request *request = rp_alloc(1, sizeof *request);
     request->f = fleet;
     request->generation = fleet->generation;
     if (rental)
@@ -132,9 +132,7 @@
 }
 
 static struct rp_provision_request *rental_add(struct rp_fleet *fleet, const char *name) {
-    struct rp_provision_request *request = calloc(1, sizeof *request);
-    if (!request)
-        abort();
+    struct rp_provision_request *request = rp_alloc(1, sizeof *request);
     snprintf(request->name, sizeof request->name, "%s", name);
     request->version_known = true;
     request->next = fleet->provision_requests;
@@ -284,7 +282,8 @@
             names[n] = machine->name;
             up[n] = machine->up_recorded || machine->contact.incarnation > 0;
             if (request)
-                strcpy(request->names[n], up[n] ? machine->name : "");
+                rp_string_copy(request->names[n], sizeof request->names[n],
+                               up[n] ? machine->name : "");
             n++;
         }
     if (request)
@@ -313,7 +312,7 @@
             machine->provision_request = second;
     second->record.count = (unsigned)(n - n / 2);
     request->record.count = (unsigned)(n / 2);
-    strcpy(request->after, name);
+    rp_string_copy(request->after, sizeof request->after, name);
     request->changed = true;
     rp_info("rental %s names machines=%zu, too many for a value: split with %s", request->name, n,
             name);
@@ -339,9 +338,7 @@
     if (rental->state == RP_PROVISION_ENDED) {
         rp_wire_txn_delete(txn, key);
     } else {
-        request->names = calloc(NAMES_MAX, sizeof *request->names);
-        if (!request->names)
-            abort();
+        request->names = rp_alloc(NAMES_MAX, sizeof *request->names);
         rp_wire_txn_put(txn, key, rental_record(fleet, rental, request), 0);
     }
     request->wrote = rental->state;
@@ -494,8 +491,9 @@
     snprintf(name, sizeof name, "r-%llu-%lu", (unsigned long long)fleet->election->fencing_token,
              ++fleet->next_name);
     struct rp_provision_request *request = rental_add(fleet, name);
-    strcpy(request->record.type, fleet->catalog->types[type].name);
-    strcpy(request->record.zone, fleet->catalog->zones[zone]);
+    rp_string_copy(request->record.type, sizeof request->record.type,
+                   fleet->catalog->types[type].name);
+    rp_string_copy(request->record.zone, sizeof request->record.zone, fleet->catalog->zones[zone]);
     request->record.spot = spot;
     request->record.count = count < rental_most(fleet) ? count : rental_most(fleet);
     clock_gettime(CLOCK_REALTIME, &request->record.requested_at);
@@ -524,8 +522,10 @@
     if (strlen(name) >= RP_TEXT_MAX || rental_find(fleet, name))
         return;
     struct rp_provision_request *request = rental_add(fleet, name);
-    strcpy(request->record.type, fleet->catalog->types[machine->type].name);
-    strcpy(request->record.zone, fleet->catalog->zones[machine->zone]);
+    rp_string_copy(request->record.type, sizeof request->record.type,
+                   fleet->catalog->types[machine->type].name);
+    rp_string_copy(request->record.zone, sizeof request->record.zone,
+                   fleet->catalog->zones[machine->zone]);
     request->record.spot = machine->spot;
     request->record.count = 1;
     request->record.answered = true;
@@ -604,11 +604,9 @@
     if (n == 0)
         return;
     struct request *request = request_new(fleet, NULL);
-    request->names = calloc(n, sizeof *request->names);
-    if (!request->names)
-        abort();
+    request->names = rp_alloc(n, sizeof *request->names);
     for (size_t i = 0; i < n; i++)
-        strcpy(request->names[i], names[i]);
+        rp_string_copy(request->names[i], sizeof request->names[i], names[i]);
     request->n = n;
     fleet->deleting = true;
     rp_cloud_call(fleet->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_DELETE, rp_wire_delete(names, n),
@@ -691,7 +689,7 @@
     for (size_t i = 0; list && i < n; i++)
         list_entry(fleet, &list[i]);
     if (list && n > 0)
-        strcpy(fleet->list_after, list[n - 1].machine);
+        rp_string_copy(fleet->list_after, sizeof fleet->list_after, list[n - 1].machine);
     free(list);
     if (more && n > 0)
         list_page(fleet);
--- a/src/cluster/quarantine.c
+++ b/src/cluster/quarantine.c
@@ -3,6 +3,7 @@
 #include <math.h>
 #include <string.h>
 #include "base/log.h"
+#include "base/string_copy.h"
 
 #define JOB_SUSPECT 2 /* machines on which a job failed, with no success anywhere */
 #define SUSPICION_S                                                                                \
@@ -24,7 +25,8 @@
         if (strcmp(job->failed_machines[i], machine->name) == 0)
             return false;
     if (job->n_failed_machines < RP_JOB_FAILED_MACHINES_MAX)
-        strcpy(job->failed_machines[job->n_failed_machines++], machine->name);
+        rp_string_copy(job->failed_machines[job->n_failed_machines++],
+                       sizeof job->failed_machines[job->n_failed_machines++], machine->name);
     return true;
 }
 
@@ -46,7 +48,8 @@
             if (strcmp(j->failed_machines[i], machine->name) == 0) {
                 j->n_failed_machines--;
                 if (i != j->n_failed_machines)
-                    strcpy(j->failed_machines[i], j->failed_machines[j->n_failed_machines]);
+                    rp_string_copy(j->failed_machines[i], sizeof j->failed_machines[i],
+                                   j->failed_machines[j->n_failed_machines]);
                 break;
             }
 }
--- a/src/cluster/tombstones.c
+++ b/src/cluster/tombstones.c
@@ -13,7 +13,7 @@
     tombstones->heads = calloc(RP_TOMBSTONES_MAX, sizeof *tombstones->heads);
     tombstones->next = calloc(RP_TOMBSTONES_MAX, sizeof *tombstones->next);
     if (!tombstones->hashes || !tombstones->heads || !tombstones->next)
-        abort(); /* out of memory: a restart is the honest answer */
+        abort();
 }
 
 static void forget(struct rp_tombstones *tombstones, uint32_t position) {
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -4,6 +4,7 @@
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
+#include "base/string_copy.h"
 #include "config/text_format.h"
 #include "model/heuristic.h"
 #include "operator.pb-c.h"
@@ -99,7 +100,7 @@
     for (size_t i = 0; i < settings->n_zones; i++) {
         const char *zone = json_string_value(json_array_get(list, i));
         if (zone && *zone && strlen(zone) < RP_NAME_MAX)
-            strcpy(settings->zones[i], zone);
+            rp_string_copy(settings->zones[i], sizeof settings->zones[i], zone);
         else
             mistake(reader, "params.zones", "must hold zone names");
     }
@@ -144,7 +145,7 @@
         aim->kind = objective_kind(json_string_value(json_object_get(o, "kind")));
         if (aim->kind == RP_OBJECTIVE_OTHER || !class_name || strlen(class_name) >= RP_NAME_MAX)
             continue;
-        strcpy(aim->class_name, class_name);
+        rp_string_copy(aim->class_name, sizeof aim->class_name, class_name);
         aim->within_s = json_number_value(json_object_get(o, "within_s"));
         aim->share = json_number_value(json_object_get(o, "share"));
         aim->times = json_number_value(json_object_get(o, "times"));
@@ -268,7 +269,7 @@
                                  .suspect_after_s = 2.75};
     const size_t n = sizeof heuristics / sizeof heuristics[0];
     for (size_t i = 0; i < n; i++)
-        strcpy(tuning->heuristics[i], heuristics[i]);
+        rp_string_copy(tuning->heuristics[i], sizeof tuning->heuristics[i], heuristics[i]);
     tuning->n_heuristics = n;
 }
 
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -4,6 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
+#include "base/memory.h"
 #include "protocol/wire.h"
 #include "store/records.h"
 
@@ -297,9 +298,7 @@
 }
 
 static void renew(struct rp_election *election) {
-    struct renewal *renewal = calloc(1, sizeof *renewal);
-    if (!renewal)
-        abort(); /* out of memory: a restart is the honest answer */
+    struct renewal *renewal = rp_alloc(1, sizeof *renewal);
     *renewal = (struct renewal){
         .e = election, .lease = election->lease, .asked = rp_loop_now(election->loop)};
     rp_kv_lease_renew(election->store, election->lease, touched, renewal);
--- a/src/http/http.c
+++ b/src/http/http.c
@@ -10,6 +10,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 #include "base/log.h"
+#include "base/memory.h"
+#include "base/string_copy.h"
 
 #define READ_SIZE 16384
 #define BACKLOG 4096 /* after a takeover all workers come at once */
@@ -782,7 +784,7 @@
         free(host);
         return NULL;
     }
-    strcpy(host->addr, addr);
+    rp_string_copy(host->addr, sizeof host->addr, addr);
     host->client = client;
     host->next = *bucket;
     *bucket = host;
@@ -817,10 +819,8 @@
                             body ? strlen(body) : 0, body ? body : "")
                  : -1;
     if (n < 0) {
-        struct dead_call *dead = calloc(1, sizeof *dead);
+        struct dead_call *dead = rp_alloc(1, sizeof *dead);
         free(call);
-        if (!dead)
-            abort(); /* no memory for even this: a restart is the honest answer */
         *dead = (struct dead_call){.loop = client->loop, .fn = fn, .arg = arg};
         dead->timer = (struct rp_timer){.fn = dead_call_due, .arg = dead};
         rp_timer_set(client->loop, &dead->timer, 0);
--- a/src/jobs/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -3,6 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "base/memory.h"
 #include "protocol/wire.h"
 #include "store/records.h"
 
@@ -100,9 +101,7 @@
 
 void rp_job_lookup_add(struct rp_job_lookup *lookup, const char *job, rp_lookup_fn fn, void *arg) {
     if (!lookup->collecting) {
-        lookup->collecting = calloc(1, sizeof *lookup->collecting);
-        if (!lookup->collecting)
-            abort(); /* out of memory: a restart is the honest answer */
+        lookup->collecting = rp_alloc(1, sizeof *lookup->collecting);
         lookup->collecting_since = rp_loop_now(lookup->loop);
         rp_timer_set(lookup->loop, &lookup->timer, POLL_BUDGET_S);
     }
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -5,6 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
+#include "base/memory.h"
+#include "base/string_copy.h"
 #include "protocol/wire.h"
 
 #define PAGE 1000
@@ -38,9 +40,7 @@
 };
 
 static struct request *request_new(struct rp_jobs *jobs) {
-    struct request *request = calloc(1, sizeof *request);
-    if (!request)
-        abort(); /* out of memory: a restart is the honest answer */
+    struct request *request = rp_alloc(1, sizeof *request);
     request->t = jobs;
     request->generation = jobs->generation;
     return request;
@@ -285,10 +285,8 @@
         if (strcmp((*link)->job, job) == 0)
             break;
     if (!*link) {
-        *link = calloc(1, sizeof **link);
-        if (!*link)
-            abort(); /* out of memory: a restart is the honest answer */
-        strcpy((*link)->job, job);
+        *link = rp_alloc(1, sizeof **link);
+        rp_string_copy((*link)->job, sizeof(*link)->job, job);
     }
     (*link)->stored.chunks |= stored->chunks;
     (*link)->stored.units |= stored->units;
@@ -363,7 +361,7 @@
     struct request *request = request_new(jobs);
     json_t *txn = rp_wire_txn();
     struct rp_stored_records left = garbage->stored;
-    strcpy(request->job, garbage->job);
+    rp_string_copy(request->job, sizeof request->job, garbage->job);
     rp_election_guard(jobs->election, txn);
     rp_key(key, RP_KEY_OPEN, garbage->job);
     rp_wire_txn_if(txn, key, 0);
@@ -462,9 +460,8 @@
 static void read_next_parts(struct rp_jobs *jobs);
 
 static void later_parts(struct rp_jobs *jobs, const struct rp_item *item) {
-    struct rp_partial_record **link = &jobs->partial_records, *partial = calloc(1, sizeof *partial);
-    if (!partial)
-        abort(); /* out of memory: a restart is the honest answer */
+    struct rp_partial_record **link = &jobs->partial_records,
+                             *partial = rp_alloc(1, sizeof *partial);
     snprintf(partial->job, sizeof partial->job, "%s", item->key + strlen(RP_KEY_OPEN));
     partial->record = json_incref(item->value);
     partial->version = item->version;
@@ -710,9 +707,7 @@
 
 void rp_job_count_allocation(struct rp_job *job, uint32_t task, int sign) {
     if (!job->task_allocation_counts)
-        job->task_allocation_counts = calloc(1, job->spec.n_tasks);
-    if (!job->task_allocation_counts)
-        abort(); /* out of memory: a restart is the honest answer */
+        job->task_allocation_counts = rp_alloc(1, job->spec.n_tasks);
     job->task_allocation_counts[task] = (uint8_t)(job->task_allocation_counts[task] + sign);
     job->n_allocated += (uint32_t)sign;
     /* Jobs that wait may have 100,000 tasks each, and there may be many of them. */
@@ -787,7 +782,7 @@
     struct request *request = request_new(jobs);
     char key[RP_KEY_MAX];
     json_t *txn = rp_wire_txn();
-    strcpy(request->job, job->spec.id);
+    rp_string_copy(request->job, sizeof request->job, job->spec.id);
     job->finishing = true;
     rp_election_guard(jobs->election, txn);
     rp_key(key, RP_KEY_OPEN, job->spec.id);
@@ -872,10 +867,8 @@
 static void read_saved(struct rp_jobs *jobs, struct rp_job *job, unsigned piece, bool unit) {
     struct request *request = request_new(jobs);
     char key[RP_KEY_MAX];
-    request->saved = calloc(1, sizeof *request->saved);
-    if (!request->saved)
-        abort(); /* out of memory: a restart is the honest answer */
-    strcpy(request->saved[0].job, job->spec.id);
+    request->saved = rp_alloc(1, sizeof *request->saved);
+    rp_string_copy(request->saved[0].job, sizeof request->saved[0].job, job->spec.id);
     request->saved[0].piece = piece;
     request->saved[0].unit = unit;
     job->writing_units |= units_of(piece, unit);
@@ -933,7 +926,8 @@
     size_t span = unit ? RP_UNIT_BYTES : RP_CHUNK_BYTES, at = piece * span;
     size_t bytes = (job->spec.n_tasks + 7) / 8 - at;
     bytes = bytes < span ? bytes : span;
-    strcpy(request->saved[request->n].job, job->spec.id);
+    rp_string_copy(request->saved[request->n].job, sizeof request->saved[request->n].job,
+                   job->spec.id);
     request->saved[request->n].piece = piece;
     request->saved[request->n].unit = unit;
     memcpy(request->saved[request->n].bits, job->done + at, bytes);
@@ -982,9 +976,7 @@
         most = (size_t)room;
     struct request *request = request_new(jobs);
     json_t *txn = rp_wire_txn();
-    request->saved = calloc(most, sizeof *request->saved);
-    if (!request->saved)
-        abort();
+    request->saved = rp_alloc(most, sizeof *request->saved);
     rp_election_guard(jobs->election, txn);
     for (struct rp_job *job = jobs->first; job && request->n < most; job = job->next) {
         if (job->state != RP_JOB_OPEN || !job->dirty_units ||
@@ -1045,7 +1037,7 @@
     }
     struct rp_class_stats *stats = &jobs->classes[jobs->n_classes++];
     memset(stats, 0, sizeof *stats);
-    strcpy(stats->name, name);
+    rp_string_copy(stats->name, sizeof stats->name, name);
     return stats;
 }
 
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -1,6 +1,7 @@
 #include "scheduler/reservation.h"
 
 #include <string.h>
+#include "base/string_copy.h"
 
 #define RESERVE_SLACK_S 6 /* after the estimated end of what a reservation waits for */
 
@@ -11,7 +12,7 @@
 
 void rp_reservation_make(const struct rp_scheduler *scheduler, struct rp_machine *machine,
                          const struct rp_job *job, double for_s) {
-    strcpy(machine->reservation.job_id, job->spec.id);
+    rp_string_copy(machine->reservation.job_id, sizeof machine->reservation.job_id, job->spec.id);
     machine->reservation.until = rp_ts_after(rp_loop_now(scheduler->loop), for_s + RESERVE_SLACK_S);
 }
 
--- a/src/standby/change_log.c
+++ b/src/standby/change_log.c
@@ -2,6 +2,7 @@
 
 #include <stdlib.h>
 #include <string.h>
+#include "base/memory.h"
 
 void rp_change_log_begin(struct rp_change_log *log, uint64_t term) {
     log->term = term;
@@ -10,9 +11,7 @@
 
 void rp_change_log_add(struct rp_change_log *log, const struct rp_change *change) {
     if (!log->ring)
-        log->ring = calloc(RP_CHANGES_KEPT, sizeof *log->ring);
-    if (!log->ring)
-        abort(); /* out of memory: a restart is the honest answer */
+        log->ring = rp_alloc(RP_CHANGES_KEPT, sizeof *log->ring);
     log->index++;
     log->ring[log->index % RP_CHANGES_KEPT] = *change;
 }
@@ -23,9 +22,7 @@
         return false;
     size_t n = (size_t)(log->index - index);
     n = n < RP_STREAM_CHANGES_MAX ? n : RP_STREAM_CHANGES_MAX;
-    out->changes = calloc(n + 1, sizeof *out->changes);
-    if (!out->changes)
-        abort(); /* out of memory: a restart is the honest answer */
+    out->changes = rp_alloc(n + 1, sizeof *out->changes);
     for (size_t i = 0; i < n; i++)
         out->changes[i] = log->ring[(index + 1 + i) % RP_CHANGES_KEPT];
     out->term = log->term;
--- a/src/standby/machine_directory.c
+++ b/src/standby/machine_directory.c
@@ -2,6 +2,8 @@
 
 #include <stdlib.h>
 #include <string.h>
+#include "base/memory.h"
+#include "base/string_copy.h"
 
 static size_t bucket_of(const char *machine) {
     return (size_t)(rp_hash_string(machine) % RP_DIRECTORY_BUCKETS);
@@ -26,16 +28,14 @@
 static void put(struct rp_machine_directory *directory, const struct rp_change *change) {
     struct rp_directory_machine **link = position_of(directory, change->machine);
     if (!*link) {
-        *link = calloc(1, sizeof **link);
-        if (!*link)
-            abort(); /* out of memory: a restart is the honest answer */
-        strcpy((*link)->machine, change->machine);
+        *link = rp_alloc(1, sizeof **link);
+        rp_string_copy((*link)->machine, sizeof(*link)->machine, change->machine);
         directory->n_machines++;
     }
     (*link)->releasing = change->kind == RP_CHANGE_MACHINE_RELEASING;
     if ((*link)->releasing)
         return; /* where it could be reached last stays known */
-    strcpy((*link)->addr, change->addr);
+    rp_string_copy((*link)->addr, sizeof(*link)->addr, change->addr);
     (*link)->incarnation = change->incarnation;
 }
 
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -4,6 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
+#include "base/memory.h"
+#include "base/string_copy.h"
 
 #define TICK_S 0.1
 #define TICK_MOST_S 0.3 /* a tick counts for no more: this node itself may have stood still */
@@ -92,8 +94,8 @@
                                .incarnation = machine->contact.incarnation};
     if (machine->state == RP_MACHINE_RELEASING)
         change.kind = RP_CHANGE_MACHINE_RELEASING;
-    strcpy(change.machine, machine->name);
-    strcpy(change.addr, machine->addr);
+    rp_string_copy(change.machine, sizeof change.machine, machine->name);
+    rp_string_copy(change.addr, sizeof change.addr, machine->addr);
     return change;
 }
 
@@ -110,9 +112,7 @@
 static void snapshot(const struct rp_standby *standby, struct rp_stream_message *out) {
     const struct rp_cluster *cluster = standby->cluster;
     size_t n_gone = rp_change_log_n_terminated(&standby->log);
-    out->changes = calloc(cluster->n_machines + n_gone + 1, sizeof *out->changes);
-    if (!out->changes)
-        abort(); /* out of memory: a restart is the honest answer */
+    out->changes = rp_alloc(cluster->n_machines + n_gone + 1, sizeof *out->changes);
     rp_change_log_terminated(&standby->log, out->changes);
     out->n_changes = n_gone;
     for (const struct rp_machine *machine = cluster->first; machine; machine = machine->next) {
@@ -414,7 +414,8 @@
     for (const struct rp_machine *machine = cluster->first; machine; machine = machine->next)
         if (machine->state == RP_MACHINE_UNRECONCILED &&
             (answered_too || rp_ts_zero(machine->contact.first_answer)))
-            strcpy(standby->to_fence[standby->n_to_fence++], machine->name);
+            rp_string_copy(standby->to_fence[standby->n_to_fence++],
+                           sizeof standby->to_fence[standby->n_to_fence++], machine->name);
 }
 
 /* What the leader before has given back, or had begun to, may still stand in a record, and nothing
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -261,7 +261,7 @@
                   void *arg) {
     struct rp_kv_call *call = calloc(1, sizeof *call);
     if (!call || !target)
-        abort(); /* out of memory: a restart is the honest answer */
+        abort();
     *call = (struct rp_kv_call){.client = client,
                                 .share = budget,
                                 .method = strdup(method),
--- a/src/store/records.c
+++ b/src/store/records.c
@@ -4,6 +4,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "base/string_copy.h"
 #include "protocol/wire.h"
 
 void rp_key(char out[RP_KEY_MAX], const char *prefix, const char *name) {
@@ -226,7 +227,7 @@
     memset(out, 0, sizeof *out);
     if (!node || strlen(node) >= sizeof out->node)
         return false;
-    strcpy(out->node, node);
+    rp_string_copy(out->node, sizeof out->node, node);
     out->own = read_lease(value, "own");
     out->fenced = read_lease(value, "deposed");
     return true;
@@ -273,8 +274,8 @@
         return false;
     if (!type || strlen(type) >= RP_TEXT_MAX || !zone || strlen(zone) >= RP_TEXT_MAX)
         return false;
-    strcpy(out->type, type);
-    strcpy(out->zone, zone);
+    rp_string_copy(out->type, sizeof out->type, type);
+    rp_string_copy(out->zone, sizeof out->zone, zone);
     out->spot = json_is_true(json_object_get(value, "spot"));
     out->count = (unsigned)json_integer_value(json_object_get(value, "count"));
     out->requested_at = rp_ts(json_number_value(json_object_get(value, "asked")));
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -4,6 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
+#include "base/memory.h"
+#include "base/string_copy.h"
 #include "cluster/quarantine.h"
 #include "protocol/wire.h"
 
@@ -81,7 +83,7 @@
 static void wait_for_leader(struct rp_workers *workers, struct rp_request *req) {
     struct rp_waiting_heartbeat *waiting = calloc(1, sizeof *waiting);
     if (!waiting || !(waiting->body = malloc(req->len + 1)))
-        abort(); /* out of memory: a restart is the honest answer */
+        abort();
     memcpy(waiting->body, req->body, req->len);
     waiting->req = req;
     waiting->len = req->len;
@@ -142,7 +144,7 @@
     struct rp_unknown_task unknown_task = {.task = status->task,
                                            .attempt = status->attempt,
                                            .exited = status->state == RP_TASK_EXITED};
-    strcpy(unknown_task.job, status->job);
+    rp_string_copy(unknown_task.job, sizeof unknown_task.job, status->job);
     if (rp_machine_add_unknown_task(workers->cluster, machine, &unknown_task))
         return;
     /* The machine gets no work while it has any, so the rest is stopped from a later report. */
@@ -402,7 +404,7 @@
         return;
     struct rp_command *command = &batch->list[batch->n++];
     command->kind = op;
-    strcpy(command->job, job);
+    rp_string_copy(command->job, sizeof command->job, job);
     command->task = task;
     command->attempt = attempt;
     command->grace_s = grace_s;
@@ -619,7 +621,7 @@
         size_t cap = workers->cap_held ? workers->cap_held * 2 : 64;
         struct rp_held_heartbeat *held = realloc(workers->held_heartbeats, cap * sizeof *held);
         if (!held)
-            abort(); /* out of memory: a restart is the honest answer */
+            abort();
         workers->held_heartbeats = held;
         workers->cap_held = cap;
     }
@@ -628,7 +630,7 @@
                                     .incarnation = machine->contact.incarnation,
                                     .seq = machine->contact.heartbeat_seq,
                                     .received = rp_loop_now(workers->loop)};
-    strcpy(h->machine, machine->name);
+    rp_string_copy(h->machine, sizeof h->machine, machine->name);
 }
 
 static void handle(struct rp_workers *workers, struct rp_request *req,
@@ -715,16 +717,12 @@
 
 static struct direct *direct_new(struct rp_workers *workers, const struct rp_machine *machine,
                                  size_t n) {
-    struct direct *command = calloc(1, sizeof *command);
-    if (!command)
-        abort(); /* out of memory: a restart is the honest answer */
-    command->attempts = calloc(n + 1, sizeof *command->attempts);
-    if (!command->attempts)
-        abort();
+    struct direct *command = rp_alloc(1, sizeof *command);
+    command->attempts = rp_alloc(n + 1, sizeof *command->attempts);
     command->w = workers;
     command->token = workers->election->fencing_token;
     command->session = machine->contact.incarnation;
-    strcpy(command->machine, machine->name);
+    rp_string_copy(command->machine, sizeof command->machine, machine->name);
     return command;
 }
 
@@ -879,7 +877,7 @@
     struct rp_workers *workers = fence->direct->w;
     struct batch batch = {.list = calloc(COMMANDS_MAX, sizeof *batch.list)};
     if (!batch.list)
-        abort(); /* out of memory: a restart is the honest answer */
+        abort();
     if (machine->contact.known_by_fencing_only)
         command_unknown_tasks(&batch, machine);
     char *body = rp_wire_direct(fence->direct->token, fence->direct->session, batch.list, batch.n);
@@ -947,9 +945,7 @@
 
 void rp_workers_fence(struct rp_workers *workers, struct rp_machine *machine, const char *addr,
                       uint64_t incarnation, rp_workers_fenced_fn fn, void *arg) {
-    struct fence *fence = calloc(1, sizeof *fence);
-    if (!fence)
-        abort(); /* out of memory: a restart is the honest answer */
+    struct fence *fence = rp_alloc(1, sizeof *fence);
     *fence = (struct fence){.direct = direct_new(workers, machine, 0), .fn = fn, .arg = arg};
     fence->direct->session = incarnation;
     snprintf(fence->addr, sizeof fence->addr, "%s", addr);
