--- a/src/election/election.h
+++ b/src/election/election.h
@@ -19,7 +19,7 @@
     RP_ELECTION_REVOKING_LEASE,  /* that leader's lease is being ended */
     RP_ELECTION_ACQUIRING_LEASE, /* the key is free, or says our name: a lease has been asked for */
     RP_ELECTION_CLAIMING_KEY,    /* the key's write is on its way */
-    RP_ELECTION_HOLDING_KEY      /* the key is ours; whether we may act is rp_election_valid */
+    RP_ELECTION_HOLDING_KEY      /* the key is ours; whether we may act is rp_election_is_valid */
 };
 
 typedef void (*rp_election_fn)(void *arg);
