--- a/src/api/status.h
+++ b/src/api/status.h
@@ -1,4 +1,5 @@
-/* What a node tells of itself on its peers' port (`GET /status`), for operators and their tools.
+/** @file
+ * What a node tells of itself on its peers' port (`GET /status`), for operators and their tools.
  * The fields are listed in docs/operations.md; names stay as they are. */
 #ifndef RP_API_STATUS_H
 #define RP_API_STATUS_H
@@ -7,7 +8,7 @@
 #include "scheduler/scheduler.h"
 #include "standby/standby.h"
 
-/* The parts of a node that the status is read from. */
+/** The parts of a node that the status is read from. */
 struct rp_status_sources {
     struct rp_loop *loop;
     const struct rp_settings *settings;
@@ -28,7 +29,7 @@
     const struct rp_user_api *api;
 };
 
-/* The node's state, counters and latencies as JSON; the caller frees it. NULL: out of memory. */
+/** The node's state, counters and latencies as JSON; the caller frees it. NULL: out of memory. */
 char *rp_status_json(const struct rp_status_sources *sources);
 
 #endif
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -1,4 +1,5 @@
-/* The users' interface: submissions, queries and cancellations of jobs. Every node serves it
+/** @file
+ * The users' interface: submissions, queries and cancellations of jobs. Every node serves it
  * straight from the key-value store, whose reads and conditional writes are linearizable, so no
  * node can give an older answer than another. */
 #ifndef RP_API_USER_API_H
@@ -10,7 +11,7 @@
 #include "jobs/job_lookup.h"
 #include "jobs/terminal_states.h"
 
-/* What the users' interface needs of a node; all of it is the node's and outlives this. */
+/** What the users' interface needs of a node; all of it is the node's and outlives this. */
 struct rp_user_api {
     struct rp_loop *loop;
     const struct rp_settings *settings;
@@ -27,11 +28,11 @@
     unsigned long n_accepted; /* submissions that this node has written */
 };
 
-/* Each answers `req` exactly once, now or later. */
+/** Each answers `req` exactly once, now or later. */
 void rp_user_api_submit(struct rp_user_api *api, struct rp_request *req);
-/* `id` must be valid (rp_wire_id_valid). */
+/** `id` must be valid (rp_wire_id_valid). */
 void rp_user_api_query(struct rp_user_api *api, struct rp_request *req, const char *id);
-/* The same. */
+/** The same. */
 void rp_user_api_cancel(struct rp_user_api *api, struct rp_request *req, const char *id);
 
 #endif
--- a/src/base/loop.h
+++ b/src/base/loop.h
@@ -1,4 +1,5 @@
-/* The project's event loop: epoll for descriptors, a heap for timers.
+/** @file
+ * The project's event loop: epoll for descriptors, a heap for timers.
  * In virtual mode there are no descriptors and time moves only by rp_loop_advance: the tests
  * drive whole nodes this way. */
 #ifndef RP_BASE_LOOP_H
@@ -42,17 +43,17 @@
 
 int rp_loop_init(struct rp_loop *loop, bool is_virtual);
 void rp_loop_close(struct rp_loop *loop);
-/* Reads the steady clock anew at each call: fencing depends on it. */
+/** Reads the steady clock anew at each call: fencing depends on it. */
 struct timespec rp_loop_now(const struct rp_loop *loop);
 int rp_timer_set(struct rp_loop *loop, struct rp_timer *timer, double after_s);
 void rp_timer_cancel(struct rp_loop *loop, struct rp_timer *timer);
 int rp_watch_add(struct rp_loop *loop, struct rp_watch *watch, uint32_t events);
 int rp_watch_change(struct rp_loop *loop, struct rp_watch *watch, uint32_t events);
-/* After this no event of the watch is delivered, not even one already fetched. */
+/** After this no event of the watch is delivered, not even one already fetched. */
 void rp_watch_remove(struct rp_loop *loop, struct rp_watch *watch);
 int rp_loop_run(struct rp_loop *loop);
 void rp_loop_stop(struct rp_loop *loop);
-/* Virtual mode: runs every timer due until `to`, in order, then sets the time to `to`. */
+/** Virtual mode: runs every timer due until `to`, in order, then sets the time to `to`. */
 void rp_loop_advance(struct rp_loop *loop, struct timespec to);
 
 #endif
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,4 +1,5 @@
-/* Latencies as histograms, for the status page. */
+/** @file
+ * Latencies as histograms, for the status page. */
 #ifndef RP_BASE_METRICS_H
 #define RP_BASE_METRICS_H
 
@@ -20,7 +21,7 @@
 int rp_metrics_init(struct rp_metrics *metrics);
 void rp_metrics_free(struct rp_metrics *metrics);
 void rp_metrics_add(struct rp_metrics *metrics, enum rp_metric metric, double seconds);
-/* The value below which the share of all observations lies; 0 when there are none. */
+/** The value below which the share of all observations lies; 0 when there are none. */
 double rp_metrics_quantile(const struct rp_metrics *metrics, enum rp_metric metric, double share);
 json_t *rp_metrics_json(const struct rp_metrics *metrics);
 
--- a/src/base/net.h
+++ b/src/base/net.h
@@ -1,4 +1,5 @@
-/* How the parts of a node reach other hosts. The program plugs in the HTTP client; the tests plug
+/** @file
+ * How the parts of a node reach other hosts. The program plugs in the HTTP client; the tests plug
  * in a simulated network. */
 #ifndef RP_BASE_NET_H
 #define RP_BASE_NET_H
@@ -6,7 +7,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/* The answer to a call. `status` 0: no whole answer came, the request may have been carried out
+/** The answer to a call. `status` 0: no whole answer came, the request may have been carried out
  * or may still be, unless `unsent`: no byte of it has left. `body` is NUL-terminated and lives only
  * during the call-back. */
 struct rp_answer {
@@ -30,7 +31,7 @@
                       const char *body, double timeout_s, rp_answer_fn fn, void *arg);
 };
 
-/* A request that a node has received and answers now or later, exactly once, by `respond`. */
+/** A request that a node has received and answers now or later, exactly once, by `respond`. */
 struct rp_request {
     const char *method;
     const char *target;
--- a/src/base/timeutil.h
+++ b/src/base/timeutil.h
@@ -1,4 +1,5 @@
-/* Arithmetic on the standard library's time types. Instants are CLOCK_MONOTONIC unless said. */
+/** @file
+ * Arithmetic on the standard library's time types. Instants are CLOCK_MONOTONIC unless said. */
 #ifndef RP_BASE_TIMEUTIL_H
 #define RP_BASE_TIMEUTIL_H
 
@@ -52,7 +53,7 @@
     return 0;
 }
 
-/* Unset: no such instant. */
+/** Unset: no such instant. */
 static inline bool rp_ts_zero(struct timespec time) {
     return time.tv_sec == 0 && time.tv_nsec == 0;
 }
@@ -61,7 +62,7 @@
     return rp_ts_cmp(now, due) >= 0;
 }
 
-/* Seconds from `then` to `now`; negative when `then` lies ahead. */
+/** Seconds from `then` to `now`; negative when `then` lies ahead. */
 static inline double rp_ts_since(struct timespec now, struct timespec then) {
     return rp_ts_s(rp_ts_sub(now, then));
 }
--- a/src/base/token_bucket.h
+++ b/src/base/token_bucket.h
@@ -1,4 +1,5 @@
-/* Rate budgets, as token buckets. */
+/** @file
+ * Rate budgets, as token buckets. */
 #ifndef RP_BASE_TOKEN_BUCKET_H
 #define RP_BASE_TOKEN_BUCKET_H
 
@@ -22,7 +23,7 @@
     bucket->refilled_at = now;
 }
 
-/* A want larger than the depth passes once the bucket is full, and is paid back afterwards. */
+/** A want larger than the depth passes once the bucket is full, and is paid back afterwards. */
 static inline bool rp_token_bucket_has(struct rp_token_bucket *bucket, double want,
                                        struct timespec now) {
     rp_token_bucket_refill(bucket, now);
--- a/src/cloud/catalog_source.h
+++ b/src/cloud/catalog_source.h
@@ -1,4 +1,5 @@
-/* Where a node has the machine types from: the cloud, or, while the cloud doesn't answer, what a
+/** @file
+ * Where a node has the machine types from: the cloud, or, while the cloud doesn't answer, what a
  * leader has stored of them. Without the types a node can't judge submissions, nor lead. */
 #ifndef RP_CLOUD_CATALOG_SOURCE_H
 #define RP_CLOUD_CATALOG_SOURCE_H
@@ -25,14 +26,14 @@
     void *arg;
 };
 
-/* `catalog` is filled in once, before `on_known` is called; its types keep their indexes. */
+/** `catalog` is filled in once, before `on_known` is called; its types keep their indexes. */
 void rp_catalog_source_init(struct rp_catalog_source *source, struct rp_loop *loop,
                             struct rp_cloud_client *cloud, struct rp_kv_client *store,
                             struct rp_election *election, const struct rp_upgrade *upgrade,
                             const struct rp_settings *settings, struct rp_catalog *catalog);
 void rp_catalog_source_start(struct rp_catalog_source *source);
 void rp_catalog_source_close(struct rp_catalog_source *source);
-/* This node leads: what it has from the cloud is stored for the next process that finds none. */
+/** This node leads: what it has from the cloud is stored for the next process that finds none. */
 void rp_catalog_source_lead(struct rp_catalog_source *source);
 
 #endif
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -1,4 +1,5 @@
-/* The cloud as the fleet sees it: requests within its rate, deletions and rentals before lists. */
+/** @file
+ * The cloud as the fleet sees it: requests within its rate, deletions and rentals before lists. */
 #ifndef RP_CLOUD_CLOUD_CLIENT_H
 #define RP_CLOUD_CLOUD_CLIENT_H
 
@@ -23,7 +24,7 @@
 void rp_cloud_client_init(struct rp_cloud_client *client, struct rp_loop *loop, struct rp_net net,
                           const char *addr, double rps);
 void rp_cloud_client_close(struct rp_cloud_client *client);
-/* Takes `body` over. `fn` gets the answer as the network gave it. */
+/** Takes `body` over. `fn` gets the answer as the network gave it. */
 void rp_cloud_call(struct rp_cloud_client *client, enum rp_cloud_urgency urgency,
                    const char *method, const char *target, char *body, rp_answer_fn fn, void *arg);
 
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -1,4 +1,5 @@
-/* Who may be where: machines, and on each the tasks that may be on it. A task may be started only
+/** @file
+ * Who may be where: machines, and on each the tasks that may be on it. A task may be started only
  * by rp_cluster_may_start's leave, which counts everything that MAY be on a machine: in flight,
  * fetching, stopping, on machines that can't be reached. */
 #ifndef RP_CLUSTER_CLUSTER_H
@@ -44,7 +45,7 @@
 #define RP_IMAGES_KEPT 128 /* by 24 bytes; beyond, the one used longest ago is forgotten */
 #define RP_UNKNOWN_TASKS_KEPT 256
 
-/* A task on a machine whose job this leader doesn't know (any more): stopped and forgotten. */
+/** A task on a machine whose job this leader doesn't know (any more): stopped and forgotten. */
 struct rp_unknown_task {
     char job[RP_ID_MAX];
     uint32_t task;
@@ -60,7 +61,7 @@
 
 struct rp_provision_request;
 
-/* The exchange with a machine's worker, and what it proves. A time of zero: never. */
+/** The exchange with a machine's worker, and what it proves. A time of zero: never. */
 struct rp_machine_contact {
     uint64_t incarnation;   /* of the worker; it grows each time the worker's lease expires */
     uint64_t seq;           /* of the newest message: a heartbeat or a direct command's answer */
@@ -80,13 +81,13 @@
     struct timespec answers_lost_since; /* heartbeats arrive, but answers don't get there */
 };
 
-/* The cloud is about to take a spot machine away. */
+/** The cloud is about to take a spot machine away. */
 struct rp_spot_notice {
     bool received;
     struct timespec ends_at;
 };
 
-/* Errors of tasks, as evidence against the machine (quarantine.h). */
+/** Errors of tasks, as evidence against the machine (quarantine.h). */
 struct rp_machine_health {
     unsigned consecutive_errors; /* since the last task that ended well */
     unsigned n_error_jobs;       /* jobs that these errors were of */
@@ -96,13 +97,13 @@
     bool quarantined;
 };
 
-/* Capacity kept for one job. */
+/** Capacity kept for one job. */
 struct rp_reservation {
     char job_id[RP_ID_MAX]; /* "": none */
     struct timespec until;
 };
 
-/* The way of a machine back to the cloud. */
+/** The way of a machine back to the cloud. */
 struct rp_scale_in {
     bool draining;         /* its work moves elsewhere first */
     struct timespec since; /* in RP_MACHINE_RELEASING */
@@ -166,73 +167,73 @@
 
 int rp_cluster_init(struct rp_cluster *cluster, struct rp_loop *loop, struct rp_jobs *jobs,
                     const struct rp_settings *settings, const struct rp_catalog *catalog);
-/* Forgets everything and starts numbering attempts for this token. */
+/** Forgets everything and starts numbering attempts for this token. */
 void rp_cluster_reset(struct rp_cluster *cluster, uint64_t token);
 void rp_cluster_free(struct rp_cluster *cluster);
 
 struct rp_machine *rp_machine_find(const struct rp_cluster *cluster, const char *name);
 struct rp_machine *rp_machine_add(struct rp_cluster *cluster, const char *name,
                                   enum rp_machine_state state);
-/* The machine is certainly gone: everything on it is, too. */
+/** The machine is certainly gone: everything on it is, too. */
 void rp_machine_remove(struct rp_cluster *cluster, struct rp_machine *machine);
-/* The one place where a machine changes its state. */
+/** The one place where a machine changes its state. */
 void rp_machine_set_state(struct rp_cluster *cluster, struct rp_machine *machine,
                           enum rp_machine_state state);
-/* Where it can be reached, and in which session, as its newest message says. */
+/** Where it can be reached, and in which session, as its newest message says. */
 void rp_machine_note_contact(struct rp_cluster *cluster, struct rp_machine *machine,
                              const char *addr, uint64_t incarnation);
-/* Whether its newest report shows our token. */
+/** Whether its newest report shows our token. */
 void rp_machine_note_fencing_token(struct rp_cluster *cluster, struct rp_machine *machine,
                                    bool seen);
-/* Forgets, and adds, tasks of jobs that this leader doesn't know; false beyond
+/** Forgets, and adds, tasks of jobs that this leader doesn't know; false beyond
  * RP_UNKNOWN_TASKS_KEPT. */
 void rp_machine_clear_unknown_tasks(struct rp_cluster *cluster, struct rp_machine *machine);
 bool rp_machine_add_unknown_task(struct rp_cluster *cluster, struct rp_machine *machine,
                                  const struct rp_unknown_task *unknown_tasks);
-/* The session is over: no task of it is on the machine any more. */
+/** The session is over: no task of it is on the machine any more. */
 void rp_machine_end_incarnation(struct rp_cluster *cluster, struct rp_machine *machine);
 
-/* Unique over all leaders: the token and a count. */
+/** Unique over all leaders: the token and a count. */
 uint64_t rp_cluster_next_attempt(struct rp_cluster *cluster);
-/* No machine may hold tasks that this leader doesn't know of. */
+/** No machine may hold tasks that this leader doesn't know of. */
 bool rp_cluster_is_reconciled(struct rp_cluster *cluster);
-/* No machine may hold tasks of this job that this leader doesn't know of. */
+/** No machine may hold tasks of this job that this leader doesn't know of. */
 bool rp_cluster_is_job_reconciled(struct rp_cluster *cluster, const struct rp_job *job);
 struct rp_resources rp_machine_free_resources(const struct rp_cluster *cluster,
                                               const struct rp_machine *machine);
 bool rp_machine_is_usable(const struct rp_machine *machine);
 bool rp_machine_is_one_way_partitioned(const struct rp_machine *machine);
-/* The types, zones and kinds that the job allows. */
+/** The types, zones and kinds that the job allows. */
 bool rp_cluster_is_allowed(const struct rp_cluster *cluster, const struct rp_job_spec *spec,
                            int type, int zone, bool spot);
 bool rp_cluster_may_start(struct rp_cluster *cluster, const struct rp_job *job, uint32_t task,
                           const struct rp_machine *machine);
-/* What the very message that starts a task gives back before: of the machine's room, and of what
+/** What the very message that starts a task gives back before: of the machine's room, and of what
  * the job's team uses. */
 struct rp_released_resources {
     struct rp_resources room, team;
 };
-/* The same with that. */
+/** The same with that. */
 bool rp_cluster_may_start_after_release(struct rp_cluster *cluster, const struct rp_job *job,
                                         uint32_t task, const struct rp_machine *machine,
                                         const struct rp_released_resources *freed);
-/* How far one more task of the job would be beyond its team's limit; not above 0: it isn't. */
+/** How far one more task of the job would be beyond its team's limit; not above 0: it isn't. */
 struct rp_resources rp_cluster_over_quota(const struct rp_cluster *cluster,
                                           const struct rp_job *job);
-/* Nothing is on the machine, nor may be. What has ended may still be listed: attempts that were
+/** Nothing is on the machine, nor may be. What has ended may still be listed: attempts that were
  * started directly are kept known there, so that late copies of their starts do nothing. */
 bool rp_machine_is_idle(const struct rp_machine *machine);
 struct rp_allocation *rp_allocation_add(struct rp_cluster *cluster, struct rp_machine *machine,
                                         struct rp_job *job, uint32_t task, uint64_t attempt,
                                         enum rp_allocation_state state);
-/* The one place where an allocation changes its state; keeps all counts. */
+/** The one place where an allocation changes its state; keeps all counts. */
 void rp_allocation_set_state(struct rp_cluster *cluster, struct rp_machine *machine,
                              struct rp_allocation *allocation, enum rp_allocation_state state);
 void rp_allocation_remove(struct rp_cluster *cluster, struct rp_machine *machine, size_t index);
 void rp_allocation_request_stop(struct rp_allocation *allocation, double grace_s);
-/* Wants every task of the job stopped, wherever it may be. */
+/** Wants every task of the job stopped, wherever it may be. */
 void rp_cluster_stop_job(struct rp_cluster *cluster, struct rp_job *job, double grace_s);
-/* Images are known by the hashes of their names. */
+/** Images are known by the hashes of their names. */
 void rp_machine_note_image(struct rp_cluster *cluster, struct rp_machine *machine, uint64_t hash,
                            double gb);
 bool rp_machine_has_image(const struct rp_machine *machine, uint64_t hash);
--- a/src/cluster/fleet.h
+++ b/src/cluster/fleet.h
@@ -1,4 +1,5 @@
-/* Machines and rentals: what is rented, recorded, watched in the cloud's list and returned. */
+/** @file
+ * Machines and rentals: what is rented, recorded, watched in the cloud's list and returned. */
 #ifndef RP_CLUSTER_FLEET_H
 #define RP_CLUSTER_FLEET_H
 
@@ -28,7 +29,7 @@
     struct rp_provision_request *next;
 };
 
-/* What the cloud has lately refused of a kind of machine. */
+/** What the cloud has lately refused of a kind of machine. */
 struct rp_capacity_refusal {
     struct timespec until;
     double pause_s; /* grows while the kind goes on being refused; 0: it isn't */
@@ -71,24 +72,24 @@
                    struct rp_kv_client *store, struct rp_election *election,
                    struct rp_cluster *cluster, struct rp_jobs *jobs,
                    const struct rp_settings *settings, struct rp_catalog *catalog);
-/* Reads the rental records into the cluster state: every machine named there may hold tasks. */
+/** Reads the rental records into the cluster state: every machine named there may hold tasks. */
 void rp_fleet_load(struct rp_fleet *fleet);
 void rp_fleet_clear(struct rp_fleet *fleet);
-/* The process ends: what outlives a term goes, too. */
+/** The process ends: what outlives a term goes, too. */
 void rp_fleet_close(struct rp_fleet *fleet);
 void rp_fleet_scale_out(struct rp_fleet *fleet, int type, int zone, bool spot, unsigned count);
-/* Whether the zone seems to be cut off: what is rented there can't report. */
+/** Whether the zone seems to be cut off: what is rented there can't report. */
 bool rp_fleet_is_zone_silent(const struct rp_fleet *fleet, int zone);
 bool rp_fleet_is_refused(const struct rp_fleet *fleet, int type, int zone, bool spot);
-/* Rentals asked for whose machines aren't known yet. */
+/** Rentals asked for whose machines aren't known yet. */
 unsigned rp_fleet_n_requested(const struct rp_fleet *fleet, int type, int zone, bool spot);
-/* The machine has reported: recorded before anything is started on it, so that the next leader
+/** The machine has reported: recorded before anything is started on it, so that the next leader
  * knows which machines can't hold tasks. */
 void rp_fleet_record_up(struct rp_fleet *fleet, struct rp_machine *machine);
 void rp_fleet_adopt(struct rp_fleet *fleet, struct rp_machine *machine);
 bool rp_fleet_is_terminated(const struct rp_fleet *fleet, const char *machine);
 void rp_fleet_scale_in(struct rp_fleet *fleet, struct rp_machine *machine, const char *why);
-/* What a worker says of its machine, which the record may not know. */
+/** What a worker says of its machine, which the record may not know. */
 void rp_fleet_describe_machine(struct rp_fleet *fleet, struct rp_machine *machine, const char *type,
                                const char *zone, bool spot);
 double rp_fleet_hourly_price(const struct rp_catalog *catalog, int type, bool spot);
--- a/src/cluster/image_index.h
+++ b/src/cluster/image_index.h
@@ -1,4 +1,5 @@
-/* Which images the machines hold, as the leader knows it, kept by the other nodes for the time
+/** @file
+ * Which images the machines hold, as the leader knows it, kept by the other nodes for the time
  * after it: a new leader otherwise knows only of the images of tasks that run. Hints and no more: a
  * wrong one costs a fetch, and no rule depends on any. */
 #ifndef RP_CLUSTER_IMAGE_INDEX_H
@@ -24,10 +25,10 @@
                          const struct rp_settings *settings);
 void rp_image_index_start(struct rp_image_index *index);
 void rp_image_index_close(struct rp_image_index *index);
-/* This node leads now, and its machines are known: what it and the others remember is taken over.
+/** This node leads now, and its machines are known: what it and the others remember is taken over.
  */
 void rp_image_index_lead(struct rp_image_index *index);
-/* What this node knows, for another one. Caller frees. */
+/** What this node knows, for another one. Caller frees. */
 char *rp_image_index_json(const struct rp_image_index *index);
 
 #define RP_PATH_IMAGES "/peer/images"
--- a/src/cluster/tombstones.h
+++ b/src/cluster/tombstones.h
@@ -1,4 +1,5 @@
-/* Names of machines that are certainly gone, so that late news of them is void. A copy of a report
+/** @file
+ * Names of machines that are certainly gone, so that late news of them is void. A copy of a report
  * may come minutes after its machine; the set keeps the latest RP_TOMBSTONES_MAX names, as hashes.
  */
 #ifndef RP_CLUSTER_TOMBSTONES_H
@@ -8,7 +9,7 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* 4,000 machines that each live for the minute that the cloud charges at least: 66 returns a
+/** 4,000 machines that each live for the minute that the cloud charges at least: 66 returns a
  * second, for 16 minutes. */
 #define RP_TOMBSTONES_MAX 65536
 
@@ -19,7 +20,7 @@
     size_t n;         /* machines noted so far */
 };
 
-/* Remembers the name, and forgets the oldest one if the set is full. */
+/** Remembers the name, and forgets the oldest one if the set is full. */
 void rp_tombstones_add(struct rp_tombstones *tombstones, const char *machine);
 bool rp_tombstones_has(const struct rp_tombstones *tombstones, const char *machine);
 void rp_tombstones_free(struct rp_tombstones *tombstones);
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,5 @@
-/* The platform's JSON file and the operators' text-format file. */
+/** @file
+ * The platform's JSON file and the operators' text-format file. */
 #ifndef RP_CONFIG_SETTINGS_H
 #define RP_CONFIG_SETTINGS_H
 
@@ -35,13 +36,13 @@
     double within_s, share, times;
 };
 
-/* What the state service takes. */
+/** What the state service takes. */
 struct rp_kv_limits {
     double rps, write_rps, value_kb;
     size_t txn_ops;
 };
 
-/* What the operators may tune; see operator.proto. */
+/** What the operators may tune; see operator.proto. */
 struct rp_tuning {
     double round_period_s, billing_unit_s, return_margin_s;
     char heuristics[RP_HEURISTICS_MAX][24];
@@ -79,21 +80,21 @@
 };
 
 void rp_tuning_defaults(struct rp_tuning *tuning);
-/* Each returns the number of mistakes, each told to `errors` in a line of its own. */
+/** Each returns the number of mistakes, each told to `errors` in a line of its own. */
 int rp_settings_parse(struct rp_settings *settings, const char *text, const char *file,
                       FILE *errors);
 int rp_tuning_parse(struct rp_tuning *tuning, const char *text, const char *file, FILE *errors);
-/* Fills in what neither file says and depends on both. */
+/** Fills in what neither file says and depends on both. */
 void rp_settings_complete(struct rp_settings *settings);
-/* How old the newest news of the jobs may be for a leader to go on answering workers. */
+/** How old the newest news of the jobs may be for a leader to go on answering workers. */
 double rp_settings_max_staleness_s(const struct rp_settings *settings);
-/* What the two files say together: periods and time-outs that contradict one another. */
+/** What the two files say together: periods and time-outs that contradict one another. */
 int rp_settings_check(const struct rp_settings *settings, FILE *errors);
-/* Seconds after an answer to a heartbeat until which the machine's tasks may still run, on our
+/** Seconds after an answer to a heartbeat until which the machine's tasks may still run, on our
  * clock: the lease, with the drift between clocks and a margin. */
 double rp_settings_worker_lease_s(const struct rp_settings *settings);
 void rp_settings_free(struct rp_settings *settings);
-/* The team's index in the list, or -1. */
+/** The team's index in the list, or -1. */
 int rp_settings_team(const struct rp_settings *settings, const char *name);
 
 #endif
--- a/src/controller/node.h
+++ b/src/controller/node.h
@@ -1,4 +1,5 @@
-/* A node: all parts put together, with the network plugged in from outside. */
+/** @file
+ * A node: all parts put together, with the network plugged in from outside. */
 #ifndef RP_CONTROLLER_NODE_H
 #define RP_CONTROLLER_NODE_H
 
@@ -66,15 +67,15 @@
 int rp_node_init(struct rp_node *node, struct rp_loop *loop, struct rp_net net,
                  const struct rp_settings *settings);
 void rp_node_start(struct rp_node *node);
-/* The process is about to end: no more users, and the key is given up. */
+/** The process is about to end: no more users, and the key is given up. */
 void rp_node_leave(struct rp_node *node);
 void rp_node_close(struct rp_node *node);
-/* Requests from users, workers and health checks. */
+/** Requests from users, workers and health checks. */
 void rp_node_client_request(void *node, struct rp_request *req);
-/* Requests from other nodes and operators. */
+/** Requests from other nodes and operators. */
 void rp_node_peer_request(void *node, struct rp_request *req);
 
-/* Whether users may be sent here: what `GET /healthz` answers. */
+/** Whether users may be sent here: what `GET /healthz` answers. */
 bool rp_node_healthy(const struct rp_node *node);
 
 #endif
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -1,4 +1,5 @@
-/* Who leads: a key on a lease of the state service. The token is the revision of the key's write,
+/** @file
+ * Who leads: a key on a lease of the state service. The token is the revision of the key's write,
  * so it grows with each change of leader, and every write of a leader carries the condition that
  * the key still has that revision.
  *
@@ -54,26 +55,26 @@
                       rp_election_fn on_elected, rp_election_fn on_lost, void *arg);
 void rp_election_start(struct rp_election *election);
 void rp_election_stop(struct rp_election *election);
-/* To be asked immediately before every answer or command that needs leadership. */
+/** To be asked immediately before every answer or command that needs leadership. */
 bool rp_election_is_valid(const struct rp_election *election, struct timespec now);
-/* The other node that leads, as far as is known now; NULL when nothing is. */
+/** The other node that leads, as far as is known now; NULL when nothing is. */
 const char *rp_election_leader(const struct rp_election *election, struct timespec now);
-/* Whether that node answered when it was asked something. */
+/** Whether that node answered when it was asked something. */
 void rp_election_note_answer(struct rp_election *election, bool answered);
-/* Until when a lease may be trusted that was asked for, or touched, at `sent`. */
+/** Until when a lease may be trusted that was asked for, or touched, at `sent`. */
 struct timespec rp_election_trust(struct timespec sent, double ttl_s);
-/* The condition that makes a leader's late transactions die. */
+/** The condition that makes a leader's late transactions die. */
 void rp_election_guard(const struct rp_election *election, json_t *txn);
-/* Somebody shows a token above ours, or a guarded write failed: look at the key now. */
+/** Somebody shows a token above ours, or a guarded write failed: look at the key now. */
 void rp_election_verify(struct rp_election *election);
 
-/* Takes the key from the leader last seen, which may still be alive. False: that isn't possible
+/** Takes the key from the leader last seen, which may still be alive. False: that isn't possible
  * now, since that leader's node doesn't take part in takeovers, or something else is under way. */
 bool rp_election_fence_leader(struct rp_election *election);
-/* Our watch shows a takeover's fence of this revision. */
+/** Our watch shows a takeover's fence of this revision. */
 void rp_election_note_fence(struct rp_election *election, uint64_t version);
 
-/* Gives the key up, and leaves it to the others for a while. */
+/** Gives the key up, and leaves it to the others for a while. */
 void rp_election_resign(struct rp_election *election, double stand_back_s);
 
 #endif
--- a/src/http/http.h
+++ b/src/http/http.h
@@ -1,4 +1,5 @@
-/* HTTP/1.1 server and client on the loop. */
+/** @file
+ * HTTP/1.1 server and client on the loop. */
 #ifndef RP_HTTP_HTTP_H
 #define RP_HTTP_HTTP_H
 
@@ -38,7 +39,7 @@
 
 #define RP_HTTP_HOST_BUCKETS 1024
 
-/* Calls to any number of hosts over at most `max_total` connections. A host is known only while it
+/** Calls to any number of hosts over at most `max_total` connections. A host is known only while it
  * has a connection or a call; one that finds no connection free waits in line, and the connection
  * that falls free first serves it. */
 struct rp_http_client {
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -1,4 +1,5 @@
-/* HTTP/1.1 messages, parsed as their bytes arrive, with strict limits. */
+/** @file
+ * HTTP/1.1 messages, parsed as their bytes arrive, with strict limits. */
 #ifndef RP_HTTP_PARSER_H
 #define RP_HTTP_PARSER_H
 
@@ -23,7 +24,7 @@
 
 enum rp_http_role { RP_HTTP_REQUEST, RP_HTTP_RESPONSE };
 
-/* The buffers for lines belong to a message, not to a connection: a node has a connection to each
+/** The buffers for lines belong to a message, not to a connection: a node has a connection to each
  * of thousands of workers, and nearly all of them are idle. */
 struct rp_http_parser {
     enum rp_http_state state;
@@ -50,14 +51,14 @@
 };
 
 void rp_http_parser_init(struct rp_http_parser *parser, enum rp_http_role role, size_t body_max);
-/* Makes the parser ready for the next message of the connection. */
+/** Makes the parser ready for the next message of the connection. */
 void rp_http_parser_reset(struct rp_http_parser *parser);
 void rp_http_parser_free(struct rp_http_parser *parser);
-/* Takes bytes until the message is whole or has failed; returns how many it used. */
+/** Takes bytes until the message is whole or has failed; returns how many it used. */
 size_t rp_http_parser_feed(struct rp_http_parser *parser, const char *data, size_t len);
-/* The connection has ended: a body without a length is whole now. */
+/** The connection has ended: a body without a length is whole now. */
 void rp_http_parser_eof(struct rp_http_parser *parser);
-/* True before the first byte of a message. */
+/** True before the first byte of a message. */
 bool rp_http_parser_idle(const struct rp_http_parser *parser);
 const char *rp_http_reason(int status);
 
--- a/src/jobs/job_lookup.h
+++ b/src/jobs/job_lookup.h
@@ -1,4 +1,5 @@
-/* Whether jobs are open, looked up for many users' questions with one request to the state service.
+/** @file
+ * Whether jobs are open, looked up for many users' questions with one request to the state service.
  * A transaction without changes compares up to `batch_max` keys at once, where reading them would
  * cost a request each. It is meant for the time when the budget for questions is used up: the
  * longer questions have to wait, the more of them share a request. */
@@ -31,11 +32,11 @@
 
 void rp_job_lookup_init(struct rp_job_lookup *lookup, struct rp_loop *loop,
                         struct rp_kv_client *store, const struct rp_settings *settings);
-/* Forgets what waits, without calling back. */
+/** Forgets what waits, without calling back. */
 void rp_job_lookup_close(struct rp_job_lookup *lookup);
-/* Whether a question asked now had to wait for the budget if it were a request of its own. */
+/** Whether a question asked now had to wait for the budget if it were a request of its own. */
 bool rp_job_lookup_pays(struct rp_job_lookup *lookup);
-/* Calls `fn` once, later. The answer is never older than this call. */
+/** Calls `fn` once, later. The answer is never older than this call. */
 void rp_job_lookup_add(struct rp_job_lookup *lookup, const char *job, rp_lookup_fn fn, void *arg);
 
 #endif
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -1,4 +1,5 @@
-/* The leader's table of jobs that are not over: loaded from the state service, kept up by a watch;
+/** @file
+ * The leader's table of jobs that are not over: loaded from the state service, kept up by a watch;
  * what is done is made durable from here. */
 #ifndef RP_JOBS_JOBS_H
 #define RP_JOBS_JOBS_H
@@ -17,21 +18,21 @@
 
 #define RP_JOB_FAILED_MACHINES_MAX 4
 
-/* What is stored of a job besides its record: swept once it is over. */
+/** What is stored of a job besides its record: swept once it is over. */
 struct rp_stored_records {
     uint32_t chunks; /* progress in the first format's chunks */
     uint64_t units;  /* and in units */
     uint64_t parts;  /* of a record too long for one value */
 };
 
-/* Records that no job needs any more, deleted in small steps. */
+/** Records that no job needs any more, deleted in small steps. */
 struct rp_garbage {
     char job[RP_ID_MAX];
     struct rp_stored_records stored;
     struct rp_garbage *next;
 };
 
-/* A job whose record came in parts that are still to be read. */
+/** A job whose record came in parts that are still to be read. */
 struct rp_partial_record {
     char job[RP_ID_MAX];
     json_t *record;
@@ -86,7 +87,7 @@
 
 #define RP_JOBS_BUCKETS 4096
 
-/* What is learned of a class: how its real run times relate to its owners' estimates. */
+/** What is learned of a class: how its real run times relate to its owners' estimates. */
 struct rp_class_stats {
     char name[RP_TEXT_MAX];
     double ratio;  /* decayed mean of run time / estimate */
@@ -134,33 +135,34 @@
 void rp_jobs_init(struct rp_jobs *jobs, struct rp_loop *loop, struct rp_kv_client *store,
                   struct rp_election *election, const struct rp_upgrade *upgrade,
                   const struct rp_settings *settings);
-/* Loads everything; `on_loaded` tells the outcome. */
+/** Loads everything; `on_loaded` tells the outcome. */
 void rp_jobs_load(struct rp_jobs *jobs);
-/* Empties the table; every allocation must have been dropped before. */
+/** Empties the table; every allocation must have been dropped before. */
 void rp_jobs_clear(struct rp_jobs *jobs);
 struct rp_job *rp_jobs_find(const struct rp_jobs *jobs, const char *id);
-/* Seconds since the last moment of which the table is known to hold all news. */
+/** Seconds since the last moment of which the table is known to hold all news. */
 double rp_jobs_staleness_s(const struct rp_jobs *jobs);
-/* Cancellations are heard of fast enough for workers to be answered: every answer renews a lease.
+/** Cancellations are heard of fast enough for workers to be answered: every answer renews a lease.
  */
 bool rp_jobs_may_answer_heartbeats(const struct rp_jobs *jobs);
-/* And for tasks to be started. */
+/** And for tasks to be started. */
 bool rp_jobs_may_start_tasks(const struct rp_jobs *jobs);
-/* The state service answers other nodes, but not this one: they may be confirming cancellations. */
+/** The state service answers other nodes, but not this one: they may be confirming cancellations.
+ */
 void rp_jobs_note_store_refusal(struct rp_jobs *jobs);
 double rp_job_age_s(const struct rp_job *job, struct timespec now);
 
 bool rp_job_is_task_done(const struct rp_job *job, uint32_t task);
-/* In how many allocations the task may be. */
+/** In how many allocations the task may be. */
 unsigned rp_job_n_task_allocations(const struct rp_job *job, uint32_t task);
-/* Counts an allocation more or less; memory is taken only while some task has one. */
+/** Counts an allocation more or less; memory is taken only while some task has one. */
 void rp_job_count_allocation(struct rp_job *job, uint32_t task, int sign);
 bool rp_job_is_task_durable(const struct rp_job *job, uint32_t task);
-/* A worker has reported the task done (of a gang: any task). */
+/** A worker has reported the task done (of a gang: any task). */
 void rp_jobs_task_done(struct rp_jobs *jobs, struct rp_job *job, uint32_t task);
 void rp_jobs_release(struct rp_jobs *jobs, struct rp_job *job);
 void rp_jobs_record_run_time(struct rp_jobs *jobs, struct rp_job *job, double run_s);
-/* The expected run time of one of the job's tasks. */
+/** The expected run time of one of the job's tasks. */
 double rp_jobs_expected_run_s(const struct rp_jobs *jobs, const struct rp_job *job);
 
 #endif
--- a/src/model/heuristic.h
+++ b/src/model/heuristic.h
@@ -1,4 +1,5 @@
-/* The names of the planner's heuristics: an order of jobs and an order of machines, as the paper's
+/** @file
+ * The names of the planner's heuristics: an order of jobs and an order of machines, as the paper's
  * tables 2 and 3 call them. */
 #ifndef RP_MODEL_HEURISTIC_H
 #define RP_MODEL_HEURISTIC_H
@@ -27,7 +28,7 @@
     enum rp_machine_order machines;
 };
 
-/* "FCFS-SM" and the like: the paper's {job selection}-{machine selection}. */
+/** "FCFS-SM" and the like: the paper's {job selection}-{machine selection}. */
 bool rp_heuristic_named(const char *name, struct rp_heuristic *out);
 
 #endif
--- a/src/model/model.h
+++ b/src/model/model.h
@@ -1,4 +1,5 @@
-/* The field's terms: what every part of the service speaks of. */
+/** @file
+ * The field's terms: what every part of the service speaks of. */
 #ifndef RP_MODEL_MODEL_H
 #define RP_MODEL_MODEL_H
 
@@ -13,7 +14,7 @@
 #define RP_ZONES_MAX 32
 #define RP_TASKS_MAX 100000
 
-/* A service is an array whose tasks run until its user cancels it (docs/questions.md). */
+/** A service is an array whose tasks run until its user cancels it (docs/questions.md). */
 enum rp_job_kind { RP_JOB_ARRAY, RP_JOB_GANG, RP_JOB_SERVICE };
 enum rp_priority { RP_PRIORITY_LOW, RP_PRIORITY_NORMAL, RP_PRIORITY_HIGH, RP_PRIORITY_CRITICAL };
 
@@ -27,7 +28,7 @@
     sum->memory_gb += amount->memory_gb;
 }
 
-/* Never below nothing. */
+/** Never below nothing. */
 static inline void rp_resources_sub(struct rp_resources *sum, const struct rp_resources *amount) {
     sum->cpus = fmax(0, sum->cpus - amount->cpus);
     sum->gpus = fmax(0, sum->gpus - amount->gpus);
@@ -73,7 +74,7 @@
     size_t n_left_out; /* types and zones beyond these bounds */
 };
 
-/* FNV-1a. */
+/** FNV-1a. */
 static inline uint64_t rp_hash_string(const char *text) {
     uint64_t h = 14695981039346656037u;
     for (; *text; text++)
@@ -145,7 +146,7 @@
     double age_s;
 };
 
-/* What a user is told of a job. */
+/** What a user is told of a job. */
 enum rp_job_phase { RP_JOB_QUEUED, RP_JOB_RUNNING, RP_JOB_DONE, RP_JOB_CANCELLED };
 
 struct rp_job_status {
--- a/src/scheduler/cycle_input.h
+++ b/src/scheduler/cycle_input.h
@@ -1,4 +1,5 @@
-/* The leader's cluster state as the planner sees it. */
+/** @file
+ * The leader's cluster state as the planner sees it. */
 #ifndef RP_SCHEDULER_CYCLE_INPUT_H
 #define RP_SCHEDULER_CYCLE_INPUT_H
 
@@ -18,12 +19,12 @@
     size_t n_ends;
 };
 
-/* False when memory is short; to be freed in either case. */
+/** False when memory is short; to be freed in either case. */
 bool rp_cycle_input_build(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                           struct timespec now);
 void rp_cycle_input_free(struct rp_cycle_input *input);
 
-/* Seconds until the task's estimated end. */
+/** Seconds until the task's estimated end. */
 double rp_allocation_remaining_s(const struct rp_scheduler *scheduler,
                                  const struct rp_machine *machine,
                                  const struct rp_allocation *allocation, struct timespec now);
--- a/src/scheduler/planner.h
+++ b/src/scheduler/planner.h
@@ -1,4 +1,5 @@
-/* Planning: a pure function of a snapshot of the cluster. No I/O, no clock; randomness comes in as
+/** @file
+ * Planning: a pure function of a snapshot of the cluster. No I/O, no clock; randomness comes in as
  * a seed. Tasks of a job are alike, so work is planned by groups: a job's startable tasks together.
  */
 #ifndef RP_SCHEDULER_PLANNER_H
@@ -7,10 +8,10 @@
 #include "model/heuristic.h"
 #include "model/model.h"
 
-/* A machine that is returned costs at least this long (PROTOCOL, price). */
+/** A machine that is returned costs at least this long (PROTOCOL, price). */
 #define RP_MIN_CHARGE_S 60.0
 
-/* Time to spare of jobs that no aim speaks of. */
+/** Time to spare of jobs that no aim speaks of. */
 #define RP_NO_OBJECTIVE_S 1e6
 
 struct rp_plan_kind {
@@ -22,7 +23,7 @@
     struct rp_resources capacity;
 };
 
-/* Resources that running work gives back at its estimated end. */
+/** Resources that running work gives back at its estimated end. */
 struct rp_plan_end {
     double s;
     struct rp_resources released;
@@ -117,17 +118,18 @@
 void rp_plan_free(struct rp_plan *plan);
 void rp_plan_build(const struct rp_plan_input *input, struct rp_heuristic heuristic,
                    struct rp_plan *out);
-/* The portfolio: the plan that leaves least undone, and of these the cheapest. Returns the index of
- * the winner in `hs`. */
+/** The portfolio: the plan that leaves least undone, and of these the cheapest. Returns the index
+ * of the winner in `hs`. */
 size_t rp_plan_best(const struct rp_plan_input *input, const struct rp_heuristic *heuristics,
                     size_t n, struct rp_plan *out);
-/* The part of the machine that a task takes, by the resource of which it takes most. */
+/** The part of the machine that a task takes, by the resource of which it takes most. */
 double rp_plan_share_of_machine(const struct rp_resources *need,
                                 const struct rp_resources *capacity);
-/* Until one task of this size fits on the machine, by its work's estimated ends. */
+/** Until one task of this size fits on the machine, by its work's estimated ends. */
 double rp_plan_fits_after_s(const struct rp_plan_machine *machine, const struct rp_resources *each);
 bool rp_plan_is_better(const struct rp_plan *a, const struct rp_plan *b);
-/* Cost of a machine by formula (1): price times the units from its start to the end of its work. */
+/** Cost of a machine by formula (1): price times the units from its start to the end of its work.
+ */
 double rp_plan_cost(double price, double age_s, double end_s, double unit_s);
 
 #endif
--- a/src/scheduler/room.h
+++ b/src/scheduler/room.h
@@ -1,4 +1,5 @@
-/* What no plan does: gangs that lost a task, room made for work that finds none, machines drained
+/** @file
+ * What no plan does: gangs that lost a task, room made for work that finds none, machines drained
  * at the end of a load. */
 #ifndef RP_SCHEDULER_ROOM_H
 #define RP_SCHEDULER_ROOM_H
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -1,4 +1,5 @@
-/* The scheduler of a leader: what its modules share. cycle.h has the operations on it as a whole.
+/** @file
+ * The scheduler of a leader: what its modules share. cycle.h has the operations on it as a whole.
  */
 #ifndef RP_SCHEDULER_SCHEDULER_H
 #define RP_SCHEDULER_SCHEDULER_H
--- a/src/standby/change_log.h
+++ b/src/standby/change_log.h
@@ -1,11 +1,12 @@
-/* The leader's log of changes, from which standbys are served. It keeps the latest RP_CHANGES_KEPT
+/** @file
+ * The leader's log of changes, from which standbys are served. It keeps the latest RP_CHANGES_KEPT
  * of the term and never waits for anybody: a standby that is further behind gets a snapshot. */
 #ifndef RP_STANDBY_CHANGE_LOG_H
 #define RP_STANDBY_CHANGE_LOG_H
 
 #include "standby/stream_message.h"
 
-/* At 4,000 machines, which change a few dozen times a second, several minutes; 3 MB. */
+/** At 4,000 machines, which change a few dozen times a second, several minutes; 3 MB. */
 #define RP_CHANGES_KEPT 16384
 
 struct rp_change_log {
@@ -14,15 +15,15 @@
     struct rp_change *ring; /* RP_CHANGES_KEPT; NULL until the first change of a process's terms */
 };
 
-/* Begins a term, without any change. */
+/** Begins a term, without any change. */
 void rp_change_log_begin(struct rp_change_log *log, uint64_t term);
 void rp_change_log_add(struct rp_change_log *log, const struct rp_change *change);
-/* The changes after `index`, at most RP_STREAM_CHANGES_MAX, into `out`, whose memory the caller
+/** The changes after `index`, at most RP_STREAM_CHANGES_MAX, into `out`, whose memory the caller
  * frees. False: some of them aren't kept any more, or `index` is of no change yet; the caller needs
  * a snapshot. */
 bool rp_change_log_since(const struct rp_change_log *log, uint64_t index,
                          struct rp_stream_message *out);
-/* How many of the kept changes tell that a machine is gone, and these into `out`, which has room
+/** How many of the kept changes tell that a machine is gone, and these into `out`, which has room
  * for them. A snapshot carries them as well: the machines' records may not be written yet. */
 size_t rp_change_log_n_terminated(const struct rp_change_log *log);
 void rp_change_log_terminated(const struct rp_change_log *log, struct rp_change *out);
--- a/src/standby/machine_directory.h
+++ b/src/standby/machine_directory.h
@@ -1,4 +1,5 @@
-/* A standby's copy of the leader's machine directory. It tells where a machine can be asked, and
+/** @file
+ * A standby's copy of the leader's machine directory. It tells where a machine can be asked, and
  * proves nothing: what runs there is told by the machine itself. */
 #ifndef RP_STANDBY_MACHINE_DIRECTORY_H
 #define RP_STANDBY_MACHINE_DIRECTORY_H
@@ -32,10 +33,10 @@
 
 enum rp_directory_outcome rp_machine_directory_apply(struct rp_machine_directory *directory,
                                                      const struct rp_stream_message *message);
-/* NULL: the machine isn't known. */
+/** NULL: the machine isn't known. */
 const struct rp_directory_machine *
 rp_machine_directory_find(const struct rp_machine_directory *directory, const char *machine);
-/* Forgets the copy, but not which machines are gone. */
+/** Forgets the copy, but not which machines are gone. */
 void rp_machine_directory_clear(struct rp_machine_directory *directory);
 void rp_machine_directory_free(struct rp_machine_directory *directory);
 
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -1,4 +1,5 @@
-/* Warm standby. Every node that doesn't lead follows the leader: it asks it for the stream several
+/** @file
+ * Warm standby. Every node that doesn't lead follows the leader: it asks it for the stream several
  * times a second, which is the heartbeat as well, and keeps a copy of the machine directory. When
  * the leader has been silent for `suspect_after_s`, and another node says that it has missed it,
  * too, the node takes over: it deposes the leader (election.h), reads the records, leads, and shows
@@ -27,7 +28,7 @@
     RP_STANDBY_STATES
 };
 
-/* What is known of another node. */
+/** What is known of another node. */
 struct rp_standby_peer {
     struct rp_standby *standby;
     struct timespec heard; /* when it last answered */
@@ -70,12 +71,12 @@
                     struct rp_workers *workers, const struct rp_settings *settings);
 void rp_standby_start(struct rp_standby *standby);
 void rp_standby_close(struct rp_standby *standby);
-/* This node's leadership has begun: the cluster state is empty. */
+/** This node's leadership has begun: the cluster state is empty. */
 void rp_standby_elected(struct rp_standby *standby);
-/* The records are read: it leads. */
+/** The records are read: it leads. */
 void rp_standby_lead(struct rp_standby *standby);
 void rp_standby_lost(struct rp_standby *standby);
-/* The answer to another node that asks for the stream after `target`'s term and index; the caller
+/** The answer to another node that asks for the stream after `target`'s term and index; the caller
  * frees it. */
 char *rp_standby_answer(struct rp_standby *standby, const char *target);
 json_t *rp_standby_json(const struct rp_standby *standby);
--- a/src/standby/stream_message.h
+++ b/src/standby/stream_message.h
@@ -1,4 +1,5 @@
-/* Messages by which a standby follows the leader: changes of the machine directory, or a compressed
+/** @file
+ * Messages by which a standby follows the leader: changes of the machine directory, or a compressed
  * snapshot of all of it. The one place that knows their JSON form. */
 #ifndef RP_STANDBY_STREAM_MESSAGE_H
 #define RP_STANDBY_STREAM_MESSAGE_H
@@ -8,11 +9,11 @@
 #include <stdint.h>
 #include "model/model.h"
 
-/* A message of another version is refused: its sender is followed by heartbeats only. */
+/** A message of another version is refused: its sender is followed by heartbeats only. */
 #define RP_STREAM_VERSION 1
-/* Changes in one message; a standby that is further behind gets them in several, or a snapshot. */
+/** Changes in one message; a standby that is further behind gets them in several, or a snapshot. */
 #define RP_STREAM_CHANGES_MAX 4096
-/* Machines in a snapshot, several times the 4,000 that the users run; a larger one is refused. */
+/** Machines in a snapshot, several times the 4,000 that the users run; a larger one is refused. */
 #define RP_STREAM_MACHINES_MAX 65536
 
 enum rp_change_kind {
@@ -28,7 +29,7 @@
     uint64_t incarnation;   /* the same */
 };
 
-/* What a node answers to one that asks for the stream. */
+/** What a node answers to one that asks for the stream. */
 struct rp_stream_message {
     uint64_t term;             /* the token under which the sender leads; 0: it doesn't lead */
     uint64_t index;            /* number of the last change in the message; the first is 1 */
@@ -57,9 +58,9 @@
 };
 
 const char *rp_stream_fault_name(enum rp_stream_fault fault);
-/* The message as text, which the caller frees; NULL when memory or the library fails. */
+/** The message as text, which the caller frees; NULL when memory or the library fails. */
 char *rp_stream_encode(const struct rp_stream_message *message);
-/* Reads a message; on success the caller frees it by rp_stream_message_free. On failure nothing is
+/** Reads a message; on success the caller frees it by rp_stream_message_free. On failure nothing is
  * to be freed, and `error` tells what is wrong. */
 bool rp_stream_decode(const char *text, size_t len, struct rp_stream_message *out,
                       struct rp_stream_error *error);
--- a/src/upgrade/format_upgrade.h
+++ b/src/upgrade/format_upgrade.h
@@ -1,4 +1,5 @@
-/* Which format the service's nodes write. A node that knows the format of today says so in a record
+/** @file
+ * Which format the service's nodes write. A node that knows the format of today says so in a record
  * that lives as long as it does; once every node of the settings has one, the leader writes the
  * activation, on the condition of all of them and of its leadership. It is never undone. Until a
  * node knows of it, it writes what the version before reads and means the same. */
@@ -39,9 +40,10 @@
 void rp_upgrade_start(struct rp_upgrade *upgrade);
 void rp_upgrade_stop(struct rp_upgrade *upgrade);
 bool rp_upgrade_is_active(const struct rp_upgrade *upgrade);
-/* Somebody has read the activation's record; NULL: there is none. */
+/** Somebody has read the activation's record; NULL: there is none. */
 void rp_upgrade_on_activation_record(struct rp_upgrade *upgrade, const json_t *record);
-/* Marks a record with the format of today once that is active. Takes `record` over, and returns it.
+/** Marks a record with the format of today once that is active. Takes `record` over, and returns
+ * it.
  */
 json_t *rp_upgrade_mark_record(const struct rp_upgrade *upgrade, json_t *record);
 const char *rp_upgrade_state_name(const struct rp_upgrade *upgrade);
