--- a/src/api/status.c
+++ b/src/api/status.c
@@ -5,7 +5,7 @@
 
 static json_t *class_counts(const struct rp_status_sources *sources) {
     json_t *classes = json_object();
-    for (const struct rp_job *job = sources->jobs->first; job; job = job->next) {
+    for (const struct rp_job *job = sources->jobs->table.first; job; job = job->next) {
         /* What is over stays in the table while machines still list some of it. */
         if (job->state == RP_JOB_CLOSED)
             continue;
@@ -44,7 +44,7 @@
 static json_t *service_counts(const struct rp_status_sources *sources) {
     const struct rp_services *services = sources->services;
     return json_pack("{s:I,s:I,s:I,s:I,s:f,s:f,s:I,s:I}", "jobs",
-                     (json_int_t)sources->jobs->n_services, "placed",
+                     (json_int_t)sources->jobs->table.n_services, "placed",
                      (json_int_t)services->n_placed, "tasks_stopped_for_them",
                      (json_int_t)services->n_made_room, "moved", (json_int_t)services->n_moved,
                      "reserve_cpus", rp_services_reserve_cpus(services), "ready_cpus",
@@ -56,7 +56,7 @@
 /* What went beyond a fixed bound, was put off or left out, and logged. */
 static unsigned long over_bounds(const struct rp_status_sources *sources) {
     return sources->workers->n_over_bounds + sources->scheduler->n_over_bounds +
-           sources->jobs->n_over_bounds + sources->catalog->n_left_out;
+           sources->jobs->run_time_estimator.n_unclassified + sources->catalog->n_left_out;
 }
 
 static json_t *plan_winners(const struct rp_status_sources *sources) {
@@ -92,7 +92,7 @@
                                        {"state_too_fast", sources->store->n_too_fast},
                                        {"state_too_large", sources->store->n_bad},
                                        {"state_shed", sources->store->n_shed},
-                                       {"unreadable", sources->jobs->n_unreadable},
+                                       {"unreadable", sources->jobs->record_reader.n_unreadable},
                                        {"rounds", sources->scheduler->n_cycles},
                                        {"starts", sources->workers->n_starts},
                                        {"preempted", sources->scheduler->n_preempted},
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -288,7 +288,7 @@
         }
     if (request)
         request->n = n;
-    return rp_upgrade_mark_record(fleet->jobs->upgrade,
+    return rp_upgrade_mark_record(fleet->jobs->context.upgrade,
                                   rp_record_provision(&rental->record, names, up, n));
 }
 
--- a/src/cluster/quarantine.c
+++ b/src/cluster/quarantine.c
@@ -43,7 +43,7 @@
     rp_info("machine %s is faulty: errors=%u, last job=%s", machine->name,
             machine->health.consecutive_errors, job->spec.id);
     machine->health.quarantined = true;
-    for (struct rp_job *j = cluster->jobs->first; j; j = j->next)
+    for (struct rp_job *j = cluster->jobs->table.first; j; j = j->next)
         for (unsigned i = 0; i < j->n_failed_machines; i++)
             if (strcmp(j->failed_machines[i], machine->name) == 0) {
                 j->n_failed_machines--;
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -83,8 +83,8 @@
                                      .fill_running_counts = fill_running_counts,
                                      .arg = node};
     node->jobs.on_loaded = on_loaded;
-    node->jobs.on_closed = on_closed;
-    node->jobs.on_changed = on_room;
+    node->jobs.on_job_closed = on_closed;
+    node->jobs.on_open_jobs_changed = on_room;
     node->jobs.arg = node;
     node->fleet.on_loaded = on_fleet_loaded;
     node->fleet.on_changed = on_room;
@@ -201,7 +201,8 @@
         rp_jobs_load(&node->jobs);
         break;
     case RP_NODE_LEADING:
-        rp_info("leading: jobs=%zu machines=%zu", node->jobs.n_jobs, node->cluster.n_machines);
+        rp_info("leading: jobs=%zu machines=%zu", node->jobs.table.n_jobs,
+                node->cluster.n_machines);
         rp_image_index_lead(&node->image_index);
         rp_standby_lead(&node->standby);
         rp_catalog_source_lead(&node->catalog_source);
@@ -296,7 +297,7 @@
 
 static char *summary_json(const struct rp_node *node) {
     json_t *jobs = json_object();
-    for (const struct rp_job *job = node->jobs.first; job; job = job->next)
+    for (const struct rp_job *job = node->jobs.table.first; job; job = job->next)
         if ((job->n_done || job->n_running) && job->state != RP_JOB_CLOSED)
             json_object_set_new(jobs, job->spec.id,
                                 json_pack("[i,i]", (int)job->n_done, (int)job->n_running));
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -42,7 +42,7 @@
 static struct request *request_new(struct rp_jobs *jobs) {
     struct request *request = rp_alloc(1, sizeof *request);
     request->t = jobs;
-    request->generation = jobs->generation;
+    request->generation = jobs->context.generation;
     return request;
 }
 
@@ -58,13 +58,13 @@
                   struct rp_election *election, const struct rp_upgrade *upgrade,
                   const struct rp_settings *settings) {
     memset(jobs, 0, sizeof *jobs);
-    jobs->upgrade = upgrade;
+    jobs->context.upgrade = upgrade;
     jobs->flush_most = FLUSH_MOST;
     jobs->ops_most = settings->state_fit.txn_ops;
-    jobs->loop = loop;
-    jobs->store = store;
-    jobs->election = election;
-    jobs->settings = settings;
+    jobs->context.loop = loop;
+    jobs->context.store = store;
+    jobs->context.election = election;
+    jobs->context.settings = settings;
     jobs->timer = (struct rp_timer){.fn = tick, .arg = jobs};
 }
 
@@ -75,7 +75,7 @@
 }
 
 struct rp_job *rp_jobs_find(const struct rp_jobs *jobs, const char *id) {
-    struct rp_job *job = jobs->buckets[bucket_of(id)];
+    struct rp_job *job = jobs->table.buckets[bucket_of(id)];
     while (job && strcmp(job->spec.id, id) != 0)
         job = job->hash_next;
     return job;
@@ -109,39 +109,39 @@
 }
 
 static void table_insert(struct rp_jobs *jobs, struct rp_job *job) {
-    struct rp_job **bucket = &jobs->buckets[bucket_of(job->spec.id)];
+    struct rp_job **bucket = &jobs->table.buckets[bucket_of(job->spec.id)];
     job->hash_next = *bucket;
     *bucket = job;
-    struct rp_job *after = jobs->last;
+    struct rp_job *after = jobs->table.last;
     while (after && rp_ts_cmp(after->accepted_at, job->accepted_at) > 0)
         after = after->prev;
     job->prev = after;
-    job->next = after ? after->next : jobs->first;
+    job->next = after ? after->next : jobs->table.first;
     if (job->next)
         job->next->prev = job;
     else
-        jobs->last = job;
+        jobs->table.last = job;
     if (after)
         after->next = job;
     else
-        jobs->first = job;
-    jobs->n_jobs++;
+        jobs->table.first = job;
+    jobs->table.n_jobs++;
 }
 
 static void table_remove(struct rp_jobs *jobs, struct rp_job *job) {
-    struct rp_job **link = &jobs->buckets[bucket_of(job->spec.id)];
+    struct rp_job **link = &jobs->table.buckets[bucket_of(job->spec.id)];
     while (*link != job)
         link = &(*link)->hash_next;
     *link = job->hash_next;
     if (job->prev)
         job->prev->next = job->next;
     else
-        jobs->first = job->next;
+        jobs->table.first = job->next;
     if (job->next)
         job->next->prev = job->prev;
     else
-        jobs->last = job->prev;
-    jobs->n_jobs--;
+        jobs->table.last = job->prev;
+    jobs->table.n_jobs--;
 }
 
 static struct rp_job *job_add(struct rp_jobs *jobs, json_t *value, uint64_t version) {
@@ -154,12 +154,13 @@
     size_t bytes = (job->spec.n_tasks + 7) / 8;
     clock_gettime(CLOCK_REALTIME, &wall);
     job->version = job->accepted_revision = version;
-    job->first_seen_at = rp_loop_now(jobs->loop);
-    job->age_at_first_seen_s = jobs->loop->is_virtual ? 0 : rp_ts_since(wall, job->accepted_at);
+    job->first_seen_at = rp_loop_now(jobs->context.loop);
+    job->age_at_first_seen_s =
+        jobs->context.loop->is_virtual ? 0 : rp_ts_since(wall, job->accepted_at);
     if (job->age_at_first_seen_s < 0)
         job->age_at_first_seen_s = 0;
     job->image_hash = rp_hash_string(job->spec.image);
-    job->team = rp_settings_team(jobs->settings, job->spec.team);
+    job->team = rp_settings_team(jobs->context.settings, job->spec.team);
     job->done = calloc(1, bytes);
     job->durable = calloc(1, bytes);
     job->progress_revisions = calloc(n_chunks(job) + n_units(job), sizeof *job->progress_revisions);
@@ -168,7 +169,7 @@
         return NULL;
     }
     table_insert(jobs, job);
-    jobs->n_services += job->spec.kind == RP_JOB_SERVICE;
+    jobs->table.n_services += job->spec.kind == RP_JOB_SERVICE;
     return job;
 }
 
@@ -177,11 +178,11 @@
     job->state = state;
     if (state != RP_JOB_CLOSED)
         return;
-    jobs->n_services -= job->spec.kind == RP_JOB_SERVICE;
+    jobs->table.n_services -= job->spec.kind == RP_JOB_SERVICE;
     /* Dropping the last allocation frees a closed job: held until the stops are through. */
     job->n_refs++;
-    if (jobs->on_closed)
-        jobs->on_closed(jobs->arg, job);
+    if (jobs->on_job_closed)
+        jobs->on_job_closed(jobs->arg, job);
     rp_jobs_release(jobs, job);
 }
 
@@ -199,11 +200,11 @@
 }
 
 void rp_jobs_clear(struct rp_jobs *jobs) {
-    jobs->generation++;
+    jobs->context.generation++;
     jobs->active = jobs->reading_parts = jobs->collecting_garbage = jobs->loading = false;
     jobs->catching_up = jobs->refused = false;
     jobs->provable_since = (struct timespec){0};
-    jobs->n_services = 0;
+    jobs->table.n_services = 0;
     while (jobs->garbage) {
         struct rp_garbage *garbage = jobs->garbage;
         jobs->garbage = garbage->next;
@@ -214,22 +215,22 @@
         jobs->partial_records = partial->next;
         pending_free(partial);
     }
-    rp_timer_cancel(jobs->loop, &jobs->timer);
-    for (struct rp_job *job = jobs->first, *next; job; job = next) {
+    rp_timer_cancel(jobs->context.loop, &jobs->timer);
+    for (struct rp_job *job = jobs->table.first, *next; job; job = next) {
         next = job->next;
         job_free(job);
     }
-    memset(jobs->buckets, 0, sizeof jobs->buckets);
-    jobs->first = jobs->last = NULL;
-    jobs->n_jobs = 0;
+    memset(jobs->table.buckets, 0, sizeof jobs->table.buckets);
+    jobs->table.first = jobs->table.last = NULL;
+    jobs->table.n_jobs = 0;
 }
 
 double rp_jobs_staleness_s(const struct rp_jobs *jobs) {
-    return rp_ts_since(rp_loop_now(jobs->loop), jobs->synced_at);
+    return rp_ts_since(rp_loop_now(jobs->context.loop), jobs->synced_at);
 }
 
 bool rp_jobs_may_answer_heartbeats(const struct rp_jobs *jobs) {
-    return rp_jobs_staleness_s(jobs) < rp_settings_max_staleness_s(jobs->settings);
+    return rp_jobs_staleness_s(jobs) < rp_settings_max_staleness_s(jobs->context.settings);
 }
 
 bool rp_jobs_may_start_tasks(const struct rp_jobs *jobs) {
@@ -253,11 +254,11 @@
 static void list_progress(struct rp_jobs *jobs, const char *after);
 
 static bool request_current(const struct request *request) {
-    return request->generation == request->t->generation;
+    return request->generation == request->t->context.generation;
 }
 
 static void load_failed(struct rp_jobs *jobs) {
-    jobs->generation++;
+    jobs->context.generation++;
     jobs->on_loaded(jobs->arg, false);
 }
 
@@ -355,14 +356,14 @@
 static void sweep_some(struct rp_jobs *jobs) {
     struct rp_garbage *garbage = jobs->garbage;
     char key[RP_KEY_MAX];
-    double room = rp_kv_write_headroom(jobs->store, RP_KV_BUDGET_LEADER);
+    double room = rp_kv_write_headroom(jobs->context.store, RP_KV_BUDGET_LEADER);
     if (!garbage || jobs->collecting_garbage || room < 1)
         return;
     struct request *request = request_new(jobs);
     json_t *txn = rp_wire_txn();
     struct rp_stored_records left = garbage->stored;
     rp_string_copy(request->job, sizeof request->job, garbage->job);
-    rp_election_guard(jobs->election, txn);
+    rp_election_guard(jobs->context.election, txn);
     rp_key(key, RP_KEY_OPEN, garbage->job);
     rp_wire_txn_if(txn, key, 0);
     delete_stored(txn, garbage->job, &left,
@@ -371,14 +372,14 @@
                                                 .units = garbage->stored.units & ~left.units,
                                                 .parts = garbage->stored.parts & ~left.parts};
     jobs->collecting_garbage = true;
-    rp_kv_txn(jobs->store, RP_KV_BUDGET_LEADER, txn, swept, request);
+    rp_kv_txn(jobs->context.store, RP_KV_BUDGET_LEADER, txn, swept, request);
 }
 
 /* ---- loading, continued ---- */
 
 /* Whether a record may be read; one that can't be is logged, left alone, and harms no other. */
 static void unreadable(struct rp_jobs *jobs, const char *key, const json_t *value) {
-    jobs->n_unreadable++;
+    jobs->record_reader.n_unreadable++;
     if (rp_record_format(value) > RP_FORMAT)
         rp_error("record %s is of format %u, later than %d: left alone", key,
                  rp_record_format(value), RP_FORMAT);
@@ -414,7 +415,7 @@
 }
 
 static void loaded(struct rp_jobs *jobs) {
-    for (struct rp_job *job = jobs->first; job; job = job->next) {
+    for (struct rp_job *job = jobs->table.first; job; job = job->next) {
         /* A replica is never done, whatever a node of the first format has written. */
         if (job->spec.kind == RP_JOB_SERVICE)
             continue;
@@ -426,7 +427,7 @@
     }
     jobs->active = true;
     jobs->loading = false;
-    rp_timer_set(jobs->loop, &jobs->timer, FLUSH_EVERY_S);
+    rp_timer_set(jobs->context.loop, &jobs->timer, FLUSH_EVERY_S);
     follow(jobs);
     jobs->on_loaded(jobs->arg, true);
 }
@@ -451,7 +452,7 @@
 }
 
 static void list_progress(struct rp_jobs *jobs, const char *after) {
-    rp_kv_list(jobs->store, RP_KV_BUDGET_LEADER, RP_KEY_PROGRESS, after, PAGE, got_progress,
+    rp_kv_list(jobs->context.store, RP_KV_BUDGET_LEADER, RP_KEY_PROGRESS, after, PAGE, got_progress,
                request_new(jobs));
 }
 
@@ -527,8 +528,8 @@
         take_pending(jobs, partial, result->body);
     pending_free(partial);
     read_next_parts(jobs);
-    if (news && jobs->active && jobs->on_changed)
-        jobs->on_changed(jobs->arg);
+    if (news && jobs->active && jobs->on_open_jobs_changed)
+        jobs->on_open_jobs_changed(jobs->arg);
 out:
     request_free(request);
 }
@@ -546,7 +547,7 @@
     }
     snprintf(prefix, sizeof prefix, "%s%s/", RP_KEY_PART, jobs->partial_records->job);
     jobs->reading_parts = true;
-    rp_kv_list(jobs->store, RP_KV_BUDGET_LEADER, prefix, NULL, RP_PARTS_MAX, got_parts,
+    rp_kv_list(jobs->context.store, RP_KV_BUDGET_LEADER, prefix, NULL, RP_PARTS_MAX, got_parts,
                request_new(jobs));
 }
 
@@ -585,7 +586,7 @@
         if (!rp_wire_items_at(result->body, i, &item))
             continue;
         if (is_fence(&item))
-            rp_election_note_fence(jobs->election, item.version);
+            rp_election_note_fence(jobs->context.election, item.version);
         else if (!rp_jobs_find(jobs, item.key + strlen(RP_KEY_OPEN)))
             take_open(jobs, &item);
     }
@@ -604,7 +605,7 @@
 }
 
 static void list_open(struct rp_jobs *jobs, const char *after) {
-    rp_kv_list(jobs->store, RP_KV_BUDGET_LEADER, RP_KEY_OPEN, after, PAGE, got_open,
+    rp_kv_list(jobs->context.store, RP_KV_BUDGET_LEADER, RP_KEY_OPEN, after, PAGE, got_open,
                request_new(jobs));
 }
 
@@ -612,7 +613,7 @@
     rp_jobs_clear(jobs);
     jobs->revision = 0;
     jobs->loading = jobs->watched = true;
-    jobs->synced_at = rp_loop_now(jobs->loop);
+    jobs->synced_at = rp_loop_now(jobs->context.loop);
     list_open(jobs, NULL);
 }
 
@@ -652,7 +653,7 @@
         for (size_t i = 0; i < n; i++) {
             struct rp_item event;
             if (rp_wire_event_at(result->body, i, &event) && is_fence(&event))
-                rp_election_note_fence(jobs->election, event.version);
+                rp_election_note_fence(jobs->context.election, event.version);
         }
         if (!request_current(request))
             goto out;
@@ -670,13 +671,13 @@
         jobs->synced_at = jobs->watch_sent_at;
         jobs->catching_up = jobs->refused = false;
         follow(jobs);
-        if (n > 0 && jobs->on_changed)
-            jobs->on_changed(jobs->arg);
+        if (n > 0 && jobs->on_open_jobs_changed)
+            jobs->on_open_jobs_changed(jobs->arg);
     } else if (result->outcome == RP_KV_COMPACTED) {
         /* The watch fell too far behind: the table has to be read again, and with it the cluster
          * state of who may be where. Under the same token old copies of reports would pass for news
          * there, and attempt numbers for new ones: another term begins. */
-        rp_election_resign(jobs->election, 0);
+        rp_election_resign(jobs->context.election, 0);
     } else {
         jobs->watch_sent_at = (struct timespec){0}; /* the tick starts it again */
         jobs->catching_up = true;
@@ -688,11 +689,11 @@
 /* After a failure the first watch is answered at once, with all that was written meanwhile: workers
  * wait for it. */
 static void follow(struct rp_jobs *jobs) {
-    double hold =
-        fmin(FOLLOW_HOLD_S, FOLLOW_HOLD_SHARE * rp_settings_max_staleness_s(jobs->settings));
-    jobs->watch_sent_at = rp_loop_now(jobs->loop);
-    rp_kv_watch(jobs->store, RP_KEY_OPEN, jobs->revision, jobs->catching_up ? 0 : hold, followed,
-                request_new(jobs));
+    double hold = fmin(FOLLOW_HOLD_S,
+                       FOLLOW_HOLD_SHARE * rp_settings_max_staleness_s(jobs->context.settings));
+    jobs->watch_sent_at = rp_loop_now(jobs->context.loop);
+    rp_kv_watch(jobs->context.store, RP_KEY_OPEN, jobs->revision, jobs->catching_up ? 0 : hold,
+                followed, request_new(jobs));
 }
 
 /* ---- making results durable ---- */
@@ -728,7 +729,7 @@
     job->done[task / 8] |= (uint8_t)(1u << (task % 8));
     job->n_done++;
     if (!job->dirty_units)
-        job->dirty_since = rp_loop_now(jobs->loop);
+        job->dirty_since = rp_loop_now(jobs->context.loop);
     job->dirty_units |= UINT64_C(1) << (task / RP_UNIT_TASKS);
 }
 
@@ -758,15 +759,15 @@
     job->finishing = false;
     if (result->outcome == RP_KV_OK) {
         rp_info("job %s is done, tasks=%u age=%.1fs", job->spec.id, job->spec.n_tasks,
-                rp_job_age_s(job, rp_loop_now(jobs->loop)));
+                rp_job_age_s(job, rp_loop_now(jobs->context.loop)));
         sweep_later(jobs, job->spec.id, &request->left);
         job_set_state(jobs, job, RP_JOB_CLOSED);
     } else if (result->outcome == RP_KV_CONDITION_FAILED &&
                rp_wire_failed_key(result->body, RP_KEY_LEADER)) {
-        rp_election_verify(jobs->election);
+        rp_election_verify(jobs->context.election);
     } else if (result->outcome == RP_KV_BAD_REQUEST) {
         fewer_ops(jobs);
-        job->write_back_backoff_until = rp_ts_after(rp_loop_now(jobs->loop), FLUSH_HOLD_S);
+        job->write_back_backoff_until = rp_ts_after(rp_loop_now(jobs->context.loop), FLUSH_HOLD_S);
     }
     /* Another conflict means that the job was cancelled, or that an unanswered try went through:
      * the watch tells. Anything else is tried again by the tick. */
@@ -775,8 +776,8 @@
 }
 
 static void finish(struct rp_jobs *jobs, struct rp_job *job) {
-    struct timespec now = rp_loop_now(jobs->loop);
-    if (job->finishing || !rp_election_is_valid(jobs->election, now) ||
+    struct timespec now = rp_loop_now(jobs->context.loop);
+    if (job->finishing || !rp_election_is_valid(jobs->context.election, now) ||
         !rp_ts_reached(now, job->write_back_backoff_until))
         return;
     struct request *request = request_new(jobs);
@@ -784,18 +785,19 @@
     json_t *txn = rp_wire_txn();
     rp_string_copy(request->job, sizeof request->job, job->spec.id);
     job->finishing = true;
-    rp_election_guard(jobs->election, txn);
+    rp_election_guard(jobs->context.election, txn);
     rp_key(key, RP_KEY_OPEN, job->spec.id);
     rp_wire_txn_if(txn, key, job->version);
     rp_wire_txn_delete(txn, key);
     rp_key(key, RP_KEY_TERMINAL, job->spec.id);
     rp_wire_txn_put(txn, key,
-                    rp_upgrade_mark_record(jobs->upgrade, rp_record_terminal(RP_JOB_DONE)), 0);
+                    rp_upgrade_mark_record(jobs->context.upgrade, rp_record_terminal(RP_JOB_DONE)),
+                    0);
     /* The move itself is atomic; the records that nobody reads any more go as they fit, with it or
      * after it. */
     request->left = job->stored;
     delete_stored(txn, job->spec.id, &request->left, jobs->ops_most);
-    rp_kv_txn(jobs->store, RP_KV_BUDGET_LEADER, txn, finished, request);
+    rp_kv_txn(jobs->context.store, RP_KV_BUDGET_LEADER, txn, finished, request);
 }
 
 /* The units that a piece covers. */
@@ -807,7 +809,7 @@
 /* A record was refused for its size, or a transaction for its length, though all should fit: the
  * limits are lower than told. Less at a time, and never the same again at once. */
 static void refused_as_large(struct rp_jobs *jobs, const struct request *request) {
-    struct timespec now = rp_loop_now(jobs->loop);
+    struct timespec now = rp_loop_now(jobs->context.loop);
     if (request->n > 1) {
         jobs->flush_most = request->n / 2;
         return;
@@ -873,7 +875,7 @@
     request->saved[0].unit = unit;
     job->writing_units |= units_of(piece, unit);
     piece_key(key, job->spec.id, piece, unit);
-    rp_kv_get(jobs->store, RP_KV_BUDGET_LEADER, key, saved_read, request);
+    rp_kv_get(jobs->context.store, RP_KV_BUDGET_LEADER, key, saved_read, request);
 }
 
 static void flushed(void *arg, const struct rp_kv_result *result) {
@@ -911,7 +913,7 @@
     }
     if (result->outcome == RP_KV_CONDITION_FAILED &&
         rp_wire_failed_key(result->body, RP_KEY_LEADER))
-        rp_election_verify(jobs->election);
+        rp_election_verify(jobs->context.election);
     if (result->outcome == RP_KV_BAD_REQUEST)
         refused_as_large(jobs, request);
     else if (result->outcome == RP_KV_OK && jobs->flush_most < FLUSH_MOST)
@@ -935,7 +937,8 @@
     piece_key(key, job->spec.id, piece, unit);
     rp_wire_txn_if(txn, key, *saved_rev(job, piece, unit));
     rp_wire_txn_put(
-        txn, key, rp_upgrade_mark_record(jobs->upgrade, rp_record_progress(job->done + at, bytes)),
+        txn, key,
+        rp_upgrade_mark_record(jobs->context.upgrade, rp_record_progress(job->done + at, bytes)),
         0);
     job->dirty_units &= ~units_of(piece, unit);
     job->writing_units |= units_of(piece, unit);
@@ -945,12 +948,12 @@
  * doesn't fit, it waits for the activation. */
 static void flush_job(struct rp_jobs *jobs, struct request *request, json_t *txn,
                       struct rp_job *job, size_t most) {
-    bool unit = rp_upgrade_is_active(jobs->upgrade);
+    bool unit = rp_upgrade_is_active(jobs->context.upgrade);
     unsigned n = unit ? RP_UNITS_MAX : (RP_UNITS_MAX + RP_CHUNK_UNITS - 1) / RP_CHUNK_UNITS;
     uint64_t due = job->dirty_units & ~job->writing_units;
     size_t bytes = (job->spec.n_tasks + 7) / 8;
     if (!unit && (double)(2 * (bytes < RP_CHUNK_BYTES ? bytes : RP_CHUNK_BYTES) + PROGRESS_FRAME) >
-                     jobs->settings->state.value_kb * 1024)
+                     jobs->context.settings->state.value_kb * 1024)
         return;
     for (unsigned p = 0; p < n && request->n < most; p++)
         if (!(due & units_of(p, unit)) || job->writing_units & units_of(p, unit))
@@ -964,11 +967,11 @@
 /* Writes the progress that has waited longest, as many records together as a transaction and the
  * budget take: the more there is, the fuller the transactions. */
 static void flush(struct rp_jobs *jobs) {
-    struct timespec now = rp_loop_now(jobs->loop);
+    struct timespec now = rp_loop_now(jobs->context.loop);
     /* Some is left for finishing jobs; where few changes a second are allowed, less of it. */
-    double room = rp_kv_write_headroom(jobs->store, RP_KV_BUDGET_LEADER) -
-                  fmin(FINISH_ROOM, jobs->settings->state_fit.write_rps * FINISH_SHARE);
-    size_t limit = jobs->settings->state_fit.txn_ops;
+    double room = rp_kv_write_headroom(jobs->context.store, RP_KV_BUDGET_LEADER) -
+                  fmin(FINISH_ROOM, jobs->context.settings->state_fit.write_rps * FINISH_SHARE);
+    size_t limit = jobs->context.settings->state_fit.txn_ops;
     size_t most = limit < jobs->flush_most ? limit : jobs->flush_most;
     if (room < 1)
         return;
@@ -977,8 +980,8 @@
     struct request *request = request_new(jobs);
     json_t *txn = rp_wire_txn();
     request->saved = rp_alloc(most, sizeof *request->saved);
-    rp_election_guard(jobs->election, txn);
-    for (struct rp_job *job = jobs->first; job && request->n < most; job = job->next) {
+    rp_election_guard(jobs->context.election, txn);
+    for (struct rp_job *job = jobs->table.first; job && request->n < most; job = job->next) {
         if (job->state != RP_JOB_OPEN || !job->dirty_units ||
             !rp_ts_reached(now, job->write_back_backoff_until) ||
             rp_ts_since(now, job->dirty_since) < FLUSH_AGE_S)
@@ -987,7 +990,7 @@
         job->dirty_since = now;
     }
     if (request->n > 0) {
-        rp_kv_txn(jobs->store, RP_KV_BUDGET_LEADER, txn, flushed, request);
+        rp_kv_txn(jobs->context.store, RP_KV_BUDGET_LEADER, txn, flushed, request);
     } else {
         json_decref(txn);
         request_free(request);
@@ -997,11 +1000,11 @@
 static void tick(void *arg) {
     struct rp_jobs *jobs = arg;
     struct rp_job *next;
-    struct timespec now = rp_loop_now(jobs->loop);
-    rp_timer_set(jobs->loop, &jobs->timer, FLUSH_EVERY_S);
+    struct timespec now = rp_loop_now(jobs->context.loop);
+    rp_timer_set(jobs->context.loop, &jobs->timer, FLUSH_EVERY_S);
     if (jobs->watch_sent_at.tv_sec == 0 && jobs->watch_sent_at.tv_nsec == 0)
         follow(jobs);
-    if (!rp_election_is_valid(jobs->election, now)) {
+    if (!rp_election_is_valid(jobs->context.election, now)) {
         jobs->provable_since = (struct timespec){0};
         return;
     }
@@ -1011,10 +1014,10 @@
      * else has to lead. After an outage it has a moment to catch up. */
     if (!rp_jobs_may_answer_heartbeats(jobs) &&
         rp_ts_since(now, jobs->provable_since) > CATCH_UP_S) {
-        rp_election_resign(jobs->election, 5);
+        rp_election_resign(jobs->context.election, 5);
         return;
     }
-    for (struct rp_job *job = jobs->first; job; job = next) {
+    for (struct rp_job *job = jobs->table.first; job; job = next) {
         next = job->next;
         if (job->state == RP_JOB_FINISHING)
             finish(jobs, job);
@@ -1027,15 +1030,16 @@
 /* ---- what run times teach ---- */
 
 static struct rp_class_stats *class_stats(struct rp_jobs *jobs, const char *name) {
-    for (size_t i = 0; i < jobs->n_classes; i++)
-        if (strcmp(jobs->classes[i].name, name) == 0)
-            return &jobs->classes[i];
-    if (jobs->n_classes == RP_CLASSES_MAX) {
-        if (jobs->n_over_bounds++ == 0)
+    for (size_t i = 0; i < jobs->run_time_estimator.n_classes; i++)
+        if (strcmp(jobs->run_time_estimator.classes[i].name, name) == 0)
+            return &jobs->run_time_estimator.classes[i];
+    if (jobs->run_time_estimator.n_classes == RP_CLASSES_MAX) {
+        if (jobs->run_time_estimator.n_unclassified++ == 0)
             rp_error("over %d classes of jobs: class %s learns nothing", RP_CLASSES_MAX, name);
         return NULL;
     }
-    struct rp_class_stats *stats = &jobs->classes[jobs->n_classes++];
+    struct rp_class_stats *stats =
+        &jobs->run_time_estimator.classes[jobs->run_time_estimator.n_classes++];
     memset(stats, 0, sizeof *stats);
     rp_string_copy(stats->name, sizeof stats->name, name);
     return stats;
@@ -1056,10 +1060,13 @@
 }
 
 static double class_expects_s(const struct rp_jobs *jobs, const struct rp_job *job) {
-    for (size_t i = 0; i < jobs->n_classes; i++)
-        if (strcmp(jobs->classes[i].name, job->spec.class_name) == 0)
-            return job->spec.estimate_s * (jobs->classes[i].ratio * jobs->classes[i].weight + 2.0) /
-                   (jobs->classes[i].weight + 2.0);
+    for (size_t i = 0; i < jobs->run_time_estimator.n_classes; i++)
+        if (strcmp(jobs->run_time_estimator.classes[i].name, job->spec.class_name) == 0)
+            return job->spec.estimate_s *
+                   (jobs->run_time_estimator.classes[i].ratio *
+                        jobs->run_time_estimator.classes[i].weight +
+                    2.0) /
+                   (jobs->run_time_estimator.classes[i].weight + 2.0);
     return job->spec.estimate_s;
 }
 
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -97,14 +97,39 @@
 
 typedef void (*rp_jobs_ready_fn)(void *arg, bool ok);
 
-struct rp_jobs {
+/** What all parts share. */
+struct rp_jobs_context {
     struct rp_loop *loop;
     struct rp_kv_client *store;
     struct rp_election *election;
     const struct rp_settings *settings;
+    const struct rp_upgrade *upgrade;
+    unsigned long generation; /* answers to requests of an earlier leadership are ignored */
+};
+
+/** The jobs, by id and in order of acceptance. */
+struct rp_job_table {
     struct rp_job *buckets[RP_JOBS_BUCKETS];
     struct rp_job *first, *last;
     size_t n_jobs;
+    size_t n_services; /* open ones */
+};
+
+/** What the run times of tasks have taught, by class. */
+struct rp_run_time_estimator {
+    struct rp_class_stats classes[RP_CLASSES_MAX];
+    size_t n_classes;
+    unsigned long n_unclassified; /* run times of classes beyond RP_CLASSES_MAX */
+};
+
+/** Reads records of open jobs. */
+struct rp_record_reader {
+    unsigned long n_unreadable;
+};
+
+struct rp_jobs {
+    struct rp_jobs_context context;
+    struct rp_job_table table;
     uint64_t revision;         /* the table holds everything up to here */
     struct timespec synced_at; /* when the newest answered watch was sent */
     struct timespec watch_sent_at;
@@ -112,23 +137,18 @@
     bool catching_up;               /* a watch has failed: the next one doesn't wait for news */
     bool refused;                   /* this node alone isn't answered, as far as is known */
     struct timespec provable_since; /* since when the leader's lease is provable without a gap */
-    const struct rp_upgrade *upgrade;
     struct rp_garbage *garbage;
     struct rp_partial_record *partial_records;
     bool reading_parts, collecting_garbage, loading;
-    size_t n_services; /* open ones */
     size_t flush_most; /* records in a transaction; fewer once the service has refused so many */
     size_t ops_most;   /* changes in a transaction; fewer once the service has refused so many */
-    unsigned long n_unreadable;
-    unsigned long generation; /* answers to requests of an earlier leadership are ignored */
+    struct rp_record_reader record_reader;
     bool active;
     struct rp_timer timer;
-    struct rp_class_stats classes[RP_CLASSES_MAX];
-    size_t n_classes;
-    unsigned long n_over_bounds; /* run times of classes beyond RP_CLASSES_MAX */
+    struct rp_run_time_estimator run_time_estimator;
     rp_jobs_ready_fn on_loaded;
-    void (*on_closed)(void *arg, struct rp_job *job);
-    void (*on_changed)(void *arg);
+    void (*on_job_closed)(void *arg, struct rp_job *job);
+    void (*on_open_jobs_changed)(void *arg);
     void *arg;
 };
 
--- a/src/scheduler/cycle_input.c
+++ b/src/scheduler/cycle_input.c
@@ -194,7 +194,7 @@
     const struct rp_resources *all = &rp_scheduler_catalog(scheduler)->types[type].capacity;
     struct rp_resources largest = {0}, sum = {0};
     double n_sum = 0;
-    for (const struct rp_job *job = scheduler->jobs->first; job; job = job->next) {
+    for (const struct rp_job *job = scheduler->jobs->table.first; job; job = job->next) {
         const struct rp_resources *each = &job->spec.each;
         if (each->gpus <= 0 || !rp_resources_fit(each, all))
             continue;
@@ -334,7 +334,7 @@
 
 static void count_classes(const struct rp_scheduler *scheduler, struct rp_cycle_input *input) {
     struct class_count counts[RP_CLASSES_MAX] = {0};
-    for (const struct rp_job *job = scheduler->jobs->first; job; job = job->next)
+    for (const struct rp_job *job = scheduler->jobs->table.first; job; job = job->next)
         if (job->state == RP_JOB_OPEN)
             class_of(counts, job)->jobs++;
     for (size_t g = 0; g < input->plan_input.n_groups; g++)
@@ -483,19 +483,20 @@
 
 static void build_groups(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                          struct timespec now) {
-    size_t most =
-        scheduler->jobs->n_jobs * 3 < BATCH_MAX ? scheduler->jobs->n_jobs * 3 + 1 : BATCH_MAX;
+    size_t most = scheduler->jobs->table.n_jobs * 3 < BATCH_MAX
+                      ? scheduler->jobs->table.n_jobs * 3 + 1
+                      : BATCH_MAX;
     input->groups = calloc(most, sizeof *input->groups);
     if (!input->groups || !fill_guarantees(scheduler, input))
         return;
-    if (scheduler->jobs->n_jobs * 3 >= BATCH_MAX && scheduler->n_over_bounds++ == 0)
+    if (scheduler->jobs->table.n_jobs * 3 >= BATCH_MAX && scheduler->n_over_bounds++ == 0)
         rp_error(
             "more than %d groups of tasks wait: the lowest and youngest are left out of rounds",
             BATCH_MAX);
     /* Higher priorities first, so that a full batch never leaves them out. */
     for (int priority = RP_PRIORITY_CRITICAL; priority >= RP_PRIORITY_LOW; priority--)
-        for (struct rp_job *job = scheduler->jobs->first; job && input->plan_input.n_groups < most;
-             job = job->next)
+        for (struct rp_job *job = scheduler->jobs->table.first;
+             job && input->plan_input.n_groups < most; job = job->next)
             if ((int)job->spec.priority == priority)
                 add_group(scheduler, input, job, most, now);
     input->plan_input.groups = input->groups;
--- a/src/scheduler/room.c
+++ b/src/scheduler/room.c
@@ -121,7 +121,7 @@
 /* After a takeover a gang's tasks are heard of one by one: those not heard of yet are no reason to
  * stop the others (every takeover stopped every gang of several tasks). */
 void rp_room_mend_gangs(struct rp_scheduler *scheduler, struct timespec now) {
-    for (struct rp_job *job = scheduler->jobs->first; job; job = job->next)
+    for (struct rp_job *job = scheduler->jobs->table.first; job; job = job->next)
         if (job->spec.kind != RP_JOB_GANG || job->state != RP_JOB_OPEN)
             continue;
         else if (job->n_allocated == 0 || job->n_allocated == job->spec.n_tasks)
--- a/src/scheduler/services.c
+++ b/src/scheduler/services.c
@@ -430,9 +430,9 @@
 void rp_services_run(struct rp_services *services) {
     struct timespec now = rp_loop_now(services->loop);
     uint64_t newest = services->counted;
-    if (services->jobs->n_services == 0 || !rp_jobs_may_start_tasks(services->jobs))
+    if (services->jobs->table.n_services == 0 || !rp_jobs_may_start_tasks(services->jobs))
         return;
-    for (struct rp_job *job = services->jobs->first; job; job = job->next) {
+    for (struct rp_job *job = services->jobs->table.first; job; job = job->next) {
         if (job->spec.kind != RP_JOB_SERVICE || job->state != RP_JOB_OPEN)
             continue;
         if (job->accepted_revision > services->counted)
@@ -457,7 +457,7 @@
 
 /* Whether some replica is missing, being stopped, or not running yet. */
 static bool any_unsteady(const struct rp_services *services) {
-    for (const struct rp_job *job = services->jobs->first; job; job = job->next)
+    for (const struct rp_job *job = services->jobs->table.first; job; job = job->next)
         if (job->spec.kind == RP_JOB_SERVICE && job->state == RP_JOB_OPEN &&
             job->n_running < job->spec.n_tasks)
             return true;
@@ -584,7 +584,8 @@
     struct rp_services *services = arg;
     struct timespec now = rp_loop_now(services->loop);
     rp_timer_set(services->loop, &services->watch, WATCH_S);
-    if (services->jobs->n_services == 0 || !rp_election_is_valid(services->workers->election, now))
+    if (services->jobs->table.n_services == 0 ||
+        !rp_election_is_valid(services->workers->election, now))
         return;
     if (much_to_forget(services)) {
         rp_info("many ended attempts are kept known: another term lets workers forget them");
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -800,7 +800,7 @@
     for (int i = 0; i < 20; i++) {
         sim_run(sim, 0.02);
         assert_int_equal(sim_leader(sim), leader);
-        for (const struct rp_job *job = node->jobs.first; job; job = job->next)
+        for (const struct rp_job *job = node->jobs.table.first; job; job = job->next)
             for (uint32_t t = 0; t < job->spec.n_tasks; t++)
                 assert_true(rp_job_n_task_allocations(job, t) <= 1);
     }
@@ -927,7 +927,7 @@
     sim_run(sim, 8);
     assert_true(sim_leader(sim) >= 0);
     const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
-    unsigned long records = node->jobs.n_jobs;
+    unsigned long records = node->jobs.table.n_jobs;
     for (const struct rp_provision_request *request = node->fleet.provision_requests; request;
          request = request->next)
         records++;
