--- /dev/null
+++ b/src/jobs/job.c
@@ -0,0 +1,66 @@
+#include "jobs/job.h"
+
+#include <stdlib.h>
+#include "base/memory.h"
+#include "protocol/wire.h"
+
+/* The accepting node's clock and ours may differ: a job is never younger than nothing. */
+static double age_at_first_seen_s(const struct rp_jobs_context *context, const struct rp_job *job) {
+    struct timespec wall_now;
+    if (context->loop->is_virtual)
+        return 0;
+    clock_gettime(CLOCK_REALTIME, &wall_now);
+    return fmax(0, rp_ts_since(wall_now, job->accepted_wall_at));
+}
+
+struct rp_job *rp_job_create(const struct rp_jobs_context *context, json_t *record,
+                             uint64_t revision) {
+    struct rp_job *job = rp_alloc(1, sizeof *job);
+    if (!rp_record_open_read(record, &job->spec, &job->accepted_wall_at)) {
+        free(job);
+        return NULL;
+    }
+    job->record_revision = job->accepted_revision = revision;
+    job->first_seen_at = rp_loop_now(context->loop);
+    job->age_at_first_seen_s = age_at_first_seen_s(context, job);
+    job->image_hash = rp_hash_string(job->spec.image);
+    job->team = rp_settings_team(context->settings, job->spec.team);
+    rp_job_progress_init(&job->progress, job->spec.n_tasks);
+    return job;
+}
+
+void rp_job_free(struct rp_job *job) {
+    rp_job_spec_free(&job->spec);
+    rp_job_progress_free(&job->progress);
+    free(job->task_allocation_counts);
+    free(job);
+}
+
+double rp_job_age_s(const struct rp_job *job, struct timespec now) {
+    return job->age_at_first_seen_s + rp_ts_since(now, job->first_seen_at);
+}
+
+bool rp_job_is_task_done(const struct rp_job *job, uint32_t task) {
+    return rp_job_progress_is_done(&job->progress, task);
+}
+
+bool rp_job_is_task_durable(const struct rp_job *job, uint32_t task) {
+    bool needs_no_record = job->state == RP_JOB_CLOSED || job->spec.kind == RP_JOB_SERVICE;
+    return needs_no_record || rp_job_progress_is_durable(&job->progress, task);
+}
+
+unsigned rp_job_n_task_allocations(const struct rp_job *job, uint32_t task) {
+    return job->task_allocation_counts ? job->task_allocation_counts[task] : 0;
+}
+
+void rp_job_count_allocation(struct rp_job *job, uint32_t task, int sign) {
+    if (!job->task_allocation_counts)
+        job->task_allocation_counts = rp_alloc(1, job->spec.n_tasks);
+    job->task_allocation_counts[task] = (uint8_t)(job->task_allocation_counts[task] + sign);
+    job->n_allocated += (uint32_t)sign;
+    /* Jobs that wait may have 100,000 tasks each, and there may be many of them. */
+    if (job->n_allocated == 0) {
+        free(job->task_allocation_counts);
+        job->task_allocation_counts = NULL;
+    }
+}
--- /dev/null
+++ b/src/jobs/job_finisher.c
@@ -0,0 +1,89 @@
+#include "jobs/job_finisher.h"
+
+#include <stdlib.h>
+#include "base/log.h"
+#include "base/memory.h"
+#include "base/string_copy.h"
+#include "protocol/wire.h"
+
+/* After the store has refused the transaction. */
+#define REFUSED_BACKOFF_S 5.0
+
+/* A finishing transaction under way. */
+struct finish_request {
+    struct rp_job_finisher *finisher;
+    unsigned long generation;
+    char job_id[RP_ID_MAX];
+    struct rp_stored_records left; /* records that the transaction doesn't delete */
+};
+
+static void on_job_finished(struct rp_job_finisher *finisher, struct rp_job *job,
+                            const struct rp_stored_records *left) {
+    rp_info("job done: job=%s n_tasks=%u age_s=%.1f", job->spec.id, job->spec.n_tasks,
+            rp_job_age_s(job, rp_loop_now(finisher->context->loop)));
+    rp_garbage_collector_add(finisher->collector, job->spec.id, left);
+    rp_job_table_set_state(finisher->table, job, RP_JOB_CLOSED);
+}
+
+static void on_finish_response(void *arg, const struct rp_kv_result *result) {
+    struct finish_request *request = arg;
+    struct rp_job_finisher *finisher = request->finisher;
+    const struct rp_jobs_context *context = finisher->context;
+    if (!rp_jobs_context_is_current(context, request->generation))
+        goto out;
+    struct rp_job *job = rp_job_table_find(finisher->table, request->job_id);
+    if (!job || job->state != RP_JOB_FINISHING)
+        goto out;
+    if (result->outcome == RP_KV_OK) {
+        on_job_finished(finisher, job, &request->left);
+        goto out;
+    }
+    rp_job_table_set_state(finisher->table, job, RP_JOB_COMPLETE);
+    if (result->outcome == RP_KV_CONDITION_FAILED &&
+        rp_wire_failed_key(result->body, RP_KEY_LEADER)) {
+        rp_election_verify(context->election);
+    } else if (result->outcome == RP_KV_BAD_REQUEST) {
+        rp_garbage_collector_on_txn_refused(finisher->collector);
+        job->progress.write_back_backoff_until =
+            rp_ts_after(rp_loop_now(context->loop), REFUSED_BACKOFF_S);
+    }
+    /* Another conflict means that the job was cancelled, or that an unanswered try went through:
+     * the watch tells. Anything else is tried again by the tick. */
+out:
+    free(request);
+}
+
+void rp_job_finisher_finish(struct rp_job_finisher *finisher, struct rp_job *job) {
+    const struct rp_jobs_context *context = finisher->context;
+    struct timespec now = rp_loop_now(context->loop);
+    if (job->state != RP_JOB_COMPLETE || !rp_election_is_valid(context->election, now) ||
+        !rp_ts_reached(now, job->progress.write_back_backoff_until))
+        return;
+    struct finish_request *request = rp_alloc(1, sizeof *request);
+    request->finisher = finisher;
+    request->generation = context->generation;
+    rp_string_copy(request->job_id, sizeof request->job_id, job->spec.id);
+    char key[RP_KEY_MAX];
+    json_t *txn = rp_wire_txn();
+    rp_election_guard(context->election, txn);
+    rp_key(key, RP_KEY_OPEN, job->spec.id);
+    rp_wire_txn_if(txn, key, job->record_revision);
+    rp_wire_txn_delete(txn, key);
+    rp_key(key, RP_KEY_TERMINAL, job->spec.id);
+    rp_wire_txn_put(txn, key,
+                    rp_upgrade_mark_record(context->upgrade, rp_record_terminal(RP_JOB_DONE)), 0);
+    /* The move itself is atomic; the records that nobody reads any more go as they fit, with it or
+     * after it. */
+    request->left = job->stored;
+    rp_garbage_collector_delete_within(finisher->collector, txn, job->spec.id, &request->left);
+    rp_job_table_set_state(finisher->table, job, RP_JOB_FINISHING);
+    rp_kv_txn(context->store, RP_KV_BUDGET_LEADER, txn, on_finish_response, request);
+}
+
+void rp_job_finisher_finish_all(struct rp_job_finisher *finisher) {
+    struct rp_job *next;
+    for (struct rp_job *job = finisher->table->first; job; job = next) {
+        next = job->next;
+        rp_job_finisher_finish(finisher, job);
+    }
+}
--- /dev/null
+++ b/src/jobs/job_finisher.h
@@ -0,0 +1,24 @@
+/** @file
+ * Writes the terminal state of jobs whose tasks are all done: one transaction moves a job from the
+ * open ones to its terminal state, and deletes as many of its other records as fit. Called by
+ * struct rp_jobs. */
+#ifndef RP_JOBS_JOB_FINISHER_H
+#define RP_JOBS_JOB_FINISHER_H
+
+#include "jobs/garbage_collector.h"
+#include "jobs/job_table.h"
+
+/** The finisher; all pointers are borrowed. */
+struct rp_job_finisher {
+    const struct rp_jobs_context *context;
+    struct rp_job_table *table;
+    struct rp_garbage_collector *collector;
+};
+
+/** Sends the transaction for a complete job, unless this node doesn't lead or the store refused the
+ * last one a moment ago. */
+void rp_job_finisher_finish(struct rp_job_finisher *finisher, struct rp_job *job);
+/** The same for all complete jobs; called at each tick. */
+void rp_job_finisher_finish_all(struct rp_job_finisher *finisher);
+
+#endif
--- /dev/null
+++ b/src/jobs/job_progress.c
@@ -0,0 +1,181 @@
+#include "jobs/job_progress.h"
+
+#include <stdlib.h>
+#include <string.h>
+#include "base/memory.h"
+
+static size_t bit_set_bytes(const struct rp_job_progress *progress) {
+    return (progress->n_tasks + 7) / 8;
+}
+
+static size_t n_chunks(const struct rp_job_progress *progress) {
+    return (progress->n_tasks + RP_CHUNK_TASKS - 1) / RP_CHUNK_TASKS;
+}
+
+static size_t n_units(const struct rp_job_progress *progress) {
+    return (progress->n_tasks + RP_UNIT_TASKS - 1) / RP_UNIT_TASKS;
+}
+
+static size_t record_span_bytes(struct rp_progress_record record) {
+    return record.is_unit ? RP_UNIT_BYTES : RP_CHUNK_BYTES;
+}
+
+void rp_progress_record_key(char key[RP_KEY_MAX], const char *job_id,
+                            struct rp_progress_record record) {
+    if (record.is_unit)
+        rp_key_unit(key, job_id, record.index);
+    else
+        rp_key_progress(key, job_id, record.index);
+}
+
+bool rp_progress_record_read_key(const char *key, char job_id[RP_ID_MAX],
+                                 struct rp_progress_record *record) {
+    return rp_key_progress_read(key, job_id, &record->index, &record->is_unit);
+}
+
+struct rp_stored_records rp_progress_record_as_set(struct rp_progress_record record) {
+    uint64_t set = UINT64_C(1) << record.index;
+    return record.is_unit ? (struct rp_stored_records){.units = set}
+                          : (struct rp_stored_records){.chunks = set};
+}
+
+size_t rp_progress_record_offset(struct rp_progress_record record) {
+    return record.index * record_span_bytes(record);
+}
+
+void rp_job_progress_init(struct rp_job_progress *progress, uint32_t n_tasks) {
+    *progress = (struct rp_job_progress){.n_tasks = n_tasks};
+    progress->done = rp_alloc(1, bit_set_bytes(progress));
+    progress->durable = rp_alloc(1, bit_set_bytes(progress));
+    progress->revisions =
+        rp_alloc(n_chunks(progress) + n_units(progress), sizeof *progress->revisions);
+}
+
+void rp_job_progress_free(struct rp_job_progress *progress) {
+    free(progress->revisions);
+    free(progress->done);
+    free(progress->durable);
+}
+
+size_t rp_job_progress_record_bytes(const struct rp_job_progress *progress,
+                                    struct rp_progress_record record) {
+    size_t offset = rp_progress_record_offset(record), n_bytes = bit_set_bytes(progress);
+    size_t span = record_span_bytes(record);
+    if (offset >= n_bytes)
+        return 0;
+    return n_bytes - offset < span ? n_bytes - offset : span;
+}
+
+bool rp_job_progress_is_done(const struct rp_job_progress *progress, uint32_t task) {
+    return progress->done[task / 8] >> (task % 8) & 1;
+}
+
+bool rp_job_progress_is_durable(const struct rp_job_progress *progress, uint32_t task) {
+    return progress->durable[task / 8] >> (task % 8) & 1;
+}
+
+bool rp_job_progress_mark_done(struct rp_job_progress *progress, uint32_t task,
+                               struct timespec now) {
+    if (rp_job_progress_is_done(progress, task))
+        return false;
+    progress->done[task / 8] |= (uint8_t)(1u << (task % 8));
+    if (!progress->dirty_units)
+        progress->dirty_since = now;
+    struct rp_progress_record unit = {.index = task / RP_UNIT_TASKS, .is_unit = true};
+    rp_job_progress_apply(progress, unit, RP_PROGRESS_TASK_DONE);
+    return true;
+}
+
+uint32_t rp_job_progress_restore(struct rp_job_progress *progress) {
+    uint32_t n_done = 0;
+    memcpy(progress->done, progress->durable, bit_set_bytes(progress));
+    for (uint32_t i = 0; i < progress->n_tasks; i++)
+        n_done += rp_job_progress_is_done(progress, i);
+    return n_done;
+}
+
+static enum rp_progress_unit_state unit_state(const struct rp_job_progress *progress,
+                                              unsigned unit) {
+    bool is_dirty = progress->dirty_units >> unit & 1;
+    if (progress->in_flight_units >> unit & 1)
+        return is_dirty ? RP_PROGRESS_IN_FLIGHT_DIRTY : RP_PROGRESS_IN_FLIGHT;
+    return is_dirty ? RP_PROGRESS_DIRTY : RP_PROGRESS_CLEAN;
+}
+
+/* The one place where a unit changes its state. */
+static void set_unit_state(struct rp_job_progress *progress, unsigned unit,
+                           enum rp_progress_unit_state state) {
+    uint64_t bit = UINT64_C(1) << unit;
+    bool is_dirty = state == RP_PROGRESS_DIRTY || state == RP_PROGRESS_IN_FLIGHT_DIRTY;
+    bool is_in_flight = state == RP_PROGRESS_IN_FLIGHT || state == RP_PROGRESS_IN_FLIGHT_DIRTY;
+    progress->dirty_units = is_dirty ? progress->dirty_units | bit : progress->dirty_units & ~bit;
+    progress->in_flight_units =
+        is_in_flight ? progress->in_flight_units | bit : progress->in_flight_units & ~bit;
+}
+
+static enum rp_progress_unit_state next_state(enum rp_progress_unit_state state,
+                                              enum rp_progress_event event) {
+    bool is_dirty = state == RP_PROGRESS_DIRTY || state == RP_PROGRESS_IN_FLIGHT_DIRTY;
+    bool is_in_flight = state == RP_PROGRESS_IN_FLIGHT || state == RP_PROGRESS_IN_FLIGHT_DIRTY;
+    switch (event) {
+    case RP_PROGRESS_TASK_DONE: /* a request under way was sent without the task */
+        return is_in_flight ? RP_PROGRESS_IN_FLIGHT_DIRTY : RP_PROGRESS_DIRTY;
+    case RP_PROGRESS_WRITE_SENT: /* it carries all that is done; also clean units of a chunk */
+        return RP_PROGRESS_IN_FLIGHT;
+    case RP_PROGRESS_READ_SENT: /* it carries nothing; no write before the revision is known */
+        return is_dirty ? RP_PROGRESS_IN_FLIGHT_DIRTY : RP_PROGRESS_IN_FLIGHT;
+    case RP_PROGRESS_WRITE_SUCCEEDED: /* what was done since it was sent is still to be written */
+    case RP_PROGRESS_READ_RETURNED:
+        return is_dirty ? RP_PROGRESS_DIRTY : RP_PROGRESS_CLEAN;
+    case RP_PROGRESS_WRITE_FAILED: /* what it carried has to be written again */
+        return RP_PROGRESS_DIRTY;
+    }
+    return state;
+}
+
+void rp_job_progress_apply(struct rp_job_progress *progress, struct rp_progress_record record,
+                           enum rp_progress_event event) {
+    unsigned first = record.is_unit ? record.index : record.index * RP_CHUNK_UNITS;
+    unsigned end = record.is_unit ? first + 1 : first + RP_CHUNK_UNITS;
+    /* A chunk covers units that a small job doesn't have: written as such after the activation,
+     * they were read and written beyond the job's memory. */
+    for (unsigned i = first; i < end && i < n_units(progress); i++)
+        set_unit_state(progress, i, next_state(unit_state(progress, i), event));
+}
+
+/* The units that a record covers. There are at most RP_UNITS_MAX, so they fit a bit set. */
+static uint64_t units_of(struct rp_progress_record record) {
+    return record.is_unit
+               ? UINT64_C(1) << record.index
+               : ((UINT64_C(1) << RP_CHUNK_UNITS) - 1) << (record.index * RP_CHUNK_UNITS);
+}
+
+bool rp_job_progress_can_write(const struct rp_job_progress *progress,
+                               struct rp_progress_record record) {
+    uint64_t units = units_of(record);
+    return progress->dirty_units & units && !(progress->in_flight_units & units);
+}
+
+void rp_job_progress_note_durable(struct rp_job_progress *progress,
+                                  struct rp_progress_record record, const uint8_t *bits) {
+    size_t offset = rp_progress_record_offset(record);
+    size_t n_bytes = rp_job_progress_record_bytes(progress, record);
+    for (size_t i = 0; i < n_bytes; i++)
+        progress->durable[offset + i] |= bits[i];
+}
+
+static uint64_t *revision_of(const struct rp_job_progress *progress,
+                             struct rp_progress_record record) {
+    size_t first = record.is_unit ? n_chunks(progress) : 0;
+    return &progress->revisions[first + record.index];
+}
+
+uint64_t rp_job_progress_revision(const struct rp_job_progress *progress,
+                                  struct rp_progress_record record) {
+    return *revision_of(progress, record);
+}
+
+void rp_job_progress_set_revision(struct rp_job_progress *progress,
+                                  struct rp_progress_record record, uint64_t revision) {
+    *revision_of(progress, record) = revision;
+}
--- /dev/null
+++ b/src/jobs/progress_writer.c
@@ -0,0 +1,271 @@
+#include "jobs/progress_writer.h"
+
+#include <stdlib.h>
+#include <string.h>
+#include "base/memory.h"
+#include "base/string_copy.h"
+#include "protocol/wire.h"
+
+/* Records of some 2.2 KB each: a transaction may have 64 KiB. */
+#define TXN_RECORDS_MAX 24
+/* Progress waits this long for company; a finished job never does. */
+#define WRITE_BACK_DELAY_S 2.0
+/* Changes of the write budget that are left for finishing jobs; where few changes a second are
+ * allowed, this share of them. */
+#define FINISH_RESERVE_CHANGES 3.0
+#define FINISH_RESERVE_SHARE 0.1
+/* After the store has refused a single record as too large. */
+#define REFUSED_BACKOFF_S 5.0
+/* Bytes of a stored progress record besides its digits. */
+#define PROGRESS_FRAME_BYTES 16
+
+/* A record that a write carries. */
+struct written_record {
+    char job_id[RP_ID_MAX];
+    struct rp_progress_record record;
+    uint8_t bits[RP_CHUNK_BYTES];
+};
+
+/* A transaction under way. */
+struct progress_write {
+    struct rp_progress_writer *writer;
+    unsigned long generation;
+    size_t n_records, max_records;
+    struct written_record records[];
+};
+
+/* A read of a record's revision under way. */
+struct revision_read {
+    struct rp_progress_writer *writer;
+    unsigned long generation;
+    char job_id[RP_ID_MAX];
+    struct rp_progress_record record;
+};
+
+void rp_progress_writer_init(struct rp_progress_writer *writer,
+                             const struct rp_jobs_context *context, struct rp_job_table *table,
+                             struct rp_garbage_collector *collector) {
+    *writer = (struct rp_progress_writer){
+        .context = context, .table = table, .collector = collector, .max_records = TXN_RECORDS_MAX};
+}
+
+/* The job as long as it has not ended; NULL afterwards. */
+static struct rp_job *find_unended_job(const struct rp_progress_writer *writer,
+                                       const char *job_id) {
+    struct rp_job *job = rp_job_table_find(writer->table, job_id);
+    return job && job->state != RP_JOB_CLOSED ? job : NULL;
+}
+
+static void note_stored(struct rp_job *job, struct rp_progress_record record) {
+    struct rp_stored_records stored = rp_progress_record_as_set(record);
+    rp_stored_records_add(&job->stored, &stored);
+}
+
+/* ---- revisions ---- */
+
+static void on_revision_response(void *arg, const struct rp_kv_result *result) {
+    struct revision_read *read = arg;
+    const struct rp_progress_writer *writer = read->writer;
+    struct rp_item item;
+    if (!rp_jobs_context_is_current(writer->context, read->generation))
+        goto out;
+    struct rp_job *job = find_unended_job(writer, read->job_id);
+    if (!job)
+        goto out;
+    rp_job_progress_apply(&job->progress, read->record, RP_PROGRESS_READ_RETURNED);
+    if (result->outcome == RP_KV_NOT_FOUND)
+        rp_job_progress_set_revision(&job->progress, read->record, 0);
+    else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item))
+        rp_job_progress_set_revision(&job->progress, read->record, item.version);
+    note_stored(job, read->record);
+    job->progress.dirty_since = (struct timespec){0}; /* it has waited long enough */
+out:
+    free(read);
+}
+
+static void read_revision(struct rp_progress_writer *writer, struct rp_job *job,
+                          struct rp_progress_record record) {
+    struct revision_read *read = rp_alloc(1, sizeof *read);
+    char key[RP_KEY_MAX];
+    read->writer = writer;
+    read->generation = writer->context->generation;
+    read->record = record;
+    rp_string_copy(read->job_id, sizeof read->job_id, job->spec.id);
+    rp_job_progress_apply(&job->progress, record, RP_PROGRESS_READ_SENT);
+    rp_progress_record_key(key, job->spec.id, record);
+    rp_kv_get(writer->context->store, RP_KV_BUDGET_LEADER, key, on_revision_response, read);
+}
+
+/* ---- answers to writes ---- */
+
+/* A record was refused for its size, or a transaction for its length, though all should fit: the
+ * limits are lower than told. Less at a time, and never the same again at once. */
+static void note_refused_as_large(struct rp_progress_writer *writer,
+                                  const struct progress_write *write) {
+    if (write->n_records > 1) {
+        writer->max_records = write->n_records / 2;
+        return;
+    }
+    struct rp_job *job = rp_job_table_find(writer->table, write->records[0].job_id);
+    if (job)
+        job->progress.write_back_backoff_until =
+            rp_ts_after(rp_loop_now(writer->context->loop), REFUSED_BACKOFF_S);
+}
+
+/* The job ended while the write was under way: the record may stand although nobody needs it. */
+static void note_late_write(struct rp_progress_writer *writer, const struct written_record *written,
+                            enum rp_kv_outcome outcome) {
+    struct rp_stored_records stored = rp_progress_record_as_set(written->record);
+    if (outcome == RP_KV_OK || outcome == RP_KV_UNKNOWN)
+        rp_garbage_collector_add(writer->collector, written->job_id, &stored);
+}
+
+/* Each write carries the revision of what it replaces: carried out seconds late, after a newer one,
+ * it took results away whose workers had forgotten them. After a lost answer, or a conflict with a
+ * write whose answer was lost, the revision has to be read. */
+static void note_write_failed(struct rp_job *job, struct rp_progress_record record,
+                              const struct rp_kv_result *result) {
+    char key[RP_KEY_MAX];
+    rp_progress_record_key(key, job->spec.id, record);
+    bool may_be_written = result->outcome == RP_KV_UNKNOWN;
+    bool has_other_revision =
+        result->outcome == RP_KV_CONDITION_FAILED && rp_wire_failed_key(result->body, key);
+    rp_job_progress_apply(&job->progress, record, RP_PROGRESS_WRITE_FAILED);
+    if (may_be_written || has_other_revision)
+        rp_job_progress_set_revision(&job->progress, record, RP_PROGRESS_REVISION_UNKNOWN);
+    if (may_be_written)
+        note_stored(job, record);
+}
+
+static void note_written(struct rp_job *job, const struct written_record *written,
+                         uint64_t revision) {
+    rp_job_progress_apply(&job->progress, written->record, RP_PROGRESS_WRITE_SUCCEEDED);
+    rp_job_progress_set_revision(&job->progress, written->record, revision);
+    rp_job_progress_note_durable(&job->progress, written->record, written->bits);
+    note_stored(job, written->record);
+}
+
+static void on_write_response(void *arg, const struct rp_kv_result *result) {
+    struct progress_write *write = arg;
+    struct rp_progress_writer *writer = write->writer;
+    if (!rp_jobs_context_is_current(writer->context, write->generation))
+        goto out;
+    for (size_t i = 0; i < write->n_records; i++) {
+        const struct written_record *written = &write->records[i];
+        struct rp_job *job = find_unended_job(writer, written->job_id);
+        if (!job)
+            note_late_write(writer, written, result->outcome);
+        else if (result->outcome == RP_KV_OK)
+            note_written(job, written, rp_wire_revision(result->body));
+        else
+            note_write_failed(job, written->record, result);
+    }
+    if (result->outcome == RP_KV_CONDITION_FAILED &&
+        rp_wire_failed_key(result->body, RP_KEY_LEADER))
+        rp_election_verify(writer->context->election);
+    if (result->outcome == RP_KV_BAD_REQUEST)
+        note_refused_as_large(writer, write);
+    else if (result->outcome == RP_KV_OK && writer->max_records < TXN_RECORDS_MAX)
+        writer->max_records++;
+out:
+    free(write);
+}
+
+/* ---- writes ---- */
+
+static void write_record(struct progress_write *write, json_t *txn, struct rp_job *job,
+                         struct rp_progress_record record) {
+    const struct rp_jobs_context *context = write->writer->context;
+    struct written_record *written = &write->records[write->n_records++];
+    const uint8_t *bits = job->progress.done + rp_progress_record_offset(record);
+    size_t n_bytes = rp_job_progress_record_bytes(&job->progress, record);
+    rp_string_copy(written->job_id, sizeof written->job_id, job->spec.id);
+    written->record = record;
+    memcpy(written->bits, bits, n_bytes);
+    char key[RP_KEY_MAX];
+    rp_progress_record_key(key, job->spec.id, record);
+    rp_wire_txn_if(txn, key, rp_job_progress_revision(&job->progress, record));
+    rp_wire_txn_put(txn, key,
+                    rp_upgrade_mark_record(context->upgrade, rp_record_progress(bits, n_bytes)), 0);
+    rp_job_progress_apply(&job->progress, record, RP_PROGRESS_WRITE_SENT);
+}
+
+/* Whether the store takes a value as long as the job's longest chunk. */
+static bool fits_chunk(const struct rp_progress_writer *writer, const struct rp_job *job) {
+    struct rp_progress_record first_chunk = {0};
+    size_t n_bytes = rp_job_progress_record_bytes(&job->progress, first_chunk);
+    double value_bytes = (double)(2 * n_bytes + PROGRESS_FRAME_BYTES); /* two digits for a byte */
+    return value_bytes <= writer->context->settings->state.value_kb * 1024;
+}
+
+/* Until every node reads units, progress goes into the chunks that all of them know; where one
+ * doesn't fit, it waits for the activation. */
+static void write_job(struct progress_write *write, json_t *txn, struct rp_job *job) {
+    struct rp_progress_writer *writer = write->writer;
+    bool is_unit = rp_upgrade_is_active(writer->context->upgrade);
+    unsigned n = is_unit ? RP_UNITS_MAX : (RP_UNITS_MAX + RP_CHUNK_UNITS - 1) / RP_CHUNK_UNITS;
+    if (!is_unit && !fits_chunk(writer, job))
+        return;
+    for (unsigned i = 0; i < n && write->n_records < write->max_records; i++) {
+        struct rp_progress_record record = {.index = i, .is_unit = is_unit};
+        if (!rp_job_progress_can_write(&job->progress, record))
+            continue;
+        if (rp_job_progress_revision(&job->progress, record) == RP_PROGRESS_REVISION_UNKNOWN)
+            read_revision(writer, job, record);
+        else
+            write_record(write, txn, job, record);
+    }
+}
+
+static bool is_due(const struct rp_job *job, struct timespec now) {
+    const struct rp_job_progress *progress = &job->progress;
+    bool has_changes = job->state == RP_JOB_OPEN && progress->dirty_units;
+    return has_changes && rp_ts_reached(now, progress->write_back_backoff_until) &&
+           rp_ts_since(now, progress->dirty_since) >= WRITE_BACK_DELAY_S;
+}
+
+/* How many records the next transaction may have; 0: the budget has no headroom. */
+static size_t txn_capacity(const struct rp_progress_writer *writer) {
+    const struct rp_jobs_context *context = writer->context;
+    double reserve =
+        fmin(FINISH_RESERVE_CHANGES, context->settings->state_fit.write_rps * FINISH_RESERVE_SHARE);
+    double headroom = rp_kv_write_headroom(context->store, RP_KV_BUDGET_LEADER) - reserve;
+    size_t limit = context->settings->state_fit.txn_ops;
+    size_t capacity = limit < writer->max_records ? limit : writer->max_records;
+    if (headroom < 1)
+        return 0;
+    return (double)capacity > headroom ? (size_t)headroom : capacity;
+}
+
+static struct progress_write *new_write(struct rp_progress_writer *writer, size_t max_records) {
+    struct progress_write *write =
+        rp_alloc(1, sizeof *write + max_records * sizeof write->records[0]);
+    write->writer = writer;
+    write->generation = writer->context->generation;
+    write->max_records = max_records;
+    return write;
+}
+
+void rp_progress_writer_write_back(struct rp_progress_writer *writer) {
+    const struct rp_jobs_context *context = writer->context;
+    struct timespec now = rp_loop_now(context->loop);
+    size_t max_records = txn_capacity(writer);
+    if (max_records == 0)
+        return;
+    struct progress_write *write = new_write(writer, max_records);
+    json_t *txn = rp_wire_txn();
+    rp_election_guard(context->election, txn);
+    for (struct rp_job *job = writer->table->first; job && write->n_records < max_records;
+         job = job->next) {
+        if (!is_due(job, now))
+            continue;
+        write_job(write, txn, job);
+        job->progress.dirty_since = now;
+    }
+    if (write->n_records > 0) {
+        rp_kv_txn(context->store, RP_KV_BUDGET_LEADER, txn, on_write_response, write);
+    } else {
+        json_decref(txn);
+        free(write);
+    }
+}
