--- a/src/base/memory.c
+++ b/src/base/memory.c
@@ -1,6 +1,5 @@
 #include "base/memory.h"
 
-#include <stdint.h>
 #include <stdlib.h>
 
 #include "base/log.h"
@@ -17,7 +16,5 @@
 }
 
 void *rp_realloc(void *array, size_t n, size_t size) {
-    if (size > 0 && n > SIZE_MAX / size)
-        return checked(NULL, n, size);
-    return checked(realloc(array, n * size), n, size);
+    return checked(reallocarray(array, n ? n : 1, size), n, size);
 }
