--- a/tests/behaviour/behaviour_digest.c
+++ b/tests/behaviour/behaviour_digest.c
@@ -1,7 +1,7 @@
 /* Proves that a change of the sources keeps the nodes' behaviour: runs a fixed list of simulated
- * days (tests/sim.h) and prints, for each, a hash over all that the nodes sent and a hash over what
- * the state service holds at the end. Two builds that print the same behave the same on these days.
- * See README.md here; `compare` builds and runs two commits.
+ * days (tests/simulation/sim.h) and prints, for each, a hash over all that the nodes sent and a
+ * hash over what the state service holds at the end. Two builds that print the same behave the same
+ * on these days. See README.md here; `compare` builds and runs two commits.
  *
  * Output, one line for each run: scenario, seed, number of messages, hash of the messages, hash of
  * the store. With --dump the messages themselves, and then the store. */
@@ -17,7 +17,7 @@
 #include <unistd.h>
 #include "base/log.h"
 #include "protocol/wire.h"
-#include "sim.h"
+#include "simulation/sim.h"
 
 #define DAY_S 150.0                  /* troubles last for so long */
 #define REST_S 100.0                 /* and then the work comes to its end */
--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -1,7 +1,8 @@
 /* Ends the leading controller again and again, on loopback: real processes of the program, with the
  * simulated world's state service, cloud, workers and users as stand-ins around them, and its rules
- * checked after each step (tests/sim_check.c). Prints a line for each end of a leader. Not a test
- * of CI: it takes minutes, and its times are the machine's. tests/loopback/run starts several. */
+ * checked after each step (tests/simulation/sim_check.c). Prints a line for each end of a leader.
+ * Not a test of CI: it takes minutes, and its times are the machine's. tests/loopback/run starts
+ * several. */
 #include <errno.h>
 #include <fcntl.h>
 #include <signal.h>
@@ -12,7 +13,7 @@
 #include <unistd.h>
 #include "base/log.h"
 #include "http/http.h"
-#include "sim.h"
+#include "simulation/sim.h"
 
 #define NODES 3
 #define WORKERS 40
--- a/tests/mixed/old_node.c
+++ b/tests/mixed/old_node.c
@@ -2,7 +2,7 @@
  * headers and library (tests/mixed/run). */
 #include <stdio.h>
 #include <stdlib.h>
-#include "../engine.h"
+#include "../simulation/engine.h"
 #include "log.h"
 #include "node.h"
 
