--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -249,30 +249,31 @@
         op_next(operation, OP_READ_OPEN);
         return;
     }
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_key(open, RP_KEY_OPEN, operation->id);
     rp_key(over, RP_KEY_TERMINAL, operation->id);
-    rp_wire_txn_if(txn, open, 0);
-    rp_wire_txn_if(txn, over, 0);
-    rp_wire_txn_put(txn, open, pieces[0], 0);
+    rp_kv_txn_if(txn, open, RP_KV_ABSENT);
+    rp_kv_txn_if(txn, over, RP_KV_ABSENT);
+    rp_kv_txn_put(txn, open, pieces[0], RP_KV_NO_LEASE);
     for (size_t i = 1; i < count; i++) {
         rp_key_part(part, operation->id, (unsigned)i);
-        rp_wire_txn_put(txn, part, pieces[i], 0);
+        rp_kv_txn_put(txn, part, pieces[i], RP_KV_NO_LEASE);
     }
-    rp_kv_txn(operation->api->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
+    rp_kv_txn_submit(operation->api->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
 }
 
 static void write_cancellation(struct op *operation) {
     char open[RP_KEY_MAX], over[RP_KEY_MAX];
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_key(open, RP_KEY_OPEN, operation->id);
     rp_key(over, RP_KEY_TERMINAL, operation->id);
-    rp_wire_txn_if(txn, open, operation->version);
-    rp_wire_txn_delete(txn, open);
-    rp_wire_txn_put(
+    rp_kv_txn_if(txn, open, operation->version);
+    rp_kv_txn_delete(txn, open);
+    rp_kv_txn_put(
         txn, over,
-        rp_upgrade_mark_record(operation->api->upgrade, rp_record_terminal(RP_JOB_CANCELLED)), 0);
-    rp_kv_txn(operation->api->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
+        rp_upgrade_mark_record(operation->api->upgrade, rp_record_terminal(RP_JOB_CANCELLED)),
+        RP_KV_NO_LEASE);
+    rp_kv_txn_submit(operation->api->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
 }
 
 static enum rp_kv_budget op_share(const struct op *operation) {
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -110,11 +110,11 @@
         json_decref(record);
         return;
     }
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(source->election, txn);
-    rp_wire_txn_if(txn, RP_KEY_CATALOG, found ? item.version : 0);
-    rp_wire_txn_put(txn, RP_KEY_CATALOG, record, 0);
-    rp_kv_txn(source->store, RP_KV_BUDGET_LEADER, txn, written, source);
+    rp_kv_txn_if(txn, RP_KEY_CATALOG, found ? item.version : RP_KV_ABSENT);
+    rp_kv_txn_put(txn, RP_KEY_CATALOG, record, RP_KV_NO_LEASE);
+    rp_kv_txn_submit(source->store, RP_KV_BUDGET_LEADER, txn, written, source);
 }
 
 /* Before the activation nothing is written that the version before doesn't know. */
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -332,18 +332,18 @@
         rp_kv_get(fleet->store, RP_KV_BUDGET_LEADER, key, rental_read, request);
         return;
     }
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(fleet->election, txn);
-    rp_wire_txn_if(txn, key, rental->version);
+    rp_kv_txn_if(txn, key, rental->version);
     if (rental->state == RP_PROVISION_ENDED) {
-        rp_wire_txn_delete(txn, key);
+        rp_kv_txn_delete(txn, key);
     } else {
         request->names = rp_alloc(NAMES_MAX, sizeof *request->names);
-        rp_wire_txn_put(txn, key, rental_record(fleet, rental, request), 0);
+        rp_kv_txn_put(txn, key, rental_record(fleet, rental, request), RP_KV_NO_LEASE);
     }
     request->wrote = rental->state;
     rental->changed = false;
-    rp_kv_txn(fleet->store, RP_KV_BUDGET_LEADER, txn, rental_written, request);
+    rp_kv_txn_submit(fleet->store, RP_KV_BUDGET_LEADER, txn, rental_written, request);
 }
 
 static struct rp_capacity_refusal *refusal_of(struct rp_fleet *fleet, int type, int zone,
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -73,8 +73,8 @@
         election->silent_since = rp_loop_now(election->loop);
 }
 
-void rp_election_guard(const struct rp_election *election, json_t *txn) {
-    rp_wire_txn_if(txn, RP_KEY_LEADER, election->fencing_token);
+void rp_election_guard(const struct rp_election *election, struct rp_kv_txn *txn) {
+    rp_kv_txn_if(txn, RP_KEY_LEADER, election->fencing_token);
 }
 
 /* The one place where the election changes its state. */
@@ -138,11 +138,11 @@
         return;
     }
     election->lease = rp_wire_lease(result->body);
-    json_t *txn = rp_wire_txn();
-    rp_wire_txn_if(txn, RP_KEY_LEADER, election->claim_over);
-    rp_wire_txn_put(txn, RP_KEY_LEADER, own_record(election, election->lease), election->lease);
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
+    rp_kv_txn_if(txn, RP_KEY_LEADER, election->claim_over);
+    rp_kv_txn_put(txn, RP_KEY_LEADER, own_record(election, election->lease), election->lease);
     set_state(election, RP_ELECTION_CLAIMING_KEY);
-    rp_kv_txn(election->store, RP_KV_BUDGET_LEADERSHIP, txn, claimed, election);
+    rp_kv_txn_submit(election->store, RP_KV_BUDGET_LEADERSHIP, txn, claimed, election);
 }
 
 static void ask_lease(struct rp_election *election) {
@@ -211,12 +211,12 @@
     rp_timer_cancel(election->loop, &election->timer);
     rp_info("taking over from %s, key=%llu", seen->node,
             (unsigned long long)election->seen_version);
-    json_t *txn = rp_wire_txn();
-    rp_wire_txn_if(txn, RP_KEY_LEADER, election->seen_version);
-    rp_wire_txn_put(txn, RP_KEY_LEADER, own_record(election, 0), 0);
-    rp_wire_txn_put(txn, RP_KEY_FENCE, rp_record_fence(election->node), 0);
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
+    rp_kv_txn_if(txn, RP_KEY_LEADER, election->seen_version);
+    rp_kv_txn_put(txn, RP_KEY_LEADER, own_record(election, 0), RP_KV_NO_LEASE);
+    rp_kv_txn_put(txn, RP_KEY_FENCE, rp_record_fence(election->node), RP_KV_NO_LEASE);
     set_state(election, RP_ELECTION_OVERWRITING_KEY);
-    rp_kv_txn(election->store, RP_KV_BUDGET_LEADERSHIP, txn, deposed, election);
+    rp_kv_txn_submit(election->store, RP_KV_BUDGET_LEADERSHIP, txn, deposed, election);
     return true;
 }
 
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -64,7 +64,7 @@
 /** Until when a lease may be trusted that was asked for, or touched, at `sent`. */
 struct timespec rp_election_trust(struct timespec sent, double ttl_s);
 /** The condition that makes a leader's late transactions die. */
-void rp_election_guard(const struct rp_election *election, json_t *txn);
+void rp_election_guard(const struct rp_election *election, struct rp_kv_txn *txn);
 /** Somebody shows a token above ours, or a guarded write failed: look at the key now. */
 void rp_election_verify(struct rp_election *election);
 
--- a/src/jobs/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -74,17 +74,17 @@
 /* The conditions say that none of the jobs is open: those that fail name the open ones. */
 static void send_batch(struct rp_job_lookup *lookup) {
     struct rp_lookup_batch *batch = lookup->collecting;
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     lookup->collecting = NULL;
     for (size_t i = 0; i < batch->n; i++) {
         char key[RP_KEY_MAX];
         rp_key(key, RP_KEY_OPEN, batch->questions[i].job);
         if (!asked_before(batch, i))
-            rp_wire_txn_if(txn, key, 0);
+            rp_kv_txn_if(txn, key, RP_KV_ABSENT);
     }
     lookup->n_batches++;
     lookup->n_jobs += batch->n;
-    rp_kv_txn(lookup->store, RP_KV_BUDGET_QUERIES, txn, compared, batch);
+    rp_kv_txn_submit(lookup->store, RP_KV_BUDGET_QUERIES, txn, compared, batch);
 }
 
 static void budget_due(void *arg) {
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -294,25 +294,25 @@
 }
 
 /* Adds deletions up to the transaction's limit, and takes them off the set. */
-static void delete_stored(json_t *txn, const char *job, struct rp_stored_records *stored,
+static void delete_stored(struct rp_kv_txn *txn, const char *job, struct rp_stored_records *stored,
                           size_t most) {
     char key[RP_KEY_MAX];
-    for (unsigned i = 0; i < 64 && rp_wire_txn_ops(txn) < most; i++)
+    for (unsigned i = 0; i < 64 && rp_kv_txn_n_ops(txn) < most; i++)
         if (i < 32 && (stored->chunks >> i & 1)) {
             rp_key_progress(key, job, i);
-            rp_wire_txn_delete(txn, key);
+            rp_kv_txn_delete(txn, key);
             stored->chunks &= ~(UINT32_C(1) << i);
         }
-    for (unsigned i = 0; i < 64 && rp_wire_txn_ops(txn) < most; i++)
+    for (unsigned i = 0; i < 64 && rp_kv_txn_n_ops(txn) < most; i++)
         if (stored->units >> i & 1) {
             rp_key_unit(key, job, i);
-            rp_wire_txn_delete(txn, key);
+            rp_kv_txn_delete(txn, key);
             stored->units &= ~(UINT64_C(1) << i);
         }
-    for (unsigned i = 0; i < 64 && rp_wire_txn_ops(txn) < most; i++)
+    for (unsigned i = 0; i < 64 && rp_kv_txn_n_ops(txn) < most; i++)
         if (stored->parts >> i & 1) {
             rp_key_part(key, job, i);
-            rp_wire_txn_delete(txn, key);
+            rp_kv_txn_delete(txn, key);
             stored->parts &= ~(UINT64_C(1) << i);
         }
 }
@@ -359,19 +359,19 @@
     if (!garbage || jobs->collecting_garbage || room < 1)
         return;
     struct request *request = request_new(jobs);
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     struct rp_stored_records left = garbage->stored;
     rp_string_copy(request->job, sizeof request->job, garbage->job);
     rp_election_guard(jobs->election, txn);
     rp_key(key, RP_KEY_OPEN, garbage->job);
-    rp_wire_txn_if(txn, key, 0);
+    rp_kv_txn_if(txn, key, RP_KV_ABSENT);
     delete_stored(txn, garbage->job, &left,
                   room < (double)jobs->ops_most ? (size_t)room : jobs->ops_most);
     request->swept = (struct rp_stored_records){.chunks = garbage->stored.chunks & ~left.chunks,
                                                 .units = garbage->stored.units & ~left.units,
                                                 .parts = garbage->stored.parts & ~left.parts};
     jobs->collecting_garbage = true;
-    rp_kv_txn(jobs->store, RP_KV_BUDGET_LEADER, txn, swept, request);
+    rp_kv_txn_submit(jobs->store, RP_KV_BUDGET_LEADER, txn, swept, request);
 }
 
 /* ---- loading, continued ---- */
@@ -781,21 +781,21 @@
         return;
     struct request *request = request_new(jobs);
     char key[RP_KEY_MAX];
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_string_copy(request->job, sizeof request->job, job->spec.id);
     job->finishing = true;
     rp_election_guard(jobs->election, txn);
     rp_key(key, RP_KEY_OPEN, job->spec.id);
-    rp_wire_txn_if(txn, key, job->version);
-    rp_wire_txn_delete(txn, key);
+    rp_kv_txn_if(txn, key, job->version);
+    rp_kv_txn_delete(txn, key);
     rp_key(key, RP_KEY_TERMINAL, job->spec.id);
-    rp_wire_txn_put(txn, key,
-                    rp_upgrade_mark_record(jobs->upgrade, rp_record_terminal(RP_JOB_DONE)), 0);
+    rp_kv_txn_put(txn, key, rp_upgrade_mark_record(jobs->upgrade, rp_record_terminal(RP_JOB_DONE)),
+                  RP_KV_NO_LEASE);
     /* The move itself is atomic; the records that nobody reads any more go as they fit, with it or
      * after it. */
     request->left = job->stored;
     delete_stored(txn, job->spec.id, &request->left, jobs->ops_most);
-    rp_kv_txn(jobs->store, RP_KV_BUDGET_LEADER, txn, finished, request);
+    rp_kv_txn_submit(jobs->store, RP_KV_BUDGET_LEADER, txn, finished, request);
 }
 
 /* The units that a piece covers. */
@@ -920,7 +920,7 @@
     request_free(request);
 }
 
-static void flush_piece(struct rp_jobs *jobs, struct request *request, json_t *txn,
+static void flush_piece(struct rp_jobs *jobs, struct request *request, struct rp_kv_txn *txn,
                         struct rp_job *job, unsigned piece, bool unit) {
     char key[RP_KEY_MAX];
     size_t span = unit ? RP_UNIT_BYTES : RP_CHUNK_BYTES, at = piece * span;
@@ -933,17 +933,17 @@
     memcpy(request->saved[request->n].bits, job->done + at, bytes);
     request->n++;
     piece_key(key, job->spec.id, piece, unit);
-    rp_wire_txn_if(txn, key, *saved_rev(job, piece, unit));
-    rp_wire_txn_put(
-        txn, key, rp_upgrade_mark_record(jobs->upgrade, rp_record_progress(job->done + at, bytes)),
-        0);
+    rp_kv_txn_if(txn, key, *saved_rev(job, piece, unit));
+    rp_kv_txn_put(txn, key,
+                  rp_upgrade_mark_record(jobs->upgrade, rp_record_progress(job->done + at, bytes)),
+                  RP_KV_NO_LEASE);
     job->dirty_units &= ~units_of(piece, unit);
     job->writing_units |= units_of(piece, unit);
 }
 
 /* Until every node reads units, progress goes into the chunks that all of them know; where one
  * doesn't fit, it waits for the activation. */
-static void flush_job(struct rp_jobs *jobs, struct request *request, json_t *txn,
+static void flush_job(struct rp_jobs *jobs, struct request *request, struct rp_kv_txn *txn,
                       struct rp_job *job, size_t most) {
     bool unit = rp_upgrade_is_active(jobs->upgrade);
     unsigned n = unit ? RP_UNITS_MAX : (RP_UNITS_MAX + RP_CHUNK_UNITS - 1) / RP_CHUNK_UNITS;
@@ -975,7 +975,7 @@
     if ((double)most > room)
         most = (size_t)room;
     struct request *request = request_new(jobs);
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     request->saved = rp_alloc(most, sizeof *request->saved);
     rp_election_guard(jobs->election, txn);
     for (struct rp_job *job = jobs->first; job && request->n < most; job = job->next) {
@@ -987,9 +987,9 @@
         job->dirty_since = now;
     }
     if (request->n > 0) {
-        rp_kv_txn(jobs->store, RP_KV_BUDGET_LEADER, txn, flushed, request);
+        rp_kv_txn_submit(jobs->store, RP_KV_BUDGET_LEADER, txn, flushed, request);
     } else {
-        json_decref(txn);
+        rp_kv_txn_discard(txn);
         request_free(request);
     }
 }
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -298,11 +298,11 @@
     start(client, budget, "GET", target, NULL, ANSWER_S * 2, 0, fn, arg);
 }
 
-void rp_kv_txn(struct rp_kv_client *client, enum rp_kv_budget budget, json_t *txn, rp_kv_fn fn,
-               void *arg) {
-    unsigned writes = (unsigned)rp_wire_txn_ops(txn);
-    char *body = json_dumps(txn, JSON_COMPACT);
-    json_decref(txn);
+void rp_kv_txn_submit(struct rp_kv_client *client, enum rp_kv_budget budget, struct rp_kv_txn *txn,
+                      rp_kv_fn fn, void *arg) {
+    unsigned writes = (unsigned)rp_kv_txn_n_ops(txn);
+    char *body = rp_kv_txn_encode(txn);
+    rp_kv_txn_discard(txn);
     start(client, budget, "POST", format("/txn"), body, ANSWER_S, writes, fn, arg);
 }
 
--- a/src/store/kv_client.h
+++ b/src/store/kv_client.h
@@ -7,6 +7,7 @@
 #include "base/loop.h"
 #include "base/net.h"
 #include "base/token_bucket.h"
+#include "store/kv_txn.h"
 
 enum rp_kv_outcome {
     RP_KV_OK,
@@ -67,9 +68,9 @@
                void *arg);
 void rp_kv_list(struct rp_kv_client *client, enum rp_kv_budget budget, const char *prefix,
                 const char *after, unsigned limit, rp_kv_fn fn, void *arg);
-/** Takes the transaction over. */
-void rp_kv_txn(struct rp_kv_client *client, enum rp_kv_budget budget, json_t *txn, rp_kv_fn fn,
-               void *arg);
+/** Sends a transaction, and takes it over. */
+void rp_kv_txn_submit(struct rp_kv_client *client, enum rp_kv_budget budget, struct rp_kv_txn *txn,
+                      rp_kv_fn fn, void *arg);
 void rp_kv_lease_grant(struct rp_kv_client *client, double ttl_s, rp_kv_fn fn, void *arg);
 void rp_kv_lease_renew(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg);
 void rp_kv_lease_revoke(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg);
--- a/src/upgrade/format_upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -76,11 +76,11 @@
 
 static void announce(struct rp_upgrade *upgrade) {
     char key[RP_KEY_MAX];
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_key(key, RP_KEY_VERSION, upgrade->settings->node);
-    rp_wire_txn_put(txn, key, rp_record_version(upgrade->settings->node), upgrade->lease);
+    rp_kv_txn_put(txn, key, rp_record_version(upgrade->settings->node), upgrade->lease);
     set_state(upgrade, RP_UPGRADE_ANNOUNCING);
-    rp_kv_txn(upgrade->store, RP_KV_BUDGET_LEADERSHIP, txn, announced, upgrade);
+    rp_kv_txn_submit(upgrade->store, RP_KV_BUDGET_LEADERSHIP, txn, announced, upgrade);
 }
 
 static void leased(void *arg, const struct rp_kv_result *result) {
@@ -128,14 +128,14 @@
 
 /* The transaction that activates, or NULL while some node counts as old. Where the service takes
  * fewer conditions than there are nodes, the rest of them is known from the list just read. */
-static json_t *activation(struct rp_upgrade *upgrade, json_t *body) {
+static struct rp_kv_txn *activation(struct rp_upgrade *upgrade, json_t *body) {
     const struct rp_settings *settings = upgrade->settings;
     bool more;
     size_t n = rp_wire_items(body, &more), room = 4 * settings->state_fit.txn_ops - 2;
     char key[RP_KEY_MAX];
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(upgrade->election, txn);
-    rp_wire_txn_if(txn, RP_KEY_FORMAT, 0);
+    rp_kv_txn_if(txn, RP_KEY_FORMAT, RP_KV_ABSENT);
     upgrade->n_known = 0;
     for (size_t i = 0; i <= settings->n_peers; i++) {
         const char *node = i < settings->n_peers ? settings->peers[i].name : settings->node;
@@ -143,12 +143,12 @@
         upgrade->n_known += version > 0;
         rp_key(key, RP_KEY_VERSION, node);
         if (room > 0 && room-- > 0)
-            rp_wire_txn_if(txn, key, version);
+            rp_kv_txn_if(txn, key, version);
     }
-    rp_wire_txn_put(txn, RP_KEY_FORMAT, rp_record_activation(), 0);
+    rp_kv_txn_put(txn, RP_KEY_FORMAT, rp_record_activation(), RP_KV_NO_LEASE);
     if (upgrade->n_known == settings->n_peers + 1)
         return txn;
-    json_decref(txn);
+    rp_kv_txn_discard(txn);
     return NULL;
 }
 
@@ -158,11 +158,11 @@
     if (result->outcome != RP_KV_OK || upgrade->state != RP_UPGRADE_ANNOUNCED ||
         !rp_election_is_valid(upgrade->election, rp_loop_now(upgrade->loop)))
         return;
-    json_t *txn = activation(upgrade, result->body);
+    struct rp_kv_txn *txn = activation(upgrade, result->body);
     if (!txn)
         return;
     upgrade->activating = true;
-    rp_kv_txn(upgrade->store, RP_KV_BUDGET_LEADERSHIP, txn, activated, upgrade);
+    rp_kv_txn_submit(upgrade->store, RP_KV_BUDGET_LEADERSHIP, txn, activated, upgrade);
 }
 
 static void looked(void *arg, const struct rp_kv_result *result) {
--- a/tests/test_election.c
+++ b/tests/test_election.c
@@ -122,8 +122,10 @@
     *(int *)arg += result->outcome == RP_KV_REFUSED;
 }
 
-static json_t *one_write(void) {
-    return json_pack("{s:[],s:[{s:s,s:{}}]}", "when", "then", "write", "a/b", "v");
+static struct rp_kv_txn *one_write(void) {
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
+    rp_kv_txn_put(txn, "a/b", json_object(), RP_KV_NO_LEASE);
+    return txn;
 }
 
 /* On five nodes submissions stood behind polls in one queue, and each node let less than two
@@ -142,10 +144,10 @@
         rp_kv_get(&client, RP_KV_BUDGET_QUERIES, "a/b", count_refusal, &refused);
     assert_true(asked.reads < 40);
     for (int i = 0; i < 5; i++)
-        rp_kv_txn(&client, RP_KV_BUDGET_SUBMISSIONS, one_write(), count_refusal, &refused);
+        rp_kv_txn_submit(&client, RP_KV_BUDGET_SUBMISSIONS, one_write(), count_refusal, &refused);
     assert_int_equal(asked.writes, 5);
     for (int i = 0; i < 20; i++)
-        rp_kv_txn(&client, RP_KV_BUDGET_SUBMISSIONS, one_write(), count_refusal, &refused);
+        rp_kv_txn_submit(&client, RP_KV_BUDGET_SUBMISSIONS, one_write(), count_refusal, &refused);
     assert_int_equal(asked.writes, 5);
     assert_int_equal(refused, 0);
     for (int i = 0; i < 50; i++)
@@ -173,7 +175,7 @@
     rp_kv_client_init(&client, &loop, net, "state", 200, 20, 5, 0.6);
     for (int i = 0; i < 45; i++) {
         rp_loop_advance(&loop, rp_ts(100 + i / 3.0));
-        rp_kv_txn(&client, RP_KV_BUDGET_SUBMISSIONS, one_write(), count_refusal, &refused);
+        rp_kv_txn_submit(&client, RP_KV_BUDGET_SUBMISSIONS, one_write(), count_refusal, &refused);
     }
     rp_loop_advance(&loop, rp_ts(116));
     assert_int_equal(refused, 0);
