--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -102,12 +102,11 @@
 
 static void over_read(void *arg, const struct rp_kv_result *result) {
     struct op *operation = arg;
-    struct rp_item item;
+    struct rp_kv_item item;
     enum rp_job_phase phase;
     if (result->outcome == RP_KV_NOT_FOUND)
         op_unknown_job(operation);
-    else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item) &&
-             rp_record_terminal_read(item.value, &phase))
+    else if (rp_kv_result_item(result, &item) && rp_record_terminal_read(item.value, &phase))
         op_final(operation, phase);
     else
         op_unavailable(operation);
@@ -131,11 +130,11 @@
 
 static void open_read(void *arg, const struct rp_kv_result *result) {
     struct op *operation = arg;
-    struct rp_item item;
+    struct rp_kv_item item;
     if (result->outcome == RP_KV_NOT_FOUND) {
         op_next(operation, OP_READ_OVER);
-    } else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
-        operation->version = item.version;
+    } else if (rp_kv_result_item(result, &item)) {
+        operation->version = item.revision;
         if (operation->kind == OP_CANCEL)
             op_next(operation, OP_WRITE);
         else
@@ -156,8 +155,8 @@
  * only once there is none left. */
 static void format_read(void *arg, const struct rp_kv_result *result) {
     struct op *operation = arg;
-    struct rp_item item;
-    if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item))
+    struct rp_kv_item item;
+    if (rp_kv_result_item(result, &item))
         rp_upgrade_on_activation_record(operation->api->upgrade, item.value);
     if (rp_upgrade_is_active(operation->api->upgrade)) {
         op_next(operation, OP_WRITE);
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -74,9 +74,8 @@
 
 static void stored_came(void *arg, const struct rp_kv_result *result) {
     struct rp_catalog_source *source = arg;
-    struct rp_item item;
-    bool read = result->outcome == RP_KV_OK && rp_wire_item(result->body, &item) &&
-                rp_record_format(item.value) <= RP_FORMAT;
+    struct rp_kv_item item;
+    bool read = rp_kv_result_item(result, &item) && rp_record_format(item.value) <= RP_FORMAT;
     if (!read || !take(source, item.value, "the state service"))
         rp_timer_set(source->loop, &source->stored_timer, STORED_AFTER_S);
 }
@@ -99,8 +98,8 @@
 
 static void compare_came(void *arg, const struct rp_kv_result *result) {
     struct rp_catalog_source *source = arg;
-    struct rp_item item = {0};
-    bool found = result->outcome == RP_KV_OK && rp_wire_item(result->body, &item);
+    struct rp_kv_item item = {0};
+    bool found = rp_kv_result_item(result, &item);
     if ((!found && result->outcome != RP_KV_NOT_FOUND) ||
         source->election->state != RP_ELECTION_HOLDING_KEY || !source->from_cloud)
         return;
@@ -112,7 +111,7 @@
     }
     struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(source->election, txn);
-    rp_kv_txn_if(txn, RP_KEY_CATALOG, found ? item.version : RP_KV_ABSENT);
+    rp_kv_txn_if(txn, RP_KEY_CATALOG, found ? item.revision : RP_KV_ABSENT);
     rp_kv_txn_put(txn, RP_KEY_CATALOG, record, RP_KV_NO_LEASE);
     rp_kv_txn_submit(source->store, RP_KV_BUDGET_LEADER, txn, written, source);
 }
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -210,7 +210,7 @@
     request_free(request);
     rental->busy = false;
     if (result->outcome == RP_KV_CONDITION_FAILED &&
-        rp_wire_failed_key(result->body, RP_KEY_LEADER)) {
+        rp_kv_result_failed_on(result, RP_KEY_LEADER)) {
         rp_election_verify(fleet->election);
         rental_later(fleet, rental, 1);
         return;
@@ -231,7 +231,7 @@
         rental_later(fleet, rental, 0.2);
         return;
     }
-    rental->version = rp_wire_revision(result->body);
+    rental->version = rp_kv_result_revision(result);
     if (wrote == RP_PROVISION_ENDED) {
         rental_free(fleet, rental);
         return;
@@ -252,7 +252,7 @@
     struct rp_fleet *fleet = request->f;
     struct rp_provision_request *rental =
         request_current(request) ? rental_find(fleet, request->rental) : NULL;
-    struct rp_item item;
+    struct rp_kv_item item;
     request_free(request);
     if (!rental)
         return;
@@ -260,8 +260,8 @@
     if (result->outcome == RP_KV_NOT_FOUND) {
         rental->version = 0;
         rental->version_known = true;
-    } else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
-        rental->version = item.version;
+    } else if (rp_kv_result_item(result, &item)) {
+        rental->version = item.revision;
         rental->version_known = true;
     } else {
         rental_later(fleet, rental, 0.3);
@@ -960,7 +960,7 @@
 
 static void load_page(struct rp_fleet *fleet, const char *after);
 
-static void load_rental(struct rp_fleet *fleet, const struct rp_item *item) {
+static void load_rental(struct rp_fleet *fleet, const struct rp_kv_item *item) {
     struct timespec now = rp_loop_now(fleet->loop), wall;
     struct rp_provision_request *request = rental_add(fleet, item->key + strlen(RP_KEY_PROVISION));
     if (!rp_record_provision_read(item->value, &request->record)) {
@@ -969,7 +969,7 @@
         return;
     }
     request->stored = true;
-    request->version = item->version;
+    request->version = item->revision;
     request->version_known = true;
     if (!request->record.answered) {
         rental_set_state(fleet, request, RP_PROVISION_REQUESTING);
@@ -1007,17 +1007,17 @@
 static void loaded(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_fleet *fleet = request->f;
-    struct rp_item item = {0};
-    bool more = false;
+    struct rp_kv_item item = {0};
     if (!request_current(request))
         goto out;
     if (result->outcome != RP_KV_OK) {
         fleet->on_loaded(fleet->arg, false);
         goto out;
     }
-    size_t n = rp_wire_items(result->body, &more);
+    size_t n = rp_kv_result_n_items(result);
+    bool more = rp_kv_result_has_more(result);
     for (size_t i = 0; i < n; i++)
-        if (rp_wire_items_at(result->body, i, &item))
+        if (rp_kv_result_item_at(result, i, &item))
             load_rental(fleet, &item);
     if (more && n > 0) {
         load_page(fleet, item.key);
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -5,7 +5,6 @@
 #include <string.h>
 #include "base/log.h"
 #include "base/memory.h"
-#include "protocol/wire.h"
 #include "store/records.h"
 
 /* The steady clock may run 0.05% fast against the service's: four times that, and a little for
@@ -109,7 +108,7 @@
 static void claimed(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
     if (result->outcome == RP_KV_OK) {
-        election->fencing_token = rp_wire_revision(result->body);
+        election->fencing_token = rp_kv_result_revision(result);
         election->valid_until = rp_election_trust(election->asked, election->term_ttl_s);
         set_state(election, RP_ELECTION_HOLDING_KEY);
         rp_timer_set(election->loop, &election->timer, fmin(TOUCH_S, election->term_ttl_s / 8));
@@ -133,11 +132,11 @@
 
 static void leased(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
-    if (result->outcome != RP_KV_OK || !rp_wire_lease(result->body)) {
+    if (result->outcome != RP_KV_OK || !rp_kv_result_lease(result)) {
         follow_again(election, RETRY_S);
         return;
     }
-    election->lease = rp_wire_lease(result->body);
+    election->lease = rp_kv_result_lease(result);
     struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_kv_txn_if(txn, RP_KEY_LEADER, election->claim_over);
     rp_kv_txn_put(txn, RP_KEY_LEADER, own_record(election, election->lease), election->lease);
@@ -193,7 +192,7 @@
 static void deposed(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
     if (result->outcome == RP_KV_OK)
-        claim(election, rp_wire_revision(result->body), election->fenced_lease);
+        claim(election, rp_kv_result_revision(result), election->fenced_lease);
     else
         follow_again(election,
                      RETRY_S); /* carried out all the same, the next look shows our name */
@@ -233,7 +232,7 @@
     struct rp_election *election = arg;
     static const struct rp_fenced_lease none = {0};
     struct rp_leader_record record = {0};
-    struct rp_item item;
+    struct rp_kv_item item;
     if (election->state != RP_ELECTION_FOLLOWING)
         return; /* a takeover has begun meanwhile */
     if (result->outcome == RP_KV_OK)
@@ -249,20 +248,20 @@
             return;
         }
     }
-    if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
+    if (rp_kv_result_item(result, &item)) {
         bool read = rp_record_leader_read(item.value, &record);
         if (read && strcmp(record.node, election->node) == 0 && may_claim) {
             /* Our own name, though we don't hold: an earlier process of this node, which has
              * ended, or a claim whose answer was lost. Nobody acts on it, so there is no need to
              * wait for its lease; but a leader that it had deposed may still act. */
-            claim(election, item.version, record.fenced);
+            claim(election, item.revision, record.fenced);
             return;
         }
         if (strcmp(record.node, election->leader) != 0)
             election->silent_since = (struct timespec){0}; /* another one */
         snprintf(election->leader, sizeof election->leader, "%.63s", record.node);
         election->seen = record;
-        election->seen_version = item.version;
+        election->seen_version = item.revision;
     }
     rp_timer_set(election->loop, &election->timer,
                  result->outcome == RP_KV_OK ? election->check_s : RETRY_S);
@@ -306,12 +305,11 @@
 
 static void doubted(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
-    struct rp_item item;
+    struct rp_kv_item item;
     if (election->state != RP_ELECTION_HOLDING_KEY)
         return;
     if (result->outcome == RP_KV_NOT_FOUND ||
-        (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item) &&
-         item.version != election->fencing_token))
+        (rp_kv_result_item(result, &item) && item.revision != election->fencing_token))
         follow_again(election, 0);
 }
 
--- a/src/jobs/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -4,7 +4,6 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/memory.h"
-#include "protocol/wire.h"
 #include "store/records.h"
 
 #define CONDITIONS_PER_CHANGE 4 /* of a transaction (PROTOCOL) */
@@ -52,7 +51,7 @@
     if (result->outcome != RP_KV_CONDITION_FAILED)
         return RP_LOOKUP_UNAVAILABLE;
     rp_key(key, RP_KEY_OPEN, job);
-    return rp_wire_failed_key(result->body, key) ? RP_LOOKUP_OPEN : RP_LOOKUP_NOT_OPEN;
+    return rp_kv_result_failed_on(result, key) ? RP_LOOKUP_OPEN : RP_LOOKUP_NOT_OPEN;
 }
 
 static void compared(void *arg, const struct rp_kv_result *result) {
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -7,7 +7,6 @@
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/string_copy.h"
-#include "protocol/wire.h"
 
 #define PAGE 1000
 #define FOLLOW_HOLD_S 3.0
@@ -386,7 +385,7 @@
         rp_error("record %s can't be read: left alone", key);
 }
 
-static void read_progress(struct rp_jobs *jobs, const struct rp_item *item) {
+static void read_progress(struct rp_jobs *jobs, const struct rp_kv_item *item) {
     char id[RP_ID_MAX];
     unsigned piece;
     bool unit;
@@ -408,7 +407,7 @@
         unreadable(jobs, item->key, item->value);
         return;
     }
-    *saved_rev(job, piece, unit) = item->version;
+    *saved_rev(job, piece, unit) = item->revision;
     job->stored.chunks |= stored.chunks;
     job->stored.units |= stored.units;
 }
@@ -434,13 +433,13 @@
 static void got_progress(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_jobs *jobs = request->t;
-    bool more = false;
-    struct rp_item item = {0};
+    struct rp_kv_item item = {0};
     if (!page_came(request, result))
         goto out;
-    size_t n = rp_wire_items(result->body, &more);
+    size_t n = rp_kv_result_n_items(result);
+    bool more = rp_kv_result_has_more(result);
     for (size_t i = 0; i < n; i++)
-        if (rp_wire_items_at(result->body, i, &item))
+        if (rp_kv_result_item_at(result, i, &item))
             read_progress(jobs, &item);
     if (more && n > 0)
         list_progress(jobs, item.key);
@@ -459,12 +458,12 @@
 
 static void read_next_parts(struct rp_jobs *jobs);
 
-static void later_parts(struct rp_jobs *jobs, const struct rp_item *item) {
+static void later_parts(struct rp_jobs *jobs, const struct rp_kv_item *item) {
     struct rp_partial_record **link = &jobs->partial_records,
                              *partial = rp_alloc(1, sizeof *partial);
     snprintf(partial->job, sizeof partial->job, "%s", item->key + strlen(RP_KEY_OPEN));
     partial->record = json_incref(item->value);
-    partial->version = item->version;
+    partial->version = item->revision;
     while (*link)
         link = &(*link)->next;
     *link = partial;
@@ -478,16 +477,16 @@
 }
 
 /* The job's record from its first piece and the parts listed, or NULL. */
-static json_t *put_together(const struct rp_partial_record *partial, json_t *body) {
+static json_t *put_together(const struct rp_partial_record *partial,
+                            const struct rp_kv_result *result) {
     json_t *pieces[RP_PARTS_MAX] = {partial->record};
     size_t want = rp_record_parts(partial->record), found = 0;
-    bool more;
-    size_t n = rp_wire_items(body, &more);
+    size_t n = rp_kv_result_n_items(result);
     for (size_t i = 0; i < n; i++) {
         char id[RP_ID_MAX];
         unsigned part;
-        struct rp_item item;
-        if (rp_wire_items_at(body, i, &item) && rp_key_part_read(item.key, id, &part) &&
+        struct rp_kv_item item;
+        if (rp_kv_result_item_at(result, i, &item) && rp_key_part_read(item.key, id, &part) &&
             strcmp(id, partial->job) == 0 && part >= 1 && part <= want && !pieces[part]) {
             pieces[part] = item.value;
             found++;
@@ -496,9 +495,10 @@
     return found == want ? rp_record_join(pieces, want + 1) : NULL;
 }
 
-static void take_pending(struct rp_jobs *jobs, struct rp_partial_record *partial, json_t *body) {
+static void take_pending(struct rp_jobs *jobs, struct rp_partial_record *partial,
+                         const struct rp_kv_result *result) {
     char key[RP_KEY_MAX];
-    json_t *whole = put_together(partial, body);
+    json_t *whole = put_together(partial, result);
     struct rp_job *job = whole ? job_add(jobs, whole, partial->version) : NULL;
     json_decref(whole);
     if (job) {
@@ -524,7 +524,7 @@
     jobs->partial_records = partial->next;
     bool news = !partial->gone;
     if (!partial->gone)
-        take_pending(jobs, partial, result->body);
+        take_pending(jobs, partial, result);
     pending_free(partial);
     read_next_parts(jobs);
     if (news && jobs->active && jobs->on_changed)
@@ -552,12 +552,12 @@
 
 /* ---- jobs that are open ---- */
 
-static void take_open(struct rp_jobs *jobs, const struct rp_item *item) {
+static void take_open(struct rp_jobs *jobs, const struct rp_kv_item *item) {
     if (rp_record_format(item->value) <= RP_FORMAT && rp_record_parts(item->value)) {
         later_parts(jobs, item);
         return;
     }
-    struct rp_job *job = job_add(jobs, item->value, item->version);
+    struct rp_job *job = job_add(jobs, item->value, item->revision);
     if (job)
         rp_debug("job %s known, class=%s tasks=%u", job->spec.id, job->spec.class_name,
                  job->spec.n_tasks);
@@ -565,27 +565,27 @@
         unreadable(jobs, item->key, item->value);
 }
 
-static bool is_fence(const struct rp_item *item) {
+static bool is_fence(const struct rp_kv_item *item) {
     return strcmp(item->key, RP_KEY_FENCE) == 0;
 }
 
 static void got_open(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_jobs *jobs = request->t;
-    bool more = false;
-    struct rp_item item = {0};
+    struct rp_kv_item item = {0};
     if (!page_came(request, result))
         goto out;
     /* The watch starts at the first page's revision: what changes between the pages comes again
      * through it, in order. */
     if (jobs->revision == 0)
-        jobs->revision = rp_wire_revision(result->body);
-    size_t n = rp_wire_items(result->body, &more);
+        jobs->revision = rp_kv_result_revision(result);
+    size_t n = rp_kv_result_n_items(result);
+    bool more = rp_kv_result_has_more(result);
     for (size_t i = 0; i < n; i++) {
-        if (!rp_wire_items_at(result->body, i, &item))
+        if (!rp_kv_result_item_at(result, i, &item))
             continue;
         if (is_fence(&item))
-            rp_election_note_fence(jobs->election, item.version);
+            rp_election_note_fence(jobs->election, item.revision);
         else if (!rp_jobs_find(jobs, item.key + strlen(RP_KEY_OPEN)))
             take_open(jobs, &item);
     }
@@ -618,14 +618,14 @@
 
 /* ---- the watch ---- */
 
-static void apply(struct rp_jobs *jobs, const struct rp_item *event) {
+static void apply(struct rp_jobs *jobs, const struct rp_kv_item *event) {
     const char *id = event->key + strlen(RP_KEY_OPEN);
     struct rp_job *job = rp_jobs_find(jobs, id);
     struct rp_partial_record *partial = pending_find(jobs, id);
     if (event->value && !job && !partial) {
         take_open(jobs, event);
     } else if (event->value) {
-        *(job ? &job->version : &partial->version) = event->version;
+        *(job ? &job->version : &partial->version) = event->revision;
     } else if (partial) {
         struct rp_stored_records parts = {
             .parts = ((UINT64_C(1) << rp_record_parts(partial->record)) - 1) << 1};
@@ -647,24 +647,24 @@
     if (!request_current(request) || !jobs->active)
         goto out;
     if (result->outcome == RP_KV_OK && result->body) {
-        size_t n = rp_wire_events(result->body);
+        size_t n = rp_kv_result_n_events(result);
         /* Before anything else of the answer: jobs that come with a fence are the next leader's. */
         for (size_t i = 0; i < n; i++) {
-            struct rp_item event;
-            if (rp_wire_event_at(result->body, i, &event) && is_fence(&event))
-                rp_election_note_fence(jobs->election, event.version);
+            struct rp_kv_item event;
+            if (rp_kv_result_event_at(result, i, &event) && is_fence(&event))
+                rp_election_note_fence(jobs->election, event.revision);
         }
         if (!request_current(request))
             goto out;
         for (size_t i = 0; i < n; i++) {
-            struct rp_item event;
-            if (rp_wire_event_at(result->body, i, &event) && !is_fence(&event) &&
+            struct rp_kv_item event;
+            if (rp_kv_result_event_at(result, i, &event) && !is_fence(&event) &&
                 strncmp(event.key, RP_KEY_OPEN, strlen(RP_KEY_OPEN)) == 0)
                 apply(jobs, &event);
         }
         jobs->watched = true;
         read_next_parts(jobs);
-        uint64_t revision = rp_wire_revision(result->body);
+        uint64_t revision = rp_kv_result_revision(result);
         if (revision > jobs->revision)
             jobs->revision = revision;
         jobs->synced_at = jobs->watch_sent_at;
@@ -762,7 +762,7 @@
         sweep_later(jobs, job->spec.id, &request->left);
         job_set_state(jobs, job, RP_JOB_CLOSED);
     } else if (result->outcome == RP_KV_CONDITION_FAILED &&
-               rp_wire_failed_key(result->body, RP_KEY_LEADER)) {
+               rp_kv_result_failed_on(result, RP_KEY_LEADER)) {
         rp_election_verify(jobs->election);
     } else if (result->outcome == RP_KV_BAD_REQUEST) {
         fewer_ops(jobs);
@@ -832,7 +832,7 @@
     char key[RP_KEY_MAX];
     piece_key(key, job->spec.id, piece, unit);
     if (result->outcome == RP_KV_UNKNOWN ||
-        (result->outcome == RP_KV_CONDITION_FAILED && rp_wire_failed_key(result->body, key)))
+        (result->outcome == RP_KV_CONDITION_FAILED && rp_kv_result_failed_on(result, key)))
         *saved_rev(job, piece, unit) = REV_UNKNOWN;
 }
 
@@ -848,7 +848,7 @@
     struct rp_jobs *jobs = request->t;
     struct rp_job *job =
         request_current(request) ? rp_jobs_find(jobs, request->saved[0].job) : NULL;
-    struct rp_item item;
+    struct rp_kv_item item;
     if (!job || job->state == RP_JOB_CLOSED)
         goto out;
     unsigned piece = request->saved[0].piece;
@@ -856,8 +856,8 @@
     job->writing_units &= ~units_of(piece, unit);
     if (result->outcome == RP_KV_NOT_FOUND)
         *saved_rev(job, piece, unit) = 0;
-    else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item))
-        *saved_rev(job, piece, unit) = item.version;
+    else if (rp_kv_result_item(result, &item))
+        *saved_rev(job, piece, unit) = item.revision;
     note_stored(job, piece, unit);
     job->dirty_since = (struct timespec){0}; /* it has waited long enough */
 out:
@@ -902,15 +902,14 @@
                 note_stored(job, piece, unit); /* it may have been written */
             continue;
         }
-        *saved_rev(job, piece, unit) = rp_wire_revision(result->body);
+        *saved_rev(job, piece, unit) = rp_kv_result_revision(result);
         size_t span = unit ? RP_UNIT_BYTES : RP_CHUNK_BYTES;
         size_t at = piece * span, bytes = (job->spec.n_tasks + 7) / 8;
         for (size_t b = 0; b < span && at + b < bytes; b++)
             job->durable[at + b] |= request->saved[i].bits[b];
         note_stored(job, piece, unit);
     }
-    if (result->outcome == RP_KV_CONDITION_FAILED &&
-        rp_wire_failed_key(result->body, RP_KEY_LEADER))
+    if (result->outcome == RP_KV_CONDITION_FAILED && rp_kv_result_failed_on(result, RP_KEY_LEADER))
         rp_election_verify(jobs->election);
     if (result->outcome == RP_KV_BAD_REQUEST)
         refused_as_large(jobs, request);
--- a/src/protocol/wire.c
+++ b/src/protocol/wire.c
@@ -468,10 +468,10 @@
     return (uint64_t)json_integer_value(json_object_get(body, "ledger_rev"));
 }
 
-bool rp_wire_item(json_t *body, struct rp_item *out) {
+bool rp_wire_item(json_t *body, struct rp_kv_item *out) {
     out->key = json_string_value(json_object_get(body, "path"));
     out->value = json_object_get(body, "v");
-    out->version = (uint64_t)json_integer_value(json_object_get(body, "key_rev"));
+    out->revision = (uint64_t)json_integer_value(json_object_get(body, "key_rev"));
     out->lease = (uint64_t)json_integer_value(json_object_get(body, "lashing"));
     return out->key && out->value;
 }
@@ -481,7 +481,7 @@
     return json_array_size(json_object_get(body, "rows"));
 }
 
-bool rp_wire_items_at(json_t *body, size_t i, struct rp_item *out) {
+bool rp_wire_items_at(json_t *body, size_t i, struct rp_kv_item *out) {
     return rp_wire_item(json_array_get(json_object_get(body, "rows"), i), out);
 }
 
@@ -489,13 +489,13 @@
     return json_array_size(json_object_get(body, "log"));
 }
 
-bool rp_wire_event_at(json_t *body, size_t i, struct rp_item *out) {
+bool rp_wire_event_at(json_t *body, size_t i, struct rp_kv_item *out) {
     json_t *e = json_array_get(json_object_get(body, "log"), i);
     const char *put = json_string_value(json_object_get(e, "write"));
     const char *gone = json_string_value(json_object_get(e, "delete"));
     out->key = put ? put : gone;
     out->value = put ? json_object_get(e, "v") : NULL;
-    out->version = (uint64_t)json_integer_value(json_object_get(e, "key_rev"));
+    out->revision = (uint64_t)json_integer_value(json_object_get(e, "key_rev"));
     out->lease = 0;
     return out->key != NULL;
 }
--- a/src/protocol/wire.h
+++ b/src/protocol/wire.h
@@ -57,20 +57,20 @@
 struct rp_listed_machine *rp_wire_listed(const char *body, size_t len, size_t *n, bool *more);
 
 /** ---- state service ---- */
-struct rp_item {
+struct rp_kv_item {
     const char *key;
     json_t *value; /* borrowed; NULL for a deletion */
-    uint64_t version;
+    uint64_t revision;
     uint64_t lease;
 };
 /** Parses any answer of the state service; NULL when it isn't an object. */
 json_t *rp_wire_parse(const char *body, size_t len);
 uint64_t rp_wire_revision(const json_t *body);
-bool rp_wire_item(json_t *body, struct rp_item *out);
+bool rp_wire_item(json_t *body, struct rp_kv_item *out);
 size_t rp_wire_items(json_t *body, bool *more); /* number of listed items */
-bool rp_wire_items_at(json_t *body, size_t i, struct rp_item *out);
+bool rp_wire_items_at(json_t *body, size_t i, struct rp_kv_item *out);
 size_t rp_wire_events(json_t *body);
-bool rp_wire_event_at(json_t *body, size_t i, struct rp_item *out);
+bool rp_wire_event_at(json_t *body, size_t i, struct rp_kv_item *out);
 bool rp_wire_failed_key(json_t *body, const char *key);
 uint64_t rp_wire_lease(const json_t *body);
 json_t *rp_wire_txn(void);
--- a/src/store/kv_client.h
+++ b/src/store/kv_client.h
@@ -7,23 +7,9 @@
 #include "base/loop.h"
 #include "base/net.h"
 #include "base/token_bucket.h"
+#include "store/kv_result.h"
 #include "store/kv_txn.h"
 
-enum rp_kv_outcome {
-    RP_KV_OK,
-    RP_KV_NOT_FOUND,        /* 404 */
-    RP_KV_CONDITION_FAILED, /* 409: a condition failed, nothing was changed */
-    RP_KV_COMPACTED,        /* 410: a watch from too old a revision */
-    RP_KV_BAD_REQUEST,      /* 400, also: no such lease */
-    RP_KV_REFUSED,          /* certainly not executed: 429, 503, or no budget here */
-    RP_KV_UNKNOWN           /* no answer: may have been executed, or may be later */
-};
-
-struct rp_kv_result {
-    enum rp_kv_outcome outcome;
-    json_t *body; /* borrowed; NULL when there is none */
-};
-
 typedef void (*rp_kv_fn)(void *arg, const struct rp_kv_result *result);
 
 /** Whose budget a request counts against, and who is served first when budgets run short:
--- a/src/upgrade/format_upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -2,7 +2,6 @@
 
 #include <string.h>
 #include "base/log.h"
-#include "protocol/wire.h"
 #include "store/records.h"
 
 #define TICK_S 0.5
@@ -88,9 +87,9 @@
     if (upgrade->state != RP_UPGRADE_LEASING)
         return;
     set_state(upgrade, RP_UPGRADE_LOOKING);
-    if (result->outcome != RP_KV_OK || !rp_wire_lease(result->body))
+    if (result->outcome != RP_KV_OK || !rp_kv_result_lease(result))
         return;
-    upgrade->lease = rp_wire_lease(result->body);
+    upgrade->lease = rp_kv_result_lease(result);
     upgrade->renewed_at = rp_loop_now(upgrade->loop);
     announce(upgrade);
 }
@@ -115,23 +114,22 @@
 }
 
 /* The version of the node's record among those listed, or 0: the node counts as old. */
-static uint64_t known_as(json_t *body, size_t n, const char *node) {
+static uint64_t known_as(const struct rp_kv_result *result, const char *node) {
     char key[RP_KEY_MAX];
-    struct rp_item item;
+    struct rp_kv_item item;
     rp_key(key, RP_KEY_VERSION, node);
-    for (size_t i = 0; i < n; i++)
-        if (rp_wire_items_at(body, i, &item) && strcmp(item.key, key) == 0 &&
+    for (size_t i = 0; i < rp_kv_result_n_items(result); i++)
+        if (rp_kv_result_item_at(result, i, &item) && strcmp(item.key, key) == 0 &&
             rp_record_format(item.value) >= RP_FORMAT)
-            return item.version;
+            return item.revision;
     return 0;
 }
 
 /* The transaction that activates, or NULL while some node counts as old. Where the service takes
  * fewer conditions than there are nodes, the rest of them is known from the list just read. */
-static struct rp_kv_txn *activation(struct rp_upgrade *upgrade, json_t *body) {
+static struct rp_kv_txn *activation(struct rp_upgrade *upgrade, const struct rp_kv_result *result) {
     const struct rp_settings *settings = upgrade->settings;
-    bool more;
-    size_t n = rp_wire_items(body, &more), room = 4 * settings->state_fit.txn_ops - 2;
+    size_t room = 4 * settings->state_fit.txn_ops - 2;
     char key[RP_KEY_MAX];
     struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(upgrade->election, txn);
@@ -139,7 +137,7 @@
     upgrade->n_known = 0;
     for (size_t i = 0; i <= settings->n_peers; i++) {
         const char *node = i < settings->n_peers ? settings->peers[i].name : settings->node;
-        uint64_t version = known_as(body, n, node);
+        uint64_t version = known_as(result, node);
         upgrade->n_known += version > 0;
         rp_key(key, RP_KEY_VERSION, node);
         if (room > 0 && room-- > 0)
@@ -158,7 +156,7 @@
     if (result->outcome != RP_KV_OK || upgrade->state != RP_UPGRADE_ANNOUNCED ||
         !rp_election_is_valid(upgrade->election, rp_loop_now(upgrade->loop)))
         return;
-    struct rp_kv_txn *txn = activation(upgrade, result->body);
+    struct rp_kv_txn *txn = activation(upgrade, result);
     if (!txn)
         return;
     upgrade->activating = true;
@@ -167,12 +165,12 @@
 
 static void looked(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
-    struct rp_item item;
+    struct rp_kv_item item;
     bool first = !upgrade->activation_read;
     if (upgrade->state >= RP_UPGRADE_ACTIVE)
         return;
     upgrade->activation_read |= result->outcome == RP_KV_OK || result->outcome == RP_KV_NOT_FOUND;
-    if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
+    if (rp_kv_result_item(result, &item)) {
         rp_upgrade_on_activation_record(upgrade, item.value);
         return;
     }
