--- a/tests/behaviour/behaviour_digest.c
+++ b/tests/behaviour/behaviour_digest.c
@@ -106,7 +106,7 @@
         char version[64];
         if (!value)
             abort();
-        snprintf(version, sizeof version, " %llu %llu ", (unsigned long long)key->version,
+        snprintf(version, sizeof version, " %llu %llu ", (unsigned long long)key->revision,
                  (unsigned long long)key->lease);
         XXH3_128bits_update(state, key->key, strlen(key->key));
         XXH3_128bits_update(state, version, strlen(version));
@@ -160,7 +160,7 @@
 static void run_day(struct sim *world) {
     if (world->now < DAY_S)
         sim_run(world, DAY_S - world->now);
-    sim_calm(world);
+    sim_end_faults(world);
     sim_run(world, REST_S);
 }
 
@@ -180,7 +180,7 @@
 
 /* Users ask often, and at all nodes after each change. */
 static void curious_day(struct sim *world, unsigned long seed) {
-    world->eager_polls = world->close_looks = true;
+    world->has_eager_users = world->has_concurrent_reads = true;
     work_day(world, seed);
 }
 
@@ -204,8 +204,8 @@
         sim_submit(world, 1, "sweep", 40, 2, 20 + (double)(seed % 5), 0);
     for (int i = 0; i < 4; i++) {
         int job = sim_submit(world, 30 + 10 * i, i == 3 ? "ensemble:low" : "sweep", 12, 1, 15, 0);
-        sim_change(world, job, "crew", json_string("guests"));
-        sim_change(world, job, "precedence", json_string(i % 2 ? "low" : "urgent"));
+        sim_set_field(world, job, "crew", json_string("guests"));
+        sim_set_field(world, job, "precedence", json_string(i % 2 ? "low" : "urgent"));
     }
     run_day(world);
 }
@@ -216,10 +216,11 @@
     for (int i = 0; i < 5; i++)
         sim_submit(world, 1, "sweep", 12, 1, 90, 0);
     sim_run(world, 45);
-    world->nodes[wait_for_leader(world)].refused_until = world->now + 4 + (double)(seed % 3) * 8;
-    sim_cancel_now(world, 4, seed % 2 ? 20 : 0);
+    world->nodes[wait_for_leader(world)].store_refusal_until =
+        world->now + 4 + (double)(seed % 3) * 8;
+    sim_cancel_running(world, 4, seed % 2 ? 20 : 0);
     sim_run(world, 2);
-    world->outage_until = world->now + 15;
+    world->store_outage_until = world->now + 15;
     run_day(world);
 }
 
@@ -243,11 +244,11 @@
     submit_work(world, seed);
     submit_stream(world);
     sim_run(world, 30 + 0.07 * (double)(seed % 11));
-    world->nodes[wait_for_leader(world)].stalled_until = world->now + 1.5;
+    world->nodes[wait_for_leader(world)].paused_until = world->now + 1.5;
     sim_run(world, 15);
-    world->nodes[wait_for_leader(world)].stalled_until = world->now + 20;
+    world->nodes[wait_for_leader(world)].paused_until = world->now + 20;
     sim_run(world, 30);
-    world->nodes[wait_for_leader(world)].alone_until = world->now + 25;
+    world->nodes[wait_for_leader(world)].partitioned_until = world->now + 25;
     run_day(world);
 }
 
@@ -255,14 +256,14 @@
 static void cut_zone_day(struct sim *world, unsigned long seed) {
     submit_work(world, seed);
     sim_run(world, 30);
-    world->cut_zone = 1 + (int)(seed % 2);
-    world->cut_node = 1 + wait_for_leader(world);
+    world->partitioned_zone = 1 + (int)(seed % 2);
+    world->node_in_partition = 1 + wait_for_leader(world);
     sim_run(world, 25);
-    world->cut_zone = world->cut_node = 0;
-    world->cut_from_workers = 1 + wait_for_leader(world);
+    world->partitioned_zone = world->node_in_partition = 0;
+    world->node_without_heartbeats = 1 + wait_for_leader(world);
     sim_run(world, 15);
-    world->cut_from_workers = 0;
-    world->cloud_out_until = world->now + 30;
+    world->node_without_heartbeats = 0;
+    world->cloud_outage_until = world->now + 30;
     run_day(world);
 }
 
@@ -271,11 +272,11 @@
     for (int i = 0; i < 100; i++)
         sim_submit(world, 1 + i * 0.2, "sweep", 2, 1, 40 + (double)(seed % 5), 0);
     sim_run(world, 30);
-    world->eager_polls = true;
+    world->has_eager_users = true;
     sim_run(world, 15);
     sim_crash(world, wait_for_leader(world), 2);
     sim_run(world, 30);
-    sim_calm(world);
+    sim_end_faults(world);
     sim_run(world, 40);
 }
 
@@ -320,7 +321,7 @@
     for (int i = 0; i < 40; i++) {
         int job = sim_submit(world, 1 + 2 * i, "sweep", 40, 2, 20 + 5 * (i % 5), 0);
         if (i % 4 == 0)
-            sim_change(world, job, "due_s", json_real(60 + 10 * i));
+            sim_set_field(world, job, "due_s", json_real(60 + 10 * i));
     }
     for (int i = 0; i < 3; i++) {
         sim_submit(world, 40 + 3 * i, "ensemble", 4, 24, 20, 0);
@@ -334,16 +335,16 @@
 /* Some machines and some jobs are bad: what runs there, or of them, fails. */
 static void bad_work_day(struct sim *world, unsigned long seed) {
     submit_work(world, seed);
-    world->jobs[seed % 5].faulty = true;
+    world->jobs[seed % 5].fails_always = true;
     sim_run(world, 25);
     for (int i = 0; i < world->size.workers; i += 4)
-        world->workers[i].bad = true;
+        world->workers[i].fails_tasks = true;
     run_day(world);
 }
 
 /* Nodes of the version before are replaced one after the other; then the limits come down. */
 static void roll_day(struct sim *world, unsigned long seed) {
-    sim_all_old(world);
+    sim_start_as_old_version(world);
     submit_work(world, seed);
     sim_run(world, 25 + (double)(seed % 7));
     for (int i = 0; i < world->n_nodes; i++) {
@@ -362,7 +363,7 @@
 
 /* Long records are written within the old limits; one node keeps the way back open to the end. */
 static void held_roll_day(struct sim *world, unsigned long seed) {
-    sim_all_old(world);
+    sim_start_as_old_version(world);
     submit_work(world, seed);
     sim_submit_long(world, 5, 30, 10);
     sim_run(world, 20);
@@ -385,9 +386,9 @@
     sim_run(world, 40);
     sim_crash(world, wait_for_leader(world), 5);
     sim_run(world, 20);
-    world->nodes[wait_for_leader(world)].stalled_until = world->now + 12;
+    world->nodes[wait_for_leader(world)].paused_until = world->now + 12;
     sim_run(world, 30);
-    sim_calm(world);
+    sim_end_faults(world);
     sim_run(world, 15);
 }
 
@@ -400,27 +401,31 @@
 
 #define EVERYTHING                                                                                 \
     {                                                                                              \
-        .lose = 0.01, .late = 0.01, .repeat = 0.03, .crash_s = 25, .outage_s = 80,                 \
-        .refused_s = 60, .hang_s = 25, .death_s = 40, .stall_s = 30, .task_error = 0.01            \
+        .drop = 0.01, .delay = 0.01, .duplicate = 0.03, .crash_s = 25, .store_outage_s = 80,       \
+        .store_refusal_s = 60, .pause_s = 25, .machine_crash_s = 40, .node_pause_s = 30,           \
+        .task_error = 0.01                                                                         \
     }
 #define EVERYTHING_AND_MORE                                                                        \
     {                                                                                              \
-        .lose = 0.01, .late = 0.01, .repeat = 0.03, .copies = 0.03, .crash_s = 30, .outage_s = 90, \
-        .refused_s = 60, .alone_s = 50, .deaf_s = 40, .blink_s = 20, .mute_s = 60, .apart_s = 90,  \
-        .odd_s = 20, .hang_s = 30, .death_s = 50, .stall_s = 40, .take_s = 30, .end_s = 20,        \
-        .task_error = 0.01                                                                         \
+        .drop = 0.01, .delay = 0.01, .duplicate = 0.03, .late_duplicate = 0.03, .crash_s = 30,     \
+        .store_outage_s = 90, .store_refusal_s = 60, .partitioned_node_s = 50,                     \
+        .one_way_partition_s = 40, .fast_restart_s = 20, .unreachable_s = 60,                      \
+        .peer_partition_s = 90, .invalid_request_s = 20, .pause_s = 30, .machine_crash_s = 50,     \
+        .node_pause_s = 40, .spot_notice_s = 30, .replica_exit_s = 20, .task_error = 0.01          \
     }
 #define MEETINGS                                                                                   \
     {                                                                                              \
-        .repeat = 0.02, .crash_s = 40, .slow = 0.05, .late_write = 0.02, .lost_answer = 0.02,      \
-        .kept = 0.05, .mute_s = 40, .apart_s = 50                                                  \
+        .duplicate = 0.02, .crash_s = 40, .slow_store = 0.05, .delayed_write = 0.02,               \
+        .dropped_answer = 0.02, .held_duplicate = 0.05, .unreachable_s = 40,                       \
+        .peer_partition_s = 50                                                                     \
     }
 #define BOOTS                                                                                      \
-    { .never_up = 0.15, .fast_boot = 0.3, .take_s = 20, .death_s = 30 }
+    { .boot_failure = 0.15, .fast_boot = 0.3, .spot_notice_s = 20, .machine_crash_s = 30 }
 #define ROLL                                                                                       \
     {                                                                                              \
-        .lose = 0.005, .late = 0.005, .repeat = 0.03, .copies = 0.02, .crash_s = 20,               \
-        .blink_s = 25, .outage_s = 90, .hang_s = 40, .death_s = 60, .stall_s = 60, .end_s = 30     \
+        .drop = 0.005, .delay = 0.005, .duplicate = 0.03, .late_duplicate = 0.02, .crash_s = 20,   \
+        .fast_restart_s = 25, .store_outage_s = 90, .pause_s = 40, .machine_crash_s = 60,          \
+        .node_pause_s = 60, .replica_exit_s = 30                                                   \
     }
 
 /* The longest ones come first, so that none is left over at the end. */
@@ -441,13 +446,13 @@
     {"quiet", 1, 4, 3, NULL, {0}, false, work_day},
     {"quiet_with_standby", 5, 2, 3, NULL, {0}, true, work_day},
     {"bad_network", 100, 3, 3, NULL, {0.02, 0.02, 0.05}, false, work_day},
-    {"crashes", 200, 3, 3, NULL, {.crash_s = 12, .repeat = 0.02}, false, work_day},
+    {"crashes", 200, 3, 3, NULL, {.crash_s = 12, .duplicate = 0.02}, false, work_day},
     {"state_troubles",
      300,
      3,
      3,
      NULL,
-     {.outage_s = 40, .refused_s = 25, .late = 0.01},
+     {.store_outage_s = 40, .store_refusal_s = 25, .delay = 0.01},
      false,
      work_day},
     {"machine_troubles",
@@ -455,7 +460,7 @@
      3,
      3,
      NULL,
-     {.hang_s = 15, .death_s = 20, .take_s = 10, .task_error = 0.02},
+     {.pause_s = 15, .machine_crash_s = 20, .spot_notice_s = 10, .task_error = 0.02},
      false,
      work_day},
     {"boots", 420, 3, 3, NULL, BOOTS, false, work_day},
@@ -465,13 +470,24 @@
     {"full_fleet", 1400, 8, 3, NULL, {0}, false, full_fleet_day},
     {"full_fleet_in_trouble", 1410, 4, 3, NULL, EVERYTHING, false, full_fleet_day},
     {"bad_work", 440, 3, 3, NULL, {0}, false, bad_work_day},
-    {"curious_users", 460, 3, 3, &wide, {.odd_s = 3, .crash_s = 60}, false, curious_day},
+    {"curious_users",
+     460,
+     3,
+     3,
+     &wide,
+     {.invalid_request_s = 3, .crash_s = 60},
+     false,
+     curious_day},
     {"lonely_and_back_at_once",
      660,
      3,
      5,
      NULL,
-     {.alone_s = 20, .blink_s = 6, .repeat = 0.1, .late = 0.03, .copies = 0.05},
+     {.partitioned_node_s = 20,
+      .fast_restart_s = 6,
+      .duplicate = 0.1,
+      .delay = 0.03,
+      .late_duplicate = 0.05},
      false,
      work_day},
     {"meetings", 800, 4, 3, NULL, MEETINGS, false, work_day},
@@ -482,7 +498,7 @@
     {"silent_leader", 850, 2, 3, NULL, {0}, false, silent_leader_day},
     {"silent_leader_with_standby", 860, 3, 5, NULL, {0}, true, silent_leader_day},
     {"cut_zone", 870, 2, 3, NULL, {0}, false, cut_zone_day},
-    {"services", 1000, 4, 3, NULL, {.end_s = 15}, false, service_day},
+    {"services", 1000, 4, 3, NULL, {.replica_exit_s = 15}, false, service_day},
     {"teams", 900, 6, 3, NULL, {0}, false, team_day},
     {"teams_in_trouble", 910, 3, 3, NULL, EVERYTHING, false, team_day},
 };
@@ -537,8 +553,8 @@
         plant_change(world);
     scenario->day(world, seed);
     ask_nodes(world);
-    if (world->broken[0])
-        fprintf(stderr, "%s %lu: a rule broke: %s\n", scenario->name, seed, world->broken);
+    if (world->violation[0])
+        fprintf(stderr, "%s %lu: a rule broke: %s\n", scenario->name, seed, world->violation);
     XXH128_hash_t messages = XXH3_128bits_digest(g_run.messages), store = hash_store(world);
     snprintf(line, RESULT_MAX, "%s %lu %lu %016llx%016llx %016llx%016llx\n", scenario->name, seed,
              g_run.n_messages, (unsigned long long)messages.high64,
--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -174,7 +174,7 @@
 /* ---- the course of a run ---- */
 
 static int key_holder(const struct world *world) {
-    const json_t *key = sim_stored(world->sim, RP_KEY_LEADER);
+    const json_t *key = sim_find_record(world->sim, RP_KEY_LEADER);
     const char *node = json_string_value(json_object_get(key, "node"));
     return node ? node[1] - '0' : -1;
 }
@@ -253,7 +253,7 @@
     }
     printf("world seed=%lu ends=%d stopped=%d jobs=%d done=%lu starts=%lu rules=%s\n", world->seed,
            world->done, world->n_stopped, world->sim->n_jobs, world->sim->n_done_jobs,
-           world->sim->n_starts, *world->sim->broken ? world->sim->broken : "kept");
+           world->sim->n_starts, *world->sim->violation ? world->sim->violation : "kept");
     fflush(stdout);
     exit(rc);
 }
@@ -284,7 +284,7 @@
     submit_more(world);
     sim_step(sim, rp_ts_since(rp_loop_now(&world->loop), world->began));
     bring_back(world);
-    if (*sim->broken)
+    if (*sim->violation)
         finish(world, 1);
     switch (world->phase) {
     case STARTING:
@@ -299,14 +299,14 @@
         note_takeover(world);
         break;
     case QUIET:
-        if (sim->calm_since == 0) {
-            sim_calm(sim);
+        if (sim->faults_ended_at == 0) {
+            sim_end_faults(sim);
             sim->jobs[0].cancel_at = sim->now; /* the service ends only so */
         }
-        if (!sim_all_over(sim) && sim->now < world->phase_since + QUIET_S)
+        if (!sim_all_terminal(sim) && sim->now < world->phase_since + QUIET_S)
             break;
         sim_check_served(sim);
-        finish(world, *sim->broken ? 1 : 0);
+        finish(world, *sim->violation ? 1 : 0);
         break;
     }
 }
--- a/tests/simulation/sim.c
+++ b/tests/simulation/sim.c
@@ -18,13 +18,13 @@
     return p > 0 && sim_uniform(sim) < p;
 }
 
-void sim_broken(struct sim *sim, const char *fmt, ...) {
+void sim_violated(struct sim *sim, const char *fmt, ...) {
     va_list ap;
-    if (sim->broken[0])
+    if (sim->violation[0])
         return;
     va_start(ap, fmt);
-    int n = snprintf(sim->broken, sizeof sim->broken, "%.2f: ", sim->now);
-    vsnprintf(sim->broken + n, sizeof sim->broken - (size_t)n, fmt, ap);
+    int n = snprintf(sim->violation, sizeof sim->violation, "%.2f: ", sim->now);
+    vsnprintf(sim->violation + n, sizeof sim->violation - (size_t)n, fmt, ap);
     va_end(ap);
 }
 
@@ -33,18 +33,18 @@
     if (!event || sim->n_events == SIM_EVENTS)
         abort();
     event->kind = kind;
-    event->due = sim->now + after;
+    event->due_at = sim->now + after;
     sim->events[sim->n_events++] = event;
     return event;
 }
 
-static void event_free(struct sim_event *event) {
+static void sim_event_free(struct sim_event *event) {
     free(event->target);
     free(event->body);
     free(event);
 }
 
-static double delay(struct sim *sim) {
+static double sim_network_delay(struct sim *sim) {
     return 0.0005 + 0.004 * sim_uniform(sim) + (sim_chance(sim, 0.01) ? 0.3 * sim_uniform(sim) : 0);
 }
 
@@ -52,7 +52,7 @@
 bool sim_standby;
 void (*sim_observer)(const struct sim_message *message);
 
-static void observe(const struct sim *sim, struct sim_message message) {
+static void sim_observe(const struct sim *sim, struct sim_message message) {
     message.time = sim->now;
     if (sim_observer)
         sim_observer(&message);
@@ -60,29 +60,29 @@
 
 /* ---- state service ---- */
 
-static struct sim_key *key_find(struct sim *sim, const char *key) {
+static struct sim_key *sim_key_find(struct sim *sim, const char *key) {
     for (int i = 0; i < sim->n_keys; i++)
         if (strcmp(sim->keys[i].key, key) == 0)
             return &sim->keys[i];
     return NULL;
 }
 
-static void key_log(struct sim *sim, const char *key, json_t *value) {
+static void log_change(struct sim *sim, const char *key, json_t *value) {
     json_t *e = value ? json_pack("{s:s,s:O,s:I}", "write", key, "v", value, "key_rev",
                                   (json_int_t)sim->revision)
                       : json_pack("{s:s,s:I}", "delete", key, "key_rev", (json_int_t)sim->revision);
-    json_array_append_new(sim->log, e);
+    json_array_append_new(sim->change_log, e);
 }
 
-static void key_delete(struct sim *sim, struct sim_key *entry) {
-    key_log(sim, entry->key, NULL);
+static void sim_key_delete(struct sim *sim, struct sim_key *entry) {
+    log_change(sim, entry->key, NULL);
     free(entry->key);
     json_decref(entry->value);
     *entry = sim->keys[--sim->n_keys];
 }
 
-static void key_put(struct sim *sim, const char *key, json_t *value, uint64_t lease) {
-    struct sim_key *entry = key_find(sim, key);
+static void sim_key_put(struct sim *sim, const char *key, json_t *value, uint64_t lease) {
+    struct sim_key *entry = sim_key_find(sim, key);
     if (!entry) {
         if (sim->n_keys == SIM_KEYS)
             abort();
@@ -91,16 +91,16 @@
     }
     json_decref(entry->value);
     entry->value = json_incref(value);
-    entry->version = sim->revision;
+    entry->revision = sim->revision;
     entry->lease = lease;
-    key_log(sim, key, value);
+    log_change(sim, key, value);
 }
 
-static void lease_expire(struct sim *sim, struct sim_lease *lease) {
+static void sim_lease_expire(struct sim *sim, struct sim_lease *lease) {
     sim->revision++;
     for (int i = sim->n_keys; i-- > 0;)
         if (sim->keys[i].lease == lease->id)
-            key_delete(sim, &sim->keys[i]);
+            sim_key_delete(sim, &sim->keys[i]);
     lease->id = 0;
 }
 
@@ -111,34 +111,34 @@
     return NULL;
 }
 
-static bool any_old(const struct sim *sim) {
+static bool has_old_nodes(const struct sim *sim) {
     bool old = false;
     for (int i = 0; i < sim->n_nodes; i++)
-        old |= sim->nodes[i].old || sim->nodes[i].next_old;
+        old |= sim->nodes[i].is_old_version || sim->nodes[i].restarts_as_old;
     return old;
 }
 
-static bool has_prefix(const char *key, const char *prefix) {
+static bool sim_has_prefix(const char *key, const char *prefix) {
     return strncmp(key, prefix, strlen(prefix)) == 0;
 }
 
 /* Nothing that the version before doesn't read may be stored while any of its nodes is left, and
  * the activation neither; nor a service, which it would run as an array. */
-static void check_forms(struct sim *sim, const char *key, const json_t *value) {
-    bool said = has_prefix(key, RP_KEY_VERSION) || strcmp(key, RP_KEY_FORMAT) == 0;
-    bool unit = has_prefix(key, RP_KEY_PROGRESS) && strstr(key, "/u");
+static void check_format(struct sim *sim, const char *key, const json_t *value) {
+    bool said = sim_has_prefix(key, RP_KEY_VERSION) || strcmp(key, RP_KEY_FORMAT) == 0;
+    bool unit = sim_has_prefix(key, RP_KEY_PROGRESS) && strstr(key, "/u");
     const char *kind = json_string_value(json_object_get(json_object_get(value, "spec"), "haul"));
     if (strcmp(key, RP_KEY_FORMAT) == 0) {
-        sim->activated = sim->now;
-        if (any_old(sim))
-            sim_broken(sim, "activated_early");
+        sim->format_active_at = sim->now;
+        if (has_old_nodes(sim))
+            sim_violated(sim, "activated_early");
     }
-    if (!any_old(sim) && sim->activated > 0)
+    if (!has_old_nodes(sim) && sim->format_active_at > 0)
         return;
-    if (!said && (unit || has_prefix(key, RP_KEY_PART) || rp_record_format(value) > 1))
-        sim_broken(sim, "too_early: %s", key);
+    if (!said && (unit || sim_has_prefix(key, RP_KEY_PART) || rp_record_format(value) > 1))
+        sim_violated(sim, "too_early: %s", key);
     if (kind && strcmp(kind, "service") == 0)
-        sim_broken(sim, "too_early: service %s", key);
+        sim_violated(sim, "too_early: service %s", key);
 }
 
 /* From a moment after the activation on, everything fits what is to come. */
@@ -150,25 +150,26 @@
         size_t size = value ? rp_record_size(value) : 0;
         largest = size > largest ? size : largest;
     }
-    bool fits = (double)n <= sim->next.txn_ops && (double)largest <= sim->next.value_bytes;
-    if (sim->activated > 0 && sim->now > sim->activated + 1.5 && !fits)
-        sim_broken(sim, "too_large: changes=%zu bytes=%zu", n, largest);
+    bool fits = (double)n <= sim->announced_limits.txn_ops &&
+                (double)largest <= sim->announced_limits.value_bytes;
+    if (sim->format_active_at > 0 && sim->now > sim->format_active_at + 1.5 && !fits)
+        sim_violated(sim, "too_large: changes=%zu bytes=%zu", n, largest);
     if ((double)n > sim->limits.txn_ops || (double)largest > sim->limits.value_bytes) {
-        sim->n_bad++;
+        sim->n_oversized_writes++;
         return 400;
     }
     double rate = sim->limits.write_rps;
-    sim->write_room = fmin(rate, sim->write_room + (sim->now - sim->write_room_at) * rate);
-    sim->write_room_at = sim->now;
-    if (sim->write_room < (double)n) {
-        sim->n_too_fast++;
+    sim->write_tokens = fmin(rate, sim->write_tokens + (sim->now - sim->write_tokens_at) * rate);
+    sim->write_tokens_at = sim->now;
+    if (sim->write_tokens < (double)n) {
+        sim->n_rate_limited_writes++;
         return 429;
     }
-    sim->write_room -= (double)n;
+    sim->write_tokens -= (double)n;
     return 200;
 }
 
-static int state_txn(struct sim *sim, json_t *body, json_t **out) {
+static int store_transaction(struct sim *sim, json_t *body, json_t **out) {
     json_t *failed = json_array(), *value;
     size_t i;
     sim->n_comparisons += json_array_size(json_object_get(body, "then")) == 0;
@@ -180,9 +181,9 @@
     }
     json_array_foreach(json_object_get(body, "when"), i, value) {
         const char *path = json_string_value(json_object_get(value, "path"));
-        struct sim_key *entry = key_find(sim, path);
+        struct sim_key *entry = sim_key_find(sim, path);
         uint64_t want = (uint64_t)json_integer_value(json_object_get(value, "key_rev"));
-        if ((entry ? entry->version : 0) != want && sim->breakage != SIM_STATE_IGNORES_CONDITIONS)
+        if ((entry ? entry->revision : 0) != want && sim->breakage != SIM_STORE_IGNORES_CONDITIONS)
             json_array_append_new(failed, json_string(path));
     }
     json_array_foreach(json_object_get(body, "then"), i, value) {
@@ -204,18 +205,18 @@
         const char *put = json_string_value(json_object_get(value, "write"));
         const char *gone = json_string_value(json_object_get(value, "delete"));
         if (put)
-            check_forms(sim, put, json_object_get(value, "v"));
+            check_format(sim, put, json_object_get(value, "v"));
         if (put)
-            key_put(sim, put, json_object_get(value, "v"),
-                    (uint64_t)json_integer_value(json_object_get(value, "lashing")));
-        else if (key_find(sim, gone))
-            key_delete(sim, key_find(sim, gone));
+            sim_key_put(sim, put, json_object_get(value, "v"),
+                        (uint64_t)json_integer_value(json_object_get(value, "lashing")));
+        else if (sim_key_find(sim, gone))
+            sim_key_delete(sim, sim_key_find(sim, gone));
     }
     *out = json_pack("{s:I}", "ledger_rev", (json_int_t)sim->revision);
     return 200;
 }
 
-static int state_lease(struct sim *sim, const char *method, const char *rest, json_t *body,
+static int store_lease(struct sim *sim, const char *method, const char *rest, json_t *body,
                        json_t **out) {
     if (!*rest) {
         struct sim_lease *lease = NULL;
@@ -225,8 +226,8 @@
         if (!lease)
             abort();
         lease->id = ++sim->next_lease;
-        lease->ttl = (double)json_integer_value(json_object_get(body, "ttl_ms")) / 1000;
-        lease->ends = sim->now + lease->ttl;
+        lease->ttl_s = (double)json_integer_value(json_object_get(body, "ttl_ms")) / 1000;
+        lease->expires_at = sim->now + lease->ttl_s;
         *out = json_pack("{s:I}", "lashing", (json_int_t)lease->id);
         return 200;
     }
@@ -234,9 +235,9 @@
     if (!lease)
         return 404;
     if (strcmp(method, "DELETE") == 0)
-        lease_expire(sim, lease);
+        sim_lease_expire(sim, lease);
     else
-        lease->ends = sim->now + lease->ttl;
+        lease->expires_at = sim->now + lease->ttl_s;
     return 200;
 }
 
@@ -245,7 +246,8 @@
     return strcmp(x->key, y->key);
 }
 
-static const char *param(const char *target, const char *name, char *out, size_t size) {
+static const char *sim_query_parameter(const char *target, const char *name, char *out,
+                                       size_t size) {
     const char *at = strstr(target, name);
     size_t n = 0;
     if (at)
@@ -256,48 +258,51 @@
 }
 
 /* A node that stands for the version before sees nothing that it wouldn't ask for. */
-static bool hidden(const struct sim *sim, int node, const char *key) {
-    return sim->nodes[node].old && !sim->nodes[node].old_node &&
-           (has_prefix(key, RP_KEY_VERSION) || strcmp(key, RP_KEY_FORMAT) == 0 ||
-            has_prefix(key, RP_KEY_PART));
+static bool is_hidden_from(const struct sim *sim, int node, const char *key) {
+    return sim->nodes[node].is_old_version && !sim->nodes[node].old_node &&
+           (sim_has_prefix(key, RP_KEY_VERSION) || strcmp(key, RP_KEY_FORMAT) == 0 ||
+            sim_has_prefix(key, RP_KEY_PART));
 }
 
-static json_t *state_list(struct sim *sim, int node, const char *target) {
+static json_t *store_list(struct sim *sim, int node, const char *target) {
     struct sim_key *found[SIM_KEYS] = {NULL};
     char prefix[256], from[256], limit[32];
     int n = 0;
     json_t *rows = json_array();
-    param(target, "prefix=", prefix, sizeof prefix);
-    bool after = param(target, "&from=", from, sizeof from) != NULL;
-    size_t most = param(target, "limit=", limit, sizeof limit) ? strtoul(limit, NULL, 10) : 1000;
+    sim_query_parameter(target, "prefix=", prefix, sizeof prefix);
+    bool after = sim_query_parameter(target, "&from=", from, sizeof from) != NULL;
+    size_t most = sim_query_parameter(target, "limit=", limit, sizeof limit)
+                      ? strtoul(limit, NULL, 10)
+                      : 1000;
     for (int i = 0; i < sim->n_keys; i++)
-        if (has_prefix(sim->keys[i].key, prefix) && !hidden(sim, node, sim->keys[i].key) &&
+        if (sim_has_prefix(sim->keys[i].key, prefix) &&
+            !is_hidden_from(sim, node, sim->keys[i].key) &&
             (!after || strcmp(sim->keys[i].key, from) > 0))
             found[n++] = &sim->keys[i];
     // NOLINTNEXTLINE(bugprone-sizeof-expression): pointers are sorted
     qsort(found, (size_t)n, sizeof found[0], by_key);
     for (int i = 0; i < n && (size_t)i < most; i++)
-        json_array_append_new(rows,
-                              json_pack("{s:s,s:O,s:I}", "path", found[i]->key, "v",
-                                        found[i]->value, "key_rev", (json_int_t)found[i]->version));
+        json_array_append_new(rows, json_pack("{s:s,s:O,s:I}", "path", found[i]->key, "v",
+                                              found[i]->value, "key_rev",
+                                              (json_int_t)found[i]->revision));
     return json_pack("{s:o,s:b,s:I}", "rows", rows, "has_next", (size_t)n > most, "ledger_rev",
                      (json_int_t)sim->revision);
 }
 
-static json_t *state_news(struct sim *sim, const char *target) {
+static json_t *store_changes(struct sim *sim, const char *target) {
     char prefix[256], from[32];
     json_t *log = json_array(), *e;
     size_t i;
-    param(target, "prefix=", prefix, sizeof prefix);
-    param(target, "from=", from, sizeof from);
+    sim_query_parameter(target, "prefix=", prefix, sizeof prefix);
+    sim_query_parameter(target, "from=", from, sizeof from);
     json_int_t since = (json_int_t)strtoll(from, NULL, 10);
     /* The changes come in the order of their revisions. */
-    size_t first = json_array_size(sim->log);
-    while (first > 0 && json_integer_value(json_object_get(json_array_get(sim->log, first - 1),
-                                                           "key_rev")) > since)
+    size_t first = json_array_size(sim->change_log);
+    while (first > 0 && json_integer_value(json_object_get(
+                            json_array_get(sim->change_log, first - 1), "key_rev")) > since)
         first--;
-    for (i = first; i < json_array_size(sim->log); i++) {
-        e = json_array_get(sim->log, i);
+    for (i = first; i < json_array_size(sim->change_log); i++) {
+        e = json_array_get(sim->change_log, i);
         const char *key = json_string_value(json_object_get(e, "write"));
         key = key ? key : json_string_value(json_object_get(e, "delete"));
         if (strncmp(key, prefix, strlen(prefix)) == 0)
@@ -306,30 +311,31 @@
     return json_pack("{s:I,s:o}", "ledger_rev", (json_int_t)sim->revision, "log", log);
 }
 
-static int state_request(struct sim *sim, const struct sim_event *event, json_t *body,
-                         json_t **out) {
-    if (sim->now < sim->outage_until || sim->now < sim->nodes[event->node].refused_until)
+static int sim_store_request(struct sim *sim, const struct sim_event *event, json_t *body,
+                             json_t **out) {
+    if (sim->now < sim->store_outage_until ||
+        sim->now < sim->nodes[event->node].store_refusal_until)
         return 503;
     if (strcmp(event->target, "/txn") == 0)
-        return state_txn(sim, body, out);
+        return store_transaction(sim, body, out);
     if (strncmp(event->target, "/leases", 7) == 0)
-        return state_lease(sim, event->method, event->target + 7, body, out);
+        return store_lease(sim, event->method, event->target + 7, body, out);
     if (strncmp(event->target, "/kv?", 4) == 0) {
-        *out = state_list(sim, event->node, event->target);
+        *out = store_list(sim, event->node, event->target);
         sim->n_state_lists++;
         sim->n_rows_read += json_array_size(json_object_get(*out, "rows"));
         return 200;
     }
     sim->n_state_reads++;
-    struct sim_key *entry = key_find(sim, event->target + 4);
-    if (entry && hidden(sim, event->node, entry->key))
+    struct sim_key *entry = sim_key_find(sim, event->target + 4);
+    if (entry && is_hidden_from(sim, event->node, entry->key))
         entry = NULL;
     if (!entry) {
         *out = json_pack("{s:I}", "ledger_rev", (json_int_t)sim->revision);
         return 404;
     }
     *out = json_pack("{s:s,s:O,s:I}", "path", entry->key, "v", entry->value, "key_rev",
-                     (json_int_t)entry->version);
+                     (json_int_t)entry->revision);
     return 200;
 }
 
@@ -352,9 +358,9 @@
     return json_pack("{s:o}", "frames", list);
 }
 
-static int cloud_rent(struct sim *sim, json_t *body, json_t **out) {
+static int cloud_provision(struct sim *sim, json_t *body, json_t **out) {
     const char *request = json_string_value(json_object_get(body, "hire"));
-    json_t *known = json_object_get(sim->rentals, request);
+    json_t *known = json_object_get(sim->provisioned, request);
     if (known) {
         *out = json_incref(known);
         return 200;
@@ -373,12 +379,12 @@
             continue;
         *worker = (struct sim_worker){.used = true, .alive = true, .type = type, .zone = zone};
         worker->spot = spot;
-        worker->rented = sim->now;
-        worker->boots = sim->now + (sim_chance(sim, sim->faults.fast_boot)
-                                        ? 0.1 + 1.9 * sim_uniform(sim)
-                                        : sim_types[type].boot * (0.3 + 1.2 * sim_uniform(sim)));
-        if (sim_chance(sim, sim->faults.never_up))
-            worker->boots = 1e9;
+        worker->provisioned_at = sim->now;
+        worker->boots_at = sim->now + (sim_chance(sim, sim->faults.fast_boot)
+                                           ? 0.1 + 1.9 * sim_uniform(sim)
+                                           : sim_types[type].boot * (0.3 + 1.2 * sim_uniform(sim)));
+        if (sim_chance(sim, sim->faults.boot_failure))
+            worker->boots_at = 1e9;
         snprintf(worker->name, sizeof worker->name, "vm-%06d", sim->next_machine++);
         json_array_append_new(names, json_string(worker->name));
         count--;
@@ -390,7 +396,7 @@
         return 503;
     }
     *out = json_pack("{s:o}", "sheaves", names);
-    json_object_set(sim->rentals, request, *out);
+    json_object_set(sim->provisioned, request, *out);
     return 200;
 }
 
@@ -399,7 +405,7 @@
                   (*(const struct sim_worker *const *)b)->name);
 }
 
-static const char *worker_addr(const struct sim *sim, const struct sim_worker *worker) {
+static const char *sim_worker_address(const struct sim *sim, const struct sim_worker *worker) {
     return sim->remote ? sim->remote->worker_addr(sim->remote->ctx, (int)(worker - sim->workers))
                        : worker->name;
 }
@@ -409,9 +415,9 @@
     char from[RP_TEXT_MAX];
     size_t n = 0, most = 500;
     json_t *list = json_array();
-    bool after = param(target, "from=", from, sizeof from) != NULL;
+    bool after = sim_query_parameter(target, "from=", from, sizeof from) != NULL;
     for (int i = 0; i < sim->size.workers; i++)
-        if (sim->workers[i].used && sim->workers[i].rented < sim->now - 3 &&
+        if (sim->workers[i].used && sim->workers[i].provisioned_at < sim->now - 3 &&
             (!after || strcmp(sim->workers[i].name, from) > 0))
             sorted[n++] = &sim->workers[i];
     // NOLINTNEXTLINE(bugprone-sizeof-expression): pointers are sorted
@@ -420,21 +426,21 @@
         const struct sim_worker *worker = sorted[i];
         json_array_append_new(
             list, json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", "ref", worker->name, "address",
-                            worker_addr(sim, worker), "frame", sim_types[worker->type].name, "yard",
-                            sim_zones[worker->zone], "loaners", worker->spot, "tension",
+                            sim_worker_address(sim, worker), "frame", sim_types[worker->type].name,
+                            "yard", sim_zones[worker->zone], "loaners", worker->spot, "tension",
                             !worker->alive ? "failed"
                             : worker->up   ? "running"
                                            : "booting",
-                            "age_s", sim->now - worker->rented));
+                            "age_s", sim->now - worker->provisioned_at));
     }
     return json_pack("{s:o,s:b}", "sheaves", list, "has_next", n > most);
 }
 
-static int cloud_request(struct sim *sim, const struct sim_event *event, json_t *body,
-                         json_t **out) {
+static int sim_cloud_request(struct sim *sim, const struct sim_event *event, json_t *body,
+                             json_t **out) {
     json_t *name;
     size_t i;
-    if (sim->now < sim->cloud_out_until) {
+    if (sim->now < sim->cloud_outage_until) {
         *out = json_pack("{s:s}", "error", "trouble");
         return 503;
     }
@@ -452,29 +458,29 @@
         return 200;
     }
     if (strcmp(event->method, "POST") == 0)
-        return cloud_rent(sim, body, out);
+        return cloud_provision(sim, body, out);
     *out = cloud_list(sim, event->target);
     return 200;
 }
 
 /* ---- workers ---- */
 
-static int job_index(const struct sim *sim, const char *id) {
+static int find_job(const struct sim *sim, const char *id) {
     for (int i = 0; i < sim->n_jobs; i++)
         if (strcmp(sim->jobs[i].spec.id, id) == 0)
             return i;
     return -1;
 }
 
-bool sim_on_machine(const struct sim_task *task) {
+bool sim_task_is_placed(const struct sim_task *task) {
     return task->state == RP_TASK_WAITING || task->state == RP_TASK_RUNNING ||
            task->state == RP_TASK_SAVING;
 }
 
-static void task_exit(struct sim_worker *worker, struct sim_task *task, const char *why,
+static void exit_task(struct sim_worker *worker, struct sim_task *task, const char *why,
                       double now) {
     task->state = RP_TASK_EXITED;
-    task->why = why;
+    task->exit_reason = why;
     worker->changed = true;
     worker->exited_at = now;
 }
@@ -483,7 +489,7 @@
                          uint32_t index, uint64_t attempt) {
     struct sim_task *task = NULL;
     double cpus = 0, memory = 0;
-    int j = job_index(sim, job);
+    int j = find_job(sim, job);
     bool busy = false;
     for (int i = 0; i < worker->n_tasks; i++) {
         task = &worker->tasks[i];
@@ -514,16 +520,16 @@
     strcpy(task->job, job);
     worker->changed = true;
     if (busy)
-        task_exit(worker, task, "in_use", sim->now);
+        exit_task(worker, task, "in_use", sim->now);
     else if (cpus + sim->jobs[j].spec.each.cpus > sim_types[worker->type].cpus + 1e-6 ||
              memory + sim->jobs[j].spec.each.memory_gb > sim_types[worker->type].memory + 1e-6)
-        task_exit(worker, task, "no_room", sim->now);
+        exit_task(worker, task, "no_room", sim->now);
     else
-        task->ready = sim->now + 0.5 + sim_uniform(sim);
+        task->ready_at = sim->now + 0.5 + sim_uniform(sim);
     if (sim->breakage == SIM_REPLICAS_NEVER_START && sim->jobs[j].spec.kind == RP_JOB_SERVICE)
-        task->ready = 1e9;
+        task->ready_at = 1e9;
     if (sim->breakage == SIM_LARGE_NEVER_BEGIN && sim->jobs[j].spec.n_tasks >= SIM_LARGE)
-        task->ready = 1e9;
+        task->ready_at = 1e9;
 }
 
 static void worker_stop(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
@@ -534,11 +540,11 @@
         return;
     if (task->state == RP_TASK_RUNNING && spec->checkpoint_s > 0 && grace >= spec->save_s) {
         task->state = RP_TASK_SAVING;
-        task->stopped = sim->now;
-        task->ready = sim->now + spec->save_s;
+        task->stopped_at = sim->now;
+        task->ready_at = sim->now + spec->save_s;
         worker->changed = true;
     } else if (task->state != RP_TASK_SAVING || grace == 0) {
-        task_exit(worker, task, "halted", sim->now);
+        exit_task(worker, task, "halted", sim->now);
     }
 }
 
@@ -551,7 +557,7 @@
     memcpy(job, name, (size_t)(slash - name));
     uint32_t index = (uint32_t)strtoul(slash + 1, NULL, 10);
     if (strcmp(op, "run") == 0) {
-        if (sim->breakage != SIM_STARTS_GET_LOST || strcmp(job, sim->jobs[1].spec.id) != 0)
+        if (sim->breakage != SIM_STARTS_ARE_DROPPED || strcmp(job, sim->jobs[1].spec.id) != 0)
             worker_start(sim, worker, job, index, attempt);
         return;
     }
@@ -576,17 +582,17 @@
     }
 }
 
-static bool worker_takes_token(struct sim_worker *worker, json_t *body) {
+static bool accept_token(struct sim_worker *worker, json_t *body) {
     uint64_t token = (uint64_t)json_integer_value(json_object_get(body, "warrant"));
-    if (!json_object_get(body, "warrant") || token < worker->token)
+    if (!json_object_get(body, "warrant") || token < worker->fencing_token)
         return false;
-    if (token > worker->token)
+    if (token > worker->fencing_token)
         worker->changed = true;
-    worker->token = token;
+    worker->fencing_token = token;
     return true;
 }
 
-static json_t *worker_report(const struct sim *sim, struct sim_worker *worker) {
+static json_t *heartbeat_body(const struct sim *sim, struct sim_worker *worker) {
     double now = sim->now;
     static const char *const words[] = {"fetching", "waiting", "running", "flushing", "exited"};
     json_t *tasks = json_array();
@@ -596,71 +602,72 @@
         snprintf(name, sizeof name, "%s/%u", task->job, task->index);
         json_t *value = json_pack("{s:s,s:I,s:s}", "lift", name, "pull", (json_int_t)task->attempt,
                                   "tension", words[task->state]);
-        if (task->why)
-            json_object_set_new(value, "slack_reason", json_string(task->why));
-        if (task->saved)
+        if (task->exit_reason)
+            json_object_set_new(value, "slack_reason", json_string(task->exit_reason));
+        if (task->checkpointed)
             json_object_set_new(value, "stored", json_true());
         json_array_append_new(tasks, value);
     }
-    worker->seq++;
+    worker->sequence_number++;
     json_t *notice =
-        worker->taken_at > 0 ? json_real(fmax(0, worker->taken_at - now)) : json_null();
+        worker->reclaimed_at > 0 ? json_real(fmax(0, worker->reclaimed_at - now)) : json_null();
     return json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o,s:o}", "sheave", worker->name, "address",
-                     worker_addr(sim, worker), "frame", sim_types[worker->type].name, "yard",
+                     sim_worker_address(sim, worker), "frame", sim_types[worker->type].name, "yard",
                      sim_zones[worker->zone], "loaners", worker->spot, "stint",
-                     (json_int_t)worker->session, "tick", (json_int_t)worker->seq, "warrant",
-                     (json_int_t)worker->token, "recall_s", notice, "lifts", tasks);
+                     (json_int_t)worker->incarnation, "tick", (json_int_t)worker->sequence_number,
+                     "warrant", (json_int_t)worker->fencing_token, "recall_s", notice, "lifts",
+                     tasks);
 }
 
 /* A direct command or question, when it arrives. 0: nobody is there to answer. */
-static int worker_request(struct sim *sim, const struct sim_event *event, json_t *body,
-                          json_t **out) {
+static int sim_worker_request(struct sim *sim, const struct sim_event *event, json_t *body,
+                              json_t **out) {
     struct sim_worker *worker = NULL;
     int status = 200;
     for (int i = 0; i < sim->size.workers; i++)
         if (sim->workers[i].used && strcmp(sim->workers[i].name, event->addr) == 0)
             worker = &sim->workers[i];
-    if (!worker || !worker->alive || !worker->up || sim->now < worker->deaf_until)
+    if (!worker || !worker->alive || !worker->up || sim->now < worker->one_way_partition_until)
         return 0;
-    sim->n_direct_to_mute += sim->now < worker->mute_until;
+    sim->n_direct_to_unreachable += sim->now < worker->unreachable_until;
     if (strcmp(event->target, RP_PATH_DIRECT) == 0) {
         sim->n_direct++;
-        if ((uint64_t)json_integer_value(json_object_get(body, "stint")) != worker->session ||
-            !worker_takes_token(worker, body))
+        if ((uint64_t)json_integer_value(json_object_get(body, "stint")) != worker->incarnation ||
+            !accept_token(worker, body))
             status = 409;
         else
             worker_commands(sim, worker, body);
     }
-    *out = worker_report(sim, worker);
+    *out = heartbeat_body(sim, worker);
     return status;
 }
 
 /* The machine hangs, or its zone is cut off: what is on its way to it waits. */
-static bool worker_waits(const struct sim *sim, const struct sim_event *event) {
+static bool sim_worker_is_paused(const struct sim *sim, const struct sim_event *event) {
     for (int i = 0; i < sim->size.workers; i++)
         if (sim->workers[i].used && strcmp(sim->workers[i].name, event->addr) == 0)
-            return sim->now < sim->workers[i].hung_until ||
-                   sim->cut_zone == sim->workers[i].zone + 1;
+            return sim->now < sim->workers[i].paused_until ||
+                   sim->partitioned_zone == sim->workers[i].zone + 1;
     return false;
 }
 
 /* Members of the gang attempt that are in one of the states; `lost` when fewer than all live. */
-static int gang_members(const struct sim *sim, const struct sim_task *task, bool ready_only) {
+static int count_gang_members(const struct sim *sim, const struct sim_task *task, bool ready_only) {
     int n = 0;
     for (int i = 0; i < sim->size.workers; i++)
         for (int k = 0;
              sim->workers[i].used && sim->workers[i].alive && k < sim->workers[i].n_tasks; k++) {
             const struct sim_task *other = &sim->workers[i].tasks[k];
             if (other->job_index == task->job_index && other->attempt == task->attempt &&
-                (sim_on_machine(other) || (!ready_only && other->state == RP_TASK_FETCHING) ||
-                 (other->why && strcmp(other->why, "done") == 0)))
+                (sim_task_is_placed(other) || (!ready_only && other->state == RP_TASK_FETCHING) ||
+                 (other->exit_reason && strcmp(other->exit_reason, "done") == 0)))
                 n++;
         }
     return n;
 }
 
 /* Users who call a job off at the very moment at which its last task ends. */
-static void cancel_at_end(struct sim *sim, struct sim_job *job) {
+static void cancel_at_last_exit(struct sim *sim, struct sim_job *job) {
     for (uint32_t i = 0; i < job->spec.n_tasks; i++)
         if (!job->done[i])
             return;
@@ -675,56 +682,59 @@
     bool gang = job->spec.kind == RP_JOB_GANG;
     switch (task->state) {
     case RP_TASK_FETCHING:
-        if (sim->now < task->ready)
+        if (sim->now < task->ready_at)
             break;
         task->state = gang ? RP_TASK_WAITING : RP_TASK_RUNNING;
-        task->ready = sim->now;
-        task->began = sim->now - job->ran_s[task->index]; /* what was saved isn't done again */
+        task->ready_at = sim->now;
+        task->began_at =
+            sim->now - job->checkpointed_s[task->index]; /* what was saved isn't done again */
         worker->changed = true;
         sim_check_start(sim, worker, task);
         break;
     case RP_TASK_WAITING:
-        if (gang_members(sim, task, true) == (int)job->spec.n_tasks) {
+        if (count_gang_members(sim, task, true) == (int)job->spec.n_tasks) {
             task->state = RP_TASK_RUNNING;
-            task->began = sim->now;
+            task->began_at = sim->now;
             worker->changed = true;
-        } else if (sim->now > task->ready + GANG_WAIT_S) {
-            task_exit(worker, task, "alone", sim->now);
+        } else if (sim->now > task->ready_at + GANG_WAIT_S) {
+            exit_task(worker, task, "alone", sim->now);
         }
         break;
     case RP_TASK_RUNNING:
-        if (gang && sim->now > task->began + GANG_PEER_S &&
-            gang_members(sim, task, false) < (int)job->spec.n_tasks) {
-            task_exit(worker, task, "peers", sim->now);
-        } else if (worker->bad && sim->now > task->began + 0.5) {
-            sim->n_errors++;
-            task_exit(worker, task, "error", sim->now);
+        if (gang && sim->now > task->began_at + GANG_PEER_S &&
+            count_gang_members(sim, task, false) < (int)job->spec.n_tasks) {
+            exit_task(worker, task, "peers", sim->now);
+        } else if (worker->fails_tasks && sim->now > task->began_at + 0.5) {
+            sim->n_task_errors++;
+            exit_task(worker, task, "error", sim->now);
         } else if (job->spec.kind == RP_JOB_SERVICE) {
-            if (sim_chance(sim, sim->faults.end_s > 0 ? SIM_STEP_S / sim->faults.end_s : 0) ||
-                job->faulty)
-                task_exit(worker, task, sim_chance(sim, 0.5) ? "done" : "error", sim->now);
-        } else if (job->done[task->index] ||
-                   sim->now > task->began + job->spec.estimate_s + task->index * job->stagger_s) {
-            if (job->faulty ||
+            if (sim_chance(sim, sim->faults.replica_exit_s > 0
+                                    ? SIM_STEP_S / sim->faults.replica_exit_s
+                                    : 0) ||
+                job->fails_always)
+                exit_task(worker, task, sim_chance(sim, 0.5) ? "done" : "error", sim->now);
+        } else if (job->done[task->index] || sim->now > task->began_at + job->spec.estimate_s +
+                                                            task->index * job->stagger_s) {
+            if (job->fails_always ||
                 (!job->done[task->index] && sim_chance(sim, sim->faults.task_error))) {
-                sim->n_errors++;
-                task_exit(worker, task, "error", sim->now);
+                sim->n_task_errors++;
+                exit_task(worker, task, "error", sim->now);
                 break;
             }
             job->done[task->index] = sim->breakage != SIM_DONE_TOO_EARLY;
             if (gang)
                 for (uint32_t i = 0; i < job->spec.n_tasks; i++)
                     job->done[i] = true;
-            task_exit(worker, task, "done", sim->now);
-            cancel_at_end(sim, job);
+            exit_task(worker, task, "done", sim->now);
+            cancel_at_last_exit(sim, job);
         }
         break;
     case RP_TASK_SAVING:
-        if (sim->now >= task->ready) {
-            task->saved = true;
+        if (sim->now >= task->ready_at) {
+            task->checkpointed = true;
             if (!gang)
-                job->ran_s[task->index] = task->stopped - task->began;
-            task_exit(worker, task, "halted", sim->now);
+                job->checkpointed_s[task->index] = task->stopped_at - task->began_at;
+            exit_task(worker, task, "halted", sim->now);
         }
         break;
     default:
@@ -733,7 +743,7 @@
 }
 
 /* Of a broken world: an old report passes for one of the next session. */
-static void make_newer(struct sim_event *copy) {
+static void make_duplicate_look_new(struct sim_event *copy) {
     json_t *value = json_loads(copy->body, 0, NULL);
     json_object_set_new(value, "stint",
                         json_integer(json_integer_value(json_object_get(value, "stint")) + 1));
@@ -743,108 +753,109 @@
     json_decref(value);
 }
 
-static void worker_send(struct sim *sim, int index) {
+static void send_heartbeat(struct sim *sim, int index) {
     struct sim_worker *worker = &sim->workers[index];
-    if (sim->now < worker->mute_until) {
+    if (sim->now < worker->unreachable_until) {
         worker->node = (worker->node + 1) % sim->n_nodes; /* no connection can be made */
-        worker->next = sim->now + 1;
+        worker->next_heartbeat_at = sim->now + 1;
         worker->changed = false;
         return;
     }
-    struct sim_event *event = sim_event_new(sim, EV_REPORT, delay(sim));
-    json_t *report = worker_report(sim, worker);
+    struct sim_event *event = sim_event_new(sim, EV_HEARTBEAT, sim_network_delay(sim));
+    json_t *report = heartbeat_body(sim, worker);
     event->body = json_dumps(report, JSON_COMPACT);
     json_decref(report);
-    event->worker = index;
+    event->index = index;
     event->node = worker->node;
-    event->flight = ++worker->flight;
-    worker->in_flight = true;
+    event->heartbeat_number = ++worker->heartbeat_number;
+    worker->heartbeat_in_flight = true;
     worker->changed = false;
-    worker->sent = sim->now;
-    if (sim->held_worker == index + 1 && sim->now < sim->held_until)
-        event->due =
-            sim->held_until + 0.5 - 0.025 * (sim->held_until - sim->now); /* in their order */
-    else if (sim_chance(sim, sim->faults.lose))
-        event->due = sim->now + 1e9;
-    else if (sim_chance(sim, sim->faults.late))
-        event->due = sim->now + 5 + 60 * sim_uniform(sim);
-    bool far = sim_chance(sim, sim->faults.copies);
-    sim_trouble_report(sim, event);
-    if (far || sim_chance(sim, sim->faults.repeat)) {
-        struct sim_event *copy = sim_event_new(sim, EV_REPORT,
+    worker->sent_at = sim->now;
+    if (sim->delayed_worker == index + 1 && sim->now < sim->delayed_until)
+        event->due_at =
+            sim->delayed_until + 0.5 - 0.025 * (sim->delayed_until - sim->now); /* in their order */
+    else if (sim_chance(sim, sim->faults.drop))
+        event->due_at = sim->now + 1e9;
+    else if (sim_chance(sim, sim->faults.delay))
+        event->due_at = sim->now + 5 + 60 * sim_uniform(sim);
+    bool far = sim_chance(sim, sim->faults.late_duplicate);
+    sim_fault_heartbeat(sim, event);
+    if (far || sim_chance(sim, sim->faults.duplicate)) {
+        struct sim_event *copy = sim_event_new(sim, EV_HEARTBEAT,
                                                far ? 1 + 5 * sim->size.lease_s * sim_uniform(sim)
                                                    : 0.1 + 40 * sim_uniform(sim));
         copy->body = strdup(event->body);
-        if (sim->breakage == SIM_COPIES_LOOK_NEW)
-            make_newer(copy);
-        copy->worker = index;
+        if (sim->breakage == SIM_DUPLICATES_LOOK_NEW)
+            make_duplicate_look_new(copy);
+        copy->index = index;
         copy->node = event->node;
-        copy->flight = 0;
+        copy->heartbeat_number = 0;
         if (far)
             copy->node = (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes);
     }
 }
 
-static void worker_step(struct sim *sim, int index) {
+static void sim_worker_step(struct sim *sim, int index) {
     struct sim_worker *worker = &sim->workers[index];
     if (!worker->used || !worker->alive)
         return;
     if (!worker->up) {
-        if (sim->now < worker->boots)
+        if (sim->now < worker->boots_at)
             return;
         worker->up = true;
-        worker->session = 1;
-        worker->answered_sent = sim->now;
-        worker->next = sim->now;
+        worker->incarnation = 1;
+        worker->renewed_at = sim->now;
+        worker->next_heartbeat_at = sim->now;
         worker->node = (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes);
     }
-    if (worker->taken_at > 0 && sim->now > worker->taken_at) {
+    if (worker->reclaimed_at > 0 && sim->now > worker->reclaimed_at) {
         worker->used = worker->alive = false;
         return;
     }
     /* The lease ends by the worker's clock whether the machine hangs or not. */
-    if (sim->now > worker->answered_sent + sim->size.lease_s) {
+    if (sim->now > worker->renewed_at + sim->size.lease_s) {
         if (sim->breakage != SIM_WORKERS_KEEP_TASKS)
             worker->n_tasks = 0;
-        worker->session++;
-        worker->answered_sent = sim->now;
+        worker->incarnation++;
+        worker->renewed_at = sim->now;
     }
-    if (sim->now < worker->hung_until)
+    if (sim->now < worker->paused_until)
         return;
     for (int i = 0; i < worker->n_tasks; i++)
         task_step(sim, worker, &worker->tasks[i]);
-    if (worker->in_flight && sim->now > worker->sent + 4) {
-        worker->in_flight = false;
+    if (worker->heartbeat_in_flight && sim->now > worker->sent_at + 4) {
+        worker->heartbeat_in_flight = false;
         worker->node = (worker->node + 1) % sim->n_nodes;
-        worker->next = sim->now + 1;
+        worker->next_heartbeat_at = sim->now + 1;
     }
-    if (!worker->in_flight &&
-        (sim->now >= worker->next || (worker->changed && sim->now > worker->sent + 0.5)))
-        worker_send(sim, index);
+    if (!worker->heartbeat_in_flight && (sim->now >= worker->next_heartbeat_at ||
+                                         (worker->changed && sim->now > worker->sent_at + 0.5)))
+        send_heartbeat(sim, index);
 }
 
-static void report_answered(struct sim *sim, const struct sim_event *event) {
-    struct sim_worker *worker = &sim->workers[event->worker];
-    if (!worker->used || !worker->alive || !worker->in_flight || event->flight != worker->flight ||
-        sim->now > worker->sent + 4 || sim->now < worker->hung_until ||
-        sim->now < worker->deaf_until)
+static void sim_worker_on_heartbeat_answer(struct sim *sim, const struct sim_event *event) {
+    struct sim_worker *worker = &sim->workers[event->index];
+    if (!worker->used || !worker->alive || !worker->heartbeat_in_flight ||
+        event->heartbeat_number != worker->heartbeat_number || sim->now > worker->sent_at + 4 ||
+        sim->now < worker->paused_until || sim->now < worker->one_way_partition_until)
         return;
-    worker->in_flight = false;
-    worker->next = sim->now + 1;
+    worker->heartbeat_in_flight = false;
+    worker->next_heartbeat_at = sim->now + 1;
     json_t *body = json_loads(event->body ? event->body : "{}", 0, NULL);
     if (event->status == 200) {
-        worker->next = worker->sent + sim->size.report_s * (0.75 + 0.5 * sim_uniform(sim));
-        if (worker_takes_token(worker, body)) {
-            worker->answered_sent = worker->sent;
+        worker->next_heartbeat_at =
+            worker->sent_at + sim->size.heartbeat_s * (0.75 + 0.5 * sim_uniform(sim));
+        if (accept_token(worker, body)) {
+            worker->renewed_at = worker->sent_at;
             worker_commands(sim, worker, body);
-            sim_check_renewal(sim, worker);
+            sim_check_lease_renewal(sim, worker);
         }
     } else {
         const char *leader = json_string_value(json_object_get(body, "foreman"));
         int node = leader && event->status == 421 ? atoi(leader + strlen("n")) : -1;
         worker->node = node >= 0 && node != worker->node ? node : (worker->node + 1) % sim->n_nodes;
         if (node >= 0)
-            worker->next = sim->now + 0.2;
+            worker->next_heartbeat_at = sim->now + 0.2;
     }
     json_decref(body);
 }
@@ -856,11 +867,11 @@
     struct sim *sim;
     enum event_kind answer;
     int node;
-    unsigned long life;
-    int worker;
-    uint64_t flight;
+    unsigned long process_number;
+    int index;
+    uint64_t heartbeat_number;
     int user_op;
-    double asked;
+    double asked_at;
     char *body;
 };
 
@@ -870,36 +881,36 @@
     static const char *const asked[] = {"submission", "question", "cancellation"};
     const struct sim *sim = request->sim;
     char to[128];
-    if (request->answer == EV_REPORT_ANSWER)
-        snprintf(to, sizeof to, "%s", sim->workers[request->worker].name);
-    else if (request->answer == EV_USER)
-        snprintf(to, sizeof to, "user:%s:%s", sim->jobs[request->worker].spec.id,
+    if (request->answer == EV_HEARTBEAT_ANSWER)
+        snprintf(to, sizeof to, "%s", sim->workers[request->index].name);
+    else if (request->answer == EV_USER_ANSWER)
+        snprintf(to, sizeof to, "user:%s:%s", sim->jobs[request->index].spec.id,
                  asked[request->user_op]);
     else
         snprintf(to, sizeof to, "user:odd:%s", asked[request->user_op]);
-    observe(sim, (struct sim_message){.from = request->node,
-                                      .to = to,
-                                      .method = "",
-                                      .target = "",
-                                      .status = status,
-                                      .retry_after = retry,
-                                      .body = body});
+    sim_observe(sim, (struct sim_message){.from = request->node,
+                                          .to = to,
+                                          .method = "",
+                                          .target = "",
+                                          .status = status,
+                                          .retry_after = retry,
+                                          .body = body});
 }
 
-static void request_respond(struct rp_request *req, int status, const char *body, int retry) {
+static void on_node_answer(struct rp_request *req, int status, const char *body, int retry) {
     struct sim_request *request = (struct sim_request *)(void *)req;
     struct sim *sim = request->sim;
     observe_answer(request, status, body, retry);
-    if (request->flight || request->answer != EV_REPORT_ANSWER) {
-        struct sim_event *event = sim_event_new(sim, request->answer, delay(sim));
+    if (request->heartbeat_number || request->answer != EV_HEARTBEAT_ANSWER) {
+        struct sim_event *event = sim_event_new(sim, request->answer, sim_network_delay(sim));
         event->status = status;
         event->body = strdup(body);
-        event->worker = request->worker;
-        event->flight = request->flight;
+        event->index = request->index;
+        event->heartbeat_number = request->heartbeat_number;
         event->user_op = request->user_op;
-        event->asked = request->asked;
-        if (sim_chance(sim, sim->faults.lose))
-            event->due += request->answer == EV_REPORT_ANSWER ? 1e9 : 0;
+        event->asked_at = request->asked_at;
+        if (sim_chance(sim, sim->faults.drop))
+            event->due_at += request->answer == EV_HEARTBEAT_ANSWER ? 1e9 : 0;
     }
     free(request->body);
     free(request);
@@ -907,21 +918,21 @@
 
 /* The answer of a node that is a process. A connection that fails is told at once, silence isn't.
  */
-static void remote_answered(void *arg, const struct rp_answer *answer) {
+static void on_remote_answer(void *arg, const struct rp_answer *answer) {
     struct sim_request *request = arg;
     if (answer->status || answer->unsent) {
-        request_respond(&request->req, answer->status ? answer->status : 599, answer->body, 0);
+        on_node_answer(&request->req, answer->status ? answer->status : 599, answer->body, 0);
         return;
     }
     free(request->body);
     free(request);
 }
 
-static void node_receive(struct sim *sim, int node, const char *method, const char *target,
-                         const char *body, enum event_kind answer, int worker, uint64_t flight,
-                         int user_op) {
+static void sim_node_receive(struct sim *sim, int node, const char *method, const char *target,
+                             const char *body, enum event_kind answer, int worker, uint64_t flight,
+                             int user_op) {
     struct sim_node *n = &sim->nodes[node];
-    if (!sim->remote && (!n->alive || sim->now < n->stalled_until))
+    if (!sim->remote && (!n->alive || sim->now < n->paused_until))
         return;
     struct sim_request *request = calloc(1, sizeof *request);
     if (!request)
@@ -929,18 +940,18 @@
     request->sim = sim;
     request->answer = answer;
     request->node = node;
-    request->worker = worker;
-    request->flight = flight;
+    request->index = worker;
+    request->heartbeat_number = flight;
     request->user_op = user_op;
-    request->asked = sim->now;
+    request->asked_at = sim->now;
     request->body = strdup(body ? body : "");
     request->req = (struct rp_request){.method = method,
                                        .target = target,
                                        .body = request->body,
                                        .len = strlen(request->body),
-                                       .respond = request_respond};
+                                       .respond = on_node_answer};
     if (sim->remote)
-        sim->remote->call(sim->remote->ctx, node, method, target, request->body, remote_answered,
+        sim->remote->call(sim->remote->ctx, node, method, target, request->body, on_remote_answer,
                           request);
     else if (n->old_node)
         sim_old_engine->client(n->old_node, &request->req);
@@ -948,72 +959,72 @@
         rp_node_client_request(n->node, &request->req);
 }
 
-void sim_ask(struct sim *sim, int node, const char *method, const char *target, const char *body,
-             enum event_kind answer, int index, enum sim_user_op op) {
-    node_receive(sim, node, method, target, body, answer, index, 0, (int)op);
+void sim_send_to_node(struct sim *sim, int node, const char *method, const char *target,
+                      const char *body, enum event_kind answer, int index, enum sim_user_op op) {
+    sim_node_receive(sim, node, method, target, body, answer, index, 0, (int)op);
 }
 
-struct sim_line {
+struct sim_connection {
     struct sim *sim;
     int node;
-    unsigned long life;
+    unsigned long process_number;
 };
 
 /* A node's call into the world. */
-static void call_start(struct sim_line *line, bool once, const char *addr, const char *method,
-                       const char *target, const char *body, double timeout_s, rp_answer_fn fn,
-                       void *arg) {
+static void send_request(struct sim_connection *line, bool once, const char *addr,
+                         const char *method, const char *target, const char *body, double timeout_s,
+                         rp_answer_fn fn, void *arg) {
     struct sim *sim = line->sim;
-    observe(sim, (struct sim_message){.from = line->node,
-                                      .to = addr,
-                                      .method = method,
-                                      .target = target,
-                                      .body = body ? body : ""});
-    struct sim_event *event = sim_event_new(sim, EV_REQUEST, delay(sim));
+    sim_observe(sim, (struct sim_message){.from = line->node,
+                                          .to = addr,
+                                          .method = method,
+                                          .target = target,
+                                          .body = body ? body : ""});
+    struct sim_event *event = sim_event_new(sim, EV_REQUEST, sim_network_delay(sim));
     event->node = line->node;
-    event->life = line->life;
+    event->process_number = line->process_number;
     snprintf(event->addr, sizeof event->addr, "%s", addr);
     snprintf(event->method, sizeof event->method, "%s", method);
     event->target = strdup(target);
     event->body = body ? strdup(body) : NULL;
     event->deadline = sim->now + timeout_s;
-    event->fn = fn;
-    event->arg = arg;
+    event->on_answer = fn;
+    event->on_answer_arg = arg;
     bool watch = strncmp(target, "/follow", 7) == 0;
-    bool lost = !watch && sim_chance(sim, sim->faults.lose);
+    bool lost = !watch && sim_chance(sim, sim->faults.drop);
     event->unsent =
         lost && once && sim_chance(sim, 0.5); /* no connection was made: no copy of it exists */
-    if (!event->unsent && sim_chance(sim, sim->faults.repeat) && strcmp(method, "GET") != 0 &&
+    if (!event->unsent && sim_chance(sim, sim->faults.duplicate) && strcmp(method, "GET") != 0 &&
         strcmp(target, "/leases") != 0) {
         struct sim_event *copy = sim_event_new(sim, EV_REQUEST, 0.05 + 30 * sim_uniform(sim));
-        *copy = (struct sim_event){.kind = EV_REQUEST, .due = copy->due, .answered = true};
+        *copy = (struct sim_event){.kind = EV_REQUEST, .due_at = copy->due_at, .answered = true};
         copy->node = event->node;
         strcpy(copy->addr, addr);
         strcpy(copy->method, method);
         copy->target = strdup(target);
         copy->body = body ? strdup(body) : NULL;
     }
-    if (strcmp(addr, "state") == 0 && !watch && sim_chance(sim, sim->faults.slow))
-        event->due += 0.2 + 1.2 * sim_uniform(sim);
+    if (strcmp(addr, "state") == 0 && !watch && sim_chance(sim, sim->faults.slow_store))
+        event->due_at += 0.2 + 1.2 * sim_uniform(sim);
     if (lost)
-        event->due = event->deadline; /* never carried out: the time-out answers */
-    else if (!watch && sim_chance(sim, sim->faults.late))
-        event->due = sim->now + timeout_s + 30 * sim_uniform(sim);
+        event->due_at = event->deadline; /* never carried out: the time-out answers */
+    else if (!watch && sim_chance(sim, sim->faults.delay))
+        event->due_at = sim->now + timeout_s + 30 * sim_uniform(sim);
     else if (strcmp(target, "/txn") == 0)
-        sim_trouble_txn(sim, event);
+        sim_fault_transaction(sim, event);
 }
 
-static void line_call(void *ctx, const char *addr, const char *method, const char *target,
-                      const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
-    call_start(ctx, false, addr, method, target, body, timeout_s, fn, arg);
+static void on_call(void *ctx, const char *addr, const char *method, const char *target,
+                    const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
+    send_request(ctx, false, addr, method, target, body, timeout_s, fn, arg);
 }
 
-static void line_call_once(void *ctx, const char *addr, const char *method, const char *target,
-                           const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
-    call_start(ctx, true, addr, method, target, body, timeout_s, fn, arg);
+static void on_call_once(void *ctx, const char *addr, const char *method, const char *target,
+                         const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
+    send_request(ctx, true, addr, method, target, body, timeout_s, fn, arg);
 }
 
-static void answer_call(struct sim *sim, struct sim_event *event, int status, json_t *out) {
+static void sim_answer_node(struct sim *sim, struct sim_event *event, int status, json_t *out) {
     struct sim_node *node = &sim->nodes[event->node];
     char *text = out ? json_dumps(out, JSON_COMPACT) : NULL;
     struct rp_answer answer = {.status = status,
@@ -1021,8 +1032,8 @@
                                .body = text ? text : "",
                                .len = text ? strlen(text) : 0};
     event->answered = true;
-    if (node->alive && node->life == event->life)
-        event->fn(event->arg, &answer);
+    if (node->alive && node->process_number == event->process_number)
+        event->on_answer(event->on_answer_arg, &answer);
     free(text);
 }
 
@@ -1035,32 +1046,32 @@
     json_t *body;
 };
 
-static void peer_respond(struct rp_request *req, int status, const char *body, int retry_after) {
+static void on_peer_answer(struct rp_request *req, int status, const char *body, int retry_after) {
     struct peer_request *request = (struct peer_request *)(void *)req;
     char to[32];
     snprintf(to, sizeof to, "peer%d", request->to);
-    observe(request->sim, (struct sim_message){.from = request->from,
-                                               .to = to,
-                                               .method = req->method,
-                                               .target = req->target,
-                                               .status = status,
-                                               .retry_after = retry_after,
-                                               .body = body});
+    sim_observe(request->sim, (struct sim_message){.from = request->from,
+                                                   .to = to,
+                                                   .method = req->method,
+                                                   .target = req->target,
+                                                   .status = status,
+                                                   .retry_after = retry_after,
+                                                   .body = body});
     request->status = status;
     request->body = json_loads(body, 0, NULL);
 }
 
-static int peer_call(struct sim *sim, const struct sim_event *event, json_t **out) {
+static int sim_peer_request(struct sim *sim, const struct sim_event *event, json_t **out) {
     int index = event->addr[strlen("peer")] - '0';
     struct sim_node *node = &sim->nodes[index];
     struct peer_request request = {.req = {.method = event->method,
                                            .target = event->target,
                                            .body = "",
-                                           .respond = peer_respond},
+                                           .respond = on_peer_answer},
                                    .sim = sim,
                                    .from = index,
                                    .to = event->node};
-    if (!node->alive || sim->now < node->stalled_until || sim->now < sim->apart_until)
+    if (!node->alive || sim->now < node->paused_until || sim->now < sim->peer_partition_until)
         return 0;
     if (node->old_node)
         sim_old_engine->peer(node->old_node, &request.req);
@@ -1071,110 +1082,113 @@
 }
 
 /* The node that the request goes to stands still: no answer, and no refusal either. */
-static bool peer_stands_still(const struct sim *sim, const struct sim_event *event) {
+static bool is_paused_peer(const struct sim *sim, const struct sim_event *event) {
     return strncmp(event->addr, "peer", 4) == 0 &&
-           sim->now < sim->nodes[event->addr[strlen("peer")] - '0'].stalled_until;
+           sim->now < sim->nodes[event->addr[strlen("peer")] - '0'].paused_until;
 }
 
-static bool to_worker(const struct sim_event *event) {
+static bool is_for_worker(const struct sim_event *event) {
     return strncmp(event->addr, "vm-", 3) == 0;
 }
 
-static void time_out(struct sim *sim, struct sim_event *event) {
+static void sim_time_out(struct sim *sim, struct sim_event *event) {
     if (!event->answered)
-        answer_call(sim, event, 0, NULL);
+        sim_answer_node(sim, event, 0, NULL);
 }
 
 /* A node that has lost the state service and the other nodes reaches neither; a request already
  * under way may still be carried out. */
-static bool cut_off(const struct sim *sim, const struct sim_event *event) {
+static bool is_partitioned(const struct sim *sim, const struct sim_event *event) {
     bool peer = strncmp(event->addr, "peer", 4) == 0;
-    return sim->now < sim->nodes[event->node].alone_until ||
-           (peer && sim->now < sim->nodes[event->addr[strlen("peer")] - '0'].alone_until);
+    return sim->now < sim->nodes[event->node].partitioned_until ||
+           (peer && sim->now < sim->nodes[event->addr[strlen("peer")] - '0'].partitioned_until);
 }
 
 /* Returns true when the event is over. */
-static bool request_arrives(struct sim *sim, struct sim_event *event) {
+static bool sim_on_request(struct sim *sim, struct sim_event *event) {
     json_t *out = NULL, *body;
     int status;
     bool watch = strncmp(event->target, "/follow", 7) == 0;
     if (!event->answered && sim->nodes[event->node].alive &&
-        sim->now < sim->nodes[event->node].stalled_until) {
-        event->due = sim->now + 0.1; /* the node takes no answer just now */
+        sim->now < sim->nodes[event->node].paused_until) {
+        event->due_at = sim->now + 0.1; /* the node takes no answer just now */
         return false;
     }
     if (watch && event->answered)
         return true;
-    if (!event->answered && peer_stands_still(sim, event) && sim->now < event->deadline) {
-        event->due = event->deadline;
+    if (!event->answered && is_paused_peer(sim, event) && sim->now < event->deadline) {
+        event->due_at = event->deadline;
         return false;
     }
-    if (!event->answered && strcmp(event->addr, "cloud") != 0 && cut_off(sim, event)) {
-        event->due = event->deadline + SIM_STEP_S; /* silence: the time-out answers */
+    if (!event->answered && strcmp(event->addr, "cloud") != 0 && is_partitioned(sim, event)) {
+        event->due_at = event->deadline + SIM_STEP_S; /* silence: the time-out answers */
         return false;
     }
     if (watch) {
-        bool cut = sim->now < sim->outage_until || sim->now < sim->nodes[event->node].refused_until;
-        out = cut ? NULL : state_news(sim, event->target);
+        bool cut = sim->now < sim->store_outage_until ||
+                   sim->now < sim->nodes[event->node].store_refusal_until;
+        out = cut ? NULL : store_changes(sim, event->target);
         if (sim->now < event->deadline - 1.5 &&
             (!out || !json_array_size(json_object_get(out, "log")))) {
             json_decref(out);
-            event->due = sim->now + SIM_STEP_S;
+            event->due_at = sim->now + SIM_STEP_S;
             return false;
         }
-        answer_call(sim, event, out ? 200 : 503, out);
+        sim_answer_node(sim, event, out ? 200 : 503, out);
         json_decref(out);
         return true;
     }
     if (!event->answered && sim->now >= event->deadline &&
         (event->unsent || sim_chance(sim, 0.5))) {
-        time_out(sim, event);
+        sim_time_out(sim, event);
         return true;
     }
-    if (to_worker(event) && worker_waits(sim, event)) {
+    if (is_for_worker(event) && sim_worker_is_paused(sim, event)) {
         if (!event->answered && sim->now >= event->deadline)
-            time_out(sim, event);
-        event->due = sim->now + 0.1; /* carried out when the machine goes on, if it still may be */
+            sim_time_out(sim, event);
+        event->due_at =
+            sim->now + 0.1; /* carried out when the machine goes on, if it still may be */
         return false;
     }
     if (!event->answered && sim->now >= event->deadline)
-        time_out(sim, event);
+        sim_time_out(sim, event);
     body = event->body ? json_loads(event->body, 0, NULL) : NULL;
     if (strcmp(event->addr, "state") == 0)
-        status = state_request(sim, event, body, &out);
+        status = sim_store_request(sim, event, body, &out);
     else if (strcmp(event->addr, "cloud") == 0)
-        status = cloud_request(sim, event, body, &out);
-    else if (to_worker(event))
-        status = worker_request(sim, event, body, &out);
+        status = sim_cloud_request(sim, event, body, &out);
+    else if (is_for_worker(event))
+        status = sim_worker_request(sim, event, body, &out);
     else
-        status = peer_call(sim, event, &out);
+        status = sim_peer_request(sim, event, &out);
     if (!event->answered) {
         event->unsent = false;
-        if (sim_chance(sim, sim->faults.lose))
-            time_out(sim, event);
+        if (sim_chance(sim, sim->faults.drop))
+            sim_time_out(sim, event);
         else
-            answer_call(sim, event, status, out);
+            sim_answer_node(sim, event, status, out);
     }
     json_decref(out);
     json_decref(body);
     return true;
 }
 
-static void node_start(struct sim *sim, int index) {
+static void sim_node_start(struct sim *sim, int index) {
     struct sim_node *node = &sim->nodes[index];
     if (sim->remote)
         return;
-    struct sim_line *line = calloc(1, sizeof *line);
+    struct sim_connection *line = calloc(1, sizeof *line);
     if (!line)
         abort();
-    *line = (struct sim_line){.sim = sim, .node = index, .life = ++node->life};
-    struct rp_net net = {.ctx = line, .call = line_call, .call_once = line_call_once};
+    *line = (struct sim_connection){
+        .sim = sim, .node = index, .process_number = ++node->process_number};
+    struct rp_net net = {.ctx = line, .call = on_call, .call_once = on_call_once};
     node->alive = true;
-    node->old = node->next_old;
-    node->drift = 1.0 + 0.0005 * sim_uniform(sim);
-    node->offset = 100 + 1000 * sim_uniform(sim) - sim->now * node->drift;
-    double now = node->offset + sim->now * node->drift;
-    if (node->old && sim_old_engine) {
+    node->is_old_version = node->restarts_as_old;
+    node->clock_drift = 1.0 + 0.0005 * sim_uniform(sim);
+    node->clock_offset_s = 100 + 1000 * sim_uniform(sim) - sim->now * node->clock_drift;
+    double now = node->clock_offset_s + sim->now * node->clock_drift;
+    if (node->is_old_version && sim_old_engine) {
         node->old_node = sim_old_engine->open(node->settings, &net, now);
         if (!node->old_node)
             abort();
@@ -1183,7 +1197,7 @@
     node->node = calloc(1, sizeof *node->node);
     if (!node->node)
         abort();
-    sim->settings[index].tuning.keep_old_forms = node->old;
+    sim->settings[index].tuning.keep_old_forms = node->is_old_version;
     rp_loop_init(&node->loop, true);
     node->loop.virtual_now = rp_ts(now);
     if (rp_node_init(node->node, &node->loop, net, &sim->settings[index]) < 0)
@@ -1198,7 +1212,7 @@
     /* What the process held is gone with it; requests under way are leaked on purpose, as the
      * node's call-backs must never run again. */
     n->alive = false;
-    n->back = sim->now + back_s;
+    n->restarts_at = sim->now + back_s;
     if (n->old_node) {
         sim_old_engine->close(n->old_node);
         n->old_node = NULL;
@@ -1210,43 +1224,43 @@
 
 void sim_upgrade(struct sim *sim, int node, double back_s) {
     sim_crash(sim, node, back_s);
-    sim->nodes[node].next_old = sim->nodes[node].old = false;
+    sim->nodes[node].restarts_as_old = sim->nodes[node].is_old_version = false;
 }
 
-void sim_all_old(struct sim *sim) {
+void sim_start_as_old_version(struct sim *sim) {
     for (int i = 0; i < sim->n_nodes; i++) {
-        sim->nodes[i].next_old = true;
+        sim->nodes[i].restarts_as_old = true;
         sim_crash(sim, i, 0);
-        node_start(sim, i);
+        sim_node_start(sim, i);
     }
 }
 
 void sim_lower_limits(struct sim *sim) {
-    sim->limits = sim->next;
-    sim->write_room = fmin(sim->write_room, sim->next.write_rps);
+    sim->limits = sim->announced_limits;
+    sim->write_tokens = fmin(sim->write_tokens, sim->announced_limits.write_rps);
 }
 
-void sim_store(struct sim *sim, const char *key, const char *text) {
+void sim_put_record(struct sim *sim, const char *key, const char *text) {
     json_t *value = json_loads(text, JSON_DECODE_ANY, NULL);
     if (!value)
         abort();
     sim->revision++;
-    key_put(sim, key, value, 0);
+    sim_key_put(sim, key, value, 0);
     json_decref(value);
 }
 
-const json_t *sim_stored(struct sim *sim, const char *key) {
-    struct sim_key *entry = key_find(sim, key);
+const json_t *sim_find_record(struct sim *sim, const char *key) {
+    struct sim_key *entry = sim_key_find(sim, key);
     return entry ? entry->value : NULL;
 }
 
-bool sim_saved(struct sim *sim, const char *job, uint32_t task) {
+bool sim_has_stored_result(struct sim *sim, const char *job, uint32_t task) {
     char key[RP_KEY_MAX];
     uint8_t bits[RP_CHUNK_BYTES] = {0};
     rp_key_progress(key, job, 0);
-    struct sim_key *chunk = key_find(sim, key);
+    struct sim_key *chunk = sim_key_find(sim, key);
     rp_key_unit(key, job, 0);
-    struct sim_key *unit = key_find(sim, key);
+    struct sim_key *unit = sim_key_find(sim, key);
     if (chunk && !rp_record_progress_read(chunk->value, bits, (SIM_JOB_TASKS + 7) / 8))
         abort();
     if (unit && !rp_record_progress_read(unit->value, bits, (SIM_JOB_TASKS + 7) / 8))
@@ -1257,11 +1271,11 @@
 size_t sim_count_stored(struct sim *sim, const char *prefix) {
     size_t n = 0;
     for (int i = 0; i < sim->n_keys; i++)
-        n += has_prefix(sim->keys[i].key, prefix);
+        n += sim_has_prefix(sim->keys[i].key, prefix);
     return n;
 }
 
-static bool node_leads(const struct sim_node *node) {
+static bool is_leading(const struct sim_node *node) {
     if (!node->alive)
         return false;
     return node->old_node ? sim_old_engine->leads(node->old_node)
@@ -1270,21 +1284,21 @@
 
 int sim_leader(const struct sim *sim) {
     for (int i = 0; i < sim->n_nodes; i++)
-        if (node_leads(&sim->nodes[i]))
+        if (is_leading(&sim->nodes[i]))
             return i;
     return -1;
 }
 
-static void node_step(struct sim *sim, int index) {
+static void sim_node_step(struct sim *sim, int index) {
     struct sim_node *node = &sim->nodes[index];
     if (!node->alive) {
-        if (sim->now >= node->back)
-            node_start(sim, index);
+        if (sim->now >= node->restarts_at)
+            sim_node_start(sim, index);
         return;
     }
-    if (sim->now < node->stalled_until)
+    if (sim->now < node->paused_until)
         return;
-    double now = node->offset + sim->now * node->drift;
+    double now = node->clock_offset_s + sim->now * node->clock_drift;
     if (node->old_node)
         sim_old_engine->advance(node->old_node, now);
     else
@@ -1293,80 +1307,81 @@
 
 /* ---- users ---- */
 
-void sim_user_send(struct sim *sim, int job, enum sim_user_op op, int node) {
+void sim_send_for_user(struct sim *sim, int job, enum sim_user_op op, int node) {
     static const char *const ends[] = {"", "", "/cancel"};
     char target[128];
-    if (sim->cut_node == node + 1)
+    if (sim->node_in_partition == node + 1)
         return;
     snprintf(target, sizeof target, op == USER_SUBMITS ? "/v1/jobs%.0s%.0s" : "/v1/jobs/%s%s",
              sim->jobs[job].spec.id, ends[op]);
-    sim_ask(sim, node, op == USER_POLLS ? "GET" : "POST", target,
-            op == USER_SUBMITS ? sim->jobs[job].body : "", EV_USER, job, op);
+    sim_send_to_node(sim, node, op == USER_POLLS ? "GET" : "POST", target,
+                     op == USER_SUBMITS ? sim->jobs[job].body : "", EV_USER_ANSWER, job, op);
 }
 
-static void user_send(struct sim *sim, int job, enum sim_user_op op) {
-    sim_user_send(sim, job, op, (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes));
+static void send_to_any_node(struct sim *sim, int job, enum sim_user_op op) {
+    sim_send_for_user(sim, job, op,
+                      (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes));
 }
 
-static void user_answered(struct sim *sim, const struct sim_event *event) {
-    struct sim_job *job = &sim->jobs[event->worker];
-    if (sim->breakage == SIM_POLLS_GET_LOST && event->worker == 0 && job->accepted)
+static void sim_user_on_answer(struct sim *sim, const struct sim_event *event) {
+    struct sim_job *job = &sim->jobs[event->index];
+    if (sim->breakage == SIM_POLLS_ARE_DROPPED && event->index == 0 && job->accepted)
         return;
     json_t *body = json_loads(event->body, 0, NULL);
     const char *word = json_string_value(json_object_get(body, "tension"));
     if (event->status == 404 && job->accepted)
-        sim_broken(sim, "forgotten: %s gets 404", job->spec.id);
+        sim_violated(sim, "forgotten: %s gets 404", job->spec.id);
     if ((event->status == 400 || event->status == 422) && job->accepted)
-        sim_broken(sim, "forgotten: %s gets %d", job->spec.id, event->status);
+        sim_violated(sim, "forgotten: %s gets %d", job->spec.id, event->status);
     bool untold = sim->breakage == SIM_GANGS_ARE_NOT_SERVED && job->spec.kind == RP_JOB_GANG;
     if (untold && word && strcmp(word, "done") == 0)
         word = "running";
-    if (sim->breakage == SIM_ANSWERS_ARE_OLD && job->told_done)
+    if (sim->breakage == SIM_ANSWERS_ARE_STALE && job->told_done)
         word = "pending";
     if (word) {
         sim->n_polls_known += event->user_op == USER_POLLS;
-        job->known_at = sim->now;
+        job->answered_at = sim->now;
         if (!job->accepted) {
             job->accepted_at = sim->now;
             job->accepted = true;
             if (job->cancel_on_acceptance)
                 job->cancel_at = sim->now;
-            sim_look_closely(sim, event->worker);
+            sim_read_concurrently(sim, event->index);
         }
         if (strcmp(word, "done") == 0) {
             if (job->told_cancelled)
-                sim_broken(sim, "went_back: %s", job->spec.id);
+                sim_violated(sim, "went_back: %s", job->spec.id);
             sim_check_done(sim, job);
             sim->n_done_jobs += !job->told_done;
             if (!job->told_done) {
                 job->told_at = sim->now;
                 job->told_done = true;
-                sim_look_closely(sim, event->worker);
+                sim_read_concurrently(sim, event->index);
             }
         } else if (strcmp(word, "aborted") == 0) {
             if (job->told_done || !job->cancel_asked)
-                sim_broken(sim, "went_back: %s cancelled", job->spec.id);
+                sim_violated(sim, "went_back: %s cancelled", job->spec.id);
             if (!job->told_cancelled) {
                 job->cancelled_at = job->told_at = sim->now;
                 job->told_cancelled = true;
-                sim_look_closely(sim, event->worker);
+                sim_read_concurrently(sim, event->index);
             }
-        } else if ((job->told_done || job->told_cancelled) && event->asked > job->told_at) {
+        } else if ((job->told_done || job->told_cancelled) && event->asked_at > job->told_at) {
             /* An answer may cross another on its way: only what was asked afterwards counts. */
-            sim_broken(sim, "went_back: %s is %s", job->spec.id, word);
+            sim_violated(sim, "went_back: %s is %s", job->spec.id, word);
         }
     }
     json_decref(body);
 }
 
-static void user_step(struct sim *sim, int index) {
+static void sim_user_step(struct sim *sim, int index) {
     struct sim_job *job = &sim->jobs[index];
     if (sim->now < job->submit_at)
         return;
     if (!job->accepted || sim_chance(sim, 0.0002)) {
         if (!job->accepted)
             job->submit_at = sim->now + 1;
-        user_send(sim, index, USER_SUBMITS);
+        send_to_any_node(sim, index, USER_SUBMITS);
         return;
     }
     bool over = job->told_cancelled || job->told_done;
@@ -1374,15 +1389,15 @@
         job->cancel_again = job->cancel_again && !over; /* once more, when it is over */
         job->cancel_asked = true;
         job->cancel_at = sim->now + 1;
-        user_send(sim, index, USER_CANCELS);
+        send_to_any_node(sim, index, USER_CANCELS);
     }
     if (sim->now > job->poll_at) {
         /* Hundreds of users who go on asking about what is over would be all that is measured. */
         bool seldom = over && sim->n_jobs > 128;
         double again = (seldom ? 20 : 2) + 3 * sim_uniform(sim);
-        job->poll_at = sim->now + again * (sim->eager_polls ? 0.05 : 1);
+        job->poll_at = sim->now + again * (sim->has_eager_users ? 0.05 : 1);
         sim->n_polls++;
-        user_send(sim, index, USER_POLLS);
+        send_to_any_node(sim, index, USER_POLLS);
     }
 }
 
@@ -1418,7 +1433,7 @@
     return sim->n_jobs++;
 }
 
-void sim_change(struct sim *sim, int index, const char *field, json_t *value) {
+void sim_set_field(struct sim *sim, int index, const char *field, json_t *value) {
     struct sim_job *job = &sim->jobs[index];
     char why[128];
     json_t *v = json_loads(job->body, 0, NULL);
@@ -1454,86 +1469,87 @@
 /* ---- the world's steps ---- */
 
 /* A zone that is cut off keeps working inside, with the node that is in it. */
-static void report_arrives(struct sim *sim, const struct sim_event *event) {
+static void on_heartbeat(struct sim *sim, const struct sim_event *event) {
     for (int node = 0; node < sim->n_nodes; node++) {
-        bool inside = sim->cut_node == node + 1;
-        bool from_inside = sim->cut_zone && sim->cut_zone == sim->workers[event->worker].zone + 1;
-        if ((node != event->node && !event->for_next) || sim->cut_from_workers == node + 1 ||
-            inside != from_inside)
+        bool inside = sim->node_in_partition == node + 1;
+        bool from_inside =
+            sim->partitioned_zone && sim->partitioned_zone == sim->workers[event->index].zone + 1;
+        if ((node != event->node && !event->held_for_next_leader) ||
+            sim->node_without_heartbeats == node + 1 || inside != from_inside)
             continue;
-        node_receive(sim, node, "POST", RP_PATH_HEARTBEAT, event->body, EV_REPORT_ANSWER,
-                     event->worker, event->flight, 0);
+        sim_node_receive(sim, node, "POST", RP_PATH_HEARTBEAT, event->body, EV_HEARTBEAT_ANSWER,
+                         event->index, event->heartbeat_number, 0);
     }
-    sim->n_kept -= event->for_next;
+    sim->n_held_duplicates -= event->held_for_next_leader;
 }
 
-static void happen(struct sim *sim) {
+static void process_events(struct sim *sim) {
     for (int i = 0; i < sim->n_events; i++) {
         struct sim_event *event = sim->events[i];
         bool over = true;
         if (event->kind == EV_REQUEST && !event->answered && sim->now >= event->deadline &&
-            event->due > sim->now && sim->now >= sim->nodes[event->node].stalled_until)
-            time_out(sim, event);
-        if (event->due > sim->now)
+            event->due_at > sim->now && sim->now >= sim->nodes[event->node].paused_until)
+            sim_time_out(sim, event);
+        if (event->due_at > sim->now)
             continue;
         switch (event->kind) {
         case EV_REQUEST:
-            over = request_arrives(sim, event);
+            over = sim_on_request(sim, event);
             break;
-        case EV_REPORT:
-            report_arrives(sim, event);
+        case EV_HEARTBEAT:
+            on_heartbeat(sim, event);
             break;
-        case EV_REPORT_ANSWER:
-            report_answered(sim, event);
+        case EV_HEARTBEAT_ANSWER:
+            sim_worker_on_heartbeat_answer(sim, event);
             break;
-        case EV_USER:
-            user_answered(sim, event);
+        case EV_USER_ANSWER:
+            sim_user_on_answer(sim, event);
             break;
-        case EV_LOOK:
-            sim_user_send(sim, event->worker, (enum sim_user_op)event->user_op, event->node);
+        case EV_CONCURRENT_READ:
+            sim_send_for_user(sim, event->index, (enum sim_user_op)event->user_op, event->node);
             break;
-        case EV_ODD:
-            sim_check_odd(sim, event);
+        case EV_INVALID_ANSWER:
+            sim_check_invalid_request(sim, event);
             break;
         }
         if (over) {
             /* Call-backs may have added events: only the slot is reused. */
             sim->events[i] = sim->events[--sim->n_events];
-            event_free(event);
+            sim_event_free(event);
             i--;
         }
     }
 }
 
-static void leases_step(struct sim *sim) {
+static void expire_leases(struct sim *sim) {
     /* Leases stand still during an outage, and have their full time again after it. */
     for (int i = 0; i < SIM_LEASES; i++) {
         struct sim_lease *lease = &sim->leases[i];
-        if (lease->id && sim->now < sim->outage_until)
-            lease->ends = sim->now + lease->ttl;
-        if (lease->id && sim->now > lease->ends)
-            lease_expire(sim, lease);
+        if (lease->id && sim->now < sim->store_outage_until)
+            lease->expires_at = sim->now + lease->ttl_s;
+        if (lease->id && sim->now > lease->expires_at)
+            sim_lease_expire(sim, lease);
     }
 }
 
 void sim_step(struct sim *sim, double now) {
     sim->now = now;
-    sim_trouble_step(sim);
-    leases_step(sim);
+    sim_inject_faults(sim);
+    expire_leases(sim);
     for (int i = 0; i < sim->n_nodes && !sim->remote; i++)
-        node_step(sim, i);
+        sim_node_step(sim, i);
     for (int i = 0; i < sim->size.workers; i++)
-        worker_step(sim, i);
+        sim_worker_step(sim, i);
     for (int i = 0; i < sim->n_jobs; i++)
-        user_step(sim, i);
-    happen(sim);
+        sim_user_step(sim, i);
+    process_events(sim);
     sim->steps++;
     sim_check_step(sim);
 }
 
 void sim_run(struct sim *sim, double seconds) {
     double end = sim->now + seconds;
-    while (sim->now < end && !sim->broken[0])
+    while (sim->now < end && !sim->violation[0])
         sim_step(sim, sim->now + SIM_STEP_S);
 }
 
@@ -1542,26 +1558,28 @@
 
 void sim_remote_request(struct sim *sim, const char *addr, const char *method, const char *target,
                         const char *body, rp_answer_fn fn, void *arg) {
-    struct sim_event *event = sim_event_new(sim, EV_REQUEST, delay(sim));
+    struct sim_event *event = sim_event_new(sim, EV_REQUEST, sim_network_delay(sim));
     char hold_ms[32];
     double timeout_s = 60;
     if (strncmp(target, "/follow", 7) == 0) /* request_arrives answers 1.5 s before the time-out */
         timeout_s =
             1.5 +
-            strtod(param(target, "hold_ms=", hold_ms, sizeof hold_ms) ? hold_ms : "0", NULL) / 1000;
+            strtod(sim_query_parameter(target, "hold_ms=", hold_ms, sizeof hold_ms) ? hold_ms : "0",
+                   NULL) /
+                1000;
     event->node = REMOTE_NODE;
     snprintf(event->addr, sizeof event->addr, "%s", addr);
     snprintf(event->method, sizeof event->method, "%s", method);
     event->target = strdup(target);
     event->body = strdup(body);
     event->deadline = sim->now + timeout_s;
-    event->fn = fn;
-    event->arg = arg;
+    event->on_answer = fn;
+    event->on_answer_arg = arg;
 }
 
-bool sim_all_over(const struct sim *sim) {
+bool sim_all_terminal(const struct sim *sim) {
     for (int i = 0; i < sim->n_jobs; i++)
-        if (!sim->jobs[i].told_done && !sim->jobs[i].told_cancelled && !sim->jobs[i].faulty)
+        if (!sim->jobs[i].told_done && !sim->jobs[i].told_cancelled && !sim->jobs[i].fails_always)
             return false;
     return true;
 }
@@ -1583,9 +1601,9 @@
     return sim_new_sized(seed, faults, breakage, n_nodes, &small);
 }
 
-static struct sim *world_new(unsigned long seed, const struct sim_faults *faults,
-                             enum sim_breakage breakage, int n_nodes, const struct sim_size *size,
-                             const struct sim_remote *remote) {
+static struct sim *create_world(unsigned long seed, const struct sim_faults *faults,
+                                enum sim_breakage breakage, int n_nodes,
+                                const struct sim_size *size, const struct sim_remote *remote) {
     struct sim *sim = calloc(1, sizeof *sim);
     if (!sim)
         abort();
@@ -1597,10 +1615,10 @@
     sim->faults = *faults;
     sim->breakage = breakage;
     sim->limits = (struct sim_limits){8192, 8, size->write_rps};
-    sim->next = (struct sim_limits){1024, 4, size->write_rps * 0.75};
-    sim->write_room = size->write_rps;
-    sim->log = json_array();
-    sim->rentals = json_object();
+    sim->announced_limits = (struct sim_limits){1024, 4, size->write_rps * 0.75};
+    sim->write_tokens = size->write_rps;
+    sim->change_log = json_array();
+    sim->provisioned = json_object();
     for (int i = 0; i < sim->n_nodes; i++) {
         char *text;
         char peers[1024] = "";
@@ -1609,7 +1627,7 @@
                 sprintf(peers + strlen(peers),
                         "%s{\"node_name\":\"n%d\",\"location\":\"a\",\"addr\":\"peer%d\"}",
                         *peers ? "," : "", p, p);
-        if (asprintf(&text, settings_text, i, peers, sim->n_nodes, size->report_s, size->lease_s,
+        if (asprintf(&text, settings_text, i, peers, sim->n_nodes, size->heartbeat_s, size->lease_s,
                      size->cancel_s, size->rps, size->write_rps, size->write_rps * 0.75,
                      size->cloud_rps) < 0 ||
             rp_settings_parse(&sim->settings[i], text, "settings", stderr))
@@ -1618,20 +1636,20 @@
         rp_settings_complete(&sim->settings[i]);
         sim->settings[i].tuning.round_period_s = 2;
         sim->settings[i].tuning.standby = sim_standby || getenv("RP_SIM_STANDBY");
-        node_start(sim, i);
+        sim_node_start(sim, i);
     }
     return sim;
 }
 
 struct sim *sim_new_sized(unsigned long seed, const struct sim_faults *faults,
                           enum sim_breakage breakage, int n_nodes, const struct sim_size *size) {
-    return world_new(seed, faults, breakage, n_nodes, size, NULL);
+    return create_world(seed, faults, breakage, n_nodes, size, NULL);
 }
 
 struct sim *sim_new_remote(unsigned long seed, int n_nodes, const struct sim_size *size,
                            const struct sim_remote *remote) {
     static const struct sim_faults none = {0};
-    struct sim *sim = world_new(seed, &none, SIM_SOUND, n_nodes, size, remote);
+    struct sim *sim = create_world(seed, &none, SIM_SOUND, n_nodes, size, remote);
     sim->nodes[REMOTE_NODE].alive = true;
     return sim;
 }
@@ -1644,15 +1662,15 @@
         rp_settings_free(&sim->settings[i]);
     }
     for (int i = 0; i < sim->n_events; i++)
-        event_free(sim->events[i]);
+        sim_event_free(sim->events[i]);
     while (sim->n_keys > 0)
-        key_delete(sim, &sim->keys[sim->n_keys - 1]);
+        sim_key_delete(sim, &sim->keys[sim->n_keys - 1]);
     for (int i = 0; i < sim->n_jobs; i++) {
         free(sim->jobs[i].body);
         rp_job_spec_free(&sim->jobs[i].spec);
     }
-    json_decref(sim->log);
-    json_decref(sim->rentals);
+    json_decref(sim->change_log);
+    json_decref(sim->provisioned);
     gsl_rng_free(sim->rng);
     free(sim);
 }
--- a/tests/simulation/sim_check.c
+++ b/tests/simulation/sim_check.c
@@ -7,13 +7,14 @@
 #include <string.h>
 
 /* After the troubles: */
-#define FORGOTTEN_S 75.0    /* a job that no question about is answered for so long is forgotten */
-#define BEGIN_S 240.0       /* every job begins by then */
-#define LEFT_WAITING_S 90.0 /* no job waits longer while there is room for it */
-#define REPLICA_DOWN_S 90.0 /* and no replica of a service is missing for longer */
+#define ANSWERED_WITHIN_S                                                                          \
+    75.0                     /* a job that no question about is answered for so long is forgotten */
+#define BEGUN_WITHIN_S 240.0 /* every job begins by then */
+#define PLACED_WITHIN_S 90.0 /* no job waits longer while there is room for it */
+#define REPLICA_DOWN_S 90.0  /* and no replica of a service is missing for longer */
 
 /* One team has a limit, the guests have none. */
-static bool limited(const struct sim_job *job) {
+static bool has_limit(const struct sim_job *job) {
     return strcmp(job->spec.team, "t") == 0;
 }
 
@@ -26,45 +27,45 @@
     sim->n_starts++;
     sim->jobs[task->job_index].begun = true;
     if (job->told_cancelled && sim->now > job->cancelled_at + sim->size.cancel_s)
-        sim_broken(sim, "ran_cancelled: %s/%u starts", task->job, task->index);
+        sim_violated(sim, "ran_cancelled: %s/%u starts", task->job, task->index);
     if (worker->spot && !spec->spot)
-        sim_broken(sim, "wrong_place: %s/%u on a spot machine", task->job, task->index);
+        sim_violated(sim, "wrong_place: %s/%u on a spot machine", task->job, task->index);
     int zone = sim->breakage == SIM_MACHINES_ELSEWHERE ? 1 - worker->zone : worker->zone;
     double limit =
         sim->settings[0].teams[0].cpus_max * (sim->breakage == SIM_LIMIT_IS_LOWER ? 0.5 : 1);
     if (*spec->zone && strcmp(spec->zone, sim_zones[zone]) != 0)
-        sim_broken(sim, "wrong_place: %s/%u in zone %s", task->job, task->index,
-                   sim_zones[worker->zone]);
+        sim_violated(sim, "wrong_place: %s/%u in zone %s", task->job, task->index,
+                     sim_zones[worker->zone]);
     for (int i = 0; i < sim->size.workers; i++)
         for (int k = 0;
              sim->workers[i].used && sim->workers[i].alive && k < sim->workers[i].n_tasks; k++) {
             const struct sim_task *other = &sim->workers[i].tasks[k];
-            if (!sim_on_machine(other))
+            if (!sim_task_is_placed(other))
                 continue;
-            if (limited(&sim->jobs[other->job_index]))
+            if (has_limit(&sim->jobs[other->job_index]))
                 cpus += sim->jobs[other->job_index].spec.each.cpus;
             if (other == task || other->job_index != task->job_index)
                 continue;
             if (other->index == task->index)
-                sim_broken(sim, "ran_twice: %s/%u on %s and %s", task->job, task->index,
-                           worker->name, sim->workers[i].name);
+                sim_violated(sim, "ran_twice: %s/%u on %s and %s", task->job, task->index,
+                             worker->name, sim->workers[i].name);
             in_zone += sim->workers[i].zone == worker->zone;
             if (spec->one_zone && sim->workers[i].zone != worker->zone)
-                sim_broken(sim, "wrong_place: %s/%u in two zones", task->job, task->index);
+                sim_violated(sim, "wrong_place: %s/%u in two zones", task->job, task->index);
         }
     if (spec->spread && in_zone > (spec->n_tasks + 1) / 2)
-        sim_broken(sim, "wrong_place: %s has %u tasks in zone %s", task->job, in_zone,
-                   sim_zones[worker->zone]);
+        sim_violated(sim, "wrong_place: %s has %u tasks in zone %s", task->job, in_zone,
+                     sim_zones[worker->zone]);
     if (cpus > limit + 1e-6)
-        sim_broken(sim, "quota: %.1f CPUs in use", cpus);
+        sim_violated(sim, "quota: %.1f CPUs in use", cpus);
 }
 
 void sim_check_done(struct sim *sim, const struct sim_job *job) {
     if (job->spec.kind == RP_JOB_SERVICE)
-        sim_broken(sim, "not_done: service %s is called done", job->spec.id);
+        sim_violated(sim, "not_done: service %s is called done", job->spec.id);
     for (uint32_t i = 0; i < job->spec.n_tasks; i++)
         if (!job->done[i])
-            sim_broken(sim, "not_done: %s/%u", job->spec.id, i);
+            sim_violated(sim, "not_done: %s/%u", job->spec.id, i);
 }
 
 static void check_cancelled(struct sim *sim) {
@@ -73,26 +74,26 @@
              sim->workers[i].used && sim->workers[i].alive && k < sim->workers[i].n_tasks; k++) {
             const struct sim_task *task = &sim->workers[i].tasks[k];
             const struct sim_job *job = &sim->jobs[task->job_index];
-            if (sim_on_machine(task) && job->told_cancelled &&
+            if (sim_task_is_placed(task) && job->told_cancelled &&
                 sim->now > job->cancelled_at + sim->size.cancel_s)
-                sim_broken(sim, "ran_cancelled: %s/%u on %s", task->job, task->index,
-                           sim->workers[i].name);
+                sim_violated(sim, "ran_cancelled: %s/%u on %s", task->job, task->index,
+                             sim->workers[i].name);
         }
 }
 
 /* The users' addition to the rules. */
 static void check_known(struct sim *sim) {
-    for (int i = 0; sim->calm_since > 0 && i < sim->n_jobs; i++) {
+    for (int i = 0; sim->faults_ended_at > 0 && i < sim->n_jobs; i++) {
         const struct sim_job *job = &sim->jobs[i];
         if (!job->accepted || job->cancel_asked || job->told_done)
             continue;
-        double known = fmax(job->known_at, sim->calm_since);
-        double since = fmax(job->accepted_at, sim->calm_since);
-        if (sim->now > known + FORGOTTEN_S)
-            sim_broken(sim, "forgotten: %s, nothing answered for %.0f s", job->spec.id,
-                       FORGOTTEN_S);
-        if (!job->begun && sim->now > since + BEGIN_S)
-            sim_broken(sim, "not_begun: %s of %u tasks", job->spec.id, job->spec.n_tasks);
+        double known = fmax(job->answered_at, sim->faults_ended_at);
+        double since = fmax(job->accepted_at, sim->faults_ended_at);
+        if (sim->now > known + ANSWERED_WITHIN_S)
+            sim_violated(sim, "forgotten: %s, nothing answered for %.0f s", job->spec.id,
+                         ANSWERED_WITHIN_S);
+        if (!job->begun && sim->now > since + BEGUN_WITHIN_S)
+            sim_violated(sim, "not_begun: %s of %u tasks", job->spec.id, job->spec.n_tasks);
     }
 }
 
@@ -109,7 +110,7 @@
                  sim->workers[i].used && sim->workers[i].alive && k < sim->workers[i].n_tasks; k++)
                 if (sim->workers[i].tasks[k].job_index == j &&
                     sim->workers[i].tasks[k].state == RP_TASK_RUNNING &&
-                    sim->now >= sim->workers[i].hung_until)
+                    sim->now >= sim->workers[i].paused_until)
                     up[sim->workers[i].tasks[k].index] = true;
         for (uint32_t t = 0; t < job->spec.n_tasks; t++) {
             if (sim->now > job->accepted_at + 10)
@@ -118,9 +119,9 @@
                 job->down_since[t] = 0;
             else if (job->down_since[t] <= 0)
                 job->down_since[t] = sim->now;
-            if (!up[t] && !job->faulty && sim->calm_since > 0 &&
-                sim->now > fmax(job->down_since[t], sim->calm_since) + REPLICA_DOWN_S)
-                sim_broken(sim, "replica_down: %s/%u", job->spec.id, t);
+            if (!up[t] && !job->fails_always && sim->faults_ended_at > 0 &&
+                sim->now > fmax(job->down_since[t], sim->faults_ended_at) + REPLICA_DOWN_S)
+                sim_violated(sim, "replica_down: %s/%u", job->spec.id, t);
         }
     }
 }
@@ -133,7 +134,7 @@
         if (!job->accepted || job->cancel_asked || job->spec.kind == RP_JOB_SERVICE)
             continue;
         int kinds[3] = {job->spec.kind == RP_JOB_GANG, job->spec.n_tasks >= SIM_LARGE ? 2 : -1,
-                        limited(job) ? -1 : 3};
+                        has_limit(job) ? -1 : 3};
         for (int k = 0; k < 3; k++)
             if (kinds[k] >= 0) {
                 asked[kinds[k]]++;
@@ -142,58 +143,58 @@
     }
     for (int k = 0; k < 4; k++)
         if (served[k] * 2 < asked[k])
-            sim_broken(sim, "not_served: %u of %u, kind %d", served[k], asked[k], k);
+            sim_violated(sim, "not_served: %u of %u, kind %d", served[k], asked[k], k);
 }
 
 /* How long after its user's confirmation a job's start was still executed, at the worst. */
 void sim_check_command(struct sim *sim, const struct sim_job *job) {
     if (job->told_cancelled)
-        sim->late_start_s = fmax(sim->late_start_s, sim->now - job->cancelled_at);
+        sim->start_after_cancel_s = fmax(sim->start_after_cancel_s, sim->now - job->cancelled_at);
 }
 
 /* An answer that renews a lease keeps alive what it doesn't stop: should the machine hang now, it
  * may go on until the lease's end, and by then cancelled work must be gone. */
-void sim_check_renewal(struct sim *sim, const struct sim_worker *worker) {
+void sim_check_lease_renewal(struct sim *sim, const struct sim_worker *worker) {
     if (sim->breakage == SIM_WORKERS_IGNORE_STOPS)
         return; /* that world is to break the rule itself */
     for (int k = 0; k < worker->n_tasks; k++) {
         const struct sim_job *job = &sim->jobs[worker->tasks[k].job_index];
         if (worker->tasks[k].state != RP_TASK_EXITED && job->told_cancelled &&
-            worker->sent + sim->size.lease_s > job->cancelled_at + sim->size.cancel_s)
-            sim_broken(sim, "kept_cancelled: %s/%u on %s, confirmed %.1f s ago",
-                       worker->tasks[k].job, worker->tasks[k].index, worker->name,
-                       sim->now - job->cancelled_at);
+            worker->sent_at + sim->size.lease_s > job->cancelled_at + sim->size.cancel_s)
+            sim_violated(sim, "kept_cancelled: %s/%u on %s, confirmed %.1f s ago",
+                         worker->tasks[k].job, worker->tasks[k].index, worker->name,
+                         sim->now - job->cancelled_at);
     }
 }
 
 /* A submission that can't run, or lacks a field, is refused by every node; a node that can't know
  * says so. */
-void sim_check_odd(struct sim *sim, const struct sim_event *event) {
-    bool unknown = event->worker == 404 && sim->breakage == SIM_UNKNOWN_IS_FOUND;
-    int status = unknown || (event->worker != 404 && sim->breakage == SIM_ODD_IS_TAKEN)
+void sim_check_invalid_request(struct sim *sim, const struct sim_event *event) {
+    bool unknown = event->index == 404 && sim->breakage == SIM_UNKNOWN_IS_FOUND;
+    int status = unknown || (event->index != 404 && sim->breakage == SIM_INVALID_IS_ACCEPTED)
                      ? 200
                      : event->status;
     if (status == 200 || status == 201)
-        sim_broken(sim, "invented: an odd request gets %d instead of %d", status, event->worker);
-    else if (status != event->worker && status != 503)
-        sim_broken(sim, "odd: a request gets %d instead of %d", status, event->worker);
-    sim->n_odd_answered += status == event->worker;
+        sim_violated(sim, "invented: an odd request gets %d instead of %d", status, event->index);
+    else if (status != event->index && status != 503)
+        sim_violated(sim, "odd: a request gets %d instead of %d", status, event->index);
+    sim->n_invalid_refused += status == event->index;
 }
 
 /* What is on the machines, counted once for all jobs. */
-struct survey {
-    struct rp_resources room[SIM_WORKERS];
+struct capacity_survey {
+    struct rp_resources capacity[SIM_WORKERS];
     bool placed[SIM_JOBS][SIM_JOB_TASKS];
     double cpus;
 };
 
-static void survey_machines(const struct sim *sim, struct survey *survey) {
+static void survey_machines(const struct sim *sim, struct capacity_survey *survey) {
     memset(survey, 0, sizeof *survey);
     for (int i = 0; i < sim->size.workers; i++) {
         const struct sim_worker *worker = &sim->workers[i];
         if (!worker->used || !worker->alive || !worker->up)
             continue;
-        survey->room[i] =
+        survey->capacity[i] =
             (struct rp_resources){sim_types[worker->type].cpus, 0, sim_types[worker->type].memory};
         for (int k = 0; k < worker->n_tasks; k++) {
             const struct sim_task *task = &worker->tasks[k];
@@ -201,18 +202,18 @@
             if (task->state == RP_TASK_EXITED)
                 continue;
             survey->placed[task->job_index][task->index] = true;
-            survey->room[i].cpus -= each->cpus;
-            survey->room[i].memory_gb -= each->memory_gb;
-            if (limited(&sim->jobs[task->job_index]))
+            survey->capacity[i].cpus -= each->cpus;
+            survey->capacity[i].memory_gb -= each->memory_gb;
+            if (has_limit(&sim->jobs[task->job_index]))
                 survey->cpus += each->cpus;
         }
-        if (worker->taken_at > 0 || sim->now < worker->hung_until)
-            survey->room[i] = (struct rp_resources){0};
+        if (worker->reclaimed_at > 0 || sim->now < worker->paused_until)
+            survey->capacity[i] = (struct rp_resources){0};
     }
 }
 
 /* How many of the job's tasks there is room for, in one zone if it must be. */
-static unsigned tasks_that_fit(const struct sim *sim, const struct survey *survey,
+static unsigned tasks_that_fit(const struct sim *sim, const struct capacity_survey *survey,
                                const struct rp_job_spec *spec) {
     unsigned in_zone[2] = {0};
     for (int i = 0; i < sim->size.workers; i++) {
@@ -222,8 +223,8 @@
                        (!*spec->zone || strcmp(spec->zone, sim_zones[worker->zone]) == 0);
         if (allowed)
             in_zone[worker->zone] += (unsigned)fmax(
-                0, floor(fmin(survey->room[i].cpus / spec->each.cpus + 1e-9,
-                              survey->room[i].memory_gb / spec->each.memory_gb + 1e-9)));
+                0, floor(fmin(survey->capacity[i].cpus / spec->each.cpus + 1e-9,
+                              survey->capacity[i].memory_gb / spec->each.memory_gb + 1e-9)));
     }
     unsigned both = in_zone[0] + in_zone[1];
     return spec->one_zone ? (in_zone[0] > in_zone[1] ? in_zone[0] : in_zone[1]) : both;
@@ -232,7 +233,7 @@
 /* Once the troubles are over, no job is left waiting while a machine that fits has room and its
  * team is under its limit. */
 static void check_waiting(struct sim *sim) {
-    struct survey *survey = malloc(sizeof *survey);
+    struct capacity_survey *survey = malloc(sizeof *survey);
     if (!survey)
         abort();
     survey_machines(sim, survey);
@@ -244,18 +245,19 @@
         for (uint32_t t = 0; t < spec->n_tasks; t++)
             missing += !job->done[t] && !survey->placed[j][t];
         unsigned need = gang ? spec->n_tasks : 1;
-        bool waits = job->accepted && !job->cancel_asked && !job->told_done && !job->faulty &&
+        bool waits = job->accepted && !job->cancel_asked && !job->told_done && !job->fails_always &&
                      spec->kind != RP_JOB_SERVICE && (gang ? missing == need : missing > 0);
         double limit = sim->settings[0].teams[0].cpus_max;
-        if (!limited(job))
+        if (!has_limit(job))
             limit = INFINITY;
         if (!waits || survey->cpus + need * spec->each.cpus > limit + 1e-6 ||
             tasks_that_fit(sim, survey, spec) < need)
-            job->room_since = 0;
-        else if (job->room_since <= 0)
-            job->room_since = sim->now;
-        else if (sim->now > fmax(job->room_since, sim->calm_since) + LEFT_WAITING_S)
-            sim_broken(sim, "left_waiting: %s, %u tasks, though there is room", spec->id, missing);
+            job->placeable_since = 0;
+        else if (job->placeable_since <= 0)
+            job->placeable_since = sim->now;
+        else if (sim->now > fmax(job->placeable_since, sim->faults_ended_at) + PLACED_WITHIN_S)
+            sim_violated(sim, "left_waiting: %s, %u tasks, though there is room", spec->id,
+                         missing);
     }
     free(survey);
 }
@@ -265,6 +267,6 @@
     check_known(sim);
     if (sim->steps % 5 == 0)
         check_replicas(sim);
-    if (sim->calm_since > 0 && sim->steps % 25 == 0)
+    if (sim->faults_ended_at > 0 && sim->steps % 25 == 0)
         check_waiting(sim);
 }
--- a/tests/simulation/sim_trouble.c
+++ b/tests/simulation/sim_trouble.c
@@ -7,15 +7,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEPT_MOST 200 /* copies kept for the next leader */
+#define HELD_DUPLICATES_MAX 200 /* copies kept for the next leader */
 
 /* ---- on the way ---- */
 
 static void copy_request(struct sim *sim, const struct sim_event *event, double after) {
     struct sim_event *copy = sim_event_new(sim, EV_REQUEST, after);
-    double due = copy->due;
-    *copy =
-        (struct sim_event){.kind = EV_REQUEST, .due = due, .node = event->node, .answered = true};
+    double due = copy->due_at;
+    *copy = (struct sim_event){
+        .kind = EV_REQUEST, .due_at = due, .node = event->node, .answered = true};
     strcpy(copy->addr, event->addr);
     strcpy(copy->method, event->method);
     copy->target = strdup(event->target);
@@ -23,42 +23,43 @@
 }
 
 /* A transaction that gets no answer: carried out at once, or seconds later and after newer ones. */
-void sim_trouble_txn(struct sim *sim, struct sim_event *event) {
-    bool late = sim_chance(sim, sim->faults.late_write);
-    bool lost = !late && sim_chance(sim, sim->faults.lost_answer);
+void sim_fault_transaction(struct sim *sim, struct sim_event *event) {
+    bool late = sim_chance(sim, sim->faults.delayed_write);
+    bool lost = !late && sim_chance(sim, sim->faults.dropped_answer);
     if (!late && !lost)
         return;
-    copy_request(sim, event, late ? 2 + 10 * sim_uniform(sim) : event->due - sim->now);
+    copy_request(sim, event, late ? 2 + 10 * sim_uniform(sim) : event->due_at - sim->now);
     event->unsent = true;
-    event->due = event->deadline;
-    sim->n_late_writes += late;
-    sim->n_lost_answers += lost;
+    event->due_at = event->deadline;
+    sim->n_delayed_writes += late;
+    sim->n_dropped_answers += lost;
 }
 
 /* A copy that is kept, and comes to every node just as the next leader begins. */
-void sim_trouble_report(struct sim *sim, const struct sim_event *event) {
-    if (!sim_chance(sim, sim->faults.kept) || sim->n_kept == KEPT_MOST)
+void sim_fault_heartbeat(struct sim *sim, const struct sim_event *event) {
+    if (!sim_chance(sim, sim->faults.held_duplicate) ||
+        sim->n_held_duplicates == HELD_DUPLICATES_MAX)
         return;
-    struct sim_event *copy = sim_event_new(sim, EV_REPORT, 1e9);
+    struct sim_event *copy = sim_event_new(sim, EV_HEARTBEAT, 1e9);
     copy->body = strdup(event->body);
-    copy->worker = event->worker;
-    copy->for_next = true;
-    sim->n_kept++;
+    copy->index = event->index;
+    copy->held_for_next_leader = true;
+    sim->n_held_duplicates++;
 }
 
-static void deliver_kept(struct sim *sim) {
+static void deliver_held_duplicates(struct sim *sim) {
     int leader = sim_leader(sim);
     uint64_t token = leader >= 0 && sim->nodes[leader].node
                          ? sim->nodes[leader].node->election.fencing_token
                          : 0;
-    if (!token || token == sim->last_token)
+    if (!token || token == sim->last_fencing_token)
         return;
-    sim->last_token = token;
+    sim->last_fencing_token = token;
     sim->n_leaders++;
     for (int i = 0; i < sim->n_events; i++)
-        if (sim->events[i]->for_next) {
-            sim->events[i]->due = sim->now + 0.5 * sim_uniform(sim);
-            sim->n_kept_delivered++;
+        if (sim->events[i]->held_for_next_leader) {
+            sim->events[i]->due_at = sim->now + 0.5 * sim_uniform(sim);
+            sim->n_held_delivered++;
         }
 }
 
@@ -66,26 +67,26 @@
 
 /* Right after a job was accepted, ended or cancelled, its user asks all nodes, again and again
  * within milliseconds, and submits it once more. */
-void sim_look_closely(struct sim *sim, int job) {
-    if (!sim->close_looks)
+void sim_read_concurrently(struct sim *sim, int job) {
+    if (!sim->has_concurrent_reads)
         return;
     for (int k = 0; k < 3 * sim->n_nodes; k++) {
-        struct sim_event *event = sim_event_new(sim, EV_LOOK, 0.05 * sim_uniform(sim));
+        struct sim_event *event = sim_event_new(sim, EV_CONCURRENT_READ, 0.05 * sim_uniform(sim));
         event->node = k % sim->n_nodes;
-        event->worker = job;
+        event->index = job;
         event->user_op = k < sim->n_nodes ? USER_SUBMITS : USER_POLLS;
-        sim->n_looks++;
+        sim->n_concurrent_reads++;
     }
 }
 
 /* A submission that is like a sound one but for what makes it odd. */
-static char *odd_submission(struct sim *sim, int kind) {
+static char *invalid_submission(struct sim *sim, int kind) {
     static const char *const fields[] = {"rig",     "crew",        "haul",    "precedence",
                                          "lifts",   "vcpus",       "cards",   "memory_gb",
                                          "payload", "image_gb",    "spread",  "one_zone",
                                          "loaners", "run_guess_s", "brace_s", "brace_every_s"};
     char id[32];
-    snprintf(id, sizeof id, "j-%06d", 900000 + (int)(sim->n_odd % 90000));
+    snprintf(id, sizeof id, "j-%06d", 900000 + (int)(sim->n_invalid_requests % 90000));
     json_t *value = json_loads(sim->jobs[0].body, 0, NULL);
     json_object_set_new(value, "ref", json_string(id));
     if (kind == 0)
@@ -104,24 +105,27 @@
     return text;
 }
 
-static void odd_request(struct sim *sim) {
+static void send_invalid_request(struct sim *sim) {
     int node = (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes);
     int kind = (int)gsl_rng_uniform_int(sim->rng, 7);
-    sim->n_odd++;
+    sim->n_invalid_requests++;
     if (kind == 5) {
-        sim_ask(sim, node, "GET", "/v1/jobs/j-899999", "", EV_ODD, 404, USER_POLLS);
+        sim_send_to_node(sim, node, "GET", "/v1/jobs/j-899999", "", EV_INVALID_ANSWER, 404,
+                         USER_POLLS);
     } else if (kind == 6) {
-        sim_ask(sim, node, "POST", "/v1/jobs", "[\"j-000001\"]", EV_ODD, 400, USER_SUBMITS);
+        sim_send_to_node(sim, node, "POST", "/v1/jobs", "[\"j-000001\"]", EV_INVALID_ANSWER, 400,
+                         USER_SUBMITS);
     } else {
-        char *body = odd_submission(sim, kind);
-        sim_ask(sim, node, "POST", "/v1/jobs", body, EV_ODD, kind == 0 ? 400 : 422, USER_SUBMITS);
+        char *body = invalid_submission(sim, kind);
+        sim_send_to_node(sim, node, "POST", "/v1/jobs", body, EV_INVALID_ANSWER,
+                         kind == 0 ? 400 : 422, USER_SUBMITS);
         free(body);
     }
 }
 
 /* Users call off that many jobs that run, all within a fifth of a second; up to eight of their
  * machines hang at the same time. */
-void sim_cancel_now(struct sim *sim, int count, double hang_s) {
+void sim_cancel_running(struct sim *sim, int count, double hang_s) {
     int hung = 0;
     for (int i = 0; i < sim->size.workers; i++) {
         struct sim_worker *worker = &sim->workers[i];
@@ -135,8 +139,8 @@
                 job->cancel_at = sim->now + 0.2 * sim_uniform(sim);
                 job->cancel_asked = true;
             }
-            if (hang_s > 0 && hung < 8 && sim->now >= worker->hung_until) {
-                worker->hung_until = sim->now + hang_s;
+            if (hang_s > 0 && hung < 8 && sim->now >= worker->paused_until) {
+                worker->paused_until = sim->now + hang_s;
                 hung++;
             }
         }
@@ -145,69 +149,70 @@
 
 /* ---- steps ---- */
 
-static bool every(struct sim *sim, double mean) {
+static bool happens_within_step(struct sim *sim, double mean) {
     return mean > 0 && sim_chance(sim, SIM_STEP_S / mean);
 }
 
-static void seeded_troubles(struct sim *sim) {
+static void inject_random_faults(struct sim *sim) {
     const struct sim_faults *faults = &sim->faults;
     int node = (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes);
     struct sim_worker *worker =
         &sim->workers[gsl_rng_uniform_int(sim->rng, (unsigned long)sim->size.workers)];
-    if (every(sim, faults->crash_s))
+    if (happens_within_step(sim, faults->crash_s))
         sim_crash(sim, node, sim_chance(sim, 0.3) ? 0.1 : 3);
-    if (every(sim, faults->crash_s * 4))
+    if (happens_within_step(sim, faults->crash_s * 4))
         for (int i = 0; i < sim->n_nodes; i++)
             sim_crash(sim, i, 0.1 + 4 * sim_uniform(sim));
-    if (every(sim, faults->outage_s))
-        sim->outage_until = sim->now + 1 + 19 * sim_uniform(sim);
-    if (every(sim, faults->refused_s))
-        sim->nodes[node].refused_until = sim->now + 1 + 20 * sim_uniform(sim);
-    if (every(sim, faults->alone_s))
-        sim->nodes[node].alone_until = sim->now + 3 + 25 * sim_uniform(sim);
-    if (every(sim, faults->deaf_s / 8))
-        worker->deaf_until = sim->now + 3 + 50 * sim_uniform(sim);
-    if (every(sim, faults->blink_s))
+    if (happens_within_step(sim, faults->store_outage_s))
+        sim->store_outage_until = sim->now + 1 + 19 * sim_uniform(sim);
+    if (happens_within_step(sim, faults->store_refusal_s))
+        sim->nodes[node].store_refusal_until = sim->now + 1 + 20 * sim_uniform(sim);
+    if (happens_within_step(sim, faults->partitioned_node_s))
+        sim->nodes[node].partitioned_until = sim->now + 3 + 25 * sim_uniform(sim);
+    if (happens_within_step(sim, faults->one_way_partition_s / 8))
+        worker->one_way_partition_until = sim->now + 3 + 50 * sim_uniform(sim);
+    if (happens_within_step(sim, faults->fast_restart_s))
         sim_crash(sim, node, 0.05 + 0.45 * sim_uniform(sim));
-    if (every(sim, faults->blink_s / 4) && worker->used && worker->up) {
+    if (happens_within_step(sim, faults->fast_restart_s / 4) && worker->used && worker->up) {
         worker->n_tasks = 0; /* the machine was off for a moment: a new session, nothing on it */
-        worker->session++;
-        worker->answered_sent = sim->now;
-        worker->in_flight = false;
-        worker->flight++;
-        worker->next = sim->now + 0.05 + 0.45 * sim_uniform(sim);
+        worker->incarnation++;
+        worker->renewed_at = sim->now;
+        worker->heartbeat_in_flight = false;
+        worker->heartbeat_number++;
+        worker->next_heartbeat_at = sim->now + 0.05 + 0.45 * sim_uniform(sim);
     }
-    if (every(sim, faults->stall_s))
-        sim->nodes[node].stalled_until = sim->now + 12 * sim_uniform(sim);
-    if (every(sim, faults->hang_s / 8))
-        worker->hung_until = sim->now + 40 * sim_uniform(sim);
-    if (every(sim, faults->take_s / 8) && worker->used && worker->spot && worker->taken_at <= 0) {
-        worker->taken_at = sim->now + (sim_chance(sim, 0.3) ? 0.01 : 5 + 10 * sim_uniform(sim));
+    if (happens_within_step(sim, faults->node_pause_s))
+        sim->nodes[node].paused_until = sim->now + 12 * sim_uniform(sim);
+    if (happens_within_step(sim, faults->pause_s / 8))
+        worker->paused_until = sim->now + 40 * sim_uniform(sim);
+    if (happens_within_step(sim, faults->spot_notice_s / 8) && worker->used && worker->spot &&
+        worker->reclaimed_at <= 0) {
+        worker->reclaimed_at = sim->now + (sim_chance(sim, 0.3) ? 0.01 : 5 + 10 * sim_uniform(sim));
         worker->changed = true;
     }
-    if (every(sim, faults->death_s / 8) && worker->used)
+    if (happens_within_step(sim, faults->machine_crash_s / 8) && worker->used)
         worker->alive = false;
-    if (every(sim, faults->mute_s / 8))
-        worker->mute_until = sim->now + 3 + 50 * sim_uniform(sim);
-    if (every(sim, faults->apart_s))
-        sim->apart_until = sim->now + 2 + 20 * sim_uniform(sim);
-    if (every(sim, faults->odd_s))
-        odd_request(sim);
+    if (happens_within_step(sim, faults->unreachable_s / 8))
+        worker->unreachable_until = sim->now + 3 + 50 * sim_uniform(sim);
+    if (happens_within_step(sim, faults->peer_partition_s))
+        sim->peer_partition_until = sim->now + 2 + 20 * sim_uniform(sim);
+    if (happens_within_step(sim, faults->invalid_request_s))
+        send_invalid_request(sim);
 }
 
-void sim_trouble_step(struct sim *sim) {
-    seeded_troubles(sim);
-    deliver_kept(sim);
+void sim_inject_faults(struct sim *sim) {
+    inject_random_faults(sim);
+    deliver_held_duplicates(sim);
 }
 
-void sim_calm(struct sim *sim) {
+void sim_end_faults(struct sim *sim) {
     sim->faults = (struct sim_faults){0};
-    sim->calm_since = sim->now;
-    sim->outage_until = 0;
+    sim->faults_ended_at = sim->now;
+    sim->store_outage_until = 0;
     for (int i = 0; i < sim->n_nodes; i++)
-        sim->nodes[i].refused_until = sim->nodes[i].alone_until = 0;
+        sim->nodes[i].store_refusal_until = sim->nodes[i].partitioned_until = 0;
     for (int i = 0; i < sim->size.workers; i++)
-        sim->workers[i].deaf_until = sim->workers[i].mute_until = 0;
-    sim->apart_until = 0;
-    sim->cut_zone = sim->cut_node = sim->cut_from_workers = 0;
+        sim->workers[i].one_way_partition_until = sim->workers[i].unreachable_until = 0;
+    sim->peer_partition_until = 0;
+    sim->partitioned_zone = sim->node_in_partition = sim->node_without_heartbeats = 0;
 }
--- a/tests/simulation/test_meetings.c
+++ b/tests/simulation/test_meetings.c
@@ -12,19 +12,19 @@
 
 /* Ends all troubles, and lets everything that was accepted come to its end. */
 static void rest(struct sim *sim) {
-    sim_calm(sim);
+    sim_end_faults(sim);
     sim_run(sim, REST_S);
     sim_check_served(sim);
-    if (sim->broken[0])
-        fail_msg("%s", sim->broken);
-    assert_true(sim_all_over(sim));
+    if (sim->violation[0])
+        fail_msg("%s", sim->violation);
+    assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
 
 static void run(struct sim *sim, double seconds) {
     sim_run(sim, seconds);
-    if (sim->broken[0])
-        fail_msg("%s", sim->broken);
+    if (sim->violation[0])
+        fail_msg("%s", sim->violation);
 }
 
 static struct rp_node *leader_of(const struct sim *sim) {
@@ -82,7 +82,7 @@
     assert_true(running >= 50);
     int leader = sim_leader(sim);
     double start = sim->now;
-    sim->nodes[leader].refused_until = start + refused_s;
+    sim->nodes[leader].store_refusal_until = start + refused_s;
     for (int i = 0; i < 5; i++)
         sim->jobs[i].cancel_at = start + cancel_after;
     run(sim, outage_after);
@@ -91,7 +91,7 @@
     /* The meeting came about: users were told by others, the leader didn't hear of it. */
     assert_true(confirmed >= 1);
     assert_true(rp_jobs_staleness_s(&sim->nodes[leader].node->jobs) > 0);
-    sim->outage_until = sim->now + outage_s;
+    sim->store_outage_until = sim->now + outage_s;
     run(sim, fmax(sim->size.cancel_s + 20, outage_s + 20));
     rest(sim);
 }
@@ -124,14 +124,14 @@
             sim_submit(sim, 1, "sweep", 12, 1, 150, 0);
         run(sim, 45);
         int leader = sim_leader(sim);
-        sim->nodes[leader].refused_until = sim->now + 5 * 9;
+        sim->nodes[leader].store_refusal_until = sim->now + 5 * 9;
         for (int i = 0; i < 5; i++)
             sim->jobs[i].cancel_at = sim->now;
         for (int round = 0; round < 5; round++) {
             run(sim, 3);
             for (int i = 0; i < 5; i++)
                 confirmed += sim->jobs[i].told_cancelled;
-            sim->outage_until = sim->now + 6;
+            sim->store_outage_until = sim->now + 6;
             run(sim, 6);
         }
         assert_true(confirmed >= 1);
@@ -149,21 +149,21 @@
     run(sim, 45);
     int leader = sim_leader(sim);
     struct rp_node *node = sim->nodes[leader].node;
-    unsigned long life = sim->nodes[leader].life;
+    unsigned long life = sim->nodes[leader].process_number;
     uint64_t token = node->election.fencing_token;
     double most = rp_settings_max_staleness_s(node->settings);
-    sim->nodes[leader].refused_until = sim->now + 2;
+    sim->nodes[leader].store_refusal_until = sim->now + 2;
     sim->jobs[0].cancel_at = sim->now;
     run(sim, 1.9);
     assert_true(sim->jobs[0].told_cancelled);
-    sim->outage_until = sim->now + 18;
+    sim->store_outage_until = sim->now + 18;
     run(sim, 17.9);
     assert_true(rp_jobs_staleness_s(&node->jobs) > most);
     assert_false(rp_jobs_may_answer_heartbeats(&node->jobs));
     for (int i = 0; i < 400 && !rp_jobs_may_answer_heartbeats(&node->jobs); i++)
         run(sim, 0.02);
     /* It leads on, knows of the cancellation before it answers, and no task of it is let run on. */
-    assert_true(sim->nodes[leader].life == life && node->election.fencing_token == token);
+    assert_true(sim->nodes[leader].process_number == life && node->election.fencing_token == token);
     const struct rp_job *job = rp_jobs_find(&node->jobs, sim->jobs[0].spec.id);
     assert_true(!job || job->state == RP_JOB_CLOSED);
     run(sim, 8);
@@ -182,14 +182,14 @@
         for (int i = 0; i < 40; i++)
             sim_submit(sim, 1, "sweep", 12, 1, 4, 0);
         run(sim, 30);
-        sim->nodes[sim_leader(sim)].refused_until = sim->now + 12;
+        sim->nodes[sim_leader(sim)].store_refusal_until = sim->now + 12;
         for (int i = 0; i < 40; i++)
             sim->jobs[i].cancel_at = sim->now + 0.1;
         run(sim, 30);
         for (int i = 0; i < 40; i++)
             confirmed += sim->jobs[i].told_cancelled;
         /* A look at the others takes 2 s at the most, a start's answer is on its way for less. */
-        assert_true(sim->late_start_s < 2.6);
+        assert_true(sim->start_after_cancel_s < 2.6);
         rest(sim);
     }
     assert_true(confirmed >= 60);
@@ -238,12 +238,12 @@
             sim_submit(sim, 1, "sweep", 12, 1, 100, 0);
         run(sim, 40);
         int leader = sim_leader(sim);
-        sim->nodes[leader].refused_until = sim->now + 60;
+        sim->nodes[leader].store_refusal_until = sim->now + 60;
         for (int i = 0; i < 3; i++)
             sim->jobs[i].cancel_at = sim->now;
         run(sim, 2.5);
         assert_true(sim->jobs[0].told_cancelled || sim->jobs[1].told_cancelled);
-        sim->outage_until = sim->now + 8;
+        sim->store_outage_until = sim->now + 8;
         run(sim, 8);
         for (int i = 0; i < 1000 && (sim_leader(sim) < 0 || sim_leader(sim) == leader); i++)
             run(sim, 0.02);
@@ -253,10 +253,10 @@
             for (int k = 0; k < sim->size.workers; k++) {
                 struct sim_worker *worker = &sim->workers[k];
                 /* It hangs as soon as it has taken the new leader's first answer. */
-                if (worker->used && worker->up && worker->n_tasks > 0 && worker->hung_until <= 0 &&
-                    worker->session == 1 &&
-                    worker->token == leader_of(sim)->election.fencing_token) {
-                    worker->hung_until = sim->now + 21;
+                if (worker->used && worker->up && worker->n_tasks > 0 &&
+                    worker->paused_until <= 0 && worker->incarnation == 1 &&
+                    worker->fencing_token == leader_of(sim)->election.fencing_token) {
+                    worker->paused_until = sim->now + 21;
                     hung++;
                 }
             }
@@ -276,7 +276,7 @@
     run(sim, 40);
     struct rp_node *node = leader_of(sim);
     int on_it = 0;
-    sim->cloud_out_until = sim->now + 60;
+    sim->cloud_outage_until = sim->now + 60;
     for (struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
         if (machine->state == RP_MACHINE_UP && machine->n_allocations > 0) {
             on_it += (int)machine->n_allocations;
@@ -304,7 +304,7 @@
             if (sim_leader(sim) >= 0)
                 sim_crash(sim, sim_leader(sim), i % 2 ? 0.1 : 3);
             if (i == 6)
-                sim->outage_until = sim->now + 12;
+                sim->store_outage_until = sim->now + 12;
             run(sim, 10);
             changes += sim_leader(sim) >= 0 && leader_of(sim)->election.fencing_token != token;
         }
@@ -356,7 +356,7 @@
 /* The tasks of a job end far apart, the leader changes in between, and writes come late: no result
  * is lost that a worker has forgotten. */
 static void tasks_that_end_far_apart(void **state) {
-    static const struct sim_faults faults = {.late_write = 0.3};
+    static const struct sim_faults faults = {.delayed_write = 0.3};
     unsigned long late = 0;
     (void)state;
     for (unsigned long seed = 150; seed < 158; seed++) {
@@ -368,7 +368,7 @@
         run(sim, 30);
         crash_leader(sim, 3);
         run(sim, 60);
-        late += sim->n_late_writes;
+        late += sim->n_delayed_writes;
         rest(sim);
     }
     assert_true(late >= 100);
@@ -378,7 +378,7 @@
 
 /* No answer, and carried out seconds later, after newer ones of the same node. */
 static void late_transactions(void **state) {
-    static const struct sim_faults faults = {.late_write = 0.15, .crash_s = 40};
+    static const struct sim_faults faults = {.delayed_write = 0.15, .crash_s = 40};
     unsigned long late = 0; /* counted, to show that the meeting came about */
     (void)state;
     for (unsigned long seed = 200; seed < 208; seed++) {
@@ -389,7 +389,7 @@
         for (int i = 0; i < 20; i++)
             sim_submit(sim, 25 + i * 4, "sweep", 1 + (unsigned)i % 4, 1, 5, i % 5 ? 0 : 30 + i * 4);
         run(sim, 120);
-        late += sim->n_late_writes;
+        late += sim->n_delayed_writes;
         rest(sim);
     }
     assert_true(late >= 100);
@@ -406,19 +406,19 @@
         sim->jobs[j].stagger_s = 0.8;
         size_t most = 0;
         run(sim, 12);
-        sim->faults.late_write = 0.4;
+        sim->faults.delayed_write = 0.4;
         for (int i = 0; i < 300 && !sim->jobs[j].told_done; i++) {
             size_t bits = 0;
             run(sim, 0.1);
             for (uint32_t t = 0; t < 40; t++)
-                bits += sim_saved(sim, sim->jobs[j].spec.id, t);
+                bits += sim_has_stored_result(sim, sim->jobs[j].spec.id, t);
             /* (The record goes when the job is over.) */
             if (bits > 0 || sim_count_stored(sim, RP_KEY_OPEN) > 0)
                 assert_true(bits >= most);
             most = bits > most ? bits : most;
         }
         assert_true(most >= 5);
-        late += sim->n_late_writes;
+        late += sim->n_delayed_writes;
         rest(sim);
     }
     assert_true(late >= 20);
@@ -426,18 +426,18 @@
 
 /* Carried out at once, only the answer is lost, while others read what it wrote. */
 static void lost_answers(void **state) {
-    static const struct sim_faults faults = {.lost_answer = 0.3, .crash_s = 50};
+    static const struct sim_faults faults = {.dropped_answer = 0.3, .crash_s = 50};
     unsigned long lost = 0;
     (void)state;
     for (unsigned long seed = 220; seed < 228; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
-        sim->close_looks = true;
+        sim->has_concurrent_reads = true;
         submit_some(sim, 30);
         sim->jobs[0].cancel_at = 40;
         sim->jobs[4].cancel_on_acceptance = true;
         run(sim, 100);
-        lost += sim->n_lost_answers;
-        assert_true(sim->n_looks >= 50);
+        lost += sim->n_dropped_answers;
+        assert_true(sim->n_concurrent_reads >= 50);
         rest(sim);
     }
     assert_true(lost >= 150);
@@ -467,12 +467,12 @@
 
 /* Cancellations, questions and repeated submissions meet the end of the last task. */
 static void ends_meet_requests(void **state) {
-    static const struct sim_faults troubled = {.crash_s = 30, .late_write = 0.05};
+    static const struct sim_faults troubled = {.crash_s = 30, .delayed_write = 0.05};
     unsigned long met = 0, done = 0, cancelled = 0;
     (void)state;
     for (unsigned long seed = 310; seed < 318; seed++) {
         struct sim *sim = sim_new(seed, seed % 2 ? &none : &troubled, SIM_SOUND, 3);
-        sim->close_looks = true;
+        sim->has_concurrent_reads = true;
         for (int i = 0; i < 40; i++) {
             int j = sim_submit(sim, 1 + i * 2, "sweep", 1 + (unsigned)i % 3, 1, 2 + i % 5, 0);
             sim->jobs[j].cancel_at_end = i % 2;
@@ -494,18 +494,18 @@
  * submit it again; some cancel at once. */
 static void close_looks(void **state) {
     static const struct sim_faults faults = {
-        .crash_s = 30, .refused_s = 30, .lose = 0.01, .repeat = 0.05, .slow = 0.1};
+        .crash_s = 30, .store_refusal_s = 30, .drop = 0.01, .duplicate = 0.05, .slow_store = 0.1};
     (void)state;
     for (unsigned long seed = 320; seed < 326; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
-        sim->close_looks = true;
+        sim->has_concurrent_reads = true;
         for (int i = 0; i < 40; i++) {
             int j = sim_submit(sim, 1 + i * 2, "sweep", 1 + (unsigned)i % 4, 1, 3, 0);
             sim->jobs[j].cancel_on_acceptance = i % 3 == 0;
             sim->jobs[j].cancel_again = i % 2;
         }
         run(sim, 110);
-        assert_true(sim->n_looks >= 40 * 9);
+        assert_true(sim->n_concurrent_reads >= 40 * 9);
         rest(sim);
     }
 }
@@ -513,8 +513,11 @@
 /* What can't run, or lacks a field, is refused by every node, in trouble too, and never accepted;
  * a job that nobody submitted stays unknown. */
 static void odd_requests(void **state) {
-    static const struct sim_faults faults = {
-        .odd_s = 0.5, .crash_s = 30, .outage_s = 40, .refused_s = 40, .late_write = 0.03};
+    static const struct sim_faults faults = {.invalid_request_s = 0.5,
+                                             .crash_s = 30,
+                                             .store_outage_s = 40,
+                                             .store_refusal_s = 40,
+                                             .delayed_write = 0.03};
     unsigned long answered = 0, asked = 0;
     (void)state;
     for (unsigned long seed = 330; seed < 336; seed++) {
@@ -523,8 +526,8 @@
         run(sim, 110);
         assert_int_equal(sim_count_stored(sim, RP_KEY_OPEN "j-9"), 0);
         assert_int_equal(sim_count_stored(sim, RP_KEY_TERMINAL "j-9"), 0);
-        asked += sim->n_odd;
-        answered += sim->n_odd_answered;
+        asked += sim->n_invalid_requests;
+        answered += sim->n_invalid_refused;
         rest(sim);
     }
     assert_true(asked >= 1000 && answered * 2 > asked);
@@ -547,9 +550,9 @@
             if (!worker->used || !worker->up || i % 2)
                 continue;
             out++;
-            *(seed % 3 == 0   ? &worker->mute_until
-              : seed % 3 == 1 ? &worker->deaf_until
-                              : &worker->hung_until) = until;
+            *(seed % 3 == 0   ? &worker->unreachable_until
+              : seed % 3 == 1 ? &worker->one_way_partition_until
+                              : &worker->paused_until) = until;
         }
         assert_true(out >= 2);
         crash_leader(sim, 3);
@@ -561,7 +564,8 @@
 /* New machines are up within two seconds and get work at once while writes lag, and the leader ends
  * before it has recorded them. */
 static void fast_machines_slow_writes(void **state) {
-    static const struct sim_faults faults = {.fast_boot = 1, .late_write = 0.2, .slow = 0.5};
+    static const struct sim_faults faults = {
+        .fast_boot = 1, .delayed_write = 0.2, .slow_store = 0.5};
     unsigned long late = 0;
     (void)state;
     for (unsigned long seed = 410; seed < 418; seed++) {
@@ -575,7 +579,7 @@
                 sim_crash(sim, sim_leader(sim), i % 2 ? 0.3 : 4);
             run(sim, 8);
         }
-        late += sim->n_late_writes;
+        late += sim->n_delayed_writes;
         rest(sim);
     }
     assert_true(late >= 60);
@@ -583,7 +587,7 @@
 
 /* Machines that reach no node while direct commands reach them, under services' direct starts. */
 static void mute_machines(void **state) {
-    static const struct sim_faults faults = {.mute_s = 8, .crash_s = 50};
+    static const struct sim_faults faults = {.unreachable_s = 8, .crash_s = 50};
     unsigned long reached = 0;
     (void)state;
     for (unsigned long seed = 420; seed < 428; seed++) {
@@ -592,7 +596,7 @@
         for (int i = 0; i < 8; i++)
             sim_submit(sim, 15 + i * 10, "service", 3, 1, 0, 45 + i * 10);
         run(sim, 120);
-        reached += sim->n_direct_to_mute;
+        reached += sim->n_direct_to_unreachable;
         rest(sim);
     }
     assert_true(reached >= 10);
@@ -601,7 +605,7 @@
 /* A command, or its answer, is held up with the machine, which then goes on; the job is cancelled
  * meanwhile, or its user's replicas are wanted elsewhere. */
 static void held_up_commands(void **state) {
-    static const struct sim_faults faults = {.hang_s = 5};
+    static const struct sim_faults faults = {.pause_s = 5};
     unsigned long direct = 0;
     (void)state;
     for (unsigned long seed = 430; seed < 438; seed++) {
@@ -628,7 +632,7 @@
         for (int i = 0; i < 8; i++)
             sim_submit(sim, 1, "sweep", 7, 1, 150, 0);
         run(sim, 40);
-        sim_cancel_now(sim, 5, 4 + 4 * (double)(seed % 8));
+        sim_cancel_running(sim, 5, 4 + 4 * (double)(seed % 8));
         if (seed % 2)
             crash_leader(sim, 3);
         run(sim, 60);
@@ -651,9 +655,9 @@
         assert_true(all_running(sim) >= 55); /* of 60 */
         for (int i = 0; i < sim->size.workers; i++)
             if (sim->workers[i].used && sim->workers[i].up && i % 3 == 0)
-                *(seed % 2 ? &sim->workers[i].hung_until : &sim->workers[i].mute_until) =
+                *(seed % 2 ? &sim->workers[i].paused_until : &sim->workers[i].unreachable_until) =
                     sim->now + 4 + 4 * (double)(seed % 8);
-        sim_cancel_now(sim, 4, 0);
+        sim_cancel_running(sim, 4, 0);
         crash_leader(sim, seed % 4 ? 0.2 : 3);
         run(sim, 60);
         rest(sim);
@@ -662,14 +666,15 @@
 
 /* Jobs that may run in one zone only lose machines, arrays too. */
 static void zone_bound_jobs_lose_machines(void **state) {
-    static const struct sim_faults faults = {.death_s = 6, .take_s = 6, .crash_s = 60};
+    static const struct sim_faults faults = {
+        .machine_crash_s = 6, .spot_notice_s = 6, .crash_s = 60};
     (void)state;
     for (unsigned long seed = 460; seed < 466; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
         for (int i = 0; i < 10; i++) {
             int j = i % 3 ? sim_submit(sim, 1 + i * 5, "sweep", 10, 1, 15, 0)
                           : sim_submit(sim, 1 + i * 5, "ensemble", 3, 4, 15, 0);
-            sim_change(sim, j, "yard", json_string(i % 2 ? "a" : "b"));
+            sim_set_field(sim, j, "yard", json_string(i % 2 ? "a" : "b"));
         }
         run(sim, 90);
         rest(sim);
@@ -686,13 +691,13 @@
             sim_submit(sim, 1, "sweep", 7, 1, 60, 0);
         run(sim, 40);
         int inside = seed % 2 ? sim_leader(sim) : (sim_leader(sim) + 1) % sim->n_nodes;
-        sim->cut_zone = 1 + (int)(seed / 2 % 2);
-        sim->cut_node = inside + 1;
-        sim->nodes[inside].alone_until = sim->now + 30;
+        sim->partitioned_zone = 1 + (int)(seed / 2 % 2);
+        sim->node_in_partition = inside + 1;
+        sim->nodes[inside].partitioned_until = sim->now + 30;
         for (int i = 0; i < 4; i++)
             sim->jobs[i].cancel_at = sim->now + i;
         run(sim, 30);
-        sim->cut_zone = sim->cut_node = 0;
+        sim->partitioned_zone = sim->node_in_partition = 0;
         run(sim, 30);
         for (int i = 0; i < 4; i++)
             assert_true(sim->jobs[i].told_cancelled);
@@ -705,8 +710,11 @@
 /* Copies come after newer ones, from earlier sessions and attempts too, beyond a lease; others are
  * kept until the next leader acts, and come to every node just then. */
 static void old_reports(void **state) {
-    static const struct sim_faults faults = {
-        .copies = 0.1, .kept = 0.1, .hang_s = 25, .crash_s = 25, .blink_s = 30};
+    static const struct sim_faults faults = {.late_duplicate = 0.1,
+                                             .held_duplicate = 0.1,
+                                             .pause_s = 25,
+                                             .crash_s = 25,
+                                             .fast_restart_s = 30};
     unsigned long kept = 0, leaders = 0;
     (void)state;
     for (unsigned long seed = 500; seed < 510; seed++) {
@@ -715,7 +723,7 @@
         for (int i = 0; i < 6; i++)
             sim_submit(sim, 20 + i * 10, "sweep", 10, 2, 12, i % 3 ? 0 : 40 + i * 10);
         run(sim, 120);
-        kept += sim->n_kept_delivered;
+        kept += sim->n_held_delivered;
         leaders += sim->n_leaders;
         rest(sim);
     }
@@ -732,7 +740,7 @@
             sim_submit(sim, 1, "sweep", 7, 1, 120, 0);
         run(sim, 40);
         int leader = sim_leader(sim);
-        sim->nodes[leader].alone_until = sim->now + 45;
+        sim->nodes[leader].partitioned_until = sim->now + 45;
         for (int i = 0; i < 6; i++)
             sim->jobs[i].cancel_at = sim->now + 3 * i;
         run(sim, 20);
@@ -744,7 +752,7 @@
 
 /* More work than room, urgent and not, over slow links to the state service. */
 static void more_work_than_room(void **state) {
-    static const struct sim_faults faults = {.slow = 0.3, .lose = 0.02};
+    static const struct sim_faults faults = {.slow_store = 0.3, .drop = 0.02};
     (void)state;
     for (unsigned long seed = 530; seed < 533; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
@@ -752,7 +760,7 @@
             sim_submit(sim, 1 + i * 2, i % 5 ? "sweep" : "ensemble", i % 5 ? 20 : 3, i % 5 ? 2 : 8,
                        15, i % 7 ? 0 : 40 + i);
         run(sim, 100);
-        sim_calm(sim);
+        sim_end_faults(sim);
         run(sim, 200);
         rest(sim);
     }
@@ -767,13 +775,16 @@
         struct sim_faults faults = {0};
         gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
         gsl_rng_set(rng, seed);
-        double *const often[] = {&faults.crash_s, &faults.outage_s, &faults.refused_s,
-                                 &faults.hang_s,  &faults.death_s,  &faults.stall_s,
-                                 &faults.take_s,  &faults.deaf_s,   &faults.mute_s,
-                                 &faults.alone_s, &faults.blink_s,  &faults.apart_s};
-        double *const shares[] = {&faults.lose,        &faults.late, &faults.repeat,
-                                  &faults.copies,      &faults.slow, &faults.late_write,
-                                  &faults.lost_answer, &faults.kept, &faults.fast_boot};
+        double *const often[] = {&faults.crash_s,         &faults.store_outage_s,
+                                 &faults.store_refusal_s, &faults.pause_s,
+                                 &faults.machine_crash_s, &faults.node_pause_s,
+                                 &faults.spot_notice_s,   &faults.one_way_partition_s,
+                                 &faults.unreachable_s,   &faults.partitioned_node_s,
+                                 &faults.fast_restart_s,  &faults.peer_partition_s};
+        double *const shares[] = {
+            &faults.drop,           &faults.delay,          &faults.duplicate,
+            &faults.late_duplicate, &faults.slow_store,     &faults.delayed_write,
+            &faults.dropped_answer, &faults.held_duplicate, &faults.fast_boot};
         for (unsigned long n = 2 + gsl_rng_uniform_int(rng, 3); n > 0; n--) {
             unsigned long k = gsl_rng_uniform_int(rng, 21);
             if (k < 12)
@@ -782,11 +793,11 @@
                 *shares[k - 12] = 0.02 + 0.2 * gsl_rng_uniform(rng) * gsl_rng_uniform(rng);
         }
         gsl_rng_free(rng);
-        faults.odd_s = 5;
+        faults.invalid_request_s = 5;
         struct sim *sim =
             sim_new_sized(seed, &faults, SIM_SOUND, seed % 3 ? 3 : 5,
                           seed % 2 ? &wide : &(struct sim_size){64, 6, 2, 14, 39, 200, 20, 5});
-        sim->close_looks = seed % 2;
+        sim->has_concurrent_reads = seed % 2;
         submit_some(sim, 40);
         for (int i = 0; i < 20; i++) {
             int j = sim_submit(sim, 10 + i * 5, i % 6 ? "sweep" : "ensemble", 1 + (unsigned)i % 5,
@@ -796,14 +807,14 @@
         }
         sim_submit(sim, 30, "service", 3, 1, 0, 100);
         sim_run(sim, 70);
-        sim_cancel_now(sim, 2, seed % 2 ? 10 : 0);
+        sim_cancel_running(sim, 2, seed % 2 ? 10 : 0);
         sim_run(sim, 60);
-        sim_calm(sim);
+        sim_end_faults(sim);
         sim_run(sim, REST_S);
         sim_check_served(sim);
-        if (sim->broken[0])
-            fail_msg("seed %lu: %s", seed, sim->broken);
-        if (!sim_all_over(sim))
+        if (sim->violation[0])
+            fail_msg("seed %lu: %s", seed, sim->violation);
+        if (!sim_all_terminal(sim))
             fail_msg("seed %lu: work left undone", seed);
         sim_free(sim);
     }
--- a/tests/simulation/test_sim.c
+++ b/tests/simulation/test_sim.c
@@ -53,8 +53,8 @@
     submit_some(sim, 1);
     sim_run(sim, DAY_S);
     sim_run(sim, REST_S);
-    assert_string_equal(sim->broken, "");
-    assert_true(sim_all_over(sim));
+    assert_string_equal(sim->violation, "");
+    assert_true(sim_all_terminal(sim));
     assert_true(sim->n_starts >= 120);
     check_status_page(sim);
     sim_free(sim);
@@ -67,13 +67,13 @@
     struct sim *sim = sim_new(5, &none, SIM_SOUND, 3);
     (void)state;
     sim_run(sim, 5);
-    sim->nodes[1].refused_until = sim->now + 8;
+    sim->nodes[1].store_refusal_until = sim->now + 8;
     sim_run(sim, 4);
     assert_true(rp_node_healthy(sim->nodes[0].node));
     assert_false(rp_node_healthy(sim->nodes[1].node));
     sim_run(sim, 8);
     assert_true(rp_node_healthy(sim->nodes[1].node));
-    sim->outage_until = sim->now + 10;
+    sim->store_outage_until = sim->now + 10;
     sim_run(sim, 6);
     for (int i = 0; i < sim->n_nodes; i++)
         assert_true(rp_node_healthy(sim->nodes[i].node));
@@ -92,12 +92,12 @@
     int leader = sim_leader(sim);
     unsigned long returned = sim->nodes[leader].node->fleet.n_released;
     assert_true(sim->nodes[leader].node->cluster.n_machines >= 4);
-    sim->cut_from_workers = leader + 1;
+    sim->node_without_heartbeats = leader + 1;
     sim_run(sim, 11);
     assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
     assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.n_released, 0);
     assert_true(sim->nodes[leader].node->fleet.n_released <= returned + 1);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -109,12 +109,12 @@
         struct sim *sim = sim_new(seed, faults, SIM_SOUND, nodes);
         submit_some(sim, seed);
         sim_run(sim, DAY_S);
-        sim_calm(sim);
+        sim_end_faults(sim);
         sim_run(sim, REST_S);
         sim_check_served(sim);
-        if (sim->broken[0])
-            fail_msg("seed %lu: %s", seed, sim->broken);
-        if (!sim_all_over(sim))
+        if (sim->violation[0])
+            fail_msg("seed %lu: %s", seed, sim->violation);
+        if (!sim_all_terminal(sim))
             fail_msg("seed %lu: work left undone", seed);
         sim_free(sim);
     }
@@ -125,40 +125,41 @@
 }
 
 static void bad_network(void **state) {
-    static const struct sim_faults faults = {.lose = 0.02, .late = 0.02, .repeat = 0.05};
+    static const struct sim_faults faults = {.drop = 0.02, .delay = 0.02, .duplicate = 0.05};
     (void)state;
     days_of_trouble(&faults, 100, 8);
 }
 
 static void crashes(void **state) {
-    static const struct sim_faults faults = {.crash_s = 12, .repeat = 0.02};
+    static const struct sim_faults faults = {.crash_s = 12, .duplicate = 0.02};
     (void)state;
     days_of_trouble(&faults, 200, 8);
 }
 
 static void state_troubles(void **state) {
-    static const struct sim_faults faults = {.outage_s = 40, .refused_s = 25, .late = 0.01};
+    static const struct sim_faults faults = {
+        .store_outage_s = 40, .store_refusal_s = 25, .delay = 0.01};
     (void)state;
     days_of_trouble(&faults, 300, 8);
 }
 
 static void machine_troubles(void **state) {
     static const struct sim_faults faults = {
-        .hang_s = 15, .death_s = 20, .take_s = 10, .task_error = 0.02};
+        .pause_s = 15, .machine_crash_s = 20, .spot_notice_s = 10, .task_error = 0.02};
     (void)state;
     days_of_trouble(&faults, 400, 8);
 }
 
 static void everything(void **state) {
-    static const struct sim_faults faults = {.lose = 0.01,
-                                             .late = 0.01,
-                                             .repeat = 0.03,
+    static const struct sim_faults faults = {.drop = 0.01,
+                                             .delay = 0.01,
+                                             .duplicate = 0.03,
                                              .crash_s = 25,
-                                             .outage_s = 80,
-                                             .refused_s = 60,
-                                             .hang_s = 25,
-                                             .death_s = 40,
-                                             .stall_s = 30,
+                                             .store_outage_s = 80,
+                                             .store_refusal_s = 60,
+                                             .pause_s = 25,
+                                             .machine_crash_s = 40,
+                                             .node_pause_s = 30,
                                              .task_error = 0.01};
     (void)state;
     days_of_trouble(&faults, 500, 24);
@@ -166,7 +167,7 @@
 
 /* Machines whose reports arrive while answers don't, with takeovers among it. */
 static void deaf_machines(void **state) {
-    static const struct sim_faults faults = {.deaf_s = 12, .crash_s = 50};
+    static const struct sim_faults faults = {.one_way_partition_s = 12, .crash_s = 50};
     (void)state;
     days_of_trouble(&faults, 600, 8);
 }
@@ -174,15 +175,19 @@
 /* Copies of reports seconds to five leases late, across sessions, leaders, and machines that are
  * gone. */
 static void late_copies(void **state) {
-    static const struct sim_faults faults = {
-        .copies = 0.1, .hang_s = 20, .death_s = 30, .crash_s = 30, .take_s = 20};
+    static const struct sim_faults faults = {.late_duplicate = 0.1,
+                                             .pause_s = 20,
+                                             .machine_crash_s = 30,
+                                             .crash_s = 30,
+                                             .spot_notice_s = 20};
     (void)state;
     days_of_trouble(&faults, 620, 8);
 }
 
 /* Nodes that lose the state service and the other nodes, but not the workers. */
 static void lonely_nodes(void **state) {
-    static const struct sim_faults faults = {.alone_s = 20, .repeat = 0.02, .late = 0.01};
+    static const struct sim_faults faults = {
+        .partitioned_node_s = 20, .duplicate = 0.02, .delay = 0.01};
     (void)state;
     days_of_trouble(&faults, 640, 4);
     days_of_trouble_on(5, &faults, 650, 4);
@@ -192,27 +197,27 @@
  * its answer, during an election, during a takeover; their old requests arrive late, and again. */
 static void split_second_returns(void **state) {
     static const struct sim_faults faults = {
-        .blink_s = 4, .repeat = 0.1, .late = 0.03, .lose = 0.01, .copies = 0.05};
+        .fast_restart_s = 4, .duplicate = 0.1, .delay = 0.03, .drop = 0.01, .late_duplicate = 0.05};
     (void)state;
     days_of_trouble(&faults, 660, 6);
     days_of_trouble_on(5, &faults, 670, 6);
 }
 
 static void everything_on_five(void **state) {
-    static const struct sim_faults faults = {.lose = 0.01,
-                                             .late = 0.01,
-                                             .repeat = 0.03,
-                                             .copies = 0.03,
+    static const struct sim_faults faults = {.drop = 0.01,
+                                             .delay = 0.01,
+                                             .duplicate = 0.03,
+                                             .late_duplicate = 0.03,
                                              .crash_s = 30,
-                                             .outage_s = 90,
-                                             .refused_s = 60,
-                                             .alone_s = 50,
-                                             .deaf_s = 40,
-                                             .blink_s = 20,
-                                             .hang_s = 30,
-                                             .death_s = 50,
-                                             .stall_s = 40,
-                                             .take_s = 30,
+                                             .store_outage_s = 90,
+                                             .store_refusal_s = 60,
+                                             .partitioned_node_s = 50,
+                                             .one_way_partition_s = 40,
+                                             .fast_restart_s = 20,
+                                             .pause_s = 30,
+                                             .machine_crash_s = 50,
+                                             .node_pause_s = 40,
+                                             .spot_notice_s = 30,
                                              .task_error = 0.01};
     (void)state;
     days_of_trouble_on(5, &faults, 700, 16);
@@ -238,7 +243,7 @@
         sim_submit(sim, 1, "sweep", 40, 1, 12, 0);
     sim_run(sim, 25);
     struct sim_worker *worker = busiest_worker(sim);
-    worker->deaf_until = sim->now + 1000;
+    worker->one_way_partition_until = sim->now + 1000;
     strcpy(name, worker->name);
     sim_run(sim, 35);
     struct rp_cluster *cluster = &sim->nodes[sim_leader(sim)].node->cluster;
@@ -248,8 +253,8 @@
     sim_run(sim, 40);
     assert_null(rp_machine_find(cluster, name));
     sim_run(sim, 100);
-    assert_string_equal(sim->broken, "");
-    assert_true(sim_all_over(sim));
+    assert_string_equal(sim->violation, "");
+    assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
 
@@ -263,13 +268,13 @@
         sim_submit(sim, 1, "sweep", 40, 1, 20, 0);
     sim_run(sim, 25);
     struct sim_worker *worker = busiest_worker(sim);
-    worker->deaf_until = sim->now + 1000;
+    worker->one_way_partition_until = sim->now + 1000;
     sim_crash(sim, sim_leader(sim), 3);
     sim_run(sim, 45);
     assert_true(rp_cluster_is_reconciled(&sim->nodes[sim_leader(sim)].node->cluster));
     sim_run(sim, 120);
-    assert_string_equal(sim->broken, "");
-    assert_true(sim_all_over(sim));
+    assert_string_equal(sim->violation, "");
+    assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
 
@@ -308,8 +313,8 @@
     sim_run(sim, 40);
     int leader = sim_leader(sim);
     for (int i = 0; i < sim->size.workers; i++)
-        sessions[i] = sim->workers[i].used && sim->workers[i].up ? sim->workers[i].session : 0;
-    sim->nodes[leader].alone_until = sim->now + 40;
+        sessions[i] = sim->workers[i].used && sim->workers[i].up ? sim->workers[i].incarnation : 0;
+    sim->nodes[leader].partitioned_until = sim->now + 40;
     sim_run(sim, 6);
     assert_false(rp_node_healthy(sim->nodes[leader].node));
     sim_run(sim, 20);
@@ -317,13 +322,13 @@
     for (int i = 0; i < sim->size.workers; i++)
         if (sessions[i] && sim->workers[i].used) {
             all++;
-            kept += sim->workers[i].session == sessions[i];
+            kept += sim->workers[i].incarnation == sessions[i];
         }
     assert_true(all >= 4);
     assert_int_equal(kept, all);
     sim_run(sim, 30);
     assert_true(rp_node_healthy(sim->nodes[leader].node));
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -345,9 +350,9 @@
         for (int i = 0; i < sim->size.workers; i++)
             if (sim->workers[i].used && sim->workers[i].up) {
                 all++;
-                kept += sim->workers[i].session == 1;
+                kept += sim->workers[i].incarnation == 1;
             }
-        assert_string_equal(sim->broken, "");
+        assert_string_equal(sim->violation, "");
         sim_free(sim);
     }
     assert_true(all >= 10 * days);
@@ -356,7 +361,7 @@
 }
 
 static void freeze_leader(struct sim *sim) {
-    sim->nodes[sim_leader(sim)].stalled_until = sim->now + 25;
+    sim->nodes[sim_leader(sim)].paused_until = sim->now + 25;
 }
 
 /* A leader that stands still keeps its key until the lease ends: the others went on naming it, and
@@ -367,7 +372,7 @@
 }
 
 static void freeze_two_leaders(struct sim *sim) {
-    sim->nodes[sim_leader(sim)].stalled_until = sim->now + 300;
+    sim->nodes[sim_leader(sim)].paused_until = sim->now + 300;
     sim_run(sim, 35);
     assert_true(sim_leader(sim) >= 0);
     freeze_leader(sim);
@@ -382,13 +387,13 @@
 }
 
 static void end_leader_apart(struct sim *sim) {
-    sim->apart_until = sim->now + 60;
+    sim->peer_partition_until = sim->now + 60;
     sim_run(sim, 5);
     sim_crash(sim, sim_leader(sim), 40);
 }
 
 static void end_all_without_the_cloud(struct sim *sim) {
-    sim->cloud_out_until = sim->now + 60;
+    sim->cloud_outage_until = sim->now + 60;
     for (int i = 0; i < sim->n_nodes; i++)
         sim_crash(sim, i, 3);
     int job = sim_submit(sim, sim->now + 6, "sweep", 2, 1, 20, 0);
@@ -433,7 +438,7 @@
         assert_int_equal(lost, 1);
         assert_false(sim->jobs[gang].begun);
         sim_run(sim, 180);
-        assert_string_equal(sim->broken, "");
+        assert_string_equal(sim->violation, "");
         assert_true(sim->jobs[gang].told_done);
         sim_free(sim);
         lost = 0;
@@ -496,7 +501,7 @@
     assert_true(sim->jobs[gang].begun);
     struct rp_node *node = sim->nodes[sim_leader(sim)].node;
     assert_true(node->fleet.n_refused > 0 && node->fleet.n_refused < 60);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -532,7 +537,7 @@
         }
     }
     assert_true(kept > 20);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -562,7 +567,7 @@
     sim_run(sim, 100);
     for (int i = 0; i < 3; i++)
         assert_true(sim->jobs[gangs[i]].begun);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -578,7 +583,7 @@
         sim_submit(sim, 1 + i * 6, "sweep", 40, 2, 12, 0);
     for (int i = 0; i < 5; i++) {
         int bad = sim_submit(sim, 20 + i * 5, "sweep", 40, 1, 1, 100);
-        sim->jobs[bad].faulty = true;
+        sim->jobs[bad].fails_always = true;
     }
     for (int i = 0; i < 800; i++) {
         sim_run(sim, 0.1);
@@ -588,17 +593,17 @@
             assert_true(!machine || !machine->health.quarantined);
         }
     }
-    assert_true(sim->n_errors >= 20);
-    assert_true(sim->n_errors <= 5 * 40 + 5 * 30); /* all once, then a few at a time */
+    assert_true(sim->n_task_errors >= 20);
+    assert_true(sim->n_task_errors <= 5 * 40 + 5 * 30); /* all once, then a few at a time */
     sim_run(sim, 150);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
 /* Machines that never come up are told from slow ones, given back and replaced: they hold no work
  * for ever, and cost a bounded time. */
 static void machines_that_never_come_up(void **state) {
-    static const struct sim_faults faults = {.never_up = 0.4};
+    static const struct sim_faults faults = {.boot_failure = 0.4};
     int never = 0;
     (void)state;
     for (unsigned long seed = 40; seed < 44; seed++) {
@@ -610,19 +615,19 @@
             if (i == 40)
                 sim_crash(sim, sim_leader(sim), 3);
             for (int k = 0; k < sim->size.workers; k++)
-                if (sim->workers[k].used && sim->workers[k].boots > 1e8) {
-                    longest = fmax(longest, sim->now - sim->workers[k].rented);
-                    never += sim->now - sim->workers[k].rented < 1;
+                if (sim->workers[k].used && sim->workers[k].boots_at > 1e8) {
+                    longest = fmax(longest, sim->now - sim->workers[k].provisioned_at);
+                    never += sim->now - sim->workers[k].provisioned_at < 1;
                 }
         }
         /* The slowest type boots in 12 s; a new leader reckons anew here, where no time of day is.
          */
         assert_true(longest > 10 && longest < 12 * sim->settings[0].tuning.boot_patience * 2 + 20);
-        sim_calm(sim);
+        sim_end_faults(sim);
         sim_run(sim, REST_S);
         sim_check_served(sim);
-        assert_string_equal(sim->broken, "");
-        assert_true(sim_all_over(sim));
+        assert_string_equal(sim->violation, "");
+        assert_true(sim_all_terminal(sim));
         sim_free(sim);
     }
     assert_true(never >= 8);
@@ -645,8 +650,8 @@
         sim_run(sim, 60);
         for (int i = 0; i < 2; i++) {
             guest[i] = sim_submit(sim, 60, "sweep", 24, 1, 20, 0);
-            sim_change(sim, guest[i], "crew", json_string("guests"));
-            sim_change(sim, guest[i], "precedence", json_string("low"));
+            sim_set_field(sim, guest[i], "crew", json_string("guests"));
+            sim_set_field(sim, guest[i], "precedence", json_string("low"));
         }
         sim_run(sim, 55);
         assert_true(sim->jobs[guest[0]].told_done);
@@ -654,11 +659,11 @@
         assert_true(sim->jobs[guest[1]].begun);
         sim_run(sim, 30);
         assert_true(sim->jobs[guest[1]].told_done);
-        sim_calm(sim);
+        sim_end_faults(sim);
         sim_run(sim, 600);
         sim_check_served(sim);
-        assert_string_equal(sim->broken, "");
-        assert_true(sim_all_over(sim));
+        assert_string_equal(sim->violation, "");
+        assert_true(sim_all_terminal(sim));
         sim_free(sim);
     }
 }
@@ -670,7 +675,7 @@
     struct sim *sim = sim_new(60, &none, SIM_SOUND, 3);
     int late = 0, cancelled = 0;
     (void)state;
-    sim->eager_polls = true;
+    sim->has_eager_users = true;
     for (int i = 0; i < 100; i++)
         sim_submit(sim, 1 + i, "sweep", 2, 1, 6, i % 4 ? 0 : 11 + i);
     sim_run(sim, 40);
@@ -687,9 +692,9 @@
     }
     assert_true(late <= 2);
     assert_int_equal(cancelled, 25);
-    sim_calm(sim);
+    sim_end_faults(sim);
     sim_run(sim, 60);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -702,7 +707,7 @@
     for (int i = 0; i < 100; i++)
         sim_submit(sim, 1 + i * 0.2, "sweep", 2, 1, 200, 0);
     sim_run(sim, 40);
-    sim->eager_polls = true;
+    sim->has_eager_users = true;
     sim_run(sim, 5);
     unsigned long polls = sim->n_polls, known = sim->n_polls_known;
     unsigned long requests = sim->n_state_reads + sim->n_comparisons;
@@ -714,7 +719,7 @@
     assert_true((double)requests < 40 * 200 * 0.6);
     if ((double)known < 0.97 * (double)polls)
         fail_msg("questions that got the job's state: %lu of %lu", known, polls);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -722,7 +727,7 @@
  * tasks, among another team's work for more than all machines: its jobs begin within four minutes,
  * half of them at least are served (sim_check.c), and no job waits while there is room. */
 static void guests_are_served(void **state) {
-    static const struct sim_faults faults = {.crash_s = 80, .take_s = 30};
+    static const struct sim_faults faults = {.crash_s = 80, .spot_notice_s = 30};
     (void)state;
     for (unsigned long seed = 50; seed < 53; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
@@ -733,7 +738,7 @@
         for (int i = 0; i < 80; i++) {
             int j = i < 4 ? sim_submit(sim, 20, "sweep", 40, 2, 60, 0)
                           : sim_submit(sim, 30 + i, "sweep", 1, 1, 5, 0);
-            sim_change(sim, j, "crew", json_string("guests"));
+            sim_set_field(sim, j, "crew", json_string("guests"));
         }
         sim_run(sim, 150);
         for (int i = 0; i < sim->n_jobs; i++) {
@@ -743,10 +748,10 @@
         }
         assert_true(begun >= 70);
         assert_true(swarm >= 60);
-        sim_calm(sim);
+        sim_end_faults(sim);
         sim_run(sim, REST_S);
         sim_check_served(sim);
-        assert_string_equal(sim->broken, "");
+        assert_string_equal(sim->violation, "");
         sim_free(sim);
     }
 }
@@ -761,22 +766,22 @@
     for (int i = 0; i < 12; i++)
         sim_submit(sim, 1 + i * 4, "sweep", 20, 1, 8, 0);
     int job = sim_submit(sim, 15, "sweep", 10, 1, 1, 60);
-    sim->jobs[job].faulty = true;
+    sim->jobs[job].fails_always = true;
     sim_run(sim, 20);
     for (int i = 0; i < sim->size.workers && bad < 2; i++)
         if (sim->workers[i].used && sim->workers[i].up && sim->workers[i].n_tasks > 0) {
-            sim->workers[i].bad = true;
+            sim->workers[i].fails_tasks = true;
             bad++;
         }
     assert_int_equal(bad, 2);
     sim_run(sim, 40);
     for (int i = 0; i < sim->size.workers; i++)
-        left += sim->workers[i].used && sim->workers[i].bad;
+        left += sim->workers[i].used && sim->workers[i].fails_tasks;
     assert_int_equal(left, 0);
-    assert_true(sim->n_errors <= 120);
+    assert_true(sim->n_task_errors <= 120);
     sim_run(sim, 200);
-    assert_string_equal(sim->broken, "");
-    assert_true(sim_all_over(sim));
+    assert_string_equal(sim->violation, "");
+    assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
 
@@ -790,8 +795,8 @@
         sim_submit(sim, 1, "sweep", 40, 1, 30, 0);
     sim_run(sim, 25);
     struct sim_worker *worker = busiest_worker(sim);
-    sim->held_worker = (int)(worker - sim->workers) + 1;
-    sim->held_until = sim->now + 20;
+    sim->delayed_worker = (int)(worker - sim->workers) + 1;
+    sim->delayed_until = sim->now + 20;
     sim_run(sim, 19.9);
     int leader = sim_leader(sim);
     const struct rp_node *node = sim->nodes[leader].node;
@@ -805,8 +810,8 @@
                 assert_true(rp_job_n_task_allocations(job, t) <= 1);
     }
     sim_run(sim, 200);
-    assert_string_equal(sim->broken, "");
-    assert_true(sim_all_over(sim));
+    assert_string_equal(sim->violation, "");
+    assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
 
@@ -826,7 +831,7 @@
     for (int i = 0; i < sim->size.workers; i++)
         before += sim->workers[i].used && sim->workers[i].up && sim->workers[i].zone == 0;
     assert_true(before >= 4);
-    sim->cut_zone = 1;
+    sim->partitioned_zone = 1;
     sim_run(sim, 5);
     if (takeover)
         sim_crash(sim, sim_leader(sim), 3);
@@ -837,7 +842,7 @@
     for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
         lost += machine->zone == 0 && machine->state == RP_MACHINE_LOST;
     assert_int_equal(lost, before);
-    sim->cut_zone = 0;
+    sim->partitioned_zone = 0;
     sim_run(sim, 14);
     assert_false(rp_fleet_is_zone_silent(&node->fleet, 0));
     for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
@@ -845,7 +850,7 @@
                    machine->contact.incarnation > 1;
     assert_int_equal(in_zone, before);
     sim_run(sim, 200);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -876,7 +881,7 @@
     for (int i = 0; i < 120; i++)
         sim_submit(sim, 1 + i * 0.05, "sweep", 40, 8, run_s, 0);
     sim_run(sim, 45);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     assert_true(machines_in(sim, RP_MACHINE_UP) >= 1290);
     return sim;
 }
@@ -884,7 +889,7 @@
 static int kept_sessions(const struct sim *sim) {
     int n = 0;
     for (int i = 0; i < sim->size.workers; i++)
-        n += sim->workers[i].used && sim->workers[i].up && sim->workers[i].session == 1;
+        n += sim->workers[i].used && sim->workers[i].up && sim->workers[i].incarnation == 1;
     return n;
 }
 
@@ -911,7 +916,7 @@
     rounds = node->scheduler.n_cycles - rounds;
     assert_true(rounds > 0);
     assert_true(node->scheduler.n_probes - looks < 6 * 1304 * rounds);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -938,7 +943,7 @@
     assert_int_equal(kept_sessions(sim), sessions);
     assert_true(machines_in(sim, RP_MACHINE_UP) >= before - 5);
     assert_true(sim->next_machine <= rented + 20);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -948,14 +953,14 @@
     (void)state;
     struct sim *sim = large_fleet(33, 150);
     int leader = sim_leader(sim), sessions = kept_sessions(sim), rented = sim->next_machine;
-    sim->nodes[leader].stalled_until = sim->now + 24;
+    sim->nodes[leader].paused_until = sim->now + 24;
     sim_run(sim, 23);
     assert_true(sim_leader(sim) >= 0);
     sim_run(sim, 9);
     assert_int_equal(sim->nodes[leader].node->state, RP_NODE_FOLLOWING);
     assert_true(kept_sessions(sim) >= sessions - sessions / 20);
     assert_true(sim->next_machine <= rented + 20);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -972,17 +977,17 @@
         if (i % 21 == 0)
             worker->alive = false;
         else if (i % 9 == 0)
-            worker->hung_until = sim->now + 42;
+            worker->paused_until = sim->now + 42;
         hung += worker->alive && i % 9 == 0;
     }
     assert_true(hung >= 100);
     sim_run(sim, 50);
     for (int i = 0; i < sim->size.workers; i++)
-        kept += sim->workers[i].used && sim->workers[i].hung_until > 0;
+        kept += sim->workers[i].used && sim->workers[i].paused_until > 0;
     assert_true(kept >= hung - hung / 20);
     assert_true(sim->next_machine - rented <= 90);
     assert_true(machines_in(sim, RP_MACHINE_LOST) <= 5);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -1002,13 +1007,13 @@
     for (int i = 0; i < 20; i++)
         sim_submit(sim, 40 + i * 0.5, i % 2 ? "ensemble" : "sweep", 4, 8, 10, 0);
     sim_run(sim, 60);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     assert_true(machines_in(sim, RP_MACHINE_UP) >= 3950);
     int leader = sim_leader(sim), sessions = kept_sessions(sim), rented = sim->next_machine;
     assert_int_equal(sim->nodes[leader].node->scheduler.n_over_bounds, 0);
     sim_crash(sim, leader, 60);
     sim_run(sim, 24);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
     struct rp_node *node = sim->nodes[sim_leader(sim)].node;
     assert_true(rp_cluster_is_reconciled(&node->cluster));
@@ -1019,7 +1024,7 @@
     unsigned long done = sim->n_done_jobs;
     sim_run(sim, 10);
     assert_true(sim->n_done_jobs > done + 50);
-    assert_string_equal(sim->broken, "");
+    assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
@@ -1028,12 +1033,12 @@
     for (unsigned long seed = 900; seed < 930; seed++) {
         struct sim *sim = sim_new(seed, faults, breakage, 3);
         submit_some(sim, seed);
-        sim_change(sim, sim_submit(sim, 5, "sweep", 4, 1, 5, 0), "yard", json_string("a"));
+        sim_set_field(sim, sim_submit(sim, 5, "sweep", 4, 1, 5, 0), "yard", json_string("a"));
         sim_run(sim, DAY_S);
-        sim_calm(sim);
+        sim_end_faults(sim);
         sim_run(sim, REST_S);
         sim_check_served(sim);
-        bool caught = strstr(sim->broken, rule) != NULL;
+        bool caught = strstr(sim->violation, rule) != NULL;
         sim_free(sim);
         if (caught)
             return;
@@ -1042,28 +1047,30 @@
 }
 
 static void broken_worlds_are_caught(void **state) {
-    static const struct sim_faults cut = {.hang_s = 6};
+    static const struct sim_faults cut = {.pause_s = 6};
     static const struct sim_faults calm = {0};
-    static const struct sim_faults late = {.lose = 0.05, .late = 0.1, .repeat = 0.1, .crash_s = 10};
+    static const struct sim_faults late = {
+        .drop = 0.05, .delay = 0.1, .duplicate = 0.1, .crash_s = 10};
     (void)state;
     catches(SIM_WORKERS_KEEP_TASKS, &cut, "ran_twice");
     catches(SIM_WORKERS_IGNORE_STOPS, &calm, "ran_cancelled");
-    catches(SIM_STATE_IGNORES_CONDITIONS, &late, "went_back");
-    static const struct sim_faults copies = {.copies = 0.2};
-    static const struct sim_faults alone = {.alone_s = 8, .late = 0.05, .repeat = 0.05};
-    catches(SIM_COPIES_LOOK_NEW, &copies, "ran_twice");
-    catches(SIM_STATE_IGNORES_CONDITIONS, &alone, ": "); /* whichever rule is first */
-    catches(SIM_POLLS_GET_LOST, &calm, "forgotten");
+    catches(SIM_STORE_IGNORES_CONDITIONS, &late, "went_back");
+    static const struct sim_faults copies = {.late_duplicate = 0.2};
+    static const struct sim_faults alone = {
+        .partitioned_node_s = 8, .delay = 0.05, .duplicate = 0.05};
+    catches(SIM_DUPLICATES_LOOK_NEW, &copies, "ran_twice");
+    catches(SIM_STORE_IGNORES_CONDITIONS, &alone, ": "); /* whichever rule is first */
+    catches(SIM_POLLS_ARE_DROPPED, &calm, "forgotten");
     catches(SIM_LARGE_NEVER_BEGIN, &calm, "not_begun");
-    static const struct sim_faults odd = {.odd_s = 5};
-    catches(SIM_ODD_IS_TAKEN, &odd, "invented");
-    catches(SIM_ANSWERS_ARE_OLD, &calm, "went_back");
+    static const struct sim_faults odd = {.invalid_request_s = 5};
+    catches(SIM_INVALID_IS_ACCEPTED, &odd, "invented");
+    catches(SIM_ANSWERS_ARE_STALE, &calm, "went_back");
     catches(SIM_UNKNOWN_IS_FOUND, &odd, "invented");
     catches(SIM_DONE_TOO_EARLY, &calm, "not_done");
     catches(SIM_GANGS_ARE_NOT_SERVED, &calm, "not_served");
     catches(SIM_LIMIT_IS_LOWER, &calm, "quota");
     catches(SIM_MACHINES_ELSEWHERE, &calm, "wrong_place");
-    catches(SIM_STARTS_GET_LOST, &calm, "left_waiting");
+    catches(SIM_STARTS_ARE_DROPPED, &calm, "left_waiting");
     catches(SIM_RENEWED_WITHOUT_STOPS, &calm, "kept_cancelled");
 }
 
--- a/tests/simulation/test_standby.c
+++ b/tests/simulation/test_standby.c
@@ -14,18 +14,18 @@
 
 static void run(struct sim *sim, double seconds) {
     sim_run(sim, seconds);
-    if (sim->broken[0])
-        fail_msg("%s", sim->broken);
+    if (sim->violation[0])
+        fail_msg("%s", sim->violation);
 }
 
 /* Ends all troubles, and lets everything that was accepted come to its end. */
 static void rest(struct sim *sim) {
-    sim_calm(sim);
+    sim_end_faults(sim);
     sim_run(sim, REST_S);
     sim_check_served(sim);
-    if (sim->broken[0])
-        fail_msg("%s", sim->broken);
-    assert_true(sim_all_over(sim));
+    if (sim->violation[0])
+        fail_msg("%s", sim->violation);
+    assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
 
@@ -85,7 +85,7 @@
     sim_crash(sim, sim_leader(sim), 20);
     assert_true(until_started(sim, token, 20) > 7);
     assert_int_equal(takeovers(sim), 0);
-    assert_null(sim_stored(sim, RP_KEY_FENCE));
+    assert_null(sim_find_record(sim, RP_KEY_FENCE));
     rest(sim);
 }
 
@@ -95,7 +95,7 @@
         struct sim *sim = busy_world(seed, 3);
         uint64_t token = token_of(sim);
         for (int i = 0; i < 4; i++) {
-            sim->nodes[sim_leader(sim)].stalled_until = sim->now + 2;
+            sim->nodes[sim_leader(sim)].paused_until = sim->now + 2;
             run(sim, 12.0 + 0.3 * i);
         }
         assert_int_equal(token_of(sim), token);
@@ -119,7 +119,7 @@
         for (int i = 0; i < 10; i++)
             sim_submit(sim, sim->now + 0.1, "sweep", 12, 1, 3, 0);
         run(sim, 0.3 + 0.07 * (double)(seed % 5));
-        sim->nodes[leader].stalled_until = sim->now + pause_s;
+        sim->nodes[leader].paused_until = sim->now + pause_s;
         run(sim, 4.5);
         assert_true(pause_s > 2 ? takeovers(sim) == 1 : token_of(sim) == token);
         run(sim, pause_s);
@@ -135,7 +135,7 @@
     for (unsigned long seed = 40; seed < 46; seed++) {
         struct sim *sim = busy_world(seed, seed % 2 ? 3 : 5);
         int leader = sim_leader(sim);
-        sim->nodes[leader].alone_until = sim->now + 15 + 5 * (double)(seed % 4);
+        sim->nodes[leader].partitioned_until = sim->now + 15 + 5 * (double)(seed % 4);
         run(sim, 2);
         for (int i = 0; i < 30; i += 3)
             sim->jobs[i].cancel_at = sim->now + 0.2 * i;
@@ -150,7 +150,7 @@
     (void)state;
     struct sim *sim = busy_world(50, 3);
     uint64_t token = token_of(sim);
-    sim->apart_until = sim->now + 25;
+    sim->peer_partition_until = sim->now + 25;
     run(sim, 27);
     assert_int_equal(token_of(sim), token);
     assert_int_equal(takeovers(sim), 0);
@@ -164,8 +164,8 @@
     struct sim *sim = busy_world(51, 3);
     uint64_t token = token_of(sim);
     int leader = sim_leader(sim);
-    sim->outage_until = sim->now + 7;
-    sim->nodes[leader].stalled_until = sim->now + 4.5;
+    sim->store_outage_until = sim->now + 7;
+    sim->nodes[leader].paused_until = sim->now + 4.5;
     run(sim, 6.5);
     assert_int_equal(takeovers(sim), 0);
     assert_int_equal(sim->nodes[leader].node->election.fencing_token, token);
@@ -203,7 +203,7 @@
         struct sim *sim = busy_world(seed, 3);
         enum rp_election_state stage = stages[seed % 4];
         int leader = sim_leader(sim), ended = -1;
-        sim->nodes[leader].stalled_until = sim->now + 4 + (double)(seed % 3) * 3;
+        sim->nodes[leader].paused_until = sim->now + 4 + (double)(seed % 3) * 3;
         for (int i = 0; i < 400 && ended < 0; i++) {
             run(sim, 0.02);
             for (int k = 0; k < sim->n_nodes; k++)
@@ -232,8 +232,8 @@
 }
 
 static void submit_for_guests(struct sim *sim, double at, unsigned tasks, double run_s) {
-    sim_change(sim, sim_submit(sim, at, "sweep", tasks, 1, run_s, 0), "crew",
-               json_string("guests"));
+    sim_set_field(sim, sim_submit(sim, at, "sweep", tasks, 1, run_s, 0), "crew",
+                  json_string("guests"));
 }
 
 /* Machines that hang can't be shown the token: what may run there isn't started elsewhere before
@@ -249,7 +249,7 @@
         int hung = 0;
         for (int i = 0; i < sim->size.workers && hung < 3; i++)
             if (sim->workers[i].used && sim->workers[i].up && sim->workers[i].n_tasks > 0) {
-                sim->workers[i].hung_until = sim->now + (seed % 2 ? 12 : 40);
+                sim->workers[i].paused_until = sim->now + (seed % 2 ? 12 : 40);
                 hung++;
             }
         assert_true(hung == 3);
@@ -276,9 +276,9 @@
     for (int i = 0; i < sim->size.workers; i++)
         behind += sim->workers[i].used && sim->workers[i].zone == 0 && sim->workers[i].n_tasks > 0;
     assert_true(behind > 0);
-    sim->cut_zone = 1;
-    sim->cut_node = leader + 1;
-    sim->nodes[leader].alone_until = sim->now + 50;
+    sim->partitioned_zone = 1;
+    sim->node_in_partition = leader + 1;
+    sim->nodes[leader].partitioned_until = sim->now + 50;
     return sim;
 }
 
@@ -296,7 +296,7 @@
 
 static void end_cut(struct sim *sim) {
     run(sim, 50);
-    sim->cut_zone = sim->cut_node = 0;
+    sim->partitioned_zone = sim->node_in_partition = 0;
     rest(sim);
 }
 
@@ -343,14 +343,14 @@
             submit_for_guests(sim, 1 + i, 6, 5);
         run(sim, 31 + 0.1 * (double)(seed % 10));
         int leader = sim_leader(sim);
-        sim->cut_zone = 1;
-        sim->cut_node = leader + 1;
+        sim->partitioned_zone = 1;
+        sim->node_in_partition = leader + 1;
         for (int i = 0; i < 60; i++)
             submit_for_guests(sim, sim->now + 0.02 * i, 2, 8);
         assert_true(rp_election_fence_leader(&sim->nodes[leader ? 0 : 1].node->election));
         taken_over(sim, leader);
         run(sim, 20);
-        sim->cut_zone = sim->cut_node = 0;
+        sim->partitioned_zone = sim->node_in_partition = 0;
         rest(sim);
     }
 }
@@ -407,18 +407,18 @@
 
 /* A takeover whose transactions and answers get lost or come late, in every kind of trouble. */
 static void takeovers_in_bad_weather(void **state) {
-    static const struct sim_faults bad = {.lose = 0.02,
-                                          .late = 0.02,
-                                          .repeat = 0.03,
-                                          .stall_s = 9,
+    static const struct sim_faults bad = {.drop = 0.02,
+                                          .delay = 0.02,
+                                          .duplicate = 0.03,
+                                          .node_pause_s = 9,
                                           .crash_s = 25,
-                                          .late_write = 0.05,
-                                          .lost_answer = 0.05,
-                                          .copies = 0.05,
-                                          .alone_s = 40,
-                                          .blink_s = 40,
-                                          .hang_s = 20,
-                                          .refused_s = 40};
+                                          .delayed_write = 0.05,
+                                          .dropped_answer = 0.05,
+                                          .late_duplicate = 0.05,
+                                          .partitioned_node_s = 40,
+                                          .fast_restart_s = 40,
+                                          .pause_s = 20,
+                                          .store_refusal_s = 40};
     unsigned long n = 0;
     (void)state;
     for (unsigned long seed = 100; seed < 116; seed++) {
