--- a/tests/simulation/test_upgrade.c
+++ b/tests/simulation/test_upgrade.c
@@ -25,8 +25,8 @@
 }
 
 static void expect_sound(struct sim *sim, unsigned long seed) {
-    if (sim->broken[0])
-        fail_msg("seed %lu: %s", seed, sim->broken);
+    if (sim->violation[0])
+        fail_msg("seed %lu: %s", seed, sim->violation);
 }
 
 static double up_share(const struct sim *sim) {
@@ -43,7 +43,7 @@
 /* On a fleet full of low work, replicas run within the time of a fetch, and again where one ends by
  * itself, whatever it says; no array's work is stopped for longer than that takes. */
 static void replicas_stand(void **state) {
-    static const struct sim_faults ends = {.end_s = 100};
+    static const struct sim_faults ends = {.replica_exit_s = 100};
     struct sim *sim = sim_new(40, &ends, SIM_SOUND, 3);
     (void)state;
     for (int i = 0; i < sim->n_nodes; i++)
@@ -58,10 +58,10 @@
     if (up_share(sim) < 0.97)
         fail_msg("up share %.4f", up_share(sim));
     assert_true(sim->n_direct > 15);
-    sim_calm(sim);
+    sim_end_faults(sim);
     sim_run(sim, 150);
     expect_sound(sim, 40);
-    assert_true(sim_all_over(sim));
+    assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
 
@@ -83,7 +83,7 @@
                 sim->workers[i].tasks[k].state == RP_TASK_RUNNING)
                 worker = &sim->workers[i];
     assert_non_null(worker);
-    worker->hung_until = sim->now + 60;
+    worker->paused_until = sim->now + 60;
     sim_run(sim, 10);
     for (uint32_t t = 0; t < 6; t++)
         assert_true(sim->jobs[job].down_since[t] <= 0);
@@ -98,7 +98,7 @@
     submit_arrays(sim, 0);
     sim_run(sim, 60);
     int job = sim_submit(sim, sim->now + 100, "service", 4, 1, 0, 0);
-    sim->jobs[job].faulty = true;
+    sim->jobs[job].fails_always = true;
     sim_run(sim, 100);
     unsigned long starts = sim->n_starts;
     sim_run(sim, 120);
@@ -130,7 +130,7 @@
     assert_true(listed < 300);
     sim_run(sim, 60);
     expect_sound(sim, 54);
-    assert_true(sim_all_over(sim));
+    assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
 
@@ -141,11 +141,11 @@
         submit_services(sim, 3);
         submit_arrays(sim, 0);
         sim_run(sim, DAY_S);
-        sim_calm(sim);
+        sim_end_faults(sim);
         sim_run(sim, REST_S);
         sim_check_served(sim);
         expect_sound(sim, seed);
-        if (!sim_all_over(sim))
+        if (!sim_all_terminal(sim))
             fail_msg("seed %lu: work left undone", seed);
         sim_free(sim);
     }
@@ -153,35 +153,35 @@
 
 /* Direct commands lost, late and repeated, across sessions, leaders and machines that go. */
 static void services_in_trouble(void **state) {
-    static const struct sim_faults faults = {.lose = 0.02,
-                                             .late = 0.03,
-                                             .repeat = 0.08,
-                                             .copies = 0.03,
+    static const struct sim_faults faults = {.drop = 0.02,
+                                             .delay = 0.03,
+                                             .duplicate = 0.08,
+                                             .late_duplicate = 0.03,
                                              .crash_s = 40,
-                                             .hang_s = 20,
-                                             .death_s = 40,
-                                             .deaf_s = 40,
-                                             .end_s = 15,
-                                             .take_s = 30};
+                                             .pause_s = 20,
+                                             .machine_crash_s = 40,
+                                             .one_way_partition_s = 40,
+                                             .replica_exit_s = 15,
+                                             .spot_notice_s = 30};
     (void)state;
     service_days(3, &faults, 1000, 16);
 }
 
 static void services_in_everything(void **state) {
-    static const struct sim_faults faults = {.lose = 0.01,
-                                             .late = 0.01,
-                                             .repeat = 0.05,
-                                             .copies = 0.03,
+    static const struct sim_faults faults = {.drop = 0.01,
+                                             .delay = 0.01,
+                                             .duplicate = 0.05,
+                                             .late_duplicate = 0.03,
                                              .crash_s = 40,
-                                             .outage_s = 90,
-                                             .refused_s = 60,
-                                             .alone_s = 60,
-                                             .deaf_s = 50,
-                                             .blink_s = 15,
-                                             .hang_s = 25,
-                                             .death_s = 50,
-                                             .stall_s = 40,
-                                             .end_s = 20,
+                                             .store_outage_s = 90,
+                                             .store_refusal_s = 60,
+                                             .partitioned_node_s = 60,
+                                             .one_way_partition_s = 50,
+                                             .fast_restart_s = 15,
+                                             .pause_s = 25,
+                                             .machine_crash_s = 50,
+                                             .node_pause_s = 40,
+                                             .replica_exit_s = 20,
                                              .task_error = 0.01};
     (void)state;
     service_days(5, &faults, 1100, 12);
@@ -196,9 +196,9 @@
 /* Lets the world go on, and counts who takes over from whom. */
 static void run_counted(struct sim *sim, double seconds) {
     static int was = -1; /* -1 nobody, 0 new, 1 old */
-    for (double end = sim->now + seconds; sim->now < end && !sim->broken[0];) {
+    for (double end = sim->now + seconds; sim->now < end && !sim->violation[0];) {
         sim_run(sim, 0.1);
-        int leader = sim_leader(sim), is = leader < 0 ? -1 : sim->nodes[leader].old;
+        int leader = sim_leader(sim), is = leader < 0 ? -1 : sim->nodes[leader].is_old_version;
         old_after_new += was == 0 && is == 1;
         new_after_old += was == 1 && is == 0;
         was = is < 0 ? was : is;
@@ -207,13 +207,13 @@
 
 static void roll(unsigned long seed, int nodes, const struct sim_faults *faults) {
     struct sim *sim = sim_new(seed, faults, SIM_SOUND, nodes);
-    sim_all_old(sim);
+    sim_start_as_old_version(sim);
     submit_arrays(sim, 0);
     sim_submit(sim, 10, "sweep", 30, 1, 25, 70);
     run_counted(sim, 25 + (double)(seed % 7));
     for (int i = 0; i < nodes; i++) {
         int node = (int)((unsigned long)i * (1 + seed % 2) + seed) % nodes;
-        while (!sim->nodes[node].next_old)
+        while (!sim->nodes[node].restarts_as_old)
             node = (node + 1) % nodes;
         sim_upgrade(sim, node, 0.2 + (double)(seed % 4));
         run_counted(sim, i + 1 < nodes ? 3 + (double)(seed % 11) : 4);
@@ -223,27 +223,27 @@
     submit_services(sim, sim->now);
     submit_arrays(sim, sim->now);
     sim_run(sim, DAY_S);
-    sim_calm(sim);
+    sim_end_faults(sim);
     sim_run(sim, REST_S);
     sim_check_served(sim);
     expect_sound(sim, seed);
-    if (!sim_all_over(sim) || sim->activated <= 0)
+    if (!sim_all_terminal(sim) || sim->format_active_at <= 0)
         fail_msg("seed %lu: work left undone", seed);
     sim_free(sim);
 }
 
 static void rolls(void **state) {
-    static const struct sim_faults faults = {.lose = 0.005,
-                                             .late = 0.005,
-                                             .repeat = 0.03,
-                                             .copies = 0.02,
+    static const struct sim_faults faults = {.drop = 0.005,
+                                             .delay = 0.005,
+                                             .duplicate = 0.03,
+                                             .late_duplicate = 0.02,
                                              .crash_s = 20,
-                                             .blink_s = 25,
-                                             .outage_s = 90,
-                                             .hang_s = 40,
-                                             .death_s = 60,
-                                             .stall_s = 60,
-                                             .end_s = 30};
+                                             .fast_restart_s = 25,
+                                             .store_outage_s = 90,
+                                             .pause_s = 40,
+                                             .machine_crash_s = 60,
+                                             .node_pause_s = 60,
+                                             .replica_exit_s = 30};
     (void)state;
     for (unsigned long seed = 1200; seed < 1212; seed++)
         roll(seed, 3, &faults);
@@ -257,17 +257,17 @@
 static void quiet_roll(void **state) {
     struct sim *sim = sim_new(43, &none, SIM_SOUND, 5);
     (void)state;
-    sim_all_old(sim);
+    sim_start_as_old_version(sim);
     for (int i = 0; i < 6; i++)
         sim_submit(sim, 1, "sweep", 40, 1, 60, 0);
     sim_run(sim, 30);
     for (int i = 0; i < sim->n_nodes; i++) {
         sim_upgrade(sim, i, 3);
-        assert_true(sim->activated <= 0);
+        assert_true(sim->format_active_at <= 0);
         sim_run(sim, i + 1 < sim->n_nodes ? 8 : 3);
     }
     sim_run(sim, 2);
-    assert_true(sim->activated > 0);
+    assert_true(sim->format_active_at > 0);
     sim_run(sim, 1);
     sim_lower_limits(sim);
     int job = sim_submit(sim, sim->now, "service", 3, 1, 0, sim->now + 60);
@@ -278,11 +278,11 @@
     for (uint32_t t = 0; t < 3; t++)
         assert_true(sim->jobs[job].down_since[t] <= 0);
     for (int i = 0; i < sim->size.workers; i++)
-        assert_true(!sim->workers[i].used || sim->workers[i].session <= 1);
+        assert_true(!sim->workers[i].used || sim->workers[i].incarnation <= 1);
     sim_run(sim, 250);
     expect_sound(sim, 43);
-    assert_true(sim_all_over(sim));
-    assert_int_equal(sim->n_bad, 0);
+    assert_true(sim_all_terminal(sim));
+    assert_int_equal(sim->n_oversized_writes, 0);
     sim_free(sim);
 }
 
@@ -290,7 +290,7 @@
 static void absent_node_counts_as_old(void **state) {
     struct sim *sim = sim_new(44, &none, SIM_SOUND, 3);
     (void)state;
-    sim_all_old(sim);
+    sim_start_as_old_version(sim);
     sim_run(sim, 5);
     sim_upgrade(sim, 0, 1);
     sim_upgrade(sim, 1, 1);
@@ -298,14 +298,14 @@
     int job = sim_submit(sim, 10, "service", 2, 1, 0, 200);
     int array = sim_submit(sim, 10, "sweep", 20, 1, 10, 0);
     sim_run(sim, 100);
-    assert_true(sim->activated <= 0 && !sim->jobs[job].accepted);
+    assert_true(sim->format_active_at <= 0 && !sim->jobs[job].accepted);
     assert_true(sim->jobs[array].told_done);
-    sim->nodes[2].next_old = sim->nodes[2].old = false; /* it comes back new */
+    sim->nodes[2].restarts_as_old = sim->nodes[2].is_old_version = false; /* it comes back new */
     sim_run(sim, 40);
-    assert_true(sim->activated > 0 && sim->jobs[job].accepted);
+    assert_true(sim->format_active_at > 0 && sim->jobs[job].accepted);
     sim_run(sim, 100);
     expect_sound(sim, 44);
-    assert_true(sim_all_over(sim));
+    assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
 
@@ -313,14 +313,14 @@
 static void held_back_by_the_operators(void **state) {
     struct sim *sim = sim_new(45, &none, SIM_SOUND, 3);
     (void)state;
-    sim->nodes[1].next_old = true;
+    sim->nodes[1].restarts_as_old = true;
     sim_crash(sim, 1, 0.1);
     sim_run(sim, 30);
     int job = sim_submit(sim, sim->now, "sweep", 20, 1, 10, 0);
     sim_run(sim, 60);
     assert_true(sim->jobs[job].told_done);
     assert_int_equal(sim_count_stored(sim, RP_KEY_ROOT "over/"), 1);
-    assert_int_equal(rp_record_format(sim_stored(sim, RP_KEY_ROOT "over/j-000000")), 1);
+    assert_int_equal(rp_record_format(sim_find_record(sim, RP_KEY_ROOT "over/j-000000")), 1);
     expect_sound(sim, 45);
     sim_free(sim);
 }
@@ -341,11 +341,11 @@
     (void)state;
     memset(hex, '5', 2048);
     hex[2048] = '\0';
-    sim_store(sim, RP_KEY_OPEN "j-777777", open);
+    sim_put_record(sim, RP_KEY_OPEN "j-777777", open);
     for (unsigned c = 0; c < 4; c++) {
         snprintf(text, sizeof text, "{\"done\":\"%.*s\"}", c < 3 ? 2048 : 1000, hex);
         rp_key_progress(key, "j-777777", c);
-        sim_store(sim, key, text);
+        sim_put_record(sim, key, text);
     }
     int n = snprintf(text, sizeof text,
                      "{\"type\":\"wide\",\"zone\":\"a\",\"spot\":false,"
@@ -354,9 +354,9 @@
         n += snprintf(text + n, sizeof text - (size_t)n, "%s\"vm-with-a-long-name-%06d\"",
                       i ? "," : "", i);
     snprintf(text + n, sizeof text - (size_t)n, "],\"up\":[\"vm-with-a-long-name-000003\"]}");
-    sim_store(sim, RP_KEY_PROVISION "r-1-1", text);
+    sim_put_record(sim, RP_KEY_PROVISION "r-1-1", text);
     sim_run(sim, 4);
-    assert_true(sim->activated > 0);
+    assert_true(sim->format_active_at > 0);
     sim_lower_limits(sim);
     const struct rp_job *job = rp_jobs_find(&sim->nodes[sim_leader(sim)].node->jobs, "j-777777");
     assert_non_null(job);
@@ -367,19 +367,19 @@
         sim_crash(sim, sim_leader(sim) >= 0 ? sim_leader(sim) : 0, 0.3);
     }
     sim_run(sim, 150);
-    assert_null(sim_stored(sim, RP_KEY_PROVISION "r-1-1"));
+    assert_null(sim_find_record(sim, RP_KEY_PROVISION "r-1-1"));
     struct rp_request none_such = {0};
     (void)none_such;
     int other = sim_submit(sim, sim->now, "sweep", 40, 1, 10, 0);
     /* Its user cancels it. (With only the id changed here, a repeated submission named another job,
      * and its answer "pending" passed for one that went back, on every fourth seed.) */
-    sim_change(sim, other, "ref", json_string("j-777777"));
+    sim_set_field(sim, other, "ref", json_string("j-777777"));
     sim->jobs[other].accepted = true;
     sim->jobs[other].cancel_at = sim->now;
     sim_run(sim, 30);
     assert_true(sim->jobs[other].told_cancelled);
     assert_int_equal(sim_count_stored(sim, RP_KEY_PROGRESS), 0);
-    assert_int_equal(sim->n_bad, 0);
+    assert_int_equal(sim->n_oversized_writes, 0);
     expect_sound(sim, 46);
     sim_free(sim);
 }
@@ -402,7 +402,7 @@
     sim_run(sim, 100);
     assert_true(sim->jobs[first].told_done && sim->jobs[second].told_done);
     assert_int_equal(sim_count_stored(sim, RP_KEY_PART), 0);
-    assert_int_equal(sim->n_bad, 0);
+    assert_int_equal(sim->n_oversized_writes, 0);
     expect_sound(sim, 47);
     sim_free(sim);
 }
@@ -416,12 +416,13 @@
     sim_run(sim, 20);
     int leader = sim_leader(sim);
     sim->limits = (struct sim_limits){.value_bytes = 700, .txn_ops = 2, .write_rps = 5};
-    sim->next = (struct sim_limits){.value_bytes = 1e9, .txn_ops = 1e9, .write_rps = 1e9};
+    sim->announced_limits =
+        (struct sim_limits){.value_bytes = 1e9, .txn_ops = 1e9, .write_rps = 1e9};
     sim_run(sim, 280);
     expect_sound(sim, 48);
-    assert_true(sim_all_over(sim));
+    assert_true(sim_all_terminal(sim));
     assert_int_equal(sim_leader(sim), leader);
-    assert_true(sim->n_bad < 40);
+    assert_true(sim->n_oversized_writes < 40);
     sim_free(sim);
 }
 
@@ -439,7 +440,7 @@
     assert_true(sim_count_stored(sim, RP_KEY_PROGRESS) > 0);
     sim_run(sim, 180);
     expect_sound(sim, 53);
-    assert_true(sim_all_over(sim));
+    assert_true(sim_all_terminal(sim));
     assert_int_equal(sim_count_stored(sim, RP_KEY_PROGRESS), 0);
     sim_free(sim);
 }
@@ -456,16 +457,16 @@
     struct sim *sim = sim_new(49, &none, SIM_SOUND, 3);
     (void)state;
     for (size_t i = 0; i < sizeof odd / sizeof odd[0]; i++)
-        sim_store(sim, odd[i][0], odd[i][1]);
+        sim_put_record(sim, odd[i][0], odd[i][1]);
     submit_arrays(sim, 0);
     sim_run(sim, 30);
     sim_crash(sim, sim_leader(sim), 1);
     sim_run(sim, 200);
     expect_sound(sim, 49);
-    assert_true(sim_all_over(sim));
+    assert_true(sim_all_terminal(sim));
     for (size_t i = 0; i < sizeof odd / sizeof odd[0]; i++) {
         json_t *value = json_loads(odd[i][1], JSON_DECODE_ANY, NULL);
-        assert_true(json_equal(sim_stored(sim, odd[i][0]), value));
+        assert_true(json_equal(sim_find_record(sim, odd[i][0]), value));
         json_decref(value);
     }
     sim_free(sim);
@@ -477,7 +478,7 @@
     (void)state;
     sim_run(sim, 5);
     assert_true(sim_leader(sim) >= 0);
-    sim_store(sim, RP_KEY_FORMAT, "{\"f\":3}");
+    sim_put_record(sim, RP_KEY_FORMAT, "{\"f\":3}");
     for (int i = 0; i < sim->n_nodes; i++)
         sim_crash(sim, i, 0.5);
     sim_run(sim, 20);
@@ -493,32 +494,32 @@
     (void)state;
     /* Somebody says of old nodes that they are new. */
     struct sim *sim = sim_new(50, &none, SIM_SOUND, 3);
-    sim_all_old(sim);
+    sim_start_as_old_version(sim);
     for (int i = 0; i < 3; i++) {
         char key[RP_KEY_MAX], name[8];
         snprintf(name, sizeof name, "n%d", i);
         rp_key(key, RP_KEY_VERSION, name);
-        sim_store(sim, key, "{\"f\":2}");
+        sim_put_record(sim, key, "{\"f\":2}");
     }
     sim_run(sim, 5);
     sim_upgrade(sim, 0, 0.1);
     sim_upgrade(sim, 1, 0.1);
     sim_run(sim, 20);
-    assert_true(strstr(sim->broken, "activated_early") != NULL);
+    assert_true(strstr(sim->violation, "activated_early") != NULL);
     sim_free(sim);
     /* What is to come is less than the nodes were told. */
     sim = sim_new(51, &none, SIM_SOUND, 3);
-    sim->next.value_bytes = 100;
+    sim->announced_limits.value_bytes = 100;
     submit_arrays(sim, 5);
     sim_run(sim, 30);
-    assert_true(strstr(sim->broken, "too_large") != NULL);
+    assert_true(strstr(sim->violation, "too_large") != NULL);
     sim_free(sim);
     sim = sim_new(52, &none, SIM_REPLICAS_NEVER_START, 3);
     submit_services(sim, 3);
     sim_run(sim, 10);
-    sim_calm(sim);
+    sim_end_faults(sim);
     sim_run(sim, 150);
-    assert_true(strstr(sim->broken, "replica_down") != NULL);
+    assert_true(strstr(sim->violation, "replica_down") != NULL);
     sim_free(sim);
 }
 
