--- a/src/model/heuristic.c
+++ b/src/model/heuristic.c
@@ -25,7 +25,7 @@
                               sizeof machine_names / sizeof machine_names[0]);
     if (jobs < 0 || machines < 0)
         return false;
-    out->jobs = (enum rp_job_order)jobs;
-    out->machines = (enum rp_machine_order)machines;
+    out->job_order = (enum rp_job_order)jobs;
+    out->machine_order = (enum rp_machine_order)machines;
     return true;
 }
--- a/src/model/heuristic.h
+++ b/src/model/heuristic.h
@@ -6,26 +6,36 @@
 
 #include <stdbool.h>
 
-enum rp_job_order { RP_FCFS, RP_RR, RP_LJF, RP_SJF, RP_LTJF, RP_STJF, RP_EDF, RP_SRW, RP_ESW };
+enum rp_job_order {
+    RP_JOB_ORDER_FCFS,
+    RP_JOB_ORDER_RR,
+    RP_JOB_ORDER_LJF,
+    RP_JOB_ORDER_SJF,
+    RP_JOB_ORDER_LTJF,
+    RP_JOB_ORDER_STJF,
+    RP_JOB_ORDER_EDF,
+    RP_JOB_ORDER_SRW,
+    RP_JOB_ORDER_ESW
+};
 enum rp_machine_order {
-    RP_RND,
-    RP_LM,
-    RP_SM,
-    RP_LA,
-    RP_EA,
-    RP_LD,
-    RP_ED,
-    RP_LAA,
-    RP_EAA,
-    RP_CFH,
-    RP_FFH,
-    RP_BF, /* least room first */
-    RP_CP  /* cheapest capacity first */
+    RP_MACHINE_ORDER_RND,
+    RP_MACHINE_ORDER_LM,
+    RP_MACHINE_ORDER_SM,
+    RP_MACHINE_ORDER_LA,
+    RP_MACHINE_ORDER_EA,
+    RP_MACHINE_ORDER_LD,
+    RP_MACHINE_ORDER_ED,
+    RP_MACHINE_ORDER_LAA,
+    RP_MACHINE_ORDER_EAA,
+    RP_MACHINE_ORDER_CFH,
+    RP_MACHINE_ORDER_FFH,
+    RP_MACHINE_ORDER_BF, /* least room first */
+    RP_MACHINE_ORDER_CP  /* cheapest capacity first */
 };
 
 struct rp_heuristic {
-    enum rp_job_order jobs;
-    enum rp_machine_order machines;
+    enum rp_job_order job_order;
+    enum rp_machine_order machine_order;
 };
 
 /** "FCFS-SM" and the like: the paper's {job selection}-{machine selection}. */
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -78,13 +78,13 @@
         size_t end = i;
         bool all_now = true;
         while (end < plan->n_placements && plan->placements[end].group == plan->placements[i].group)
-            all_now &= plan->placements[end++].now;
+            all_now &= plan->placements[end++].starts_now;
         /* A gang starts once the plan places all its tasks on machines that are up. */
         bool gang = group->kind == RP_JOB_GANG;
         uint64_t attempt = gang && all_now ? rp_cluster_next_attempt(scheduler->cluster) : 0;
         for (; i < end; i++) {
             const struct rp_placement *placement = &plan->placements[i];
-            if (placement->now && (!gang || all_now))
+            if (placement->starts_now && (!gang || all_now))
                 start_tasks(scheduler, group->ref, input->machines[placement->machine].ref,
                             placement->count, attempt);
         }
@@ -93,13 +93,13 @@
 
 static void apply_rentals(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                           const struct rp_plan *plan) {
-    for (size_t k = 0; k < input->plan_input.n_kinds; k++) {
-        const struct rp_plan_kind *kind = &input->kinds[k];
+    for (size_t k = 0; k < input->plan_input.n_offerings; k++) {
+        const struct rp_plan_offering *offering = &input->offerings[k];
         unsigned n = 0;
         for (size_t i = 0; i < plan->n_new_machines; i++)
             n += plan->new_machines[i] == k;
         if (n > 0)
-            rp_fleet_scale_out(scheduler->fleet, kind->type, kind->zone, kind->spot, n);
+            rp_fleet_scale_out(scheduler->fleet, offering->type, offering->zone, offering->spot, n);
     }
 }
 
@@ -114,19 +114,21 @@
  * can be stopped at once, one machine more is rented, of the kind with most capacity per price. */
 static void hold_ready(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                        const struct rp_plan *plan) {
-    const struct rp_plan_kind *best = NULL;
+    const struct rp_plan_offering *best = NULL;
     if (plan->n_new_machines > 0 || rp_services_ready_cpus(scheduler->services) >=
                                         rp_services_reserve_cpus(scheduler->services))
         return;
-    for (size_t k = 0; k < input->plan_input.n_kinds; k++) {
-        const struct rp_plan_kind *kind = &input->kinds[k];
-        if (kind->spot || kind->capacity.gpus > 0)
+    for (size_t k = 0; k < input->plan_input.n_offerings; k++) {
+        const struct rp_plan_offering *offering = &input->offerings[k];
+        if (offering->spot || offering->capacity.gpus > 0)
             continue;
-        if (rp_fleet_n_requested(scheduler->fleet, kind->type, kind->zone, kind->spot) > 0)
+        if (rp_fleet_n_requested(scheduler->fleet, offering->type, offering->zone, offering->spot) >
+            0)
             return;
-        if (!kind->refused && kind->price > 0 &&
-            (!best || kind->capacity.cpus / kind->price > best->capacity.cpus / best->price))
-            best = kind;
+        if (!offering->refused && offering->price > 0 &&
+            (!best ||
+             offering->capacity.cpus / offering->price > best->capacity.cpus / best->price))
+            best = offering;
     }
     if (best)
         rp_fleet_scale_out(scheduler->fleet, best->type, best->zone, false, 1);
@@ -217,12 +219,12 @@
     if (plan.failed)
         goto out;
     scheduler->wins[winner]++;
-    scheduler->n_probes += plan.n_probes;
+    scheduler->n_probes += plan.n_machines_examined;
     memcpy(scheduler->short_of_capacity, plan.short_of_capacity,
            sizeof scheduler->short_of_capacity);
     rp_debug("round %lu: jobs=%zu machines=%zu now=%u wait=%u new=%zu left=%.0f cost=%.3f by %s",
              scheduler->n_cycles, input.plan_input.n_groups, input.plan_input.n_machines,
-             plan.n_now, plan.n_wait, plan.n_new_machines, plan.unplaced_work, plan.cost,
+             plan.n_starting, plan.n_waiting, plan.n_new_machines, plan.unplaced_work, plan.cost,
              scheduler->settings->tuning.heuristics[winner]);
     if (rp_log_current() >= RP_LOG_DEBUG && scheduler->n_cycles % 10 == 0)
         log_use(scheduler);
--- a/src/scheduler/cycle_input.c
+++ b/src/scheduler/cycle_input.c
@@ -18,26 +18,27 @@
 #define OVERDUE 2.2 /* a machine that boots this many times longer than usual isn't waited for */
 
 void rp_cycle_input_free(struct rp_cycle_input *input) {
-    free(input->kinds);
+    free(input->offerings);
     free(input->machines);
     free(input->groups);
     free(input->teams);
     free(input->has_image);
     free(input->images);
-    free(input->ends);
-    free(input->guarantees);
+    free(input->releases);
+    free(input->guarantees_left);
 }
 
 static void build_kinds(struct rp_scheduler *scheduler, struct rp_cycle_input *input) {
     const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
-    input->kinds = calloc(catalog->n_types * catalog->n_zones * 2 + 1, sizeof *input->kinds);
-    for (size_t t = 0; input->kinds && t < catalog->n_types; t++)
+    input->offerings =
+        calloc(catalog->n_types * catalog->n_zones * 2 + 1, sizeof *input->offerings);
+    for (size_t t = 0; input->offerings && t < catalog->n_types; t++)
         for (size_t z = 0; z < catalog->n_zones; z++)
             for (int spot = 1; spot >= 0; spot--) {
                 const struct rp_machine_type *type = &catalog->types[t];
                 if (!(type->zones >> z & 1) || (spot && type->spot_price <= 0))
                     continue;
-                input->kinds[input->plan_input.n_kinds++] = (struct rp_plan_kind){
+                input->offerings[input->plan_input.n_offerings++] = (struct rp_plan_offering){
                     .type = (int)t,
                     .zone = (int)z,
                     .spot = spot,
@@ -51,7 +52,7 @@
                     .fetch_gb_per_s = type->fetch_gb_per_s,
                     .capacity = type->capacity};
             }
-    input->plan_input.kinds = input->kinds;
+    input->plan_input.offerings = input->offerings;
 }
 
 double rp_allocation_remaining_s(const struct rp_scheduler *scheduler,
@@ -77,19 +78,19 @@
     return fmax(run - ran, OVERRUN * ran + 1);
 }
 
-static void add_end(struct rp_plan_end *ends, size_t *n, double s,
+static void add_end(struct rp_plan_release *ends, size_t *n, double s,
                     const struct rp_resources *gives) {
     size_t at = (*n)++;
-    for (; at > 0 && ends[at - 1].s > s; at--)
+    for (; at > 0 && ends[at - 1].after_s > s; at--)
         ends[at] = ends[at - 1];
-    ends[at] = (struct rp_plan_end){.s = s, .released = *gives};
+    ends[at] = (struct rp_plan_release){.after_s = s, .released = *gives};
 }
 
 static void describe_work(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
-                          struct rp_plan_machine *out, struct rp_plan_end *ends,
+                          struct rp_plan_machine *out, struct rp_plan_release *ends,
                           struct timespec now) {
     double sum = 0;
-    out->ends = ends;
+    out->releases = ends;
     for (size_t i = 0; i < machine->n_allocations; i++) {
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state == RP_ALLOCATION_EXITED)
@@ -106,12 +107,13 @@
         /* By formula (1) it ends with its machine's unit, as tasks without an estimate do; but
          * nothing can count on the room. */
         if (service) {
-            out->taken += rp_plan_share_of_machine(&allocation->job->spec.each, &out->capacity);
+            out->service_share +=
+                rp_plan_share_of_machine(&allocation->job->spec.each, &out->capacity);
             continue;
         }
         out->work_s += left * rp_plan_share_of_machine(&allocation->job->spec.each, &out->capacity);
-        add_end(ends, &out->n_ends, left, &allocation->job->spec.each);
-        if (left <= out->wait_s)
+        add_end(ends, &out->n_releases, left, &allocation->job->spec.each);
+        if (left <= out->free_later_after_s)
             rp_resources_add(&out->free_later, &allocation->job->spec.each);
     }
     out->mean_arrival_s = machine->n_allocations ? sum / (double)machine->n_allocations : 0;
@@ -143,7 +145,7 @@
 }
 
 static void describe_machine(const struct rp_scheduler *scheduler, struct rp_machine *machine,
-                             struct rp_plan_machine *out, struct rp_plan_end *ends,
+                             struct rp_plan_machine *out, struct rp_plan_release *ends,
                              struct timespec now) {
     const struct rp_machine_type *type = &rp_scheduler_catalog(scheduler)->types[machine->type];
     struct rp_resources room = rp_machine_free_resources(scheduler->cluster, machine);
@@ -156,15 +158,15 @@
                                     .fetch_gb_per_s = type->fetch_gb_per_s,
                                     .capacity = type->capacity,
                                     .free_later = room,
-                                    .wait_s = type->boot_s,
+                                    .free_later_after_s = type->boot_s,
                                     .age_s = rp_ts_since(now, machine->requested_at)};
     if (machine->state == RP_MACHINE_BOOTING) {
-        out->wait_s = fmax(type->boot_s - out->age_s, 2);
+        out->free_later_after_s = fmax(type->boot_s - out->age_s, 2);
         return;
     }
     if (rp_machine_is_usable(machine))
         out->free_now = room;
-    out->spare_now = spare_room(scheduler, machine);
+    out->free_spare = spare_room(scheduler, machine);
     describe_work(scheduler, machine, out, ends, now);
     /* Room being made for a job isn't given to others while the rest of it is still in use. */
     const struct rp_job *job = rp_reservation_job(scheduler, machine);
@@ -222,38 +224,39 @@
     size_t pending = 0;
     for (size_t t = 0; t < catalog->n_types; t++)
         note_whole(scheduler, t);
-    for (size_t i = 0; i < input->plan_input.n_kinds; i++)
-        pending += rp_fleet_n_requested(scheduler->fleet, input->kinds[i].type,
-                                        input->kinds[i].zone, input->kinds[i].spot);
+    for (size_t i = 0; i < input->plan_input.n_offerings; i++)
+        pending += rp_fleet_n_requested(scheduler->fleet, input->offerings[i].type,
+                                        input->offerings[i].zone, input->offerings[i].spot);
     input->machines = calloc(scheduler->cluster->n_machines + pending + 1, sizeof *input->machines);
     size_t allocations = 1;
     for (const struct rp_machine *machine = scheduler->cluster->first; machine;
          machine = machine->next)
         allocations += machine->n_allocations;
-    input->ends = calloc(allocations, sizeof *input->ends);
-    if (!input->machines || !input->ends)
+    input->releases = calloc(allocations, sizeof *input->releases);
+    if (!input->machines || !input->releases)
         return;
     rp_reservation_mark_jobs(scheduler);
     for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next)
         if (plannable(scheduler, machine, now)) {
             describe_machine(scheduler, machine, &input->machines[input->plan_input.n_machines++],
-                             &input->ends[input->n_ends], now);
-            input->n_ends += machine->n_allocations;
+                             &input->releases[input->n_releases], now);
+            input->n_releases += machine->n_allocations;
         }
     /* What has been asked for and not answered yet holds its tasks, too. */
-    for (size_t i = 0; i < input->plan_input.n_kinds; i++) {
-        const struct rp_plan_kind *kind = &input->kinds[i];
-        unsigned n = rp_fleet_n_requested(scheduler->fleet, kind->type, kind->zone, kind->spot);
+    for (size_t i = 0; i < input->plan_input.n_offerings; i++) {
+        const struct rp_plan_offering *offering = &input->offerings[i];
+        unsigned n =
+            rp_fleet_n_requested(scheduler->fleet, offering->type, offering->zone, offering->spot);
         for (; n > 0; n--)
-            input->machines[input->plan_input.n_machines++] =
-                (struct rp_plan_machine){.type = kind->type,
-                                         .zone = kind->zone,
-                                         .spot = kind->spot,
-                                         .price = kind->price,
-                                         .fetch_gb_per_s = kind->fetch_gb_per_s,
-                                         .capacity = kind->capacity,
-                                         .free_later = kind->capacity,
-                                         .wait_s = catalog->types[kind->type].boot_s};
+            input->machines[input->plan_input.n_machines++] = (struct rp_plan_machine){
+                .type = offering->type,
+                .zone = offering->zone,
+                .spot = offering->spot,
+                .price = offering->price,
+                .fetch_gb_per_s = offering->fetch_gb_per_s,
+                .capacity = offering->capacity,
+                .free_later = offering->capacity,
+                .free_later_after_s = catalog->types[offering->type].boot_s};
     }
     input->plan_input.machines = input->machines;
 }
@@ -310,7 +313,7 @@
         return best;
     if (latest <= 0)
         return RP_NO_OBJECTIVE_S;
-    group->late = true;
+    group->is_late = true;
     /* A job that can be in time for nothing any more stands behind those that can, but with less
      * and less patience: it is not to wait for as long as others keep coming. */
     return fmax(0, LATE_SLACK_S - (group->age_s + group->run_s - latest));
@@ -350,7 +353,7 @@
         .ref = job,
         .kind = spec->kind,
         .priority = spec->priority,
-        .n = n,
+        .n_tasks = n,
         .each = spec->each,
         .run_s = spec->kind == RP_JOB_SERVICE ? scheduler->settings->tuning.billing_unit_s : run,
         .image_gb = spec->image_gb,
@@ -366,7 +369,7 @@
     /* A service's aims are those of a start, which priority alone decides. */
     if (spec->kind != RP_JOB_SERVICE)
         group->slack_s = slack(scheduler, job, group);
-    group->held = job->reserved_in_cycle == scheduler->n_cycles;
+    group->has_reservation = job->reserved_in_cycle == scheduler->n_cycles;
     for (size_t z = 0; z < catalog->n_zones; z++) {
         if (!*spec->zone || strcmp(spec->zone, catalog->zones[z]) == 0)
             group->zones |= 1u << z;
@@ -427,7 +430,7 @@
 static uint32_t take_guarantee(struct rp_cycle_input *input, const struct rp_job *job, uint32_t n) {
     if (job->team < 0)
         return 0;
-    struct rp_resources *left = &input->guarantees[job->team];
+    struct rp_resources *left = &input->guarantees_left[job->team];
     const struct rp_resources *each = &job->spec.each;
     if (left->cpus <= 0 && left->gpus <= 0)
         return 0;
@@ -451,7 +454,7 @@
     uint32_t guaranteed = take_guarantee(input, job, n);
     if (guaranteed > 0 && input->plan_input.n_groups < most) {
         build_group(scheduler, job, guaranteed, &input->groups[input->plan_input.n_groups], now);
-        input->groups[input->plan_input.n_groups++].guaranteed = true;
+        input->groups[input->plan_input.n_groups++].is_guaranteed = true;
         begun = true;
         n -= guaranteed;
     }
@@ -463,7 +466,7 @@
         job->spec.kind == RP_JOB_ARRAY && input->plan_input.n_groups + 1 < most &&
         rp_job_age_s(job, now) > BEGIN_AFTER_S) {
         build_group(scheduler, job, 1, &input->groups[input->plan_input.n_groups], now);
-        input->groups[input->plan_input.n_groups++].begin = true;
+        input->groups[input->plan_input.n_groups++].is_first_task = true;
         n--;
     }
     if (input->plan_input.n_groups < most)
@@ -472,13 +475,14 @@
 
 /* What the teams' work takes of their guarantees now is gone; 0 in the settings means none. */
 static bool fill_guarantees(const struct rp_scheduler *scheduler, struct rp_cycle_input *input) {
-    input->guarantees = calloc(scheduler->settings->n_teams + 1, sizeof *input->guarantees);
-    for (size_t i = 0; input->guarantees && i < scheduler->settings->n_teams; i++) {
+    input->guarantees_left =
+        calloc(scheduler->settings->n_teams + 1, sizeof *input->guarantees_left);
+    for (size_t i = 0; input->guarantees_left && i < scheduler->settings->n_teams; i++) {
         const struct rp_team *team = &scheduler->settings->teams[i];
-        input->guarantees[i].cpus = fmax(0, team->cpus - scheduler->cluster->team_cpus[i]);
-        input->guarantees[i].gpus = fmax(0, team->gpus - scheduler->cluster->team_gpus[i]);
+        input->guarantees_left[i].cpus = fmax(0, team->cpus - scheduler->cluster->team_cpus[i]);
+        input->guarantees_left[i].gpus = fmax(0, team->gpus - scheduler->cluster->team_gpus[i]);
     }
-    return input->guarantees;
+    return input->guarantees_left;
 }
 
 static void build_groups(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
@@ -525,11 +529,11 @@
     memset(input, 0, sizeof *input);
     input->plan_input.unit_s = scheduler->settings->tuning.billing_unit_s;
     input->plan_input.seed = scheduler->n_cycles;
-    input->plan_input.new_max = NEW_MAX;
+    input->plan_input.new_machines_max = NEW_MAX;
     build_kinds(scheduler, input);
     build_machines(scheduler, input, now);
     build_groups(scheduler, input, now);
     build_teams(scheduler, input);
-    return input->kinds && input->machines && input->ends && input->groups && input->teams &&
-           input->has_image && input->guarantees;
+    return input->offerings && input->machines && input->releases && input->groups &&
+           input->teams && input->has_image && input->guarantees_left;
 }
--- a/src/scheduler/cycle_input.h
+++ b/src/scheduler/cycle_input.h
@@ -7,16 +7,16 @@
 
 struct rp_cycle_input {
     struct rp_plan_input plan_input;
-    struct rp_plan_kind *kinds;
+    struct rp_plan_offering *offerings;
     struct rp_plan_machine *machines;
     struct rp_plan_group *groups;
     struct rp_plan_team *teams;
-    struct rp_resources *guarantees; /* of each team: what is left of its CPUs and GPUs */
-    bool *has_image;                 /* for each image, which machines hold it */
-    uint64_t *images;                /* hashes of the images' names */
+    struct rp_resources *guarantees_left; /* of each team: what is left of its CPUs and GPUs */
+    bool *has_image;                      /* for each image, which machines hold it */
+    uint64_t *images;                     /* hashes of the images' names */
     size_t n_images;
-    struct rp_plan_end *ends;
-    size_t n_ends;
+    struct rp_plan_release *releases;
+    size_t n_releases;
 };
 
 /** False when memory is short; to be freed in either case. */
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -150,9 +150,9 @@
                         size_t index) {
     uint32_t placed = 0;
     for (size_t p = 0; p < plan->n_placements; p++)
-        if (plan->placements[p].group == index && plan->placements[p].now)
+        if (plan->placements[p].group == index && plan->placements[p].starts_now)
             placed += plan->placements[p].count;
-    return placed < group->n ? group->n - placed : 0;
+    return placed < group->n_tasks ? group->n_tasks - placed : 0;
 }
 
 void rp_quota_enforce_guarantees(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
@@ -164,7 +164,7 @@
     for (size_t g = 0; g < input->plan_input.n_groups && stops < STOPS_MOST; g++) {
         const struct rp_plan_group *group = &input->groups[g];
         const struct rp_job *job = group->ref;
-        if (!group->guaranteed || (group->kind == RP_JOB_GANG && job->spec.n_tasks > 1))
+        if (!group->is_guaranteed || (group->kind == RP_JOB_GANG && job->spec.n_tasks > 1))
             continue;
         uint32_t want = missing(plan, group, g), soon = want > 0 ? coming(scheduler, job) : 0;
         if (want <= soon || (!surplus.of && !surplus_fill(scheduler, &surplus)))
--- a/src/scheduler/room.c
+++ b/src/scheduler/room.c
@@ -228,7 +228,7 @@
         const struct rp_machine *machine = placement->machine < input->plan_input.n_machines
                                                ? input->machines[placement->machine].ref
                                                : NULL;
-        if (!placement->now || !machine || !may_preempt(job) ||
+        if (!placement->starts_now || !machine || !may_preempt(job) ||
             rp_machine_has_image(machine, job->image_hash))
             continue;
         double rate = rp_scheduler_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
@@ -251,13 +251,13 @@
     for (size_t g = 0; g < input->plan_input.n_groups; g++) {
         const struct rp_job *job = input->groups[g].ref;
         bool now_placed = false, soon = false;
-        if (input->groups[g].held || !may_preempt(job))
+        if (input->groups[g].has_reservation || !may_preempt(job))
             continue;
         for (size_t p = 0; p < plan->n_placements; p++) {
             const struct rp_placement *placement = &plan->placements[p];
             if (placement->group != g)
                 continue;
-            now_placed |= placement->now;
+            now_placed |= placement->starts_now;
             const struct rp_machine *machine = placement->machine < input->plan_input.n_machines
                                                    ? input->machines[placement->machine].ref
                                                    : NULL;
@@ -296,7 +296,7 @@
                                machine->spot) ||
         rp_plan_share_of_machine(&job->spec.each, &machine->capacity) <= 0.5)
         return false;
-    c->free_s = rp_plan_fits_after_s(machine, &job->spec.each);
+    c->free_s = rp_plan_machine_fits_after_s(machine, &job->spec.each);
     if (c->free_s > SOON_S && job->spec.priority >= RP_PRIORITY_HIGH &&
         scheduler->settings->tuning.preemption &&
         stop_price(scheduler, machine->ref, job, now) >= 0) {
@@ -362,7 +362,7 @@
                                                ? input->machines[placement->machine].ref
                                                : NULL;
         puts++;
-        all_now &= placement->now;
+        all_now &= placement->starts_now;
         fresh |= !machine || machine->state == RP_MACHINE_BOOTING;
     }
     return puts > 0 && (all_now || fresh);
@@ -376,12 +376,13 @@
     size_t kept = 0, most = 1 + input->plan_input.n_machines / ONES_OF;
     for (size_t g = 0; g < input->plan_input.n_groups; g++) {
         const struct rp_job *job = input->groups[g].ref;
-        kept += rp_reservation_is_exclusive(job) && job->spec.n_tasks == 1 && input->groups[g].held;
+        kept += rp_reservation_is_exclusive(job) && job->spec.n_tasks == 1 &&
+                input->groups[g].has_reservation;
     }
     for (size_t g = 0; g < input->plan_input.n_groups && kept < most; g++) {
         const struct rp_plan_group *group = &input->groups[g];
         struct rp_job *job = group->ref;
-        if (!rp_reservation_is_exclusive(job) || job->spec.n_tasks != 1 || group->held ||
+        if (!rp_reservation_is_exclusive(job) || job->spec.n_tasks != 1 || group->has_reservation ||
             group->age_s < GATHER_ONE_S || gang_served(input, plan, g) ||
             !rp_cluster_is_job_reconciled(scheduler->cluster, job) ||
             !soonest(scheduler, input, job, list, now))
@@ -401,7 +402,7 @@
         const struct rp_job *job = group->ref;
         if (!rp_reservation_is_exclusive(job) || job->spec.n_tasks == 1)
             continue;
-        if (group->held)
+        if (group->has_reservation)
             return input->plan_input.n_groups; /* one at a time */
         bool before = chosen == input->plan_input.n_groups ||
                       group->priority > input->groups[chosen].priority ||
--- a/tests/test_plan.c
+++ b/tests/test_plan.c
@@ -5,10 +5,10 @@
 #include <math.h>
 #include "scheduler/planner.h"
 
-static const struct rp_heuristic fcfs_sm = {RP_FCFS, RP_SM};
+static const struct rp_heuristic fcfs_sm = {RP_JOB_ORDER_FCFS, RP_MACHINE_ORDER_SM};
 
-static struct rp_plan_kind kind(int type, bool spot, double cpus, double price) {
-    return (struct rp_plan_kind){
+static struct rp_plan_offering kind(int type, bool spot, double cpus, double price) {
+    return (struct rp_plan_offering){
         .type = type, .spot = spot, .price = price, .boot_s = 30, .capacity = {cpus, 0, cpus * 4}};
 }
 
@@ -18,11 +18,11 @@
                                     .capacity = {cpus, 0, cpus * 4},
                                     .free_now = {room, 0, cpus * 4},
                                     .free_later = {room, 0, cpus * 4},
-                                    .wait_s = 30};
+                                    .free_later_after_s = 30};
 }
 
 static struct rp_plan_group group(uint32_t n, double cpus, double run_s) {
-    return (struct rp_plan_group){.n = n,
+    return (struct rp_plan_group){.n_tasks = n,
                                   .each = {cpus, 0, 1},
                                   .run_s = run_s,
                                   .team = -1,
@@ -33,17 +33,17 @@
                                   .spread_max = (n + 1) / 2};
 }
 
-static struct rp_plan_input input(struct rp_plan_kind *kind, size_t nk,
+static struct rp_plan_input input(struct rp_plan_offering *offering, size_t nk,
                                   struct rp_plan_machine *machine, size_t nm,
                                   struct rp_plan_group *group, size_t ng) {
-    return (struct rp_plan_input){.kinds = kind,
-                                  .n_kinds = nk,
+    return (struct rp_plan_input){.offerings = offering,
+                                  .n_offerings = nk,
                                   .machines = machine,
                                   .n_machines = nm,
                                   .groups = group,
                                   .n_groups = ng,
                                   .unit_s = 60,
-                                  .new_max = 20};
+                                  .new_machines_max = 20};
 }
 
 static uint32_t put_on(const struct rp_plan *plan, size_t group, size_t machine) {
@@ -57,9 +57,9 @@
 static void formula_one(void **state) {
     (void)state;
     /* 61 s from its start are two units of 60 s: 2/60 of an hour's price. */
-    assert_true(fabs(rp_plan_cost(3600, 0, 61, 60) - 120) < 1e-9);
-    assert_true(fabs(rp_plan_cost(3600, 30, 30, 60) - 60) < 1e-9);
-    assert_true(fabs(rp_plan_cost(3600, 30, 31, 60) - 120) < 1e-9);
+    assert_true(fabs(rp_plan_machine_cost(3600, 0, 61, 60) - 120) < 1e-9);
+    assert_true(fabs(rp_plan_machine_cost(3600, 30, 30, 60) - 60) < 1e-9);
+    assert_true(fabs(rp_plan_machine_cost(3600, 30, 31, 60) - 120) < 1e-9);
 }
 
 static void first_with_room(void **state) {
@@ -71,17 +71,17 @@
     rp_plan_build(&in, fcfs_sm, &plan); /* the smaller machine first */
     assert_int_equal(put_on(&plan, 0, 1), 5);
     assert_int_equal(put_on(&plan, 0, 0), 3);
-    assert_int_equal(plan.n_now, 8);
+    assert_int_equal(plan.n_starting, 8);
     assert_int_equal(plan.n_new_machines, 0);
     rp_plan_free(&plan);
-    rp_plan_build(&in, (struct rp_heuristic){RP_FCFS, RP_LM}, &plan);
+    rp_plan_build(&in, (struct rp_heuristic){RP_JOB_ORDER_FCFS, RP_MACHINE_ORDER_LM}, &plan);
     assert_int_equal(put_on(&plan, 0, 0), 8);
     rp_plan_free(&plan);
 }
 
 static void rents_most_capacity_per_price(void **state) {
-    struct rp_plan_kind kinds[] = {kind(0, false, 8, 0.5), kind(1, false, 32, 1.5),
-                                   kind(1, true, 32, 0.4)};
+    struct rp_plan_offering kinds[] = {kind(0, false, 8, 0.5), kind(1, false, 32, 1.5),
+                                       kind(1, true, 32, 0.4)};
     struct rp_plan_group groups[] = {group(40, 1, 50)};
     struct rp_plan_input in = input(kinds, 3, NULL, 0, groups, 1);
     struct rp_plan plan;
@@ -89,7 +89,7 @@
     rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(plan.n_new_machines, 2);
     assert_int_equal(plan.new_machines[0], 2); /* spot: 80 CPUs for 1 */
-    assert_int_equal(plan.n_wait, 40);
+    assert_int_equal(plan.n_waiting, 40);
     rp_plan_free(&plan);
     groups[0].spot = false;
     rp_plan_build(&in, fcfs_sm, &plan);
@@ -102,7 +102,7 @@
 }
 
 static void waits_rather_than_rents(void **state) {
-    struct rp_plan_kind kinds[] = {kind(0, false, 8, 0.5)};
+    struct rp_plan_offering kinds[] = {kind(0, false, 8, 0.5)};
     struct rp_plan_machine machines[] = {machine(0, 8, 0)};
     struct rp_plan_group groups[] = {group(8, 1, 50)};
     struct rp_plan_input in = input(kinds, 1, machines, 1, groups, 1);
@@ -111,8 +111,8 @@
     machines[0].free_later.cpus = 8; /* free before another machine could be up */
     rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(plan.n_new_machines, 0);
-    assert_int_equal(plan.n_now, 0);
-    assert_int_equal(plan.n_wait, 8);
+    assert_int_equal(plan.n_starting, 0);
+    assert_int_equal(plan.n_waiting, 8);
     rp_plan_free(&plan);
 }
 
@@ -132,7 +132,7 @@
     machines[1].zone = 1;
     machines[1].capacity.cpus = machines[1].free_now.cpus = machines[1].free_later.cpus = 16;
     groups[1].one_zone = true;
-    groups[0].n = 9;
+    groups[0].n_tasks = 9;
     rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(put_on(&plan, 1, 1), 2);
     rp_plan_free(&plan);
@@ -155,7 +155,7 @@
     in.n_teams = 1;
     groups[0].team = 0;
     rp_plan_build(&in, fcfs_sm, &plan);
-    assert_int_equal(plan.n_now, 4);
+    assert_int_equal(plan.n_starting, 4);
     rp_plan_free(&plan);
 }
 
@@ -189,8 +189,8 @@
     (void)state;
     gsl_rng_set(rng, 11);
     for (int round = 0; round < 400; round++) {
-        struct rp_plan_kind kinds[] = {kind(0, false, 8, 0.5), kind(1, false, 32, 1.5),
-                                       kind(1, true, 32, 0.4)};
+        struct rp_plan_offering kinds[] = {kind(0, false, 8, 0.5), kind(1, false, 32, 1.5),
+                                           kind(1, true, 32, 0.4)};
         struct rp_plan_machine machines[12];
         struct rp_plan_group groups[20];
         struct rp_plan_team team[] = {{.cpus_left = gsl_rng_uniform(rng) * 100, .gpus_left = 1e9}};
@@ -228,13 +228,13 @@
         for (size_t i = 0; i < plan.n_placements; i++) {
             const struct rp_placement *placement = &plan.placements[i];
             bool fresh = placement->machine >= nm;
-            const struct rp_plan_kind *kd =
+            const struct rp_plan_offering *kd =
                 fresh ? &kinds[plan.new_machines[placement->machine - nm]] : NULL;
             int zone = fresh ? kd->zone : machines[placement->machine].zone;
             bool spot = fresh ? kd->spot : machines[placement->machine].spot;
             used[placement->machine] += placement->count * groups[placement->group].each.cpus;
             now_used[placement->machine] +=
-                placement->now ? placement->count * groups[placement->group].each.cpus : 0;
+                placement->starts_now ? placement->count * groups[placement->group].each.cpus : 0;
             placed[placement->group] += placement->count;
             zone_used[placement->group][zone] += placement->count;
             team_used += groups[placement->group].team == 0
@@ -242,7 +242,7 @@
                              : 0;
             assert_true(groups[placement->group].zones >> zone & 1);
             assert_true(!spot || groups[placement->group].spot);
-            assert_false(fresh && placement->now);
+            assert_false(fresh && placement->starts_now);
         }
         for (size_t i = 0; i < nm + plan.n_new_machines; i++) {
             double later = i < nm ? machines[i].free_later.cpus
@@ -251,9 +251,9 @@
             assert_true(i >= nm || now_used[i] <= machines[i].free_now.cpus + 1e-6);
         }
         for (size_t i = 0; i < ng; i++) {
-            assert_true(placed[i] <= groups[i].n);
+            assert_true(placed[i] <= groups[i].n_tasks);
             assert_true(groups[i].kind != RP_JOB_GANG || placed[i] == 0 ||
-                        placed[i] == groups[i].n);
+                        placed[i] == groups[i].n_tasks);
             assert_true(!groups[i].one_zone || !zone_used[i][0] || !zone_used[i][1]);
             for (int z = 0; z < 2; z++)
                 assert_true(!groups[i].spread || zone_used[i][z] <= groups[i].spread_max);
@@ -277,10 +277,10 @@
         machines[i] = machine(0, 8, 8);
     for (int i = 0; i < 4; i++)
         groups[i].slack_s = 100;
-    groups[0].slack_s = 10; /* about to be late, and far too large to be in time */
-    groups[1].begin = true; /* the first task of another large one */
+    groups[0].slack_s = 10;         /* about to be late, and far too large to be in time */
+    groups[1].is_first_task = true; /* the first task of another large one */
     struct rp_plan_input in = input(NULL, 0, machines, MACHINES, groups, 4);
-    rp_plan_build(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    rp_plan_build(&in, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
     uint32_t placed[4] = {0};
     for (size_t i = 0; i < plan.n_placements; i++)
         placed[plan.placements[i].group] += plan.placements[i].count;
@@ -293,7 +293,7 @@
     /* With time enough for all, nothing is given up. */
     for (int i = 0; i < 4; i++)
         groups[i].slack_s = 2000;
-    rp_plan_build(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    rp_plan_build(&in, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
     assert_false(plan.short_of_capacity[0]);
     rp_plan_free(&plan);
 }
@@ -308,7 +308,7 @@
     int gang, other;
     (void)state;
     groups[0].kind = RP_JOB_GANG;
-    groups[0].held = true;
+    groups[0].has_reservation = true;
     groups[0].ref = &gang;
     groups[1].ref = &other;
     machines[0].reserved_for = machines[1].reserved_for = &gang;
@@ -335,7 +335,7 @@
     (void)state;
     for (int i = 0; i < 2; i++) {
         machines[i].capacity.gpus = machines[i].free_now.gpus = machines[i].free_later.gpus = 4;
-        machines[i].spare_now = (struct rp_resources){3, 0, 20};
+        machines[i].free_spare = (struct rp_resources){3, 0, 20};
     }
     machines[0].busy_s = machines[0].own_busy_s = 60;
     machines[1].busy_s = 60; /* by such work itself: that would keep the machine for ever */
@@ -364,8 +364,8 @@
         g[i] = group(100, 1, 30);
     struct rp_plan_input in = input(NULL, 0, m, MACHINES, g, GROUPS);
     rp_plan_build(&in, fcfs_sm, &plan);
-    assert_int_equal(plan.n_now, 320);
-    assert_true(plan.n_probes > 0 && plan.n_probes < 1000);
+    assert_int_equal(plan.n_starting, 320);
+    assert_true(plan.n_machines_examined > 0 && plan.n_machines_examined < 1000);
     rp_plan_free(&plan);
     free(m);
     free(g);
@@ -388,7 +388,7 @@
     }
     groups[3].kind = RP_JOB_GANG;
     struct rp_plan_input in = input(NULL, 0, machines, 10, groups, 4);
-    rp_plan_build(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    rp_plan_build(&in, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
     assert_true(plan.short_of_capacity[0]);
     for (size_t i = 0; i < 10; i++)
         small += put_on(&plan, 2, i);
@@ -408,7 +408,7 @@
     rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(put_on(&plan, 1, 0), 0);
     rp_plan_free(&plan);
-    groups[1].guaranteed = true;
+    groups[1].is_guaranteed = true;
     rp_plan_build(&in, fcfs_sm, &plan);
     assert_int_equal(put_on(&plan, 1, 0), 6);
     assert_int_equal(put_on(&plan, 0, 0), 2);
@@ -434,7 +434,7 @@
     groups[40].slack_s = 60;
     groups[40].class_jobs = 1;
     struct rp_plan_input in = input(NULL, 0, machines, 10, groups, 41);
-    rp_plan_build(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    rp_plan_build(&in, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
     assert_true(plan.short_of_capacity[0]);
     for (size_t i = 0; i < 10; i++)
         rare += put_on(&plan, 40, i);
@@ -442,7 +442,7 @@
     rp_plan_free(&plan);
     /* As one job of many it is given up, as before. */
     groups[40].class_jobs = 40;
-    rp_plan_build(&in, (struct rp_heuristic){RP_ESW, RP_SM}, &plan);
+    rp_plan_build(&in, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
     rare = 0;
     for (size_t i = 0; i < 10; i++)
         rare += put_on(&plan, 40, i);
