--- a/src/jobs/garbage_collector.c
+++ b/src/jobs/garbage_collector.c
@@ -5,7 +5,6 @@
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/string_copy.h"
-#include "protocol/wire.h"
 
 /* A transaction of deletions under way. */
 struct deletion {
@@ -47,8 +46,9 @@
     rp_stored_records_add(&(*link)->records, records);
 }
 
-void rp_garbage_collector_delete_within(const struct rp_garbage_collector *collector, json_t *txn,
-                                        const char *job_id, struct rp_stored_records *records) {
+void rp_garbage_collector_delete_within(const struct rp_garbage_collector *collector,
+                                        struct rp_kv_txn *txn, const char *job_id,
+                                        struct rp_stored_records *records) {
     rp_stored_records_delete(txn, job_id, records, collector->max_changes);
 }
 
@@ -95,13 +95,13 @@
     deletion->records = garbage->records;
     rp_string_copy(deletion->job_id, sizeof deletion->job_id, garbage->job_id);
     char key[RP_KEY_MAX];
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(context->election, txn);
     rp_key(key, RP_KEY_OPEN, garbage->job_id);
-    rp_wire_txn_if(txn, key, 0);
+    rp_kv_txn_if(txn, key, RP_KV_ABSENT);
     struct rp_stored_records left = garbage->records;
     rp_stored_records_delete(txn, garbage->job_id, &left, max_changes);
     rp_stored_records_remove(&deletion->records, &left);
     collector->is_deleting = true;
-    rp_kv_txn(context->store, RP_KV_BUDGET_LEADER, txn, on_deletion_response, deletion);
+    rp_kv_txn_submit(context->store, RP_KV_BUDGET_LEADER, txn, on_deletion_response, deletion);
 }
--- a/src/jobs/garbage_collector.h
+++ b/src/jobs/garbage_collector.h
@@ -37,8 +37,9 @@
 void rp_garbage_collector_collect(struct rp_garbage_collector *collector);
 /** Adds deletions of a job's records to a transaction of the caller's, as many as fit, and takes
  * them off the set. */
-void rp_garbage_collector_delete_within(const struct rp_garbage_collector *collector, json_t *txn,
-                                        const char *job_id, struct rp_stored_records *records);
+void rp_garbage_collector_delete_within(const struct rp_garbage_collector *collector,
+                                        struct rp_kv_txn *txn, const char *job_id,
+                                        struct rp_stored_records *records);
 /** The store refused a transaction as too long: later ones get fewer changes. */
 void rp_garbage_collector_on_txn_refused(struct rp_garbage_collector *collector);
 
--- a/src/jobs/job_finisher.c
+++ b/src/jobs/job_finisher.c
@@ -4,7 +4,6 @@
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/string_copy.h"
-#include "protocol/wire.h"
 
 /* After the store has refused the transaction. */
 #define REFUSED_BACKOFF_S 5.0
@@ -40,7 +39,7 @@
     }
     rp_job_table_set_state(finisher->table, job, RP_JOB_COMPLETE);
     if (result->outcome == RP_KV_CONDITION_FAILED &&
-        rp_wire_failed_key(result->body, RP_KEY_LEADER)) {
+        rp_kv_result_failed_on(result, RP_KEY_LEADER)) {
         rp_election_verify(context->election);
     } else if (result->outcome == RP_KV_BAD_REQUEST) {
         rp_garbage_collector_on_txn_refused(finisher->collector);
@@ -64,20 +63,21 @@
     request->generation = context->generation;
     rp_string_copy(request->job_id, sizeof request->job_id, job->spec.id);
     char key[RP_KEY_MAX];
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(context->election, txn);
     rp_key(key, RP_KEY_OPEN, job->spec.id);
-    rp_wire_txn_if(txn, key, job->record_revision);
-    rp_wire_txn_delete(txn, key);
+    rp_kv_txn_if(txn, key, job->record_revision);
+    rp_kv_txn_delete(txn, key);
     rp_key(key, RP_KEY_TERMINAL, job->spec.id);
-    rp_wire_txn_put(txn, key,
-                    rp_upgrade_mark_record(context->upgrade, rp_record_terminal(RP_JOB_DONE)), 0);
+    rp_kv_txn_put(txn, key,
+                  rp_upgrade_mark_record(context->upgrade, rp_record_terminal(RP_JOB_DONE)),
+                  RP_KV_NO_LEASE);
     /* The move itself is atomic; the records that nobody reads any more go as they fit, with it or
      * after it. */
     request->left = job->stored;
     rp_garbage_collector_delete_within(finisher->collector, txn, job->spec.id, &request->left);
     rp_job_table_set_state(finisher->table, job, RP_JOB_FINISHING);
-    rp_kv_txn(context->store, RP_KV_BUDGET_LEADER, txn, on_finish_response, request);
+    rp_kv_txn_submit(context->store, RP_KV_BUDGET_LEADER, txn, on_finish_response, request);
 }
 
 void rp_job_finisher_finish_all(struct rp_job_finisher *finisher) {
--- a/src/jobs/job_loader.c
+++ b/src/jobs/job_loader.c
@@ -29,7 +29,7 @@
     return result->outcome == RP_KV_OK;
 }
 
-static void read_progress_record(struct rp_job_loader *loader, const struct rp_item *item) {
+static void read_progress_record(struct rp_job_loader *loader, const struct rp_kv_item *item) {
     char job_id[RP_ID_MAX];
     struct rp_progress_record record;
     if (!rp_progress_record_read_key(item->key, job_id, &record))
@@ -48,7 +48,7 @@
         rp_record_reader_note_unreadable(loader->reader, item->key, item->value);
         return;
     }
-    rp_job_progress_set_revision(&job->progress, record, item->version);
+    rp_job_progress_set_revision(&job->progress, record, item->revision);
     rp_stored_records_add(&job->stored, &stored);
 }
 
@@ -68,11 +68,11 @@
     struct rp_job_loader *loader = request->loader;
     if (!has_page(request, result))
         goto out;
-    bool has_more = false;
-    struct rp_item item = {0};
-    size_t n = rp_wire_items(result->body, &has_more);
+    bool has_more = rp_kv_result_has_more(result);
+    struct rp_kv_item item = {0};
+    size_t n = rp_kv_result_n_items(result);
     for (size_t i = 0; i < n; i++)
-        if (rp_wire_items_at(result->body, i, &item))
+        if (rp_kv_result_item_at(result, i, &item))
             read_progress_record(loader, &item);
     if (has_more && n > 0) {
         list_progress(loader, item.key);
@@ -85,9 +85,9 @@
     free(request);
 }
 
-static void read_open_item(struct rp_job_loader *loader, const struct rp_item *item) {
+static void read_open_item(struct rp_job_loader *loader, const struct rp_kv_item *item) {
     if (rp_job_watch_is_fence(item))
-        rp_election_note_fence(loader->context->election, item->version);
+        rp_election_note_fence(loader->context->election, item->revision);
     else if (!rp_job_table_find(loader->table, item->key + strlen(RP_KEY_OPEN)))
         rp_record_reader_read(loader->reader, item);
 }
@@ -104,16 +104,16 @@
     struct rp_job_loader *loader = request->loader;
     if (!has_page(request, result))
         goto out;
-    bool has_more = false;
-    struct rp_item item = {0};
-    size_t n = rp_wire_items(result->body, &has_more);
+    bool has_more = rp_kv_result_has_more(result);
+    struct rp_kv_item item = {0};
+    size_t n = rp_kv_result_n_items(result);
     for (size_t i = 0; i < n; i++)
-        if (rp_wire_items_at(result->body, i, &item))
+        if (rp_kv_result_item_at(result, i, &item))
             read_open_item(loader, &item);
     /* A fence may have ended this term. */
     if (!rp_jobs_context_is_current(loader->context, request->generation))
         goto out;
-    rp_job_watch_on_list_page(loader->watch, rp_wire_revision(result->body), has_more);
+    rp_job_watch_on_list_page(loader->watch, rp_kv_result_revision(result), has_more);
     if (has_more && n > 0)
         list_open_jobs(loader, item.key);
     else
--- a/src/jobs/job_watch.c
+++ b/src/jobs/job_watch.c
@@ -102,18 +102,18 @@
     watch->is_refused_alone = watch->is_running;
 }
 
-bool rp_job_watch_is_fence(const struct rp_item *item) {
+bool rp_job_watch_is_fence(const struct rp_kv_item *item) {
     return strcmp(item->key, RP_KEY_FENCE) == 0;
 }
 
 static void on_record_written(struct rp_job_watch *watch, const char *job_id,
-                              const struct rp_item *event) {
+                              const struct rp_kv_item *event) {
     struct rp_job *job = rp_job_table_find(watch->table, job_id);
     struct rp_partial_record *partial = rp_record_reader_find(watch->reader, job_id);
     if (job)
-        job->record_revision = event->version;
+        job->record_revision = event->revision;
     else if (partial)
-        partial->revision = event->version;
+        partial->revision = event->revision;
     else
         rp_record_reader_read(watch->reader, event);
 }
@@ -136,18 +136,20 @@
     }
 }
 
-static void note_fences(struct rp_job_watch *watch, json_t *body, size_t n_events) {
+static void note_fences(struct rp_job_watch *watch, const struct rp_kv_result *result,
+                        size_t n_events) {
     for (size_t i = 0; i < n_events; i++) {
-        struct rp_item event;
-        if (rp_wire_event_at(body, i, &event) && rp_job_watch_is_fence(&event))
-            rp_election_note_fence(watch->context->election, event.version);
+        struct rp_kv_item event;
+        if (rp_kv_result_event_at(result, i, &event) && rp_job_watch_is_fence(&event))
+            rp_election_note_fence(watch->context->election, event.revision);
     }
 }
 
-static void apply_events(struct rp_job_watch *watch, json_t *body, size_t n_events) {
+static void apply_events(struct rp_job_watch *watch, const struct rp_kv_result *result,
+                         size_t n_events) {
     for (size_t i = 0; i < n_events; i++) {
-        struct rp_item event;
-        if (!rp_wire_event_at(body, i, &event) || rp_job_watch_is_fence(&event) ||
+        struct rp_kv_item event;
+        if (!rp_kv_result_event_at(result, i, &event) || rp_job_watch_is_fence(&event) ||
             strncmp(event.key, RP_KEY_OPEN, strlen(RP_KEY_OPEN)) != 0)
             continue;
         const char *job_id = event.key + strlen(RP_KEY_OPEN);
@@ -158,16 +160,17 @@
     }
 }
 
-static void take_answer(struct rp_job_watch *watch, unsigned long generation, json_t *body) {
-    size_t n_events = rp_wire_events(body);
+static void take_answer(struct rp_job_watch *watch, unsigned long generation,
+                        const struct rp_kv_result *result) {
+    size_t n_events = rp_kv_result_n_events(result);
     /* Before anything else of the answer: jobs that come with a fence are the next leader's. */
-    note_fences(watch, body, n_events);
+    note_fences(watch, result, n_events);
     if (!rp_jobs_context_is_current(watch->context, generation))
         return;
-    apply_events(watch, body, n_events);
+    apply_events(watch, result, n_events);
     watch->has_covered_load = true;
     rp_record_reader_read_next_parts(watch->reader);
-    uint64_t revision = rp_wire_revision(body);
+    uint64_t revision = rp_kv_result_revision(result);
     if (revision > watch->revision)
         watch->revision = revision;
     watch->synced_at = watch->sent_at;
@@ -183,7 +186,7 @@
     if (!rp_jobs_context_is_current(watch->context, request->generation) || !watch->is_running)
         goto out;
     if (result->outcome == RP_KV_OK && result->body) {
-        take_answer(watch, request->generation, result->body);
+        take_answer(watch, request->generation, result);
     } else if (result->outcome == RP_KV_COMPACTED) {
         /* The watch fell too far behind: the table has to be read again, and with it the cluster
          * state of who may be where. Under the same fencing token old copies of heartbeats would
--- a/src/jobs/job_watch.h
+++ b/src/jobs/job_watch.h
@@ -59,6 +59,6 @@
 /** The store answers other nodes, but not this one. */
 void rp_job_watch_note_store_refusal(struct rp_job_watch *watch);
 /** Whether the item is the fence of a failover, which lies among the open jobs but is none. */
-bool rp_job_watch_is_fence(const struct rp_item *item);
+bool rp_job_watch_is_fence(const struct rp_kv_item *item);
 
 #endif
--- a/src/jobs/progress_writer.c
+++ b/src/jobs/progress_writer.c
@@ -4,7 +4,6 @@
 #include <string.h>
 #include "base/memory.h"
 #include "base/string_copy.h"
-#include "protocol/wire.h"
 
 /* Records of some 2.2 KB each: a transaction may have 64 KiB. */
 #define TXN_RECORDS_MAX 24
@@ -66,7 +65,7 @@
 static void on_revision_response(void *arg, const struct rp_kv_result *result) {
     struct revision_read *read = arg;
     const struct rp_progress_writer *writer = read->writer;
-    struct rp_item item;
+    struct rp_kv_item item;
     if (!rp_jobs_context_is_current(writer->context, read->generation))
         goto out;
     struct rp_job *job = find_unended_job(writer, read->job_id);
@@ -75,8 +74,8 @@
     rp_job_progress_apply(&job->progress, read->record, RP_PROGRESS_READ_RETURNED);
     if (result->outcome == RP_KV_NOT_FOUND)
         rp_job_progress_set_revision(&job->progress, read->record, 0);
-    else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item))
-        rp_job_progress_set_revision(&job->progress, read->record, item.version);
+    else if (rp_kv_result_item(result, &item))
+        rp_job_progress_set_revision(&job->progress, read->record, item.revision);
     note_stored(job, read->record);
     job->progress.dirty_since = (struct timespec){0}; /* it has waited long enough */
 out:
@@ -129,7 +128,7 @@
     rp_progress_record_key(key, job->spec.id, record);
     bool may_be_written = result->outcome == RP_KV_UNKNOWN;
     bool has_other_revision =
-        result->outcome == RP_KV_CONDITION_FAILED && rp_wire_failed_key(result->body, key);
+        result->outcome == RP_KV_CONDITION_FAILED && rp_kv_result_failed_on(result, key);
     rp_job_progress_apply(&job->progress, record, RP_PROGRESS_WRITE_FAILED);
     if (may_be_written || has_other_revision)
         rp_job_progress_set_revision(&job->progress, record, RP_PROGRESS_REVISION_UNKNOWN);
@@ -156,12 +155,11 @@
         if (!job)
             note_late_write(writer, written, result->outcome);
         else if (result->outcome == RP_KV_OK)
-            note_written(job, written, rp_wire_revision(result->body));
+            note_written(job, written, rp_kv_result_revision(result));
         else
             note_write_failed(job, written->record, result);
     }
-    if (result->outcome == RP_KV_CONDITION_FAILED &&
-        rp_wire_failed_key(result->body, RP_KEY_LEADER))
+    if (result->outcome == RP_KV_CONDITION_FAILED && rp_kv_result_failed_on(result, RP_KEY_LEADER))
         rp_election_verify(writer->context->election);
     if (result->outcome == RP_KV_BAD_REQUEST)
         note_refused_as_large(writer, write);
@@ -173,7 +171,7 @@
 
 /* ---- writes ---- */
 
-static void write_record(struct progress_write *write, json_t *txn, struct rp_job *job,
+static void write_record(struct progress_write *write, struct rp_kv_txn *txn, struct rp_job *job,
                          struct rp_progress_record record) {
     const struct rp_jobs_context *context = write->writer->context;
     struct written_record *written = &write->records[write->n_records++];
@@ -184,9 +182,10 @@
     memcpy(written->bits, bits, n_bytes);
     char key[RP_KEY_MAX];
     rp_progress_record_key(key, job->spec.id, record);
-    rp_wire_txn_if(txn, key, rp_job_progress_revision(&job->progress, record));
-    rp_wire_txn_put(txn, key,
-                    rp_upgrade_mark_record(context->upgrade, rp_record_progress(bits, n_bytes)), 0);
+    rp_kv_txn_if(txn, key, rp_job_progress_revision(&job->progress, record));
+    rp_kv_txn_put(txn, key,
+                  rp_upgrade_mark_record(context->upgrade, rp_record_progress(bits, n_bytes)),
+                  RP_KV_NO_LEASE);
     rp_job_progress_apply(&job->progress, record, RP_PROGRESS_WRITE_SENT);
 }
 
@@ -200,7 +199,7 @@
 
 /* Until every node reads units, progress goes into the chunks that all of them know; where one
  * doesn't fit, it waits for the activation. */
-static void write_job(struct progress_write *write, json_t *txn, struct rp_job *job) {
+static void write_job(struct progress_write *write, struct rp_kv_txn *txn, struct rp_job *job) {
     struct rp_progress_writer *writer = write->writer;
     bool is_unit = rp_upgrade_is_active(writer->context->upgrade);
     unsigned n = is_unit ? RP_UNITS_MAX : (RP_UNITS_MAX + RP_CHUNK_UNITS - 1) / RP_CHUNK_UNITS;
@@ -253,7 +252,7 @@
     if (max_records == 0)
         return;
     struct progress_write *write = new_write(writer, max_records);
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(context->election, txn);
     for (struct rp_job *job = writer->table->first; job && write->n_records < max_records;
          job = job->next) {
@@ -263,9 +262,9 @@
         job->progress.dirty_since = now;
     }
     if (write->n_records > 0) {
-        rp_kv_txn(context->store, RP_KV_BUDGET_LEADER, txn, on_write_response, write);
+        rp_kv_txn_submit(context->store, RP_KV_BUDGET_LEADER, txn, on_write_response, write);
     } else {
-        json_decref(txn);
+        rp_kv_txn_discard(txn);
         free(write);
     }
 }
--- a/src/jobs/record_reader.c
+++ b/src/jobs/record_reader.c
@@ -48,23 +48,23 @@
     return job;
 }
 
-static void add_partial_record(struct rp_record_reader *reader, const struct rp_item *item) {
+static void add_partial_record(struct rp_record_reader *reader, const struct rp_kv_item *item) {
     struct rp_partial_record **link = &reader->first;
     struct rp_partial_record *partial = rp_alloc(1, sizeof *partial);
     snprintf(partial->job_id, sizeof partial->job_id, "%s", item->key + strlen(RP_KEY_OPEN));
     partial->record = json_incref(item->value);
-    partial->revision = item->version;
+    partial->revision = item->revision;
     while (*link)
         link = &(*link)->next;
     *link = partial;
 }
 
-void rp_record_reader_read(struct rp_record_reader *reader, const struct rp_item *item) {
+void rp_record_reader_read(struct rp_record_reader *reader, const struct rp_kv_item *item) {
     if (rp_record_format(item->value) <= RP_FORMAT && rp_record_parts(item->value)) {
         add_partial_record(reader, item);
         return;
     }
-    const struct rp_job *job = add_job(reader, item->value, item->version);
+    const struct rp_job *job = add_job(reader, item->value, item->revision);
     if (job)
         rp_debug("job known: job=%s class=%s n_tasks=%u", job->spec.id, job->spec.class_name,
                  job->spec.n_tasks);
@@ -85,7 +85,7 @@
 }
 
 /* The number of the part that an item holds; 0 when it isn't one of the job's `n_parts`. */
-static unsigned part_number(const struct rp_item *item, const char *job_id, size_t n_parts) {
+static unsigned part_number(const struct rp_kv_item *item, const char *job_id, size_t n_parts) {
     char id[RP_ID_MAX];
     unsigned part;
     bool is_of_job = rp_key_part_read(item->key, id, &part) && strcmp(id, job_id) == 0;
@@ -94,14 +94,14 @@
 
 /* The whole record from its first piece and the parts listed, or NULL when one is missing. The
  * caller drops its reference. */
-static json_t *join_record(const struct rp_partial_record *partial, json_t *body) {
+static json_t *join_record(const struct rp_partial_record *partial,
+                           const struct rp_kv_result *result) {
     json_t *pieces[RP_PARTS_MAX] = {partial->record};
     size_t n_parts = rp_record_parts(partial->record), n_found = 0;
-    bool more;
-    size_t n = rp_wire_items(body, &more);
+    size_t n = rp_kv_result_n_items(result);
     for (size_t i = 0; i < n; i++) {
-        struct rp_item item;
-        if (!rp_wire_items_at(body, i, &item))
+        struct rp_kv_item item;
+        if (!rp_kv_result_item_at(result, i, &item))
             continue;
         unsigned part = part_number(&item, partial->job_id, n_parts);
         if (part > 0 && !pieces[part]) {
@@ -113,8 +113,8 @@
 }
 
 static void add_joined_job(struct rp_record_reader *reader, const struct rp_partial_record *partial,
-                           json_t *body) {
-    json_t *record = join_record(partial, body);
+                           const struct rp_kv_result *result) {
+    json_t *record = join_record(partial, result);
     struct rp_job *job = record ? add_job(reader, record, partial->revision) : NULL;
     json_decref(record);
     if (job) {
@@ -134,7 +134,7 @@
     enum rp_parts_outcome outcome = partial->is_cancelled ? RP_PARTS_DROPPED : RP_PARTS_READ;
     reader->first = partial->next;
     if (outcome == RP_PARTS_READ)
-        add_joined_job(reader, partial, result->body);
+        add_joined_job(reader, partial, result);
     partial_record_free(partial);
     rp_record_reader_read_next_parts(reader);
     return outcome;
--- a/src/jobs/record_reader.h
+++ b/src/jobs/record_reader.h
@@ -7,7 +7,6 @@
 #define RP_JOBS_RECORD_READER_H
 
 #include "jobs/job_table.h"
-#include "protocol/wire.h"
 
 /** A job's record of which further parts are still to be read. */
 struct rp_partial_record {
@@ -46,7 +45,7 @@
 void rp_record_reader_clear(struct rp_record_reader *reader);
 /** Puts the job of an open record into the table, or its partial record into the queue. The job
  * must be in neither. */
-void rp_record_reader_read(struct rp_record_reader *reader, const struct rp_item *item);
+void rp_record_reader_read(struct rp_record_reader *reader, const struct rp_kv_item *item);
 /** The partial record that waits for the job's parts; NULL when none does. */
 struct rp_partial_record *rp_record_reader_find(const struct rp_record_reader *reader,
                                                 const char *job_id);
--- a/src/jobs/stored_records.h
+++ b/src/jobs/stored_records.h
@@ -5,7 +5,7 @@
 #ifndef RP_JOBS_STORED_RECORDS_H
 #define RP_JOBS_STORED_RECORDS_H
 
-#include <jansson.h>
+#include "store/kv_txn.h"
 #include "store/records.h"
 
 /** Bit sets over the numbers of the records. */
@@ -27,7 +27,7 @@
                               const struct rp_stored_records *removed);
 /** Adds deletions of the records to `txn` until it has `max_changes` changes, and takes them off
  * the set: what is left has to be deleted by a later transaction. */
-void rp_stored_records_delete(json_t *txn, const char *job_id, struct rp_stored_records *records,
-                              size_t max_changes);
+void rp_stored_records_delete(struct rp_kv_txn *txn, const char *job_id,
+                              struct rp_stored_records *records, size_t max_changes);
 
 #endif
