--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -381,7 +381,7 @@
         return;
     rp_string_copy(operation->id, sizeof operation->id, id);
     if (!op_known_final(operation))
-        op_next(operation, rp_job_lookup_pays(api->job_lookup) ? OP_LOOK_UP : OP_READ_OPEN);
+        op_next(operation, rp_job_lookup_must_batch(api->job_lookup) ? OP_LOOK_UP : OP_READ_OPEN);
 }
 
 void rp_user_api_cancel(struct rp_user_api *api, struct rp_request *req, const char *id) {
--- a/src/jobs/job_loader.h
+++ b/src/jobs/job_loader.h
@@ -9,8 +9,8 @@
 #include "jobs/job_watch.h"
 #include "jobs/record_reader.h"
 
-/** The outcome of a load, told once for each. */
-typedef void (*rp_job_loader_fn)(void *arg, bool ok);
+/** The outcome of a load, told once for each: whether the table is complete. */
+typedef void (*rp_job_loader_fn)(void *arg, bool is_complete);
 
 /** The loader. */
 struct rp_job_loader {
--- a/src/jobs/job_progress.c
+++ b/src/jobs/job_progress.c
@@ -59,7 +59,8 @@
 
 size_t rp_job_progress_record_bytes(const struct rp_job_progress *progress,
                                     struct rp_progress_record record) {
-    size_t offset = rp_progress_record_offset(record), n_bytes = bit_set_bytes(progress);
+    size_t offset = rp_progress_record_offset(record);
+    size_t n_bytes = bit_set_bytes(progress);
     size_t span = record_span_bytes(record);
     if (offset >= n_bytes)
         return 0;
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -17,13 +17,13 @@
     rp_record_reader_read_next_parts(&jobs->record_reader);
 }
 
-static void on_loaded(void *arg, bool ok) {
+static void on_loaded(void *arg, bool is_complete) {
     struct rp_jobs *jobs = arg;
-    if (ok) {
+    if (is_complete) {
         rp_timer_set(jobs->context.loop, &jobs->tick_timer, TICK_PERIOD_S);
         rp_job_watch_start(&jobs->watch);
     }
-    jobs->on_loaded(jobs->arg, ok);
+    jobs->on_loaded(jobs->arg, is_complete);
 }
 
 static void on_job_closed(void *arg, struct rp_job *job) {
@@ -124,7 +124,8 @@
         return;
     struct timespec now = rp_loop_now(jobs->context.loop);
     bool is_gang = job->spec.kind == RP_JOB_GANG;
-    uint32_t first = is_gang ? 0 : task, end = is_gang ? job->spec.n_tasks : task + 1;
+    uint32_t first = is_gang ? 0 : task;
+    uint32_t end = is_gang ? job->spec.n_tasks : task + 1;
     for (uint32_t i = first; i < end; i++)
         job->n_done += rp_job_progress_mark_done(&job->progress, i, now);
     if (job->n_done == job->spec.n_tasks) {
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -21,8 +21,8 @@
 #include "jobs/progress_writer.h"
 #include "jobs/run_time_estimator.h"
 
-/** The outcome of rp_jobs_load. */
-typedef void (*rp_jobs_ready_fn)(void *arg, bool ok);
+/** The outcome of rp_jobs_load: whether the table is complete. */
+typedef void (*rp_jobs_ready_fn)(void *arg, bool is_complete);
 
 /** All that belongs to the jobs. The owner sets the call-backs after rp_jobs_init; the last two may
  * be NULL. */
@@ -38,8 +38,8 @@
     struct rp_run_time_estimator run_time_estimator;
     struct rp_timer tick_timer;
     rp_jobs_ready_fn on_loaded;
-    void (*on_job_closed)(void *arg, struct rp_job *job); /* its allocations have to be dropped */
-    void (*on_open_jobs_changed)(void *arg);
+    rp_job_closed_fn on_job_closed; /* its allocations have to be dropped */
+    rp_job_watch_fn on_open_jobs_changed;
     void *arg; /* for the call-backs */
 };
 
--- a/src/jobs/record_reader.c
+++ b/src/jobs/record_reader.c
@@ -97,7 +97,8 @@
 static json_t *join_record(const struct rp_partial_record *partial,
                            const struct rp_kv_result *result) {
     json_t *pieces[RP_PARTS_MAX] = {partial->record};
-    size_t n_parts = rp_record_parts(partial->record), n_found = 0;
+    size_t n_parts = rp_record_parts(partial->record);
+    size_t n_found = 0;
     size_t n = rp_kv_result_n_items(result);
     for (size_t i = 0; i < n; i++) {
         struct rp_kv_item item;
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -54,7 +54,7 @@
     world->loop.virtual_now = rp_ts(100);
     rp_kv_client_init(&world->state, &world->loop, net, "state", RPS, 10, 1, 0.6);
     rp_job_lookup_init(&world->lookup, &world->loop, &world->state, &world->settings);
-    while (!rp_job_lookup_pays(&world->lookup))
+    while (!rp_job_lookup_must_batch(&world->lookup))
         rp_token_bucket_take(&world->state.requests[RP_KV_BUDGET_QUERIES], 1);
 }
 
