--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -56,9 +56,9 @@
  * read the same body, and found it sound. */
 static void op_unavailable(struct op *operation) {
     if (operation->kind == OP_SUBMIT && operation->refusal == 400)
-        op_answer(operation, 400, rp_wire_error(operation->why), 0);
+        op_answer(operation, 400, rp_codec_write_error(operation->why), 0);
     else
-        op_answer(operation, 503, rp_wire_error("not possible just now"), RETRY_AFTER_S);
+        op_answer(operation, 503, rp_codec_write_error("not possible just now"), RETRY_AFTER_S);
 }
 
 static void op_status(struct op *operation, int status, enum rp_job_phase phase) {
@@ -66,7 +66,7 @@
     rp_string_copy(st.id, sizeof st.id, operation->id);
     if (phase == RP_JOB_QUEUED && status == 200)
         operation->api->fill_running_counts(operation->api->arg, &st);
-    op_answer(operation, status, rp_wire_job_status(&st), 0);
+    op_answer(operation, status, rp_user_codec_write_job_status(&st), 0);
 }
 
 /* The job's end, as the state service has it: it stays so, and this node answers by itself next
@@ -91,11 +91,11 @@
         operation->looked_up = false;
         op_next(operation, OP_READ_OPEN);
     } else if (operation->kind != OP_SUBMIT)
-        op_answer(operation, 404, rp_wire_error("no such job"), 0);
+        op_answer(operation, 404, rp_codec_write_error("no such job"), 0);
     else if (operation->refusal == 503)
         op_unavailable(operation);
     else if (operation->refusal)
-        op_answer(operation, operation->refusal, rp_wire_error(operation->why), 0);
+        op_answer(operation, operation->refusal, rp_codec_write_error(operation->why), 0);
     else
         op_next(operation, OP_WRITE);
 }
@@ -357,14 +357,14 @@
     struct op *operation = op_new(api, req, OP_SUBMIT);
     if (!operation)
         return;
-    if (!rp_wire_submission_id(req->body, req->len, operation->id)) {
+    if (!rp_user_codec_parse_submission_id(req->body, req->len, operation->id)) {
         rp_string_copy(operation->why, sizeof operation->why, "not a JSON object with a valid id");
-        op_answer(operation, 400, rp_wire_error(operation->why), 0);
+        op_answer(operation, 400, rp_codec_write_error(operation->why), 0);
         return;
     }
     if (op_known_final(operation))
         return;
-    if (!rp_wire_submission(req->body, req->len, &operation->spec, operation->why))
+    if (!rp_user_codec_parse_submission(req->body, req->len, &operation->spec, operation->why))
         operation->refusal = 400;
     else
         operation->refusal = judge(api, &operation->spec, operation->why);
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -30,7 +30,7 @@
 
 /** Each answers `req` exactly once, now or later. */
 void rp_user_api_submit(struct rp_user_api *api, struct rp_request *req);
-/** `id` must be valid (rp_wire_id_valid). */
+/** `id` must be valid (rp_job_codec_is_id). */
 void rp_user_api_query(struct rp_user_api *api, struct rp_request *req, const char *id);
 /** The same. */
 void rp_user_api_cancel(struct rp_user_api *api, struct rp_request *req, const char *id);
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -42,7 +42,7 @@
 /* Takes the types over if there are none yet, and `v` has some. */
 static bool take(struct rp_catalog_source *source, const json_t *value, const char *origin) {
     struct rp_catalog fresh;
-    if (source->known || !rp_wire_catalog_read(value, &fresh))
+    if (source->known || !rp_cloud_codec_read_catalog(value, &fresh))
         return source->known;
     *source->catalog = fresh;
     source->known = true;
@@ -56,9 +56,9 @@
 
 static void cloud_came(void *arg, const struct rp_answer *answer) {
     struct rp_catalog_source *source = arg;
-    json_t *value = answer->status == 200 ? rp_wire_parse(answer->body, answer->len) : NULL;
+    json_t *value = answer->status == 200 ? rp_codec_parse_object(answer->body, answer->len) : NULL;
     struct rp_catalog read;
-    if (rp_wire_catalog_read(value, &read)) {
+    if (rp_cloud_codec_read_catalog(value, &read)) {
         source->from_cloud = json_incref(value);
         (void)take(source, value, "the cloud");
     } else {
@@ -69,7 +69,7 @@
 
 static void cloud_due(void *arg) {
     struct rp_catalog_source *source = arg;
-    rp_cloud_call(source->cloud, RP_CLOUD_URGENT, "GET", RP_PATH_TYPES, NULL, cloud_came, source);
+    rp_cloud_call(source->cloud, RP_CLOUD_URGENT, "GET", RP_PATH_CATALOG, NULL, cloud_came, source);
 }
 
 static void stored_came(void *arg, const struct rp_kv_result *result) {
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -384,7 +384,7 @@
 static void rented(struct rp_fleet *fleet, struct rp_provision_request *request,
                    const struct rp_answer *answer) {
     size_t n;
-    char(*names)[RP_TEXT_MAX] = rp_wire_rented(answer->body, answer->len, &n);
+    char(*names)[RP_TEXT_MAX] = rp_cloud_codec_parse_provisioned(answer->body, answer->len, &n);
     if (!names) {
         rental_later(fleet, request, 1);
         return;
@@ -424,7 +424,7 @@
     rental->busy = false;
     if (answer->status == 200) {
         rented(fleet, rental, answer);
-    } else if (answer->status == 503 && rp_wire_no_capacity(answer->body, answer->len)) {
+    } else if (answer->status == 503 && rp_cloud_codec_is_no_capacity(answer->body, answer->len)) {
         refuse(fleet, rental);
         rental_set_state(fleet, rental, RP_PROVISION_ENDED);
         rental_step(fleet, rental);
@@ -444,7 +444,8 @@
     const struct rp_provision_record *rec = &request->record;
     request->busy = true;
     rp_cloud_call(fleet->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_MACHINES,
-                  rp_wire_rent(request->name, rec->type, rec->zone, rec->spot, rec->count),
+                  rp_cloud_codec_write_provision_request(request->name, rec->type, rec->zone,
+                                                         rec->spot, rec->count),
                   rental_answered, request_new(fleet, request->name));
 }
 
@@ -609,8 +610,8 @@
         rp_string_copy(request->names[i], sizeof request->names[i], names[i]);
     request->n = n;
     fleet->deleting = true;
-    rp_cloud_call(fleet->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_DELETE, rp_wire_delete(names, n),
-                  deleted, request);
+    rp_cloud_call(fleet->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_RELEASE,
+                  rp_cloud_codec_write_release(names, n), deleted, request);
 }
 
 void rp_fleet_scale_in(struct rp_fleet *fleet, struct rp_machine *machine, const char *why) {
@@ -685,7 +686,8 @@
     fleet->listing = false;
     if (answer->status != 200)
         goto out;
-    struct rp_listed_machine *list = rp_wire_listed(answer->body, answer->len, &n, &more);
+    struct rp_listed_machine *list =
+        rp_cloud_codec_parse_machine_list(answer->body, answer->len, &n, &more);
     for (size_t i = 0; list && i < n; i++)
         list_entry(fleet, &list[i]);
     if (list && n > 0)
@@ -731,7 +733,7 @@
     struct rp_fleet *fleet = request->f;
     struct rp_catalog *fresh = calloc(1, sizeof *fresh);
     if (fresh && request_current(request) && answer->status == 200 &&
-        rp_wire_catalog(answer->body, answer->len, fresh))
+        rp_cloud_codec_parse_catalog(answer->body, answer->len, fresh))
         /* Types keep their indexes, which machines refer to: only prices are taken over. */
         for (size_t i = 0; i < fresh->n_types; i++) {
             int at = type_index(fleet->catalog, fresh->types[i].name);
@@ -749,7 +751,7 @@
     if (!rp_ts_reached(now, fleet->next_catalog))
         return;
     fleet->next_catalog = rp_ts_after(now, 30);
-    rp_cloud_call(fleet->cloud, RP_CLOUD_ROUTINE, "GET", RP_PATH_TYPES, NULL, catalog_came,
+    rp_cloud_call(fleet->cloud, RP_CLOUD_ROUTINE, "GET", RP_PATH_CATALOG, NULL, catalog_came,
                   request_new(fleet, NULL));
 }
 
--- a/src/cluster/image_index.c
+++ b/src/cluster/image_index.c
@@ -91,7 +91,7 @@
 
 static void came(void *arg, const struct rp_answer *answer) {
     struct rp_image_index *index = arg;
-    json_t *value = answer->status == 200 ? rp_wire_parse(answer->body, answer->len) : NULL;
+    json_t *value = answer->status == 200 ? rp_codec_parse_object(answer->body, answer->len) : NULL;
     json_t *images = json_object_get(value, "images");
     if (json_object_size(images) > 0) {
         if (leads(index))
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -312,7 +312,7 @@
 
 static void summary_came(void *arg, const struct rp_answer *answer) {
     struct rp_node *node = arg;
-    json_t *value = answer->status == 200 ? rp_wire_parse(answer->body, answer->len) : NULL;
+    json_t *value = answer->status == 200 ? rp_codec_parse_object(answer->body, answer->len) : NULL;
     json_t *jobs = json_object_get(value, "jobs");
     const char *id;
     json_t *counts;
@@ -358,7 +358,7 @@
     struct rp_node *node = arg;
     if (answer->status == 200)
         node->peer_heard = rp_loop_now(node->loop);
-    json_t *value = answer->status == 200 ? rp_wire_parse(answer->body, answer->len) : NULL;
+    json_t *value = answer->status == 200 ? rp_codec_parse_object(answer->body, answer->len) : NULL;
     if (json_is_true(json_object_get(value, "state_answers")) &&
         rp_kv_failing_s(&node->store) > REFUSED_S)
         refused_alone(node);
@@ -460,7 +460,7 @@
 }
 
 static void refuse(struct rp_request *req, int status, const char *text) {
-    char *body = rp_wire_error(text);
+    char *body = rp_codec_write_error(text);
     req->respond(req, status, body ? body : "{}", 0);
     free(body);
 }
@@ -485,7 +485,7 @@
     }
     memcpy(id, rest, len);
     id[len] = '\0';
-    if (!rp_wire_id_valid(id))
+    if (!rp_job_codec_is_id(id))
         refuse(req, 404, "no such job");
     else if (cancel)
         rp_user_api_cancel(&node->api, req, id);
--- a/src/protocol/wire.c
+++ b/src/protocol/wire.c
@@ -37,7 +37,7 @@
     return text;
 }
 
-json_t *rp_wire_parse(const char *body, size_t len) {
+json_t *rp_codec_parse_object(const char *body, size_t len) {
     json_t *value = json_loadb(body, len, 0, NULL);
     if (json_is_object(value))
         return value;
@@ -47,7 +47,7 @@
 
 /* ---- users ---- */
 
-bool rp_wire_id_valid(const char *id) {
+bool rp_job_codec_is_id(const char *id) {
     size_t digits = 0;
     if (!id || strncmp(id, "j-", 2) != 0)
         return false;
@@ -57,10 +57,10 @@
     return digits > 0 && digits <= 20;
 }
 
-bool rp_wire_submission_id(const char *body, size_t len, char id[RP_ID_MAX]) {
-    json_t *value = rp_wire_parse(body, len);
+bool rp_user_codec_parse_submission_id(const char *body, size_t len, char id[RP_ID_MAX]) {
+    json_t *value = rp_codec_parse_object(body, len);
     const char *text = json_string_value(json_object_get(value, "ref"));
-    bool ok = rp_wire_id_valid(text) && copy_text(id, RP_ID_MAX, text);
+    bool ok = rp_job_codec_is_id(text) && copy_text(id, RP_ID_MAX, text);
     json_decref(value);
     return ok;
 }
@@ -148,7 +148,7 @@
         bad(reader, "yard", "a zone or null is needed");
 }
 
-bool rp_wire_spec_read(json_t *object, struct rp_job_spec *out, char why[128]) {
+bool rp_job_codec_read_spec(json_t *object, struct rp_job_spec *out, char why[128]) {
     struct field_reader reader = {.in = object, .why = why, .ok = true};
     memset(out, 0, sizeof *out);
     if (!json_is_object(object)) {
@@ -156,7 +156,7 @@
         return false;
     }
     read_text(&reader, "ref", out->id, sizeof out->id);
-    if (reader.ok && !rp_wire_id_valid(out->id))
+    if (reader.ok && !rp_job_codec_is_id(out->id))
         bad(&reader, "ref", "not a job id");
     read_text(&reader, "rig", out->class_name, sizeof out->class_name);
     read_text(&reader, "crew", out->team, sizeof out->team);
@@ -177,14 +177,15 @@
     return reader.ok;
 }
 
-bool rp_wire_submission(const char *body, size_t len, struct rp_job_spec *out, char why[128]) {
-    json_t *value = rp_wire_parse(body, len);
+bool rp_user_codec_parse_submission(const char *body, size_t len, struct rp_job_spec *out,
+                                    char why[128]) {
+    json_t *value = rp_codec_parse_object(body, len);
     if (!value) {
         memset(out, 0, sizeof *out);
         snprintf(why, 128, "not a JSON object");
         return false;
     }
-    bool ok = rp_wire_spec_read(value, out, why);
+    bool ok = rp_job_codec_read_spec(value, out, why);
     json_decref(value);
     return ok;
 }
@@ -195,7 +196,7 @@
     spec->n_types = 0;
 }
 
-json_t *rp_wire_spec_json(const struct rp_job_spec *spec) {
+json_t *rp_job_codec_write_spec(const struct rp_job_spec *spec) {
     json_t *types = NULL;
     if (spec->n_types) {
         types = json_array();
@@ -214,7 +215,7 @@
         spec->deadline_s > 0 ? json_real(spec->deadline_s) : NULL);
 }
 
-char *rp_wire_job_status(const struct rp_job_status *status) {
+char *rp_user_codec_write_job_status(const struct rp_job_status *status) {
     if (status->phase == RP_JOB_DONE || status->phase == RP_JOB_CANCELLED)
         return dump(json_pack("{s:s,s:s}", "ref", status->id, "tension", job_words[status->phase]));
     return dump(json_pack("{s:s,s:s,s:i,s:i}", "ref", status->id, "tension",
@@ -222,7 +223,7 @@
                           (int)status->running));
 }
 
-char *rp_wire_error(const char *text) {
+char *rp_codec_write_error(const char *text) {
     return dump(json_pack("{s:s}", "error", text));
 }
 
@@ -295,8 +296,8 @@
     return true;
 }
 
-bool rp_wire_report(const char *body, size_t len, struct rp_heartbeat *out) {
-    json_t *value = rp_wire_parse(body, len);
+bool rp_worker_codec_parse_heartbeat(const char *body, size_t len, struct rp_heartbeat *out) {
+    json_t *value = rp_codec_parse_object(body, len);
     memset(out, 0, sizeof *out);
     bool ok = value && read_report(value, out);
     json_decref(value);
@@ -326,18 +327,19 @@
     return list;
 }
 
-char *rp_wire_report_answer(uint64_t token, const struct rp_command *commands, size_t n) {
+char *rp_worker_codec_write_heartbeat_response(uint64_t token, const struct rp_command *commands,
+                                               size_t n) {
     return dump(json_pack("{s:I,s:o}", "warrant", (json_int_t)token, "signals",
                           commands_json(commands, n)));
 }
 
-char *rp_wire_direct(uint64_t token, uint64_t incarnation, const struct rp_command *commands,
-                     size_t n) {
+char *rp_worker_codec_write_direct_commands(uint64_t token, uint64_t incarnation,
+                                            const struct rp_command *commands, size_t n) {
     return dump(json_pack("{s:I,s:I,s:o}", "warrant", (json_int_t)token, "stint",
                           (json_int_t)incarnation, "signals", commands_json(commands, n)));
 }
 
-char *rp_wire_not_here(const char *leader) {
+char *rp_worker_codec_write_leader_hint(const char *leader) {
     return dump(leader ? json_pack("{s:s}", "foreman", leader) : json_object());
 }
 
@@ -378,7 +380,7 @@
     return reader.ok;
 }
 
-bool rp_wire_catalog_read(const json_t *value, struct rp_catalog *out) {
+bool rp_cloud_codec_read_catalog(const json_t *value, struct rp_catalog *out) {
     json_t *types = json_object_get(value, "frames");
     bool ok = json_is_array(types);
     memset(out, 0, sizeof *out);
@@ -393,21 +395,21 @@
     return ok && out->n_types > 0;
 }
 
-bool rp_wire_catalog(const char *body, size_t len, struct rp_catalog *out) {
-    json_t *value = rp_wire_parse(body, len);
-    bool ok = rp_wire_catalog_read(value, out);
+bool rp_cloud_codec_parse_catalog(const char *body, size_t len, struct rp_catalog *out) {
+    json_t *value = rp_codec_parse_object(body, len);
+    bool ok = rp_cloud_codec_read_catalog(value, out);
     json_decref(value);
     return ok;
 }
 
-char *rp_wire_rent(const char *request, const char *type, const char *zone, bool spot,
-                   unsigned count) {
+char *rp_cloud_codec_write_provision_request(const char *request, const char *type,
+                                             const char *zone, bool spot, unsigned count) {
     return dump(json_pack("{s:s,s:s,s:s,s:b,s:i}", "hire", request, "frame", type, "yard", zone,
                           "loaners", spot, "count", (int)count));
 }
 
-char (*rp_wire_rented(const char *body, size_t len, size_t *n))[RP_TEXT_MAX] {
-    json_t *value = rp_wire_parse(body, len);
+char (*rp_cloud_codec_parse_provisioned(const char *body, size_t len, size_t *n))[RP_TEXT_MAX] {
+    json_t *value = rp_codec_parse_object(body, len);
     json_t *names = json_object_get(value, "sheaves");
     char(*out)[RP_TEXT_MAX] = NULL;
     *n = 0;
@@ -420,23 +422,24 @@
     return out;
 }
 
-bool rp_wire_no_capacity(const char *body, size_t len) {
-    json_t *value = rp_wire_parse(body, len);
+bool rp_cloud_codec_is_no_capacity(const char *body, size_t len) {
+    json_t *value = rp_codec_parse_object(body, len);
     const char *error = json_string_value(json_object_get(value, "error"));
     bool yes = error && strcmp(error, "no capacity") == 0;
     json_decref(value);
     return yes;
 }
 
-char *rp_wire_delete(const char *const *machines, size_t n) {
+char *rp_cloud_codec_write_release(const char *const *machines, size_t n) {
     json_t *list = json_array();
     for (size_t i = 0; i < n; i++)
         json_array_append_new(list, json_string(machines[i]));
     return dump(json_pack("{s:o}", "sheaves", list));
 }
 
-struct rp_listed_machine *rp_wire_listed(const char *body, size_t len, size_t *n, bool *more) {
-    json_t *value = rp_wire_parse(body, len);
+struct rp_listed_machine *rp_cloud_codec_parse_machine_list(const char *body, size_t len, size_t *n,
+                                                            bool *more) {
+    json_t *value = rp_codec_parse_object(body, len);
     json_t *list = json_object_get(value, "sheaves");
     struct rp_listed_machine *out = NULL;
     *n = 0;
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -169,7 +169,7 @@
         return;
     }
     if (answer->len)
-        body = rp_wire_parse(answer->body, answer->len);
+        body = rp_codec_parse_object(answer->body, answer->len);
     if (outcome == RP_KV_OK && answer->len && !body)
         outcome = RP_KV_UNKNOWN;
     client->n_bad += outcome == RP_KV_BAD_REQUEST;
--- a/src/store/records.c
+++ b/src/store/records.c
@@ -143,7 +143,7 @@
 /* ---- jobs ---- */
 
 json_t *rp_record_open(const struct rp_job_spec *spec, struct timespec accepted) {
-    return json_pack("{s:o,s:f}", "spec", rp_wire_spec_json(spec), "at", rp_ts_s(accepted));
+    return json_pack("{s:o,s:f}", "spec", rp_job_codec_write_spec(spec), "at", rp_ts_s(accepted));
 }
 
 bool rp_record_open_read(json_t *value, struct rp_job_spec *spec, struct timespec *accepted) {
@@ -151,7 +151,7 @@
     if (rp_record_format(value) > RP_FORMAT)
         return false;
     *accepted = rp_ts(json_number_value(json_object_get(value, "at")));
-    return rp_wire_spec_read(json_object_get(value, "spec"), spec, why);
+    return rp_job_codec_read_spec(json_object_get(value, "spec"), spec, why);
 }
 
 json_t *rp_record_terminal(enum rp_job_phase phase) {
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -55,7 +55,7 @@
 static void not_here(struct rp_workers *workers, struct rp_request *req) {
     const struct rp_election *election = workers->election;
     const char *leader = rp_election_leader(election, rp_loop_now(workers->loop));
-    respond(req, 421, rp_wire_not_here(leader));
+    respond(req, 421, rp_worker_codec_write_leader_hint(leader));
 }
 
 /* ---- reports that come while nobody is known to lead ---- */
@@ -539,8 +539,9 @@
             machine->contact.first_answer = now;
     }
     respond(req, 200,
-            rp_wire_report_answer(workers->election->fencing_token, batch ? batch->list : NULL,
-                                  batch ? batch->n : 0));
+            rp_worker_codec_write_heartbeat_response(workers->election->fencing_token,
+                                                     batch ? batch->list : NULL,
+                                                     batch ? batch->n : 0));
 }
 
 /* The machine of the report; NULL if nobody's record names it and it may be a copy of a report sent
@@ -644,7 +645,7 @@
     if (machine->state == RP_MACHINE_LOST && machine->contact.lost_incarnation > 0 &&
         heartbeat->incarnation == machine->contact.lost_incarnation) {
         take_results(workers, machine, heartbeat);
-        respond(req, 503, rp_wire_error("this session's lease has ended"));
+        respond(req, 503, rp_codec_write_error("this session's lease has ended"));
         return;
     }
     if (machine->state == RP_MACHINE_LOST &&
@@ -664,7 +665,7 @@
         /* A copy, late by seconds or by many leases: it proves nothing, and its answer renews no
          * lease, for nobody waits for it. */
         workers->n_stale++;
-        respond(req, 503, rp_wire_error("a newer report is known"));
+        respond(req, 503, rp_codec_write_error("a newer report is known"));
         return;
     }
     size_t busy = busy_allocations(machine);
@@ -673,7 +674,7 @@
     if (!machine->recorded)
         rp_fleet_adopt(workers->fleet, machine);
     if (starved(workers, machine)) {
-        respond(req, 503, rp_wire_error("no answer seems to reach this machine"));
+        respond(req, 503, rp_codec_write_error("no answer seems to reach this machine"));
         return;
     }
     bool news =
@@ -696,9 +697,9 @@
             not_here(workers, held[i].req);
         else if (!machine || machine->contact.incarnation != held[i].incarnation ||
                  machine->contact.heartbeat_seq != held[i].seq)
-            respond(held[i].req, 503, rp_wire_error("a newer report is known"));
+            respond(held[i].req, 503, rp_codec_write_error("a newer report is known"));
         else if (machine->state == RP_MACHINE_LOST || machine->state == RP_MACHINE_RELEASING)
-            respond(held[i].req, 503, rp_wire_error("this machine goes back"));
+            respond(held[i].req, 503, rp_codec_write_error("this machine goes back"));
         else
             answer_with_commands(workers, held[i].req, machine, held[i].received);
     }
@@ -781,7 +782,7 @@
     struct rp_machine *machine = direct_machine(command);
     struct rp_heartbeat heartbeat;
     bool read = machine && (answer->status == 200 || answer->status == 409) &&
-                rp_wire_report(answer->body, answer->len, &heartbeat);
+                rp_worker_codec_parse_heartbeat(answer->body, answer->len, &heartbeat);
     if (!machine)
         goto out;
     workers->n_direct_lost += !read;
@@ -836,8 +837,8 @@
         goto out;
     struct direct *d = direct_new(workers, machine, batch.n);
     note_attempts(d, &batch);
-    char *body = rp_wire_direct(workers->election->fencing_token, machine->contact.incarnation,
-                                batch.list, batch.n);
+    char *body = rp_worker_codec_write_direct_commands(
+        workers->election->fencing_token, machine->contact.incarnation, batch.list, batch.n);
     machine->contact.n_direct++;
     workers->n_direct++;
     workers->net.call_once(workers->net.ctx, machine->addr, "POST", RP_PATH_DIRECT, body, DIRECT_S,
@@ -880,7 +881,8 @@
         abort();
     if (machine->contact.known_by_fencing_only)
         command_unknown_tasks(&batch, machine);
-    char *body = rp_wire_direct(fence->direct->token, fence->direct->session, batch.list, batch.n);
+    char *body = rp_worker_codec_write_direct_commands(fence->direct->token, fence->direct->session,
+                                                       batch.list, batch.n);
     fence->n_sent++;
     workers->net.call_once(workers->net.ctx, fence->addr, "POST", RP_PATH_DIRECT, body, DIRECT_S,
                            fence_answered, fence);
@@ -922,7 +924,7 @@
     struct rp_heartbeat heartbeat;
     bool fenced = false, again = false;
     if (machine && (answer->status == 200 || answer->status == 409) &&
-        rp_wire_report(answer->body, answer->len, &heartbeat)) {
+        rp_worker_codec_parse_heartbeat(answer->body, answer->len, &heartbeat)) {
         bool same = strcmp(heartbeat.machine, command->machine) == 0;
         if (same && heartbeat.fencing_token > command->token)
             rp_election_verify(workers->election);
@@ -974,7 +976,8 @@
         goto out;
     machine->contact.probing = false;
     machine->contact.probes_failed++;
-    if (answer->status != 200 || !rp_wire_report(answer->body, answer->len, &heartbeat))
+    if (answer->status != 200 ||
+        !rp_worker_codec_parse_heartbeat(answer->body, answer->len, &heartbeat))
         goto out;
     machine->contact.probes_failed = 0;
     take_listing(command->w, machine, &heartbeat);
@@ -989,7 +992,7 @@
     machine->contact.probing = true;
     machine->contact.probed_at = rp_loop_now(workers->loop);
     machine->contact.n_direct++;
-    workers->net.call_once(workers->net.ctx, machine->addr, "GET", RP_PATH_SHOW, NULL, PROBE_S,
+    workers->net.call_once(workers->net.ctx, machine->addr, "GET", RP_PATH_PROBE, NULL, PROBE_S,
                            probe_answered, direct_new(workers, machine, 0));
 }
 
@@ -1017,15 +1020,15 @@
         not_here(workers, req);
         return;
     }
-    if (!rp_wire_report(req->body, req->len, &report)) {
-        respond(req, 400, rp_wire_error("not a report"));
+    if (!rp_worker_codec_parse_heartbeat(req->body, req->len, &report)) {
+        respond(req, 400, rp_codec_write_error("not a report"));
         return;
     }
     if (rp_fleet_is_terminated(workers->fleet, report.machine)) {
-        respond(req, 503, rp_wire_error("this machine has been returned"));
+        respond(req, 503, rp_codec_write_error("this machine has been returned"));
     } else if (report.fencing_token > workers->election->fencing_token) {
         rp_election_verify(workers->election);
-        respond(req, 503, rp_wire_error("a newer token is known"));
+        respond(req, 503, rp_codec_write_error("a newer token is known"));
     } else {
         handle(workers, req, &report);
     }
--- a/tests/sim.c
+++ b/tests/sim.c
@@ -438,11 +438,11 @@
         *out = json_pack("{s:s}", "error", "trouble");
         return 503;
     }
-    if (strcmp(event->target, RP_PATH_TYPES) == 0) {
+    if (strcmp(event->target, RP_PATH_CATALOG) == 0) {
         *out = cloud_catalog();
         return 200;
     }
-    if (strcmp(event->target, RP_PATH_DELETE) == 0) {
+    if (strcmp(event->target, RP_PATH_RELEASE) == 0) {
         json_array_foreach(json_object_get(body, "sheaves"), i, name) {
             for (int w = 0; w < sim->size.workers; w++)
                 if (sim->workers[w].used &&
@@ -1408,7 +1408,7 @@
         "image_gb", 1.0, "frames", "yard", "one_zone", gang, "spread", service, "loaners", !service,
         "run_guess_s", service ? 0.0 : run_s, "brace_every_s", service ? 0.0 : 5.0, "brace_s", 1.0,
         "due_s");
-    if (!value || !rp_wire_spec_read(value, &job->spec, why))
+    if (!value || !rp_job_codec_read_spec(value, &job->spec, why))
         abort();
     job->used = true;
     job->body = json_dumps(value, JSON_COMPACT);
@@ -1424,7 +1424,7 @@
     json_t *v = json_loads(job->body, 0, NULL);
     json_object_set_new(v, field, value);
     rp_job_spec_free(&job->spec);
-    if (!rp_wire_spec_read(v, &job->spec, why))
+    if (!rp_job_codec_read_spec(v, &job->spec, why))
         abort();
     free(job->body);
     job->body = json_dumps(v, JSON_COMPACT);
--- a/tests/test_wire.c
+++ b/tests/test_wire.c
@@ -17,7 +17,7 @@
 static bool reads(const char *text) {
     struct rp_job_spec spec;
     char why[128];
-    bool ok = rp_wire_submission(text, strlen(text), &spec, why);
+    bool ok = rp_user_codec_parse_submission(text, strlen(text), &spec, why);
     rp_job_spec_free(&spec);
     return ok;
 }
@@ -41,7 +41,7 @@
     struct rp_job_spec spec;
     char why[128];
     (void)state;
-    assert_true(rp_wire_submission(good, strlen(good), &spec, why));
+    assert_true(rp_user_codec_parse_submission(good, strlen(good), &spec, why));
     assert_string_equal(spec.id, "j-000412");
     assert_int_equal(spec.kind, RP_JOB_GANG);
     assert_int_equal(spec.priority, RP_PRIORITY_HIGH);
@@ -87,14 +87,14 @@
         "{\"lift\":\"j-000398/0\",\"pull\":1,\"tension\":\"exited\",\"slack_reason\":\"done\"}]}";
     struct rp_heartbeat heartbeat;
     (void)state;
-    assert_true(rp_wire_report(text, strlen(text), &heartbeat));
+    assert_true(rp_worker_codec_parse_heartbeat(text, strlen(text), &heartbeat));
     assert_int_equal(heartbeat.n_tasks, 2);
     assert_int_equal(heartbeat.tasks[0].task, 3);
     assert_int_equal(heartbeat.tasks[1].exit_reason, RP_EXIT_DONE);
     assert_true(heartbeat.has_notice && heartbeat.notice_s == 7.5 && heartbeat.fencing_token == 41);
     rp_heartbeat_free(&heartbeat);
-    assert_false(rp_wire_report("{}", 2, &heartbeat));
-    assert_false(rp_wire_report("{\"sheave\":\"vm-1\"}", 17, &heartbeat));
+    assert_false(rp_worker_codec_parse_heartbeat("{}", 2, &heartbeat));
+    assert_false(rp_worker_codec_parse_heartbeat("{\"sheave\":\"vm-1\"}", 17, &heartbeat));
 }
 
 /* Bytes changed at random in good messages: read or refused, never a crash or a leak; what is read
@@ -116,11 +116,11 @@
         size_t len = strlen(text);
         for (unsigned k = 0; k <= gsl_rng_uniform_int(rng, 3); k++)
             text[gsl_rng_uniform_int(rng, len)] = (char)(32 + gsl_rng_uniform_int(rng, 96));
-        if (job && rp_wire_submission(text, len, &spec, why)) {
-            assert_true(rp_wire_id_valid(spec.id) && spec.n_tasks >= 1 &&
+        if (job && rp_user_codec_parse_submission(text, len, &spec, why)) {
+            assert_true(rp_job_codec_is_id(spec.id) && spec.n_tasks >= 1 &&
                         spec.n_tasks <= RP_TASKS_MAX && spec.each.cpus >= 0);
             rp_job_spec_free(&spec);
-        } else if (!job && rp_wire_report(text, len, &heartbeat)) {
+        } else if (!job && rp_worker_codec_parse_heartbeat(text, len, &heartbeat)) {
             assert_true(heartbeat.n_tasks <= 1 && strlen(heartbeat.machine) < RP_TEXT_MAX);
             rp_heartbeat_free(&heartbeat);
         }
@@ -140,7 +140,7 @@
                                          .grace_s = 12.3456789};
         strcpy(command[i].job, "j-12345678901234567890");
     }
-    char *text = rp_wire_report_answer(UINT64_MAX >> 1, command, 400);
+    char *text = rp_worker_codec_write_heartbeat_response(UINT64_MAX >> 1, command, 400);
     assert_true(strlen(text) < 65536);
     free(text);
     free(command);
