--- /dev/null
+++ b/src/controller/cycle_trigger.c
@@ -0,0 +1,70 @@
+#include "controller/cycle_trigger.h"
+
+#include "scheduler/cycle.h"
+
+/* The share of this node's processor time that triggered cycles may use. */
+#define CYCLE_CPU_SHARE 0.35
+/* The same as a share of one core, where the node has several: more brings no earlier starts, since
+ * each cycle then only finds less to do. */
+#define CYCLE_CORE_SHARE_MAX 0.12
+/* Seconds between two triggered cycles at least, however short they are: about 20 heartbeats arrive
+ * in them with 850 machines. */
+#define CYCLE_DISTANCE_MIN_S 0.1
+/* Seconds for which the answer to a heartbeat may wait for a cycle. docs/safety.md counts on it. */
+#define ANSWER_WAIT_MAX_S 0.8
+
+/* Seconds until the next triggered cycle may run; not positive: now. Cycles that take long keep a
+ * longer distance, and find more to do in one. */
+static double until_next_cycle_s(const struct rp_cycle_trigger *trigger) {
+    const struct rp_scheduler *scheduler = trigger->scheduler;
+    double since_last_s = rp_ts_since(rp_loop_now(trigger->loop), scheduler->last_cycle_at);
+    double core_share =
+        fmin(CYCLE_CPU_SHARE * fmin(1, trigger->settings->cpu_share), CYCLE_CORE_SHARE_MAX);
+    return fmax(scheduler->last_cycle_s / core_share, CYCLE_DISTANCE_MIN_S) - since_last_s;
+}
+
+static void run_cycle(struct rp_cycle_trigger *trigger) {
+    rp_timer_cancel(trigger->loop, &trigger->timer);
+    rp_scheduler_run_cycle(trigger->scheduler);
+    rp_workers_send_fenced(trigger->workers);
+    rp_workers_answer_held_heartbeats(trigger->workers);
+}
+
+static void on_cycle_due(void *arg) {
+    struct rp_cycle_trigger *trigger = arg;
+    if (*trigger->node_state == RP_NODE_LEADING)
+        run_cycle(trigger);
+}
+
+void rp_cycle_trigger_init(struct rp_cycle_trigger *trigger, struct rp_loop *loop,
+                           const struct rp_settings *settings, const enum rp_node_state *node_state,
+                           struct rp_scheduler *scheduler, struct rp_services *services,
+                           struct rp_workers *workers) {
+    *trigger = (struct rp_cycle_trigger){.loop = loop,
+                                         .settings = settings,
+                                         .node_state = node_state,
+                                         .scheduler = scheduler,
+                                         .services = services,
+                                         .workers = workers,
+                                         .timer = {.fn = on_cycle_due, .arg = trigger}};
+}
+
+bool rp_cycle_trigger_on_capacity_freed(struct rp_cycle_trigger *trigger) {
+    if (*trigger->node_state != RP_NODE_LEADING)
+        return true;
+    /* Services don't wait for a cycle: which machines have capacity for them is known now. */
+    rp_services_run(trigger->services);
+    double wait_s = until_next_cycle_s(trigger);
+    if (wait_s <= 0) {
+        run_cycle(trigger);
+        return true;
+    }
+    bool is_scheduled = trigger->timer.heap_index != 0;
+    if (!is_scheduled)
+        rp_timer_set(trigger->loop, &trigger->timer, wait_s);
+    return wait_s > ANSWER_WAIT_MAX_S;
+}
+
+void rp_cycle_trigger_stop(struct rp_cycle_trigger *trigger) {
+    rp_timer_cancel(trigger->loop, &trigger->timer);
+}
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -1,212 +1,122 @@
 #include "controller/node.h"
 
-#include <stdio.h>
-#include <stdlib.h>
 #include <string.h>
-#include "api/status.h"
 #include "base/log.h"
-#include "protocol/wire.h"
-
-#define SUMMARY_S 2.0
-#define SUMMARY_WAIT_S 1.5
-#define ROUND_SHARE 0.35 /* of the processor time this node has, for rounds that news call for */
-#define ROUND_MOST 0.12  /* of a core: more buys nothing, rounds then only find less to do each */
-#define ROUND_GAP_S 0.1  /* rounds that news call for keep this distance */
-#define HOLD_MAX_S 0.8   /* a report's answer waits no longer than this for a round */
-#define PATH_SUMMARY "/peer/summary"
-#define PATH_HEALTH "/peer/health"
-#define PATH_STATUS "/status"
-#define HEALTH_S 0.5
-#define EAGER_SHARE 0.4 /* of the time between looks at who leads, before the activation */
-#define ALONE_S 2.5     /* without the state service and without any other node */
-#define REFUSED_S 1.0   /* without the state service, before the others are asked how they fare */
-
-static void on_elected(void *arg);
-static void on_format(void *arg);
-static void on_lost(void *arg);
-static void on_loaded(void *arg, bool ok);
-static void on_fleet_loaded(void *arg, bool ok);
-static void on_closed(void *arg, struct rp_job *job);
-static void on_room(void *arg);
-static bool on_report_news(void *arg);
-static void room_due(void *arg);
-static void retry_due(void *arg);
-static void on_catalog(void *arg);
-static void summary_due(void *arg);
-static void health_due(void *arg);
-static void fill_running_counts(void *arg, struct rp_job_status *status);
 
-int rp_node_init(struct rp_node *node, struct rp_loop *loop, struct rp_net net,
-                 const struct rp_settings *settings) {
-    memset(node, 0, sizeof *node);
-    node->loop = loop;
-    node->net = net;
-    node->settings = settings;
-    rp_kv_client_init(&node->store, loop, net, settings->state_addr, settings->state.rps,
-                      settings->state.write_rps, settings->n_nodes,
-                      settings->tuning.leader_write_share);
-    rp_job_lookup_init(&node->job_lookup, loop, &node->store, settings);
-    rp_cloud_client_init(&node->cloud, loop, net, settings->cloud_addr, settings->cloud_rps);
-    rp_election_init(&node->election, loop, &node->store, settings->node,
-                     settings->tuning.leader_ttl_s, settings->tuning.leader_check_s, on_elected,
-                     on_lost, node);
-    node->election.fenced_terms = settings->tuning.standby && !settings->tuning.keep_old_forms;
-    rp_upgrade_init(&node->upgrade, loop, &node->store, &node->election, settings, on_format, node);
-    rp_catalog_source_init(&node->catalog_source, loop, &node->cloud, &node->store, &node->election,
-                           &node->upgrade, settings, &node->catalog);
-    rp_jobs_init(&node->jobs, loop, &node->store, &node->election, &node->upgrade, settings);
-    if (rp_cluster_init(&node->cluster, loop, &node->jobs, settings, &node->catalog) < 0)
-        return -1;
-    rp_fleet_init(&node->fleet, loop, &node->cloud, &node->store, &node->election, &node->cluster,
-                  &node->jobs, settings, &node->catalog);
-    rp_image_index_init(&node->image_index, loop, net, &node->election, &node->cluster, settings);
-    if (rp_metrics_init(&node->metrics) < 0)
-        return -1;
-    rp_workers_init(&node->workers, loop, &node->election, &node->cluster, &node->jobs,
-                    &node->fleet, settings, &node->metrics, net);
-    if (rp_standby_init(&node->standby, loop, net, &node->election, &node->cluster, &node->workers,
-                        settings) < 0)
-        return -1;
-    rp_services_init(&node->services, loop, &node->cluster, &node->jobs, &node->workers,
-                     &node->fleet, settings, &node->catalog);
-    rp_scheduler_init(&node->scheduler, loop, &node->election, &node->cluster, &node->jobs,
-                      &node->fleet, &node->services, settings, &node->metrics);
-    node->api = (struct rp_user_api){.loop = loop,
-                                     .settings = settings,
-                                     .store = &node->store,
-                                     .upgrade = &node->upgrade,
-                                     .catalog_source = &node->catalog_source,
-                                     .cluster = &node->cluster,
-                                     .job_lookup = &node->job_lookup,
-                                     .terminal_states = &node->terminal_states,
-                                     .metrics = &node->metrics,
-                                     .fill_running_counts = fill_running_counts,
-                                     .arg = node};
-    node->jobs.on_loaded = on_loaded;
-    node->jobs.on_closed = on_closed;
-    node->jobs.on_changed = on_room;
-    node->jobs.arg = node;
-    node->fleet.on_loaded = on_fleet_loaded;
-    node->fleet.on_changed = on_room;
-    node->fleet.arg = node;
-    node->workers.on_capacity_freed = on_report_news;
-    node->workers.arg = node;
-    node->catalog_source.on_known = on_catalog;
-    node->catalog_source.arg = node;
-    node->summary_timer = (struct rp_timer){.fn = summary_due, .arg = node};
-    node->retry_timer = (struct rp_timer){.fn = retry_due, .arg = node};
-    node->capacity_timer = (struct rp_timer){.fn = room_due, .arg = node};
-    node->health_timer = (struct rp_timer){.fn = health_due, .arg = node};
-    return 0;
-}
-
-void rp_node_start(struct rp_node *node) {
-    rp_catalog_source_start(&node->catalog_source);
-    rp_upgrade_start(&node->upgrade);
-    rp_image_index_start(&node->image_index);
-    rp_standby_start(&node->standby);
-    rp_timer_set(node->loop, &node->summary_timer, SUMMARY_S);
-    rp_timer_set(node->loop, &node->health_timer, HEALTH_S);
+/* The share of the time between two looks at the leader's key that a node takes instead while a
+ * format waits for its activation. */
+#define EAGER_CHECK_SHARE 0.4
+/* Seconds before the stored records are read again after a failure. Far shorter than any lease, and
+ * long enough not to use the store's request budget up. */
+#define RECOVERY_RETRY_S 0.3
+/* Seconds for which a node that leaves for good keeps away from the leader's key: longer than any
+ * process takes to end. */
+#define LEAVE_BACKOFF_S 3600
+
+/* ---- leadership: which format, which machine types, who leads ---- */
+
+/* A node takes part in elections once it knows the machine types, and that no later version's
+ * format is active. */
+static void join_elections(struct rp_node *node) {
+    bool is_ready = node->catalog_source.known && node->upgrade.activation_read;
+    if (!is_ready || node->is_electing || node->upgrade.state == RP_UPGRADE_TOO_OLD)
+        return;
+    node->is_electing = true;
+    rp_election_start(&node->election);
 }
 
-void rp_node_close(struct rp_node *node) {
-    rp_workers_close(&node->workers);
-    rp_standby_close(&node->standby);
-    rp_fleet_close(&node->fleet);
-    rp_cluster_free(&node->cluster);
-    rp_jobs_clear(&node->jobs);
-    rp_scheduler_stop(&node->scheduler);
-    rp_services_stop(&node->services);
+/* A later version's format is active: its records can't be read by this version. */
+static void leave_elections(struct rp_node *node) {
+    rp_election_resign(&node->election, LEAVE_BACKOFF_S);
     rp_election_stop(&node->election);
-    rp_upgrade_stop(&node->upgrade);
-    rp_image_index_close(&node->image_index);
-    rp_catalog_source_close(&node->catalog_source);
-    rp_timer_cancel(node->loop, &node->summary_timer);
-    rp_timer_cancel(node->loop, &node->retry_timer);
-    rp_timer_cancel(node->loop, &node->capacity_timer);
-    rp_timer_cancel(node->loop, &node->health_timer);
-    rp_job_lookup_close(&node->job_lookup);
-    rp_kv_client_close(&node->store);
-    rp_cloud_client_close(&node->cloud);
-    rp_metrics_free(&node->metrics);
-    free(node->summary);
-}
-
-void rp_node_leave(struct rp_node *node) {
-    node->leaving = true;
-    rp_election_resign(&node->election, 3600);
 }
 
-/* ---- what has to be known before a node may lead ---- */
-
-/* It leads once it knows the machine types, and that no later version's format is active. Until
- * every node knows this version's, it looks more often who leads: so that a free key rather comes
- * to a node that won't be replaced. */
-static void may_lead(struct rp_node *node) {
-    if (!node->catalog_source.known || !node->upgrade.activation_read || node->electing ||
-        node->upgrade.state == RP_UPGRADE_TOO_OLD)
-        return;
-    node->electing = true;
-    rp_election_start(&node->election);
+static void on_format_active(struct rp_node *node) {
+    const struct rp_settings *settings = node->settings;
+    node->election.check_s = settings->tuning.leader_check_s;
+    /* The store's next limits may come into force at any moment from now on. */
+    rp_kv_client_set_limits(&node->store, settings->state_fit.rps, settings->state_fit.write_rps);
+    if (node->state == RP_NODE_LEADING)
+        rp_catalog_source_lead(&node->catalog_source);
 }
 
-static void on_format(void *arg) {
+static void on_format_change(void *arg) {
     struct rp_node *node = arg;
-    const struct rp_settings *settings = node->settings;
-    if (node->upgrade.state == RP_UPGRADE_TOO_OLD) {
-        rp_election_resign(&node->election, 3600);
-        rp_election_stop(&node->election);
-    } else if (rp_upgrade_is_active(&node->upgrade)) {
-        node->election.check_s = settings->tuning.leader_check_s;
-        /* Other limits may come at any moment from now on. */
-        rp_kv_client_set_limits(&node->store, settings->state_fit.rps,
-                                settings->state_fit.write_rps);
-        if (node->state == RP_NODE_LEADING)
-            rp_catalog_source_lead(&node->catalog_source);
-    } else if (!settings->tuning.keep_old_forms) {
-        node->election.check_s = settings->tuning.leader_check_s * EAGER_SHARE;
-    }
-    may_lead(node);
+    const struct rp_tuning *tuning = &node->settings->tuning;
+    if (node->upgrade.state == RP_UPGRADE_TOO_OLD)
+        leave_elections(node);
+    else if (rp_upgrade_is_active(&node->upgrade))
+        on_format_active(node);
+    else if (!tuning->keep_old_forms)
+        /* Until every node knows this version's format, those that do look at the leader's key more
+         * often: a free key then rather comes to a node that won't be replaced. */
+        node->election.check_s = tuning->leader_check_s * EAGER_CHECK_SHARE;
+    join_elections(node);
 }
 
-static void on_catalog(void *arg) {
-    may_lead(arg);
+static void on_catalog_known(void *arg) {
+    join_elections(arg);
 }
 
-/* ---- leading ---- */
+/* ---- the state machine ---- */
 
-/* The one place where the node changes its state. */
+static void stop_scheduling(struct rp_node *node) {
+    rp_scheduler_stop(&node->scheduler);
+    rp_services_stop(&node->services);
+}
+
+/* Empties the cluster state. Nothing of an earlier term may be left when the records are read. */
+static void enter_following(struct rp_node *node) {
+    stop_scheduling(node);
+    rp_fleet_clear(&node->fleet);
+    rp_cluster_reset(&node->cluster, 0);
+    rp_jobs_clear(&node->jobs);
+    rp_standby_lost(&node->standby);
+}
+
+/* Reads the stored records, jobs first: on_jobs_loaded goes on with the machines. rp_jobs_load
+ * empties the job table itself. */
+static void enter_recovering(struct rp_node *node) {
+    stop_scheduling(node);
+    rp_fleet_clear(&node->fleet);
+    rp_cluster_reset(&node->cluster, node->election.fencing_token);
+    rp_standby_elected(&node->standby);
+    rp_jobs_load(&node->jobs);
+}
+
+static void enter_leading(struct rp_node *node) {
+    rp_info("leading: jobs=%zu machines=%zu", node->jobs.n_jobs, node->cluster.n_machines);
+    rp_image_index_lead(&node->image_index);
+    rp_standby_lead(&node->standby);
+    rp_catalog_source_lead(&node->catalog_source);
+    rp_services_start(&node->services);
+    rp_scheduler_start(&node->scheduler);
+}
+
+/* The only function that changes the node's state. Its edges:
+ *   following  -> recovering  the election is won (on_elected)
+ *   recovering -> leading     jobs and machines have been read (on_machines_loaded)
+ *   recovering -> recovering  reading has failed (on_recovery_due): it begins anew, since records
+ *                             may have changed meanwhile
+ *   any        -> following   leadership is lost or given up (on_leadership_lost)
+ * A leader that has to read the records anew gives its leadership up: the election tells
+ * on_leadership_lost before on_elected. */
 static void set_state(struct rp_node *node, enum rp_node_state state) {
     node->state = state;
     node->workers.ready = state == RP_NODE_LEADING;
-    rp_timer_cancel(node->loop, &node->retry_timer);
-    rp_timer_cancel(node->loop, &node->capacity_timer);
+    rp_timer_cancel(node->loop, &node->recovery_timer);
+    rp_cycle_trigger_stop(&node->cycle_trigger);
     if (state != RP_NODE_LEADING)
         rp_workers_answer_held_heartbeats(&node->workers);
     switch (state) {
     case RP_NODE_FOLLOWING:
-        rp_scheduler_stop(&node->scheduler);
-        rp_services_stop(&node->services);
-        rp_fleet_clear(&node->fleet);
-        rp_cluster_reset(&node->cluster, 0);
-        rp_jobs_clear(&node->jobs);
-        rp_standby_lost(&node->standby);
+        enter_following(node);
         break;
     case RP_NODE_RECOVERING:
-        rp_scheduler_stop(&node->scheduler);
-        rp_services_stop(&node->services);
-        rp_fleet_clear(&node->fleet);
-        rp_cluster_reset(&node->cluster, node->election.fencing_token);
-        rp_standby_elected(&node->standby);
-        rp_jobs_load(&node->jobs);
+        enter_recovering(node);
         break;
     case RP_NODE_LEADING:
-        rp_info("leading: jobs=%zu machines=%zu", node->jobs.n_jobs, node->cluster.n_machines);
-        rp_image_index_lead(&node->image_index);
-        rp_standby_lead(&node->standby);
-        rp_catalog_source_lead(&node->catalog_source);
-        rp_services_start(&node->services);
-        rp_scheduler_start(&node->scheduler);
+        enter_leading(node);
         break;
     }
 }
@@ -215,307 +125,205 @@
     set_state(arg, RP_NODE_RECOVERING);
 }
 
-static void on_lost(void *arg) {
+static void on_leadership_lost(void *arg) {
     set_state(arg, RP_NODE_FOLLOWING);
 }
 
-static void on_loaded(void *arg, bool ok) {
+static void retry_recovery(struct rp_node *node) {
+    rp_timer_set(node->loop, &node->recovery_timer, RECOVERY_RETRY_S);
+}
+
+static void on_jobs_loaded(void *arg, bool is_complete) {
     struct rp_node *node = arg;
-    if (ok && node->state == RP_NODE_RECOVERING)
+    if (is_complete && node->state == RP_NODE_RECOVERING)
         rp_fleet_load(&node->fleet);
     else if (node->state != RP_NODE_FOLLOWING)
-        rp_timer_set(node->loop, &node->retry_timer, 0.3);
+        retry_recovery(node);
 }
 
-static void on_fleet_loaded(void *arg, bool ok) {
+static void on_machines_loaded(void *arg, bool is_complete) {
     struct rp_node *node = arg;
-    if (ok)
+    if (is_complete)
         set_state(node, RP_NODE_LEADING);
     else
-        rp_timer_set(node->loop, &node->retry_timer, 0.3);
+        retry_recovery(node);
 }
 
-static void retry_due(void *arg) {
+static void on_recovery_due(void *arg) {
     struct rp_node *node = arg;
     if (node->state == RP_NODE_FOLLOWING)
         return;
-    if (!rp_election_is_valid(&node->election, rp_loop_now(node->loop)))
-        rp_timer_set(node->loop, &node->retry_timer, 0.3);
-    else
+    if (rp_election_is_valid(&node->election, rp_loop_now(node->loop)))
         set_state(node, RP_NODE_RECOVERING);
+    else
+        retry_recovery(node);
 }
 
-static void on_closed(void *arg, struct rp_job *job) {
-    struct rp_node *node = arg;
-    rp_cluster_stop_job(&node->cluster, job, 0);
-}
-
-/* How long until the next round that news may call for. Rounds that take long keep a longer
- * distance, and find more to do in one. */
-static double until_round_s(const struct rp_node *node) {
-    double since = rp_ts_since(rp_loop_now(node->loop), node->scheduler.last_cycle_at);
-    double share = fmin(ROUND_SHARE * fmin(1, node->settings->cpu_share), ROUND_MOST);
-    return fmax(node->scheduler.last_cycle_s / share, ROUND_GAP_S) - since;
-}
-
-static void run_round(struct rp_node *node) {
-    rp_timer_cancel(node->loop, &node->capacity_timer);
-    rp_scheduler_run_cycle(&node->scheduler);
-    rp_workers_send_fenced(&node->workers);
-    rp_workers_answer_held_heartbeats(&node->workers);
-}
+/* ---- events of the cluster state ---- */
 
-/* Something changed that a round could use. True: there is none to wait for any more. */
-static bool on_report_news(void *arg) {
+static void on_job_closed(void *arg, struct rp_job *job) {
     struct rp_node *node = arg;
-    if (node->state != RP_NODE_LEADING)
-        return true;
-    /* Services don't wait for a round: what has room for them now is known. */
-    rp_services_run(&node->services);
-    double wait = until_round_s(node);
-    if (wait <= 0) {
-        run_round(node);
-        return true;
-    }
-    if (!node->capacity_timer.heap_index)
-        rp_timer_set(node->loop, &node->capacity_timer, wait);
-    return wait > HOLD_MAX_S;
-}
-
-static void on_room(void *arg) {
-    (void)on_report_news(arg);
+    rp_cluster_stop_job(&node->cluster, job, 0);
 }
 
-static void room_due(void *arg) {
+static bool on_capacity_freed(void *arg) {
     struct rp_node *node = arg;
-    if (node->state == RP_NODE_LEADING)
-        run_round(node);
+    return rp_cycle_trigger_on_capacity_freed(&node->cycle_trigger);
 }
 
-/* ---- between nodes ---- */
-
-static char *summary_json(const struct rp_node *node) {
-    json_t *jobs = json_object();
-    for (const struct rp_job *job = node->jobs.first; job; job = job->next)
-        if ((job->n_done || job->n_running) && job->state != RP_JOB_CLOSED)
-            json_object_set_new(jobs, job->spec.id,
-                                json_pack("[i,i]", (int)job->n_done, (int)job->n_running));
-    json_t *value = json_pack("{s:s,s:o}", "node", node->settings->node, "jobs", jobs);
-    char *text = json_dumps(value, JSON_COMPACT);
-    json_decref(value);
-    return text;
+/* The same where no worker waits for an answer. */
+static void on_change(void *arg) {
+    (void)on_capacity_freed(arg);
 }
 
-static int by_id(const void *a, const void *b) {
-    return strcmp(((const struct rp_job_status *)a)->id, ((const struct rp_job_status *)b)->id);
-}
+/* ---- wiring ---- */
 
-static void summary_came(void *arg, const struct rp_answer *answer) {
-    struct rp_node *node = arg;
-    json_t *value = answer->status == 200 ? rp_wire_parse(answer->body, answer->len) : NULL;
-    json_t *jobs = json_object_get(value, "jobs");
-    const char *id;
-    json_t *counts;
-    /* A refused connection, told at once, doesn't prove that the leader is silent. */
-    bool waited = rp_ts_since(rp_loop_now(node->loop), node->summary_asked) > SUMMARY_WAIT_S / 2;
-    if (answer->status != 0 || waited)
-        rp_election_note_answer(&node->election, answer->status != 0);
-    if (!json_is_object(jobs))
-        goto out;
-    free(node->summary);
-    node->n_summary = 0;
-    node->summary = calloc(json_object_size(jobs) + 1, sizeof *node->summary);
-    if (!node->summary)
-        goto out;
-    json_object_foreach(jobs, id, counts) {
-        struct rp_job_status *status = &node->summary[node->n_summary++];
-        snprintf(status->id, sizeof status->id, "%s", id);
-        status->done = (uint32_t)json_integer_value(json_array_get(counts, 0));
-        status->running = (uint32_t)json_integer_value(json_array_get(counts, 1));
-    }
-    qsort(node->summary, node->n_summary, sizeof *node->summary, by_id);
-out:
-    json_decref(value);
-}
-
-static void summary_due(void *arg) {
-    struct rp_node *node = arg;
-    rp_timer_set(node->loop, &node->summary_timer, SUMMARY_S);
-    node->summary_asked = rp_loop_now(node->loop);
-    for (size_t i = 0; node->state == RP_NODE_FOLLOWING && i < node->settings->n_peers; i++)
-        if (strcmp(node->settings->peers[i].name, node->election.leader) == 0)
-            node->net.call(node->net.ctx, node->settings->peers[i].addr, "GET", PATH_SUMMARY, NULL,
-                           SUMMARY_WAIT_S, summary_came, node);
-}
-
-/* The others are better placed: users go there, and what they decide there isn't heard here. */
-static void refused_alone(struct rp_node *node) {
-    node->refused_until = rp_ts_after(rp_loop_now(node->loop), 4 * HEALTH_S);
-    rp_jobs_note_store_refusal(&node->jobs);
+static void init_clients(struct rp_node *node) {
+    const struct rp_settings *settings = node->settings;
+    rp_kv_client_init(&node->store, node->loop, node->net, settings->state_addr,
+                      settings->state.rps, settings->state.write_rps, settings->n_nodes,
+                      settings->tuning.leader_write_share);
+    rp_job_lookup_init(&node->job_lookup, node->loop, &node->store, settings);
+    rp_cloud_client_init(&node->cloud, node->loop, node->net, settings->cloud_addr,
+                         settings->cloud_rps);
 }
 
-static void health_came(void *arg, const struct rp_answer *answer) {
-    struct rp_node *node = arg;
-    if (answer->status == 200)
-        node->peer_heard = rp_loop_now(node->loop);
-    json_t *value = answer->status == 200 ? rp_wire_parse(answer->body, answer->len) : NULL;
-    if (json_is_true(json_object_get(value, "state_answers")) &&
-        rp_kv_failing_s(&node->store) > REFUSED_S)
-        refused_alone(node);
-    json_decref(value);
+static void init_leadership(struct rp_node *node) {
+    const struct rp_settings *settings = node->settings;
+    const struct rp_tuning *tuning = &settings->tuning;
+    rp_election_init(&node->election, node->loop, &node->store, settings->node,
+                     tuning->leader_ttl_s, tuning->leader_check_s, on_elected, on_leadership_lost,
+                     node);
+    node->election.fenced_terms = tuning->standby && !tuning->keep_old_forms;
+    rp_upgrade_init(&node->upgrade, node->loop, &node->store, &node->election, settings,
+                    on_format_change, node);
+    rp_catalog_source_init(&node->catalog_source, node->loop, &node->cloud, &node->store,
+                           &node->election, &node->upgrade, settings, &node->catalog);
+    node->catalog_source.on_known = on_catalog_known;
+    node->catalog_source.arg = node;
 }
 
-/* An outage of the state service is everybody's: taking this node from the load balancer would help
- * nobody then. But if the others are answered, users are better off with them. */
-static void health_due(void *arg) {
-    struct rp_node *node = arg;
-    rp_timer_set(node->loop, &node->health_timer, HEALTH_S);
-    if (rp_kv_failing_s(&node->store) <= REFUSED_S) {
-        node->peer_heard = rp_loop_now(node->loop);
-        return;
-    }
-    /* Neither the state service nor any other node answers: it is this node that is cut off. */
-    if (node->settings->n_peers > 0 &&
-        rp_ts_since(rp_loop_now(node->loop), node->peer_heard) > ALONE_S)
-        refused_alone(node);
-    for (size_t i = 0; i < node->settings->n_peers; i++)
-        node->net.call(node->net.ctx, node->settings->peers[i].addr, "GET", PATH_HEALTH, NULL,
-                       HEALTH_S, health_came, node);
+static int init_cluster_state(struct rp_node *node) {
+    const struct rp_settings *settings = node->settings;
+    rp_jobs_init(&node->jobs, node->loop, &node->store, &node->election, &node->upgrade, settings);
+    node->jobs.on_loaded = on_jobs_loaded;
+    node->jobs.on_closed = on_job_closed;
+    node->jobs.on_changed = on_change;
+    node->jobs.arg = node;
+    if (rp_cluster_init(&node->cluster, node->loop, &node->jobs, settings, &node->catalog) < 0)
+        return -1;
+    rp_fleet_init(&node->fleet, node->loop, &node->cloud, &node->store, &node->election,
+                  &node->cluster, &node->jobs, settings, &node->catalog);
+    node->fleet.on_loaded = on_machines_loaded;
+    node->fleet.on_changed = on_change;
+    node->fleet.arg = node;
+    rp_image_index_init(&node->image_index, node->loop, node->net, &node->election, &node->cluster,
+                        settings);
+    return 0;
 }
 
-static void fill_running_counts(void *arg, struct rp_job_status *status) {
-    const struct rp_node *node = arg;
-    status->phase = RP_JOB_QUEUED;
-    status->done = status->running = 0;
-    if (node->state == RP_NODE_LEADING) {
-        const struct rp_job *job = rp_jobs_find(&node->jobs, status->id);
-        if (job) {
-            status->done = job->n_done;
-            status->running = job->n_running;
-        }
-    } else if (node->n_summary > 0) {
-        const struct rp_job_status *found =
-            bsearch(status, node->summary, node->n_summary, sizeof *node->summary, by_id);
-        status->done = found ? found->done : 0;
-        status->running = found ? found->running : 0;
-    }
-    if (status->running)
-        status->phase = RP_JOB_RUNNING;
+static int init_workers(struct rp_node *node) {
+    const struct rp_settings *settings = node->settings;
+    if (rp_metrics_init(&node->metrics) < 0)
+        return -1;
+    rp_workers_init(&node->workers, node->loop, &node->election, &node->cluster, &node->jobs,
+                    &node->fleet, settings, &node->metrics, node->net);
+    node->workers.on_capacity_freed = on_capacity_freed;
+    node->workers.arg = node;
+    return rp_standby_init(&node->standby, node->loop, node->net, &node->election, &node->cluster,
+                           &node->workers, settings);
 }
 
-static char *status_json(const struct rp_node *node) {
-    static const char *const states[] = {"following", "recovering", "leading"};
-    const struct rp_status_sources sources = {.loop = node->loop,
-                                              .settings = node->settings,
-                                              .node_state = states[node->state],
-                                              .leading = node->state == RP_NODE_LEADING,
-                                              .catalog = &node->catalog,
-                                              .store = &node->store,
-                                              .election = &node->election,
-                                              .upgrade = &node->upgrade,
-                                              .jobs = &node->jobs,
-                                              .cluster = &node->cluster,
-                                              .fleet = &node->fleet,
-                                              .workers = &node->workers,
-                                              .services = &node->services,
-                                              .scheduler = &node->scheduler,
-                                              .standby = &node->standby,
-                                              .metrics = &node->metrics,
-                                              .api = &node->api};
-    return rp_status_json(&sources);
+static void init_scheduling(struct rp_node *node) {
+    const struct rp_settings *settings = node->settings;
+    rp_services_init(&node->services, node->loop, &node->cluster, &node->jobs, &node->workers,
+                     &node->fleet, settings, &node->catalog);
+    rp_scheduler_init(&node->scheduler, node->loop, &node->election, &node->cluster, &node->jobs,
+                      &node->fleet, &node->services, settings, &node->metrics);
+    rp_cycle_trigger_init(&node->cycle_trigger, node->loop, settings, &node->state,
+                          &node->scheduler, &node->services, &node->workers);
 }
 
-static void respond_text(struct rp_request *req, char *text) {
-    req->respond(req, text ? 200 : 503, text ? text : "{}", 0);
-    free(text);
+static void init_users_and_peers(struct rp_node *node) {
+    const struct rp_settings *settings = node->settings;
+    rp_running_counts_init(&node->running_counts, node->loop, node->net, settings, &node->state,
+                           &node->election, &node->jobs);
+    rp_peer_health_init(&node->peer_health, node->loop, node->net, settings, &node->store,
+                        &node->jobs);
+    node->api = (struct rp_user_api){.loop = node->loop,
+                                     .settings = settings,
+                                     .store = &node->store,
+                                     .upgrade = &node->upgrade,
+                                     .catalog_source = &node->catalog_source,
+                                     .cluster = &node->cluster,
+                                     .job_lookup = &node->job_lookup,
+                                     .terminal_states = &node->terminal_states,
+                                     .metrics = &node->metrics,
+                                     .fill_running_counts = rp_running_counts_fill,
+                                     .arg = &node->running_counts};
 }
 
-void rp_node_peer_request(void *arg, struct rp_request *req) {
-    struct rp_node *node = arg;
-    bool get = strcmp(req->method, "GET") == 0;
-    if (get && strcmp(req->target, PATH_SUMMARY) == 0 && node->state == RP_NODE_LEADING)
-        respond_text(req, summary_json(node));
-    else if (get && strncmp(req->target, RP_PATH_STREAM, strlen(RP_PATH_STREAM)) == 0)
-        respond_text(req, rp_standby_answer(&node->standby, req->target));
-    else if (get && strcmp(req->target, RP_PATH_IMAGES) == 0)
-        respond_text(req, rp_image_index_json(&node->image_index));
-    else if (get && strcmp(req->target, PATH_HEALTH) == 0)
-        req->respond(req, 200,
-                     node->store.n_ok > 0 && rp_kv_failing_s(&node->store) <= 0
-                         ? "{\"state_answers\":true,\"version\":\"" RP_VERSION "\"}"
-                         : "{\"state_answers\":false,\"version\":\"" RP_VERSION "\"}",
-                     0);
-    else if (get && strcmp(req->target, PATH_STATUS) == 0)
-        respond_text(req, status_json(node));
-    else
-        req->respond(req, 404, "{\"error\":\"no such path\"}", 0);
+/* Each part is set up after those that it refers to. */
+int rp_node_init(struct rp_node *node, struct rp_loop *loop, struct rp_net net,
+                 const struct rp_settings *settings) {
+    memset(node, 0, sizeof *node);
+    node->loop = loop;
+    node->net = net;
+    node->settings = settings;
+    node->recovery_timer = (struct rp_timer){.fn = on_recovery_due, .arg = node};
+    init_clients(node);
+    init_leadership(node);
+    if (init_cluster_state(node) < 0)
+        return -1;
+    if (init_workers(node) < 0)
+        return -1;
+    init_scheduling(node);
+    init_users_and_peers(node);
+    return 0;
 }
 
-/* ---- users, workers, health ---- */
-
-bool rp_node_healthy(const struct rp_node *node) {
-    return !node->leaving && node->upgrade.state != RP_UPGRADE_TOO_OLD &&
-           node->catalog_source.known && node->store.n_ok > 0 &&
-           rp_ts_reached(rp_loop_now(node->loop), node->refused_until);
+/* Starts what every node does. Elections start later (join_elections), scheduling when the node
+ * leads (enter_leading). The machine types come first, since elections wait for them. */
+void rp_node_start(struct rp_node *node) {
+    rp_catalog_source_start(&node->catalog_source);
+    rp_upgrade_start(&node->upgrade);
+    rp_image_index_start(&node->image_index);
+    rp_standby_start(&node->standby);
+    rp_running_counts_start(&node->running_counts);
+    rp_peer_health_start(&node->peer_health);
 }
 
-static void refuse(struct rp_request *req, int status, const char *text) {
-    char *body = rp_wire_error(text);
-    req->respond(req, status, body ? body : "{}", 0);
-    free(body);
+void rp_node_leave(struct rp_node *node) {
+    node->is_leaving = true;
+    rp_election_resign(&node->election, LEAVE_BACKOFF_S);
 }
 
-static void job_request(struct rp_node *node, struct rp_request *req, const char *rest) {
-    char id[RP_ID_MAX];
-    const char *slash = strchr(rest, '/');
-    size_t len = slash ? (size_t)(slash - rest) : strlen(rest);
-    bool get = strcmp(req->method, "GET") == 0, post = strcmp(req->method, "POST") == 0;
-    bool cancel = slash && strcmp(slash, "/cancel") == 0;
-    if (slash && !cancel) {
-        refuse(req, 404, "no such path");
-        return;
-    }
-    if ((cancel && !post) || (!cancel && !get)) {
-        refuse(req, 405, "method not allowed");
-        return;
-    }
-    if (len >= sizeof id) {
-        refuse(req, 404, "no such job");
-        return;
-    }
-    memcpy(id, rest, len);
-    id[len] = '\0';
-    if (!rp_wire_id_valid(id))
-        refuse(req, 404, "no such job");
-    else if (cancel)
-        rp_user_api_cancel(&node->api, req, id);
-    else
-        rp_user_api_query(&node->api, req, id);
+/* Whatever refers to the cluster state ends before it: workers and standby first, then machines,
+ * then the jobs that machines refer to. Clients end last, since parts may have calls under way. */
+void rp_node_close(struct rp_node *node) {
+    rp_workers_close(&node->workers);
+    rp_standby_close(&node->standby);
+    rp_fleet_close(&node->fleet);
+    rp_cluster_free(&node->cluster);
+    rp_jobs_clear(&node->jobs);
+    stop_scheduling(node);
+    rp_election_stop(&node->election);
+    rp_upgrade_stop(&node->upgrade);
+    rp_image_index_close(&node->image_index);
+    rp_catalog_source_close(&node->catalog_source);
+    rp_timer_cancel(node->loop, &node->recovery_timer);
+    rp_cycle_trigger_stop(&node->cycle_trigger);
+    rp_running_counts_stop(&node->running_counts);
+    rp_peer_health_stop(&node->peer_health);
+    rp_job_lookup_close(&node->job_lookup);
+    rp_kv_client_close(&node->store);
+    rp_cloud_client_close(&node->cloud);
+    rp_metrics_free(&node->metrics);
+    rp_running_counts_free(&node->running_counts);
 }
 
-void rp_node_client_request(void *arg, struct rp_request *req) {
-    struct rp_node *node = arg;
-    bool get = strcmp(req->method, "GET") == 0, post = strcmp(req->method, "POST") == 0;
-    const char *t = req->target;
-    size_t jobs = strlen(RP_PATH_JOBS);
-    if (strcmp(t, RP_PATH_HEALTH) == 0) {
-        if (get)
-            req->respond(req, rp_node_healthy(node) ? 200 : 503, "{}", 0);
-        else
-            refuse(req, 405, "method not allowed");
-    } else if (strcmp(t, RP_PATH_HEARTBEAT) == 0) {
-        if (post)
-            rp_workers_on_heartbeat(&node->workers, req);
-        else
-            refuse(req, 405, "method not allowed");
-    } else if (strcmp(t, RP_PATH_JOBS) == 0) {
-        if (post)
-            rp_user_api_submit(&node->api, req);
-        else
-            refuse(req, 405, "method not allowed");
-    } else if (strncmp(t, RP_PATH_JOBS "/", jobs + 1) == 0) {
-        job_request(node, req, t + jobs + 1);
-    } else {
-        refuse(req, 404, "no such path");
-    }
+bool rp_node_is_healthy(const struct rp_node *node) {
+    bool is_staying = !node->is_leaving && node->upgrade.state != RP_UPGRADE_TOO_OLD;
+    bool has_started = node->catalog_source.known && node->store.n_ok > 0;
+    return is_staying && has_started && !rp_peer_health_is_refused_alone(&node->peer_health);
 }
--- a/src/controller/node.h
+++ b/src/controller/node.h
@@ -1,5 +1,13 @@
 /** @file
- * A node: all parts put together, with the network plugged in from outside. */
+ * A node: owns all of its parts, wires them together, and decides when it leads. Network and event
+ * loop are plugged in from outside: main.c plugs in HTTP, the tests plug in a simulation.
+ *
+ * Invariants: only a node in state RP_NODE_LEADING runs scheduling cycles; whether it may answer a
+ * worker or send a command is asked of the election each time (rp_election_is_valid), since a lease
+ * may end before the node hears of it. The state is changed by one function, set_state in node.c,
+ * where each change is explained. Nothing is kept on disk.
+ *
+ * Requests from outside come in by controller/node_requests.h. */
 #ifndef RP_CONTROLLER_NODE_H
 #define RP_CONTROLLER_NODE_H
 
@@ -12,6 +20,10 @@
 #include "cluster/fleet.h"
 #include "cluster/image_index.h"
 #include "config/settings.h"
+#include "controller/cycle_trigger.h"
+#include "controller/node_state.h"
+#include "controller/peer_health.h"
+#include "controller/running_counts.h"
 #include "election/election.h"
 #include "jobs/job_lookup.h"
 #include "jobs/jobs.h"
@@ -23,59 +35,56 @@
 #include "upgrade/format_upgrade.h"
 #include "worker/workers.h"
 
-enum rp_node_state {
-    RP_NODE_FOLLOWING,  /* serves users, sends workers on */
-    RP_NODE_RECOVERING, /* holds the key and reads the records */
-    RP_NODE_LEADING
-};
-
+/** A node with all of its parts. They refer to each other: it must not be moved in memory. */
 struct rp_node {
     struct rp_loop *loop;
     struct rp_net net;
     const struct rp_settings *settings;
     enum rp_node_state state;
-    struct rp_catalog catalog;
-    struct rp_catalog_source catalog_source;
+    bool is_electing; /* takes part in elections */
+    bool is_leaving;  /* the process is about to end */
+    struct rp_timer recovery_timer;
+
+    /* Clients. */
     struct rp_kv_client store;
     struct rp_job_lookup job_lookup;
-    struct rp_terminal_states terminal_states;
     struct rp_cloud_client cloud;
+    /* Leadership. */
     struct rp_election election;
     struct rp_upgrade upgrade;
+    struct rp_catalog catalog;
+    struct rp_catalog_source catalog_source;
+    /* The cluster state, which is empty unless this node recovers or leads. */
     struct rp_jobs jobs;
     struct rp_cluster cluster;
     struct rp_fleet fleet;
+    struct rp_image_index image_index;
+    /* Workers, and the standby that follows another node's. */
+    struct rp_metrics metrics;
     struct rp_workers workers;
+    struct rp_standby standby;
+    /* Scheduling. */
     struct rp_services services;
     struct rp_scheduler scheduler;
-    struct rp_image_index image_index;
-    struct rp_standby standby;
-    struct rp_metrics metrics;
+    struct rp_cycle_trigger cycle_trigger;
+    /* Users and other nodes. */
+    struct rp_terminal_states terminal_states;
     struct rp_user_api api;
-    struct rp_timer summary_timer, retry_timer;
-    struct timespec summary_asked;
-    struct rp_timer capacity_timer, health_timer;
-    struct timespec peer_heard;    /* when another node last answered */
-    struct timespec refused_until; /* the state service answers others, but not this node */
-    /* What the leader last told of running jobs, for display by other nodes. */
-    struct rp_job_status *summary;
-    size_t n_summary;
-    bool electing; /* takes part in elections */
-    bool leaving;
+    struct rp_running_counts running_counts;
+    struct rp_peer_health peer_health;
 };
 
+/** Sets all parts up and starts none; `loop` and `settings` must outlive the node. Returns 0, or -1
+ * when memory is out. Whatever it returns, the caller must call rp_node_close. */
 int rp_node_init(struct rp_node *node, struct rp_loop *loop, struct rp_net net,
                  const struct rp_settings *settings);
+/** Starts the parts that run from the beginning; the loop does the rest. */
 void rp_node_start(struct rp_node *node);
-/** The process is about to end: no more users, and the key is given up. */
+/** The process is about to end: healthz says so from now on, and the leader's key is given up. */
 void rp_node_leave(struct rp_node *node);
+/** Stops all parts and frees what they own; calls that are under way are not answered any more. */
 void rp_node_close(struct rp_node *node);
-/** Requests from users, workers and health checks. */
-void rp_node_client_request(void *node, struct rp_request *req);
-/** Requests from other nodes and operators. */
-void rp_node_peer_request(void *node, struct rp_request *req);
-
-/** Whether users may be sent here: what `GET /healthz` answers. */
-bool rp_node_healthy(const struct rp_node *node);
+/** Whether users may be sent to this node: what `GET /healthz` answers. */
+bool rp_node_is_healthy(const struct rp_node *node);
 
 #endif
--- /dev/null
+++ b/src/controller/node_state.h
@@ -0,0 +1,17 @@
+/** @file
+ * The part that a node plays. The state belongs to the node (node.h), whose set_state is the only
+ * function that changes it; the other modules of this directory read it through a pointer. */
+#ifndef RP_CONTROLLER_NODE_STATE_H
+#define RP_CONTROLLER_NODE_STATE_H
+
+/** What a node does about machines and jobs; every node serves users in each of these states. */
+enum rp_node_state {
+    RP_NODE_FOLLOWING,  /* another node leads, or none: workers are sent on to the leader */
+    RP_NODE_RECOVERING, /* holds the leader's key and reads the stored records */
+    RP_NODE_LEADING     /* gives commands to workers and to the cloud */
+};
+
+/** The state's name, as `GET /status` tells it. */
+const char *rp_node_state_name(enum rp_node_state state);
+
+#endif
--- a/src/main.c
+++ b/src/main.c
@@ -7,6 +7,7 @@
 #include <sys/signalfd.h>
 #include "base/log.h"
 #include "controller/node.h"
+#include "controller/node_requests.h"
 #include "http/http.h"
 
 #define LEAVE_S 0.5  /* for the last answers, and for giving the key up */
--- a/tests/sim.h
+++ b/tests/sim.h
@@ -7,6 +7,7 @@
 #include <gsl/gsl_rng.h>
 #include <jansson.h>
 #include "controller/node.h"
+#include "controller/node_requests.h"
 #include "engine.h"
 
 #define SIM_NODES_MAX 5
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -69,14 +69,14 @@
     sim_run(sim, 5);
     sim->nodes[1].refused_until = sim->now + 8;
     sim_run(sim, 4);
-    assert_true(rp_node_healthy(sim->nodes[0].node));
-    assert_false(rp_node_healthy(sim->nodes[1].node));
+    assert_true(rp_node_is_healthy(sim->nodes[0].node));
+    assert_false(rp_node_is_healthy(sim->nodes[1].node));
     sim_run(sim, 8);
-    assert_true(rp_node_healthy(sim->nodes[1].node));
+    assert_true(rp_node_is_healthy(sim->nodes[1].node));
     sim->outage_until = sim->now + 10;
     sim_run(sim, 6);
     for (int i = 0; i < sim->n_nodes; i++)
-        assert_true(rp_node_healthy(sim->nodes[i].node));
+        assert_true(rp_node_is_healthy(sim->nodes[i].node));
     sim_free(sim);
 }
 
@@ -311,7 +311,7 @@
         sessions[i] = sim->workers[i].used && sim->workers[i].up ? sim->workers[i].session : 0;
     sim->nodes[leader].alone_until = sim->now + 40;
     sim_run(sim, 6);
-    assert_false(rp_node_healthy(sim->nodes[leader].node));
+    assert_false(rp_node_is_healthy(sim->nodes[leader].node));
     sim_run(sim, 20);
     assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
     for (int i = 0; i < sim->size.workers; i++)
@@ -322,7 +322,7 @@
     assert_true(all >= 4);
     assert_int_equal(kept, all);
     sim_run(sim, 30);
-    assert_true(rp_node_healthy(sim->nodes[leader].node));
+    assert_true(rp_node_is_healthy(sim->nodes[leader].node));
     assert_string_equal(sim->broken, "");
     sim_free(sim);
 }
--- a/tests/test_upgrade.c
+++ b/tests/test_upgrade.c
@@ -483,7 +483,7 @@
     sim_run(sim, 20);
     assert_int_equal(sim_leader(sim), -1);
     for (int i = 0; i < sim->n_nodes; i++)
-        assert_false(rp_node_healthy(sim->nodes[i].node));
+        assert_false(rp_node_is_healthy(sim->nodes[i].node));
     expect_sound(sim, 55);
     sim_free(sim);
 }
