--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -210,7 +210,7 @@
     request_free(request);
     rental->busy = false;
     if (result->outcome == RP_KV_CONDITION_FAILED &&
-        rp_wire_failed_key(result->body, RP_KEY_LEADER)) {
+        rp_kv_result_failed_on(result, RP_KEY_LEADER)) {
         rp_election_verify(fleet->election);
         rental_later(fleet, rental, 1);
         return;
@@ -231,7 +231,7 @@
         rental_later(fleet, rental, 0.2);
         return;
     }
-    rental->version = rp_wire_revision(result->body);
+    rental->version = rp_kv_result_revision(result);
     if (wrote == RP_PROVISION_ENDED) {
         rental_free(fleet, rental);
         return;
@@ -252,7 +252,7 @@
     struct rp_fleet *fleet = request->f;
     struct rp_provision_request *rental =
         request_current(request) ? rental_find(fleet, request->rental) : NULL;
-    struct rp_item item;
+    struct rp_kv_item item;
     request_free(request);
     if (!rental)
         return;
@@ -260,8 +260,8 @@
     if (result->outcome == RP_KV_NOT_FOUND) {
         rental->version = 0;
         rental->version_known = true;
-    } else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
-        rental->version = item.version;
+    } else if (rp_kv_result_item(result, &item)) {
+        rental->version = item.revision;
         rental->version_known = true;
     } else {
         rental_later(fleet, rental, 0.3);
@@ -332,18 +332,18 @@
         rp_kv_get(fleet->store, RP_KV_BUDGET_LEADER, key, rental_read, request);
         return;
     }
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(fleet->election, txn);
-    rp_wire_txn_if(txn, key, rental->version);
+    rp_kv_txn_if(txn, key, rental->version);
     if (rental->state == RP_PROVISION_ENDED) {
-        rp_wire_txn_delete(txn, key);
+        rp_kv_txn_delete(txn, key);
     } else {
         request->names = rp_alloc(NAMES_MAX, sizeof *request->names);
-        rp_wire_txn_put(txn, key, rental_record(fleet, rental, request), 0);
+        rp_kv_txn_put(txn, key, rental_record(fleet, rental, request), RP_KV_NO_LEASE);
     }
     request->wrote = rental->state;
     rental->changed = false;
-    rp_kv_txn(fleet->store, RP_KV_BUDGET_LEADER, txn, rental_written, request);
+    rp_kv_txn_submit(fleet->store, RP_KV_BUDGET_LEADER, txn, rental_written, request);
 }
 
 static struct rp_capacity_refusal *refusal_of(struct rp_fleet *fleet, int type, int zone,
@@ -384,7 +384,7 @@
 static void rented(struct rp_fleet *fleet, struct rp_provision_request *request,
                    const struct rp_answer *answer) {
     size_t n;
-    char(*names)[RP_TEXT_MAX] = rp_wire_rented(answer->body, answer->len, &n);
+    char(*names)[RP_TEXT_MAX] = rp_cloud_codec_parse_provisioned(answer->body, answer->len, &n);
     if (!names) {
         rental_later(fleet, request, 1);
         return;
@@ -424,7 +424,7 @@
     rental->busy = false;
     if (answer->status == 200) {
         rented(fleet, rental, answer);
-    } else if (answer->status == 503 && rp_wire_no_capacity(answer->body, answer->len)) {
+    } else if (answer->status == 503 && rp_cloud_codec_is_no_capacity(answer->body, answer->len)) {
         refuse(fleet, rental);
         rental_set_state(fleet, rental, RP_PROVISION_ENDED);
         rental_step(fleet, rental);
@@ -444,7 +444,8 @@
     const struct rp_provision_record *rec = &request->record;
     request->busy = true;
     rp_cloud_call(fleet->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_MACHINES,
-                  rp_wire_rent(request->name, rec->type, rec->zone, rec->spot, rec->count),
+                  rp_cloud_codec_write_provision_request(request->name, rec->type, rec->zone,
+                                                         rec->spot, rec->count),
                   rental_answered, request_new(fleet, request->name));
 }
 
@@ -609,8 +610,8 @@
         rp_string_copy(request->names[i], sizeof request->names[i], names[i]);
     request->n = n;
     fleet->deleting = true;
-    rp_cloud_call(fleet->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_DELETE, rp_wire_delete(names, n),
-                  deleted, request);
+    rp_cloud_call(fleet->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_RELEASE,
+                  rp_cloud_codec_write_release(names, n), deleted, request);
 }
 
 void rp_fleet_scale_in(struct rp_fleet *fleet, struct rp_machine *machine, const char *why) {
@@ -685,7 +686,8 @@
     fleet->listing = false;
     if (answer->status != 200)
         goto out;
-    struct rp_listed_machine *list = rp_wire_listed(answer->body, answer->len, &n, &more);
+    struct rp_listed_machine *list =
+        rp_cloud_codec_parse_machine_list(answer->body, answer->len, &n, &more);
     for (size_t i = 0; list && i < n; i++)
         list_entry(fleet, &list[i]);
     if (list && n > 0)
@@ -731,7 +733,7 @@
     struct rp_fleet *fleet = request->f;
     struct rp_catalog *fresh = calloc(1, sizeof *fresh);
     if (fresh && request_current(request) && answer->status == 200 &&
-        rp_wire_catalog(answer->body, answer->len, fresh))
+        rp_cloud_codec_parse_catalog(answer->body, answer->len, fresh))
         /* Types keep their indexes, which machines refer to: only prices are taken over. */
         for (size_t i = 0; i < fresh->n_types; i++) {
             int at = type_index(fleet->catalog, fresh->types[i].name);
@@ -749,7 +751,7 @@
     if (!rp_ts_reached(now, fleet->next_catalog))
         return;
     fleet->next_catalog = rp_ts_after(now, 30);
-    rp_cloud_call(fleet->cloud, RP_CLOUD_ROUTINE, "GET", RP_PATH_TYPES, NULL, catalog_came,
+    rp_cloud_call(fleet->cloud, RP_CLOUD_ROUTINE, "GET", RP_PATH_CATALOG, NULL, catalog_came,
                   request_new(fleet, NULL));
 }
 
@@ -960,7 +962,7 @@
 
 static void load_page(struct rp_fleet *fleet, const char *after);
 
-static void load_rental(struct rp_fleet *fleet, const struct rp_item *item) {
+static void load_rental(struct rp_fleet *fleet, const struct rp_kv_item *item) {
     struct timespec now = rp_loop_now(fleet->loop), wall;
     struct rp_provision_request *request = rental_add(fleet, item->key + strlen(RP_KEY_PROVISION));
     if (!rp_record_provision_read(item->value, &request->record)) {
@@ -969,7 +971,7 @@
         return;
     }
     request->stored = true;
-    request->version = item->version;
+    request->version = item->revision;
     request->version_known = true;
     if (!request->record.answered) {
         rental_set_state(fleet, request, RP_PROVISION_REQUESTING);
@@ -1007,17 +1009,17 @@
 static void loaded(void *arg, const struct rp_kv_result *result) {
     struct request *request = arg;
     struct rp_fleet *fleet = request->f;
-    struct rp_item item = {0};
-    bool more = false;
+    struct rp_kv_item item = {0};
     if (!request_current(request))
         goto out;
     if (result->outcome != RP_KV_OK) {
         fleet->on_loaded(fleet->arg, false);
         goto out;
     }
-    size_t n = rp_wire_items(result->body, &more);
+    size_t n = rp_kv_result_n_items(result);
+    bool more = rp_kv_result_has_more(result);
     for (size_t i = 0; i < n; i++)
-        if (rp_wire_items_at(result->body, i, &item))
+        if (rp_kv_result_item_at(result, i, &item))
             load_rental(fleet, &item);
     if (more && n > 0) {
         load_page(fleet, item.key);
--- a/src/controller/node_requests.c
+++ b/src/controller/node_requests.c
@@ -29,7 +29,7 @@
 }
 
 static void refuse(struct rp_request *req, enum http_status status, const char *text) {
-    char *body = rp_wire_error(text);
+    char *body = rp_codec_write_error(text);
     req->respond(req, status, body ? body : "{}", 0);
     free(body);
 }
@@ -130,7 +130,7 @@
         return false;
     memcpy(id, path, len);
     id[len] = '\0';
-    return rp_wire_id_valid(id);
+    return rp_job_codec_is_id(id);
 }
 
 /* `path` is what follows the path of all jobs: ID or ID/cancel. */
--- a/src/controller/peer_health.c
+++ b/src/controller/peer_health.c
@@ -24,7 +24,7 @@
     if (answer->status != 200)
         return;
     health->peer_answered_at = rp_loop_now(health->loop);
-    json_t *body = rp_wire_parse(answer->body, answer->len);
+    json_t *body = rp_codec_parse_object(answer->body, answer->len);
     if (json_is_true(json_object_get(body, "state_answers")) &&
         rp_kv_failing_s(health->store) > STORE_FAILING_S)
         note_refused_alone(health);
