--- a/src/jobs/garbage_collector.c
+++ b/src/jobs/garbage_collector.c
@@ -21,20 +21,20 @@
 }
 
 static void drop_first(struct rp_garbage_collector *collector) {
-    struct rp_garbage *garbage = collector->first;
-    collector->first = garbage->next;
+    struct rp_garbage *garbage = collector->first_garbage;
+    collector->first_garbage = garbage->next;
     free(garbage);
 }
 
 void rp_garbage_collector_clear(struct rp_garbage_collector *collector) {
-    while (collector->first)
+    while (collector->first_garbage)
         drop_first(collector);
     collector->is_deleting = false;
 }
 
 void rp_garbage_collector_add(struct rp_garbage_collector *collector, const char *job_id,
                               const struct rp_stored_records *records) {
-    struct rp_garbage **link = &collector->first;
+    struct rp_garbage **link = &collector->first_garbage;
     if (rp_stored_records_is_empty(records))
         return;
     while (*link && strcmp((*link)->job_id, job_id) != 0)
@@ -62,7 +62,7 @@
 static void on_deletion_response(void *arg, const struct rp_kv_result *result) {
     struct deletion *deletion = arg;
     struct rp_garbage_collector *collector = deletion->collector;
-    struct rp_garbage *garbage = collector->first;
+    struct rp_garbage *garbage = collector->first_garbage;
     if (!rp_jobs_context_is_current(collector->context, deletion->generation))
         goto out;
     collector->is_deleting = false;
@@ -83,7 +83,7 @@
 
 void rp_garbage_collector_collect(struct rp_garbage_collector *collector) {
     const struct rp_jobs_context *context = collector->context;
-    const struct rp_garbage *garbage = collector->first;
+    const struct rp_garbage *garbage = collector->first_garbage;
     double headroom = rp_kv_write_headroom(context->store, RP_KV_BUDGET_LEADER);
     if (!garbage || collector->is_deleting || headroom < 1)
         return;
--- a/src/jobs/garbage_collector.h
+++ b/src/jobs/garbage_collector.h
@@ -19,7 +19,7 @@
 /** The collector. */
 struct rp_garbage_collector {
     const struct rp_jobs_context *context;
-    struct rp_garbage *first;
+    struct rp_garbage *first_garbage;
     bool is_deleting;   /* a transaction is under way */
     size_t max_changes; /* in a transaction; fewer once the store has refused so many */
 };
--- a/src/jobs/job_finisher.c
+++ b/src/jobs/job_finisher.c
@@ -5,9 +5,6 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 
-/* After the store has refused the transaction. */
-#define REFUSED_BACKOFF_S 5.0
-
 /* A finishing transaction under way. */
 struct finish_request {
     struct rp_job_finisher *finisher;
@@ -16,6 +13,12 @@
     struct rp_stored_records left; /* records that the transaction doesn't delete */
 };
 
+void rp_job_finisher_init(struct rp_job_finisher *finisher, const struct rp_jobs_context *context,
+                          struct rp_job_table *table, struct rp_garbage_collector *collector) {
+    *finisher =
+        (struct rp_job_finisher){.context = context, .table = table, .collector = collector};
+}
+
 static void on_job_finished(struct rp_job_finisher *finisher, struct rp_job *job,
                             const struct rp_stored_records *left) {
     rp_info("job done: job=%s n_tasks=%u age_s=%.1f", job->spec.id, job->spec.n_tasks,
@@ -43,8 +46,7 @@
         rp_election_verify(context->election);
     } else if (result->outcome == RP_KV_BAD_REQUEST) {
         rp_garbage_collector_on_txn_refused(finisher->collector);
-        job->progress.write_back_backoff_until =
-            rp_ts_after(rp_loop_now(context->loop), REFUSED_BACKOFF_S);
+        rp_job_progress_back_off(&job->progress, rp_loop_now(context->loop));
     }
     /* Another conflict means that the job was cancelled, or that an unanswered try went through:
      * the watch tells. Anything else is tried again by the tick. */
@@ -56,7 +58,7 @@
     const struct rp_jobs_context *context = finisher->context;
     struct timespec now = rp_loop_now(context->loop);
     if (job->state != RP_JOB_COMPLETE || !rp_election_is_valid(context->election, now) ||
-        !rp_ts_reached(now, job->progress.write_back_backoff_until))
+        !rp_job_progress_may_write(&job->progress, now))
         return;
     struct finish_request *request = rp_alloc(1, sizeof *request);
     request->finisher = finisher;
--- a/src/jobs/job_finisher.h
+++ b/src/jobs/job_finisher.h
@@ -15,6 +15,9 @@
     struct rp_garbage_collector *collector;
 };
 
+/** A finisher for the jobs of `table`. */
+void rp_job_finisher_init(struct rp_job_finisher *finisher, const struct rp_jobs_context *context,
+                          struct rp_job_table *table, struct rp_garbage_collector *collector);
 /** Sends the transaction for a complete job, unless this node doesn't lead or the store refused the
  * last one a moment ago. */
 void rp_job_finisher_finish(struct rp_job_finisher *finisher, struct rp_job *job);
--- a/src/jobs/job_loader.c
+++ b/src/jobs/job_loader.c
@@ -15,6 +15,16 @@
 static void list_open_jobs(struct rp_job_loader *loader, const char *after);
 static void list_progress(struct rp_job_loader *loader, const char *after);
 
+void rp_job_loader_init(struct rp_job_loader *loader, struct rp_jobs_context *context,
+                        struct rp_job_table *table, struct rp_record_reader *reader,
+                        struct rp_job_watch *watch, struct rp_garbage_collector *collector) {
+    *loader = (struct rp_job_loader){.context = context,
+                                     .table = table,
+                                     .reader = reader,
+                                     .watch = watch,
+                                     .collector = collector};
+}
+
 static void fail(struct rp_job_loader *loader) {
     loader->context->generation++; /* what is still under way of this load is void */
     loader->on_loaded(loader->arg, false);
--- a/src/jobs/job_loader.h
+++ b/src/jobs/job_loader.h
@@ -24,6 +24,11 @@
     void *arg; /* for the call-back */
 };
 
+/** A loader that fills `table`, and tells `watch` where to go on. All pointers are borrowed; the
+ * caller sets the call-back. */
+void rp_job_loader_init(struct rp_job_loader *loader, struct rp_jobs_context *context,
+                        struct rp_job_table *table, struct rp_record_reader *reader,
+                        struct rp_job_watch *watch, struct rp_garbage_collector *collector);
 /** Begins a load into the empty table. */
 void rp_job_loader_start(struct rp_job_loader *loader);
 /** Forgets a load under way without calling back; the caller changes the context's generation. */
--- a/src/jobs/job_progress.c
+++ b/src/jobs/job_progress.c
@@ -4,6 +4,9 @@
 #include <string.h>
 #include "base/memory.h"
 
+/* After the store has refused a write as too large. */
+#define REFUSED_BACKOFF_S 5.0
+
 static size_t bit_set_bytes(const struct rp_job_progress *progress) {
     return (progress->n_tasks + 7) / 8;
 }
@@ -165,6 +168,14 @@
         progress->durable[offset + i] |= bits[i];
 }
 
+bool rp_job_progress_may_write(const struct rp_job_progress *progress, struct timespec now) {
+    return rp_ts_reached(now, progress->write_back_backoff_until);
+}
+
+void rp_job_progress_back_off(struct rp_job_progress *progress, struct timespec now) {
+    progress->write_back_backoff_until = rp_ts_after(now, REFUSED_BACKOFF_S);
+}
+
 static uint64_t *revision_of(const struct rp_job_progress *progress,
                              struct rp_progress_record record) {
     size_t first = record.is_unit ? n_chunks(progress) : 0;
--- a/src/jobs/job_progress.h
+++ b/src/jobs/job_progress.h
@@ -84,6 +84,11 @@
 /** Marks as durable the bits that a successful write of the record carried. */
 void rp_job_progress_note_durable(struct rp_job_progress *progress,
                                   struct rp_progress_record record, const uint8_t *bits);
+/** Whether writes may be sent: the store hasn't refused one a moment ago. */
+bool rp_job_progress_may_write(const struct rp_job_progress *progress, struct timespec now);
+/** The store refused a write as too large: none for a while, so that the same isn't sent again at
+ * once. */
+void rp_job_progress_back_off(struct rp_job_progress *progress, struct timespec now);
 /** The revision of the record as last written or read; 0: there is none;
  * RP_PROGRESS_REVISION_UNKNOWN: it has to be read. */
 uint64_t rp_job_progress_revision(const struct rp_job_progress *progress,
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -46,28 +46,21 @@
 }
 
 static void connect_parts(struct rp_jobs *jobs) {
-    const struct rp_jobs_context *context = &jobs->context;
-    jobs->table.on_job_closed = on_job_closed;
-    jobs->table.arg = jobs;
-    rp_garbage_collector_init(&jobs->garbage_collector, context);
-    rp_record_reader_init(&jobs->record_reader, context, &jobs->table);
+    struct rp_jobs_context *context = &jobs->context;
+    struct rp_job_table *table = &jobs->table;
+    struct rp_garbage_collector *collector = &jobs->garbage_collector;
+    rp_garbage_collector_init(collector, context);
+    rp_record_reader_init(&jobs->record_reader, context, table);
+    rp_job_watch_init(&jobs->watch, context, table, &jobs->record_reader, collector);
+    rp_job_loader_init(&jobs->loader, context, table, &jobs->record_reader, &jobs->watch,
+                       collector);
+    rp_progress_writer_init(&jobs->progress_writer, context, table, collector);
+    rp_job_finisher_init(&jobs->finisher, context, table, collector);
+    table->on_job_closed = on_job_closed;
     jobs->record_reader.on_parts = on_parts;
-    jobs->record_reader.arg = jobs;
-    rp_job_watch_init(&jobs->watch, context, &jobs->table, &jobs->record_reader,
-                      &jobs->garbage_collector);
     jobs->watch.on_jobs_changed = on_jobs_changed;
-    jobs->watch.arg = jobs;
-    jobs->loader = (struct rp_job_loader){.context = &jobs->context,
-                                          .table = &jobs->table,
-                                          .reader = &jobs->record_reader,
-                                          .watch = &jobs->watch,
-                                          .collector = &jobs->garbage_collector,
-                                          .on_loaded = on_loaded,
-                                          .arg = jobs};
-    rp_progress_writer_init(&jobs->progress_writer, context, &jobs->table,
-                            &jobs->garbage_collector);
-    jobs->finisher = (struct rp_job_finisher){
-        .context = context, .table = &jobs->table, .collector = &jobs->garbage_collector};
+    jobs->loader.on_loaded = on_loaded;
+    table->arg = jobs->record_reader.arg = jobs->watch.arg = jobs->loader.arg = jobs;
 }
 
 void rp_jobs_init(struct rp_jobs *jobs, struct rp_loop *loop, struct rp_kv_client *store,
--- a/src/jobs/progress_writer.c
+++ b/src/jobs/progress_writer.c
@@ -13,8 +13,6 @@
  * allowed, this share of them. */
 #define FINISH_RESERVE_CHANGES 3.0
 #define FINISH_RESERVE_SHARE 0.1
-/* After the store has refused a single record as too large. */
-#define REFUSED_BACKOFF_S 5.0
 /* Bytes of a stored progress record besides its digits. */
 #define PROGRESS_FRAME_BYTES 16
 
@@ -107,8 +105,7 @@
     }
     struct rp_job *job = rp_job_table_find(writer->table, write->records[0].job_id);
     if (job)
-        job->progress.write_back_backoff_until =
-            rp_ts_after(rp_loop_now(writer->context->loop), REFUSED_BACKOFF_S);
+        rp_job_progress_back_off(&job->progress, rp_loop_now(writer->context->loop));
 }
 
 /* The job ended while the write was under way: the record may stand although nobody needs it. */
@@ -219,7 +216,7 @@
 static bool is_due(const struct rp_job *job, struct timespec now) {
     const struct rp_job_progress *progress = &job->progress;
     bool has_changes = job->state == RP_JOB_OPEN && progress->dirty_units;
-    return has_changes && rp_ts_reached(now, progress->write_back_backoff_until) &&
+    return has_changes && rp_job_progress_may_write(progress, now) &&
            rp_ts_since(now, progress->dirty_since) >= WRITE_BACK_DELAY_S;
 }
 
--- a/src/jobs/record_reader.c
+++ b/src/jobs/record_reader.c
@@ -23,9 +23,9 @@
 }
 
 void rp_record_reader_clear(struct rp_record_reader *reader) {
-    while (reader->first) {
-        struct rp_partial_record *partial = reader->first;
-        reader->first = partial->next;
+    while (reader->first_partial) {
+        struct rp_partial_record *partial = reader->first_partial;
+        reader->first_partial = partial->next;
         partial_record_free(partial);
     }
     reader->is_reading = false;
@@ -49,7 +49,7 @@
 }
 
 static void add_partial_record(struct rp_record_reader *reader, const struct rp_kv_item *item) {
-    struct rp_partial_record **link = &reader->first;
+    struct rp_partial_record **link = &reader->first_partial;
     struct rp_partial_record *partial = rp_alloc(1, sizeof *partial);
     snprintf(partial->job_id, sizeof partial->job_id, "%s", item->key + strlen(RP_KEY_OPEN));
     partial->record = json_incref(item->value);
@@ -74,14 +74,14 @@
 
 struct rp_partial_record *rp_record_reader_find(const struct rp_record_reader *reader,
                                                 const char *job_id) {
-    struct rp_partial_record *partial = reader->first;
+    struct rp_partial_record *partial = reader->first_partial;
     while (partial && (partial->is_cancelled || strcmp(partial->job_id, job_id) != 0))
         partial = partial->next;
     return partial;
 }
 
 bool rp_record_reader_has_partial(const struct rp_record_reader *reader) {
-    return reader->first != NULL;
+    return reader->first_partial != NULL;
 }
 
 /* The number of the part that an item holds; 0 when it isn't one of the job's `n_parts`. */
@@ -131,9 +131,9 @@
                                         const struct rp_kv_result *result) {
     if (result->outcome != RP_KV_OK)
         return RP_PARTS_FAILED;
-    struct rp_partial_record *partial = reader->first;
+    struct rp_partial_record *partial = reader->first_partial;
     enum rp_parts_outcome outcome = partial->is_cancelled ? RP_PARTS_DROPPED : RP_PARTS_READ;
-    reader->first = partial->next;
+    reader->first_partial = partial->next;
     if (outcome == RP_PARTS_READ)
         add_joined_job(reader, partial, result);
     partial_record_free(partial);
@@ -152,10 +152,10 @@
 }
 
 void rp_record_reader_read_next_parts(struct rp_record_reader *reader) {
-    if (reader->is_reading || !reader->first)
+    if (reader->is_reading || !reader->first_partial)
         return;
     char prefix[RP_KEY_MAX];
-    snprintf(prefix, sizeof prefix, "%s%s/", RP_KEY_PART, reader->first->job_id);
+    snprintf(prefix, sizeof prefix, "%s%s/", RP_KEY_PART, reader->first_partial->job_id);
     struct parts_request *request = rp_alloc(1, sizeof *request);
     request->reader = reader;
     request->generation = reader->context->generation;
--- a/src/jobs/record_reader.h
+++ b/src/jobs/record_reader.h
@@ -31,7 +31,7 @@
 struct rp_record_reader {
     const struct rp_jobs_context *context;
     struct rp_job_table *table;
-    struct rp_partial_record *first;
+    struct rp_partial_record *first_partial;
     bool is_reading; /* a request for parts is under way */
     unsigned long n_unreadable;
     rp_parts_fn on_parts;
