--- a/src/api/status.c
+++ b/src/api/status.c
@@ -43,20 +43,22 @@
 
 static json_t *service_counts(const struct rp_status_sources *sources) {
     const struct rp_services *services = sources->services;
+    const struct rp_worker_counters *counters = &sources->workers->context.counters;
     return json_pack("{s:I,s:I,s:I,s:I,s:f,s:f,s:I,s:I}", "jobs",
                      (json_int_t)sources->jobs->n_services, "placed",
                      (json_int_t)services->n_placed, "tasks_stopped_for_them",
                      (json_int_t)services->n_made_room, "moved", (json_int_t)services->n_moved,
                      "reserve_cpus", rp_services_reserve_cpus(services), "ready_cpus",
                      sources->leading ? rp_services_ready_cpus(services) : 0.0, "direct",
-                     (json_int_t)sources->workers->n_direct, "direct_unanswered",
-                     (json_int_t)sources->workers->n_direct_lost);
+                     (json_int_t)counters->n_direct_commands, "direct_unanswered",
+                     (json_int_t)counters->n_direct_unanswered);
 }
 
 /* What went beyond a fixed bound, was put off or left out, and logged. */
 static unsigned long over_bounds(const struct rp_status_sources *sources) {
-    return sources->workers->n_over_bounds + sources->scheduler->n_over_bounds +
-           sources->jobs->n_over_bounds + sources->catalog->n_left_out;
+    return sources->workers->context.counters.n_unknown_tasks_above +
+           sources->scheduler->n_over_bounds + sources->jobs->n_over_bounds +
+           sources->catalog->n_left_out;
 }
 
 static json_t *plan_winners(const struct rp_status_sources *sources) {
@@ -88,19 +90,20 @@
 }
 
 char *rp_status_json(const struct rp_status_sources *sources) {
+    const struct rp_worker_counters *worker_counters = &sources->workers->context.counters;
     const struct counter counters[] = {{"nodes_known", sources->upgrade->n_known},
                                        {"state_too_fast", sources->store->n_too_fast},
                                        {"state_too_large", sources->store->n_bad},
                                        {"state_shed", sources->store->n_shed},
                                        {"unreadable", sources->jobs->n_unreadable},
                                        {"rounds", sources->scheduler->n_cycles},
-                                       {"starts", sources->workers->n_starts},
+                                       {"starts", worker_counters->n_starts},
                                        {"preempted", sources->scheduler->n_preempted},
                                        {"rented", sources->fleet->n_provisioned},
                                        {"refused", sources->fleet->n_refused},
                                        {"returned", sources->fleet->n_released},
                                        {"accepted", sources->api->n_accepted},
-                                       {"stale_reports", sources->workers->n_stale},
+                                       {"stale_reports", worker_counters->n_stale_heartbeats},
                                        {"over_bounds", over_bounds(sources)}};
     json_t *value = identity(sources);
     put_counters(value, counters, sizeof counters / sizeof counters[0]);
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -6,6 +6,7 @@
 #include "api/status.h"
 #include "base/log.h"
 #include "protocol/wire.h"
+#include "worker/direct_commands.h"
 
 #define SUMMARY_S 2.0
 #define SUMMARY_WAIT_S 1.5
@@ -89,8 +90,8 @@
     node->fleet.on_loaded = on_fleet_loaded;
     node->fleet.on_changed = on_room;
     node->fleet.arg = node;
-    node->workers.on_capacity_freed = on_report_news;
-    node->workers.arg = node;
+    node->workers.context.on_capacity_freed = on_report_news;
+    node->workers.context.arg = node;
     node->catalog_source.on_known = on_catalog;
     node->catalog_source.arg = node;
     node->summary_timer = (struct rp_timer){.fn = summary_due, .arg = node};
@@ -182,7 +183,7 @@
     rp_timer_cancel(node->loop, &node->retry_timer);
     rp_timer_cancel(node->loop, &node->capacity_timer);
     if (state != RP_NODE_LEADING)
-        rp_workers_answer_held_heartbeats(&node->workers);
+        rp_workers_answer_pending(&node->workers);
     switch (state) {
     case RP_NODE_FOLLOWING:
         rp_scheduler_stop(&node->scheduler);
@@ -261,8 +262,8 @@
 static void run_round(struct rp_node *node) {
     rp_timer_cancel(node->loop, &node->capacity_timer);
     rp_scheduler_run_cycle(&node->scheduler);
-    rp_workers_send_fenced(&node->workers);
-    rp_workers_answer_held_heartbeats(&node->workers);
+    rp_direct_commands_send_fenced(&node->workers.context);
+    rp_workers_answer_pending(&node->workers);
 }
 
 /* Something changed that a round could use. True: there is none to wait for any more. */
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -19,7 +19,7 @@
 /* The lease's length, at most, in a term that begins because the leader before fell silent: one
  * node is likely down, and where this leader falls silent too, workers have too few nodes left to
  * try. Each waits 4 s for an answer, tries the next node a second later, and is held there for up
- * to 3.7 s (workers.c); by then the next leader has to be known. */
+ * to 3.7 s (worker/heartbeat_queue.c); by then the next leader has to be known. */
 #define SILENT_TTL_S 7.5
 
 static void tick(void *arg);
--- a/src/scheduler/services.c
+++ b/src/scheduler/services.c
@@ -4,6 +4,8 @@
 #include <string.h>
 #include "base/log.h"
 #include "cluster/fleet.h"
+#include "worker/direct_commands.h"
+#include "worker/probes.h"
 
 /* What makes a machine worse for a replica, in seconds of a later start. */
 #define SAME_MACHINE_S 0.4 /* for each replica of the job that one loss would take as well */
@@ -247,7 +249,7 @@
     price += same * SAME_MACHINE_S + zone_excess(services, job, machine->zone) * SAME_ZONE_S;
     for (unsigned i = 0; i < job->n_failed_machines; i++)
         price += strcmp(job->failed_machines[i], machine->name) == 0 ? FAILED_HERE_S : 0;
-    price += rp_workers_is_direct_full(machine) ? NEXT_REPORT_S : 0;
+    price += rp_direct_commands_is_full(machine) ? NEXT_REPORT_S : 0;
     price += ERROR_S * machine->health.consecutive_errors + (machine->spot ? SPOT_S : 0) +
              (gpus ? GPU_S : 0);
     return price + (serves ? 0 : KEPT_S);
@@ -411,7 +413,7 @@
     for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next)
         for (size_t i = 0; i < machine->n_allocations; i++)
             if (to_send(&machine->allocations[i])) {
-                rp_workers_send_direct(services->workers, machine);
+                rp_direct_commands_send(&services->workers->context, machine);
                 break;
             }
 }
@@ -564,12 +566,12 @@
         rp_ts_since(now, services->fleet->led_since) > services->settings->report_s * 1.25 + LED_S)
         rp_fleet_scale_in(services->fleet, machine, "silent, and replicas wait for it");
     else
-        rp_workers_probe(services->workers, machine);
+        rp_probe_send(&services->workers->context, machine);
 }
 
 /* Ended attempts that were started directly stay in their machines' reports for as long as the
- * token is ours (workers.c). Over days of services that come and go they would fill the reports:
- * once there are many, another term begins, under which workers may forget them. */
+ * token is ours (worker/command_batch.c). Over days of services that come and go they would fill
+ * the reports: once there are many, another term begins, under which workers may forget them. */
 static bool much_to_forget(const struct rp_services *services) {
     size_t kept = 0;
     for (const struct rp_machine *machine = services->cluster->first; machine;
@@ -584,11 +586,12 @@
     struct rp_services *services = arg;
     struct timespec now = rp_loop_now(services->loop);
     rp_timer_set(services->loop, &services->watch, WATCH_S);
-    if (services->jobs->n_services == 0 || !rp_election_is_valid(services->workers->election, now))
+    if (services->jobs->n_services == 0 ||
+        !rp_election_is_valid(services->workers->context.election, now))
         return;
     if (much_to_forget(services)) {
         rp_info("many ended attempts are kept known: another term lets workers forget them");
-        rp_election_resign(services->workers->election, 0);
+        rp_election_resign(services->workers->context.election, 0);
         return;
     }
     uint32_t doubt = zones_in_doubt(services, now);
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -6,6 +6,7 @@
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/string_copy.h"
+#include "worker/worker_fencing.h"
 
 #define TICK_S 0.1
 #define TICK_MOST_S 0.3 /* a tick counts for no more: this node itself may have stood still */
@@ -398,8 +399,8 @@
         if (!machine || !known || !*known->addr || machine->state != RP_MACHINE_UNRECONCILED)
             continue;
         standby->n_fencing++;
-        rp_workers_fence(standby->workers, machine, known->addr, known->incarnation, machine_fenced,
-                         standby);
+        rp_worker_fence(&standby->workers->context, machine, known->addr, known->incarnation,
+                        machine_fenced, standby);
     }
 }
 
@@ -426,7 +427,8 @@
             rp_machine_directory_find(&standby->directory, machine->name);
         if ((known && known->releasing) ||
             rp_tombstones_has(&standby->directory.tombstones, machine->name))
-            rp_fleet_scale_in(standby->workers->fleet, machine, "the leader before gave it back");
+            rp_fleet_scale_in(standby->workers->context.fleet, machine,
+                              "the leader before gave it back");
     }
 }
 
@@ -480,7 +482,7 @@
     set_state(standby, RP_STANDBY_LEADING);
     standby->n_fenced = standby->n_unfenced = 0;
     standby->second_pass = false;
-    standby->workers->direct_left = DIRECT_STARTS_MOST;
+    standby->workers->context.n_direct_array_starts_left = DIRECT_STARTS_MOST;
     return_again(standby);
     rp_timer_set(standby->loop, &standby->fence_timer, FENCE_AFTER_S);
 }
@@ -489,7 +491,7 @@
     rp_change_log_begin(&standby->log, 0);
     rp_timer_cancel(standby->loop, &standby->fence_timer);
     standby->n_to_fence = standby->next_to_fence = 0;
-    standby->workers->direct_left = 0;
+    standby->workers->context.n_direct_array_starts_left = 0;
     standby->leader[0] = '\0';
     standby->silent_s = 0;
     if (standby->state != RP_STANDBY_OFF)
--- /dev/null
+++ b/src/worker/command_batch.c
@@ -0,0 +1,234 @@
+#include "worker/command_batch.h"
+
+#include <stdlib.h>
+#include "base/log.h"
+#include "base/memory.h"
+#include "base/string_copy.h"
+
+/* Below the 64 KiB that a line of an answer may have (PROTOCOL), at some 90 bytes a command. */
+#define COMMANDS_MAX 400
+/* An attempt's number is the token of its leader, shifted so far, plus a count
+ * (rp_cluster_next_attempt). */
+#define ATTEMPT_TOKEN_SHIFT 32
+
+void rp_command_batch_init(struct rp_command_batch *batch) {
+    batch->commands = rp_alloc(COMMANDS_MAX, sizeof *batch->commands);
+    batch->n = 0;
+}
+
+void rp_command_batch_free(struct rp_command_batch *batch) {
+    free(batch->commands);
+    batch->commands = NULL;
+    batch->n = 0;
+}
+
+static bool is_full(const struct rp_command_batch *batch) {
+    return batch->n == COMMANDS_MAX;
+}
+
+/* What finds no place goes with a later message: each command is chosen anew from the machine's
+ * state. */
+static void add(struct rp_command_batch *batch, enum rp_command_kind kind, const char *job,
+                uint32_t task, uint64_t attempt, double grace_s) {
+    if (is_full(batch))
+        return;
+    struct rp_command *command = &batch->commands[batch->n++];
+    command->kind = kind;
+    rp_string_copy(command->job, sizeof command->job, job);
+    command->task = task;
+    command->attempt = attempt;
+    command->grace_s = grace_s;
+}
+
+static void add_start(struct rp_command_batch *batch, const struct rp_allocation *allocation) {
+    add(batch, RP_COMMAND_START, allocation->job->spec.id, allocation->task, allocation->attempt,
+        0);
+}
+
+static void add_stop(struct rp_command_batch *batch, const struct rp_allocation *allocation,
+                     double grace_s) {
+    add(batch, RP_COMMAND_STOP, allocation->job->spec.id, allocation->task, allocation->attempt,
+        grace_s);
+}
+
+static void add_forget(struct rp_command_batch *batch, const struct rp_allocation *allocation) {
+    add(batch, RP_COMMAND_FORGET, allocation->job->spec.id, allocation->task, allocation->attempt,
+        0);
+}
+
+/* ---- stops and forgets: they can be repeated, and come late, without harm ---- */
+
+void rp_command_batch_add_unknown_tasks(struct rp_command_batch *batch,
+                                        const struct rp_machine *machine) {
+    for (size_t i = 0; i < machine->n_unknown_tasks; i++) {
+        const struct rp_unknown_task *task = &machine->unknown_tasks[i];
+        if (!task->exited)
+            add(batch, RP_COMMAND_STOP, task->job, task->task, task->attempt, 0);
+        else if (machine->contact.fencing_token_seen) /* as in may_forget */
+            add(batch, RP_COMMAND_FORGET, task->job, task->task, task->attempt, 0);
+    }
+}
+
+/* A worker that has forgotten an attempt would begin it anew on a late copy of its start (PROTOCOL,
+ * `forget`). Starts in answers to heartbeats have no late copies, direct ones may have; those are
+ * void with the token, which is part of the attempt's number, or with the incarnation. */
+static bool may_forget(const struct rp_worker_context *context, const struct rp_machine *machine,
+                       const struct rp_allocation *allocation) {
+    /* Until the token is seen, an earlier leader's start may still be on its way. */
+    if (!machine->contact.fencing_token_seen)
+        return false;
+    bool is_of_this_term =
+        allocation->attempt >> ATTEMPT_TOKEN_SHIFT == context->election->fencing_token;
+    if (allocation->started_directly && is_of_this_term)
+        return false;
+    /* A result must be durable before the worker may lose it. */
+    return allocation->exit_reason != RP_EXIT_DONE ||
+           rp_job_is_task_durable(allocation->job, allocation->task);
+}
+
+static void note_stop_sent(struct rp_allocation *allocation, struct timespec now) {
+    allocation->stop_sent_at = now;
+    allocation->job->interrupted = true;
+}
+
+static void add_requested_stop(struct rp_command_batch *batch, struct rp_allocation *allocation,
+                               struct timespec now) {
+    bool is_saving = allocation->task_state == RP_TASK_SAVING && allocation->grace_s > 0;
+    if (is_saving)
+        return;
+    note_stop_sent(allocation, now);
+    /* A direct start that nothing has been heard of may still arrive, after this stop: started and
+     * stopped in one go, its attempt is known there, and over (docs/safety.md, "Direct commands").
+     */
+    if (allocation->started_directly && allocation->state == RP_ALLOCATION_SENT)
+        add_start(batch, allocation);
+    add_stop(batch, allocation, allocation->grace_s);
+}
+
+static void add_stops_and_forgets(struct rp_command_batch *batch,
+                                  const struct rp_worker_context *context,
+                                  struct rp_machine *machine) {
+    struct timespec now = rp_loop_now(context->loop);
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        struct rp_allocation *allocation = &machine->allocations[i];
+        if (allocation->state == RP_ALLOCATION_EXITED) {
+            if (may_forget(context, machine, allocation))
+                add_forget(batch, allocation);
+        } else if (allocation->stop_requested && allocation->state != RP_ALLOCATION_PLANNED) {
+            add_requested_stop(batch, allocation, now);
+        }
+    }
+}
+
+static void add_immediate_stops(struct rp_command_batch *batch,
+                                const struct rp_worker_context *context,
+                                struct rp_machine *machine) {
+    struct timespec now = rp_loop_now(context->loop);
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        struct rp_allocation *allocation = &machine->allocations[i];
+        if (allocation->stop_requested && allocation->grace_s <= 0 &&
+            allocation->state == RP_ALLOCATION_SEEN) {
+            note_stop_sent(allocation, now);
+            add_stop(batch, allocation, 0);
+        }
+    }
+}
+
+/* ---- starts ---- */
+
+/* What allowed the start when it was planned may have changed since. */
+static bool may_still_start(const struct rp_worker_context *context,
+                            const struct rp_machine *machine,
+                            const struct rp_allocation *allocation) {
+    return allocation->job->state == RP_JOB_OPEN && rp_machine_is_usable(machine) &&
+           rp_cluster_is_job_reconciled(context->cluster, allocation->job) &&
+           rp_jobs_may_start_tasks(context->jobs);
+}
+
+/* Nothing has been heard of a direct start, and its command is no longer under way. */
+static bool is_unanswered_direct_start(const struct rp_allocation *allocation) {
+    return allocation->state == RP_ALLOCATION_SENT && allocation->started_directly &&
+           !allocation->direct_start_pending;
+}
+
+/* A direct start whose response was lost is sent again: the same attempt can't begin twice
+ * (PROTOCOL, `run`). */
+static void add_repeated_starts(struct rp_command_batch *batch,
+                                const struct rp_worker_context *context,
+                                struct rp_machine *machine) {
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        struct rp_allocation *allocation = &machine->allocations[i];
+        if (!is_unanswered_direct_start(allocation) || allocation->stop_requested)
+            continue;
+        add_start(batch, allocation);
+        if (!may_still_start(context, machine, allocation)) {
+            rp_allocation_request_stop(allocation, 0);
+            add_stop(batch, allocation, 0);
+        }
+    }
+}
+
+/* Attempts started directly have to be kept known by their workers for the rest of the term, so
+ * only services' replicas are, and, within bounds, what a failover would delay. */
+static bool may_start_directly(const struct rp_worker_context *context,
+                               const struct rp_machine *machine, const struct rp_job *job) {
+    bool is_delayed_by_failover =
+        job->spec.kind == RP_JOB_ARRAY && machine->contact.known_by_fencing_only;
+    return job->spec.kind == RP_JOB_SERVICE ||
+           (is_delayed_by_failover && context->n_direct_array_starts_left > 0);
+}
+
+static void note_start_sent(struct rp_worker_context *context, struct rp_machine *machine,
+                            struct rp_allocation *allocation, bool directly) {
+    const struct rp_job *job = allocation->job;
+    rp_allocation_set_state(context->cluster, machine, allocation, RP_ALLOCATION_SENT);
+    allocation->sent_seq = machine->contact.heartbeat_seq;
+    allocation->started_directly = allocation->direct_start_pending = directly;
+    if (directly && job->spec.kind == RP_JOB_ARRAY)
+        context->n_direct_array_starts_left--;
+    context->counters.n_starts++;
+    rp_metrics_add(context->metrics, RP_METRIC_START,
+                   rp_job_age_s(job, rp_loop_now(context->loop)));
+    rp_debug("start sent: machine=%s task=%s/%u attempt=%llu directly=%d", machine->name,
+             job->spec.id, allocation->task, (unsigned long long)allocation->attempt, directly);
+}
+
+static void add_planned_starts(struct rp_command_batch *batch, struct rp_worker_context *context,
+                               struct rp_machine *machine, bool directly) {
+    for (size_t i = machine->n_allocations; i-- > 0;) {
+        struct rp_allocation *allocation = &machine->allocations[i];
+        if (allocation->state != RP_ALLOCATION_PLANNED ||
+            (directly && !may_start_directly(context, machine, allocation->job)))
+            continue;
+        if (!may_still_start(context, machine, allocation)) {
+            rp_allocation_remove(context->cluster, machine, i);
+            continue;
+        }
+        if (is_full(batch))
+            return;
+        add_start(batch, allocation);
+        note_start_sent(context, machine, allocation, directly);
+    }
+}
+
+/* ---- whole messages ---- */
+
+void rp_command_batch_add_for_answer(struct rp_command_batch *batch,
+                                     struct rp_worker_context *context,
+                                     struct rp_machine *machine) {
+    /* What is over is stopped by the very first answer, which renews the lease like any other: a
+     * machine that hung right after a first answer without stops ran cancelled work for one more
+     * lease; one that was about to be scaled in, while the cloud didn't answer, for ever. */
+    rp_command_batch_add_unknown_tasks(batch, machine);
+    add_stops_and_forgets(batch, context, machine);
+    if (machine->contact.fencing_token_seen) {
+        add_repeated_starts(batch, context, machine);
+        add_planned_starts(batch, context, machine, false);
+    }
+}
+
+void rp_command_batch_add_direct(struct rp_command_batch *batch, struct rp_worker_context *context,
+                                 struct rp_machine *machine) {
+    add_immediate_stops(batch, context, machine);
+    add_planned_starts(batch, context, machine, true);
+}
--- /dev/null
+++ b/src/worker/task_exit.c
@@ -0,0 +1,93 @@
+#include "worker/task_exit.h"
+
+#include <math.h>
+#include "base/log.h"
+#include "cluster/quarantine.h"
+
+/* A replica that ran for so long has not failed at its start. */
+#define EARLY_EXIT_S 30.0
+/* The pause before a job's replicas are started again doubles with each early exit, up to the
+ * maximum. From the eighth on the product is above the maximum. */
+#define REPLICA_BACKOFF_S 0.5
+#define REPLICA_BACKOFF_MAX_S 30.0
+#define REPLICA_BACKOFF_EXITS_MAX 8
+/* After a refused start: the capacity, or the task's earlier attempt, shows in the next heartbeat.
+ */
+#define REFUSED_START_BACKOFF_S 1.0
+/* The worker fetches the job's description by itself, from where its user uploads it. */
+#define UNKNOWN_TASK_BACKOFF_S 5.0
+
+static bool is_early_exit(const struct rp_allocation *allocation, struct timespec now) {
+    return rp_ts_zero(allocation->running_since) ||
+           rp_ts_since(now, allocation->running_since) <= EARLY_EXIT_S;
+}
+
+static bool has_ended_by_itself(const struct rp_allocation *allocation) {
+    return !allocation->stop_requested &&
+           (allocation->exit_reason == RP_EXIT_DONE || allocation->exit_reason == RP_EXIT_ERROR);
+}
+
+/* A replica that ended by itself runs again elsewhere at once. One that ended soon after its start
+ * speaks against the machine first; once replicas of the job have ended so on several machines it
+ * is the job's own fault, and the pauses grow, so that a bad image costs little. */
+static void on_replica_exit(struct rp_worker_context *context, struct rp_machine *machine,
+                            const struct rp_allocation *allocation) {
+    struct rp_job *job = allocation->job;
+    struct timespec now = rp_loop_now(context->loop);
+    if (!has_ended_by_itself(allocation))
+        return;
+    if (!is_early_exit(allocation, now)) {
+        job->consecutive_early_exits = job->n_failed_machines = 0;
+        return;
+    }
+    bool first_machine = job->n_failed_machines == 0;
+    bool pausing = !rp_ts_reached(now, job->start_backoff_until);
+    if (!rp_quarantine_note_job_failure(job, machine) && pausing)
+        return;
+    if (!rp_quarantine_is_job_suspected(job) && allocation->exit_reason == RP_EXIT_ERROR)
+        rp_quarantine_count_machine_error(context->cluster, job, machine, now);
+    job->consecutive_early_exits++;
+    /* The first exit pauses nothing, so the second is the one with the undoubled pause. */
+    int doublings = (int)fmin(job->consecutive_early_exits, REPLICA_BACKOFF_EXITS_MAX) - 2;
+    double backoff_s = first_machine ? 0 : ldexp(REPLICA_BACKOFF_S, doublings);
+    job->start_backoff_until = rp_ts_after(now, fmin(backoff_s, REPLICA_BACKOFF_MAX_S));
+}
+
+static void on_task_done(struct rp_worker_context *context, struct rp_machine *machine,
+                         const struct rp_allocation *allocation) {
+    struct rp_job *job = allocation->job;
+    if (!rp_ts_zero(allocation->running_since))
+        rp_jobs_record_run_time(context->jobs, job,
+                                rp_ts_since(rp_loop_now(context->loop), allocation->running_since));
+    rp_jobs_task_done(context->jobs, job, allocation->task);
+    rp_quarantine_on_task_success(context->cluster, job, machine);
+}
+
+void rp_task_exit_apply(struct rp_worker_context *context, struct rp_machine *machine,
+                        const struct rp_allocation *allocation) {
+    struct rp_job *job = allocation->job;
+    struct timespec now = rp_loop_now(context->loop);
+    rp_debug("task exited: machine=%s task=%s/%u attempt=%llu reason=%d", machine->name,
+             job->spec.id, allocation->task, (unsigned long long)allocation->attempt,
+             (int)allocation->exit_reason);
+    if (job->spec.kind == RP_JOB_SERVICE)
+        on_replica_exit(context, machine, allocation);
+    switch (allocation->exit_reason) {
+    case RP_EXIT_DONE:
+        on_task_done(context, machine, allocation);
+        break;
+    case RP_EXIT_ERROR:
+        if (job->spec.kind != RP_JOB_SERVICE)
+            rp_quarantine_on_task_error(context->cluster, job, machine, now);
+        break;
+    case RP_EXIT_NO_CAPACITY:
+    case RP_EXIT_ALREADY_PRESENT:
+        job->start_backoff_until = rp_ts_after(now, REFUSED_START_BACKOFF_S);
+        break;
+    case RP_EXIT_UNKNOWN_TASK:
+        job->start_backoff_until = rp_ts_after(now, UNKNOWN_TASK_BACKOFF_S);
+        break;
+    default:
+        break;
+    }
+}
--- /dev/null
+++ b/src/worker/worker_fencing.c
@@ -0,0 +1,137 @@
+#include "worker/worker_fencing.h"
+
+#include <stdlib.h>
+#include <string.h>
+#include "base/log.h"
+#include "base/memory.h"
+#include "base/string_copy.h"
+#include "protocol/wire.h"
+#include "worker/command_batch.h"
+#include "worker/direct_call.h"
+#include "worker/heartbeat_reader.h"
+
+/* For the response to a direct command. */
+#define RESPONSE_TIMEOUT_S 1.0
+/* Direct commands to a machine: two until the incarnation is right, a stop of tasks whose jobs are
+ * over, a forget. */
+#define COMMANDS_SENT_MAX 4
+
+/* A machine that is being fenced. */
+struct fencing {
+    struct rp_direct_call call;
+    char addr[RP_TEXT_MAX];
+    unsigned n_sent;
+    rp_worker_fenced_fn on_fenced;
+    void *arg;
+};
+
+static void on_fence_response(void *arg, const struct rp_answer *response);
+
+static void end_fencing(struct fencing *fencing, bool fenced) {
+    rp_worker_fenced_fn on_fenced = fencing->on_fenced;
+    void *arg = fencing->arg;
+    rp_debug("fencing a worker ended: machine=%s fenced=%d", fencing->call.machine, fenced);
+    free(fencing);
+    on_fenced(arg, fenced);
+}
+
+/* The command that shows the token; to a machine that has shown it, with the stops of tasks whose
+ * jobs are over: what they use counts against everybody until they are gone. */
+static void send_command(struct fencing *fencing, const struct rp_machine *machine) {
+    const struct rp_worker_context *context = fencing->call.context;
+    struct rp_command_batch batch;
+    rp_command_batch_init(&batch);
+    if (machine->contact.known_by_fencing_only)
+        rp_command_batch_add_unknown_tasks(&batch, machine);
+    char *body = rp_wire_direct(fencing->call.fencing_token, fencing->call.incarnation,
+                                batch.commands, batch.n);
+    fencing->n_sent++;
+    context->net.call_once(context->net.ctx, fencing->addr, "POST", RP_PATH_DIRECT, body,
+                           RESPONSE_TIMEOUT_S, on_fence_response, fencing);
+    free(body);
+    rp_command_batch_free(&batch);
+}
+
+static bool is_newer(const struct rp_machine_contact *contact,
+                     const struct rp_heartbeat *heartbeat) {
+    return heartbeat->incarnation > contact->incarnation ||
+           (heartbeat->incarnation == contact->incarnation && heartbeat->seq > contact->seq);
+}
+
+/* The machine shows our token in what it says after the command: no start of an earlier leader can
+ * be accepted there any more, so what it lists is all there is. Its lease was renewed last by a
+ * heartbeat that it sent before now. Newer than any heartbeat so far, the response counts as one:
+ * what was sent before it is refused, and the worker sends its heartbeat again. Returns whether the
+ * response could be read so. */
+static bool read_as_heartbeat(struct rp_worker_context *context, struct rp_machine *machine,
+                              const struct rp_heartbeat *heartbeat) {
+    bool is_first = machine->state == RP_MACHINE_UNRECONCILED;
+    bool may_count = is_first || machine->contact.known_by_fencing_only;
+    if (heartbeat->fencing_token != context->election->fencing_token || !may_count ||
+        !is_newer(&machine->contact, heartbeat))
+        return false;
+    if (is_first) {
+        rp_fleet_describe_machine(context->fleet, machine, heartbeat->type, heartbeat->zone,
+                                  heartbeat->spot);
+        machine->contact.lease_expiry =
+            rp_ts_after(rp_loop_now(context->loop), rp_settings_worker_lease_s(context->settings));
+    }
+    rp_heartbeat_read(context, machine, heartbeat);
+    machine->contact.known_by_fencing_only = true;
+    return true;
+}
+
+/* What a response means for the fencing. */
+struct fencing_progress {
+    bool fenced; /* the response counts as a heartbeat */
+    bool resend; /* another command makes sense */
+};
+
+static struct fencing_progress read_response(struct fencing *fencing, struct rp_machine *machine,
+                                             enum rp_direct_outcome outcome,
+                                             const struct rp_heartbeat *heartbeat) {
+    struct rp_worker_context *context = fencing->call.context;
+    struct fencing_progress progress = {0};
+    /* Addresses are used again: another machine may have answered. */
+    bool is_same = strcmp(heartbeat->machine, fencing->call.machine) == 0;
+    if (is_same && heartbeat->fencing_token > fencing->call.fencing_token)
+        rp_election_verify(context->election);
+    progress.fenced =
+        is_same && outcome == RP_DIRECT_EXECUTED && read_as_heartbeat(context, machine, heartbeat);
+    if (!progress.fenced)
+        machine->contact.n_direct++; /* the response took a number after the newest heartbeat's */
+    bool was_other_incarnation = is_same && outcome == RP_DIRECT_REFUSED &&
+                                 heartbeat->incarnation != fencing->call.incarnation;
+    progress.resend = was_other_incarnation || (progress.fenced && machine->n_unknown_live > 0);
+    fencing->call.incarnation = heartbeat->incarnation;
+    return progress;
+}
+
+static void on_fence_response(void *arg, const struct rp_answer *response) {
+    struct fencing *fencing = arg;
+    struct rp_machine *machine = rp_direct_call_find_machine(&fencing->call);
+    struct fencing_progress progress = {0};
+    struct rp_heartbeat heartbeat;
+    enum rp_direct_outcome outcome = rp_direct_call_read(response, &heartbeat);
+    if (machine && (outcome == RP_DIRECT_EXECUTED || outcome == RP_DIRECT_REFUSED))
+        progress = read_response(fencing, machine, outcome, &heartbeat);
+    rp_heartbeat_free(&heartbeat);
+    if (progress.fenced)
+        rp_worker_notify_capacity_freed(fencing->call.context);
+    if (progress.resend && fencing->n_sent < COMMANDS_SENT_MAX)
+        send_command(fencing, machine);
+    else
+        end_fencing(fencing, machine && machine->contact.known_by_fencing_only);
+}
+
+void rp_worker_fence(struct rp_worker_context *context, struct rp_machine *machine,
+                     const char *addr, uint64_t incarnation, rp_worker_fenced_fn on_fenced,
+                     void *arg) {
+    struct fencing *fencing = rp_alloc(1, sizeof *fencing);
+    fencing->call = rp_direct_call_to(context, machine);
+    fencing->call.incarnation = incarnation;
+    rp_string_copy(fencing->addr, sizeof fencing->addr, addr);
+    fencing->on_fenced = on_fenced;
+    fencing->arg = arg;
+    send_command(fencing, machine);
+}
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -1015,7 +1015,7 @@
     assert_true(node->cluster.n_machines >= 3950);
     assert_true(kept_sessions(sim) >= sessions - sessions / 100);
     assert_true(sim->next_machine <= rented + 40);
-    assert_true(node->workers.n_starts > 2000);
+    assert_true(node->workers.context.counters.n_starts > 2000);
     unsigned long done = sim->n_done_jobs;
     sim_run(sim, 10);
     assert_true(sim->n_done_jobs > done + 50);
