--- a/src/worker/answer_queue.h
+++ b/src/worker/answer_queue.h
@@ -3,7 +3,7 @@
  * a distance, and on a large fleet nearly every heartbeat frees capacity between two of them: a
  * start planned a moment after the answer had to wait for the machine's next heartbeat, seconds
  * later. So the answer waits for the cycle, which is a small part of what a worker waits
- * (docs/safety.md, "Answers that wait for a round"). Owned by struct rp_workers (workers.h), used
+ * (docs/safety.md, "Answers that wait for a cycle"). Owned by struct rp_workers (workers.h), used
  * by workers.c. */
 #ifndef RP_WORKER_ANSWER_QUEUE_H
 #define RP_WORKER_ANSWER_QUEUE_H
--- a/src/worker/direct_call.c
+++ b/src/worker/direct_call.c
@@ -31,7 +31,7 @@
     if (response->unsent)
         return RP_DIRECT_UNSENT;
     bool has_list = response->status == 200 || response->status == 409;
-    if (!has_list || !rp_wire_report(response->body, response->len, heartbeat))
+    if (!has_list || !rp_worker_codec_parse_heartbeat(response->body, response->len, heartbeat))
         return RP_DIRECT_UNKNOWN;
     return response->status == 200 ? RP_DIRECT_EXECUTED : RP_DIRECT_REFUSED;
 }
--- a/src/worker/direct_commands.c
+++ b/src/worker/direct_commands.c
@@ -89,8 +89,8 @@
 static void send_batch(struct rp_worker_context *context, struct rp_machine *machine,
                        const struct rp_command_batch *batch) {
     struct direct_message *message = message_new(context, machine, batch);
-    char *body = rp_wire_direct(message->call.fencing_token, message->call.incarnation,
-                                batch->commands, batch->n);
+    char *body = rp_worker_codec_write_direct_commands(
+        message->call.fencing_token, message->call.incarnation, batch->commands, batch->n);
     machine->contact.n_direct++;
     context->counters.n_direct_commands++;
     context->net.call_once(context->net.ctx, machine->addr, "POST", RP_PATH_DIRECT, body,
--- a/src/worker/heartbeat_reader.h
+++ b/src/worker/heartbeat_reader.h
@@ -1,7 +1,7 @@
 /** @file
  * Reads workers' messages into the cluster state: heartbeats, and the responses to direct commands
- * and probes, which carry the same list of tasks but prove less (docs/safety.md, "Who may be
- * where"). Called by workers.c, direct_commands.c, probes.c and worker_fencing.c with decoded
+ * and probes, which carry the same list of tasks but prove less (docs/safety.md, "Where a task
+ * may run"). Called by workers.c, direct_commands.c, probes.c and worker_fencing.c with decoded
  * messages. */
 #ifndef RP_WORKER_HEARTBEAT_READER_H
 #define RP_WORKER_HEARTBEAT_READER_H
--- a/src/worker/worker_fencing.c
+++ b/src/worker/worker_fencing.c
@@ -43,8 +43,8 @@
     rp_command_batch_init(&batch);
     if (machine->contact.known_by_fencing_only)
         rp_command_batch_add_unknown_tasks(&batch, machine);
-    char *body = rp_wire_direct(fencing->call.fencing_token, fencing->call.incarnation,
-                                batch.commands, batch.n);
+    char *body = rp_worker_codec_write_direct_commands(
+        fencing->call.fencing_token, fencing->call.incarnation, batch.commands, batch.n);
     fencing->n_sent++;
     context->net.call_once(context->net.ctx, fencing->addr, "POST", RP_PATH_DIRECT, body,
                            RESPONSE_TIMEOUT_S, on_fence_response, fencing);
--- a/src/worker/worker_fencing.h
+++ b/src/worker/worker_fencing.h
@@ -1,7 +1,7 @@
 /** @file
  * Fencing workers after a failover: a machine that may hold tasks of an earlier leader is shown the
  * new leader's token by a direct command, without waiting for its heartbeat. From then on it
- * accepts nothing of an earlier leader (docs/safety.md, "Takeovers"). Called by standby/standby.c.
+ * accepts nothing of an earlier leader (docs/safety.md, "Failovers"). Called by standby/standby.c.
  */
 #ifndef RP_WORKER_WORKER_FENCING_H
 #define RP_WORKER_WORKER_FENCING_H
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -20,13 +20,13 @@
 }
 
 static void refuse(struct rp_request *req, const char *reason) {
-    respond(req, 503, rp_wire_error(reason));
+    respond(req, 503, rp_codec_write_error(reason));
 }
 
 static void redirect_to_leader(const struct rp_workers *workers, struct rp_request *req) {
     const struct rp_worker_context *context = &workers->context;
     const char *leader = rp_election_leader(context->election, rp_loop_now(context->loop));
-    respond(req, 421, rp_wire_not_here(leader));
+    respond(req, 421, rp_worker_codec_write_leader_hint(leader));
 }
 
 /* Every answer renews a lease, and so lets what runs there run on: only a leader whose lease is
@@ -64,7 +64,8 @@
     if (machine)
         note_answer(context, machine, received_at);
     respond(req, 200,
-            rp_wire_report_answer(context->election->fencing_token, batch->commands, batch->n));
+            rp_worker_codec_write_heartbeat_response(context->election->fencing_token,
+                                                     batch->commands, batch->n));
 }
 
 static void answer_without_commands(const struct rp_workers *workers, struct rp_request *req,
@@ -216,8 +217,8 @@
         return;
     }
     struct rp_heartbeat heartbeat;
-    if (!rp_wire_report(req->body, req->len, &heartbeat)) {
-        respond(req, 400, rp_wire_error("not a report"));
+    if (!rp_worker_codec_parse_heartbeat(req->body, req->len, &heartbeat)) {
+        respond(req, 400, rp_codec_write_error("not a report"));
         return;
     }
     if (rp_fleet_is_terminated(context->fleet, heartbeat.machine)) {
@@ -235,8 +236,8 @@
 
 static void answer_pending(struct rp_workers *workers, const struct rp_pending_answer *pending) {
     struct rp_machine *machine = rp_machine_find(workers->context.cluster, pending->machine);
-    /* A start carries the number of the heartbeat that it answers (docs/safety.md, "Who may be
-     * where"), so the heartbeat must still be the newest. */
+    /* A start carries the number of the heartbeat that it answers (docs/safety.md, "Where a task
+     * may run"), so the heartbeat must still be the newest. */
     bool is_newest = machine && machine->contact.incarnation == pending->incarnation &&
                      machine->contact.heartbeat_seq == pending->heartbeat_seq;
     if (!is_newest)
