--- a/src/http/parser.c
+++ b/src/http/parser.c
@@ -6,10 +6,11 @@
 #include <string.h>
 #include <strings.h>
 
-void rp_http_parser_init(struct rp_http_parser *parser, enum rp_http_role role, size_t body_max) {
+void rp_http_parser_init(struct rp_http_parser *parser, enum rp_http_role role,
+                         size_t max_body_bytes) {
     memset(parser, 0, sizeof *parser);
     parser->role = role;
-    parser->body_max = body_max;
+    parser->max_body_bytes = max_body_bytes;
 }
 
 static void free_line(struct rp_http_parser *parser) {
@@ -24,7 +25,7 @@
     parser->target = NULL;
     free(parser->body);
     parser->body = NULL;
-    parser->body_len = parser->body_cap = 0;
+    parser->body_len = parser->body_capacity = 0;
 }
 
 void rp_http_parser_reset(struct rp_http_parser *parser) {
@@ -32,18 +33,18 @@
     parser->state = RP_HTTP_START_LINE;
     parser->error = 0;
     parser->header_bytes = 0;
-    parser->has_length = parser->chunked = parser->has_host = false;
+    parser->has_length = parser->chunked = false;
     parser->method[0] = '\0';
     parser->status = parser->minor = parser->retry_after = 0;
     parser->close = parser->expect_continue = false;
-    parser->left = 0;
+    parser->bytes_left = 0;
 }
 
-bool rp_http_parser_idle(const struct rp_http_parser *parser) {
+bool rp_http_parser_is_idle(const struct rp_http_parser *parser) {
     return parser->state == RP_HTTP_START_LINE && parser->line_len == 0;
 }
 
-/* The one place where the parser changes its state. */
+/* The only function that changes the parser's state. */
 static void set_state(struct rp_http_parser *parser, enum rp_http_state state) {
     parser->state = state;
     parser->line_len = 0;
@@ -56,8 +57,8 @@
     set_state(parser, RP_HTTP_FAILED);
 }
 
-static bool is_token_char(unsigned char c) {
-    return isalnum(c) || (c && strchr("!#$%&'*+-.^_`|~", c) != NULL);
+static bool is_token_char(unsigned char byte) {
+    return isalnum(byte) || (byte && strchr("!#$%&'*+-.^_`|~", byte) != NULL);
 }
 
 static bool parse_version(struct rp_http_parser *parser, const char *text) {
@@ -75,7 +76,7 @@
     return true;
 }
 
-static void request_line(struct rp_http_parser *parser) {
+static void parse_request_line(struct rp_http_parser *parser) {
     char *method_end = strchr(parser->line, ' ');
     char *target_end = method_end ? strchr(method_end + 1, ' ') : NULL;
     if (!target_end || strchr(target_end + 1, ' ')) {
@@ -108,7 +109,7 @@
         set_state(parser, RP_HTTP_HEADERS);
 }
 
-static void status_line(struct rp_http_parser *parser) {
+static void parse_status_line(struct rp_http_parser *parser) {
     const char *code = parser->line + 9;
     if (!parse_version(parser, parser->line))
         return;
@@ -142,25 +143,25 @@
     return true;
 }
 
-static void content_length(struct rp_http_parser *parser, const char *value) {
+static void parse_content_length(struct rp_http_parser *parser, const char *value) {
     size_t length;
     /* Two lengths, or a length beside chunks, are how requests get smuggled: refused. */
     if (!parse_size(value, 10, &length) || parser->chunked ||
-        (parser->has_length && parser->left != length)) {
+        (parser->has_length && parser->bytes_left != length)) {
         fail(parser, 400);
         return;
     }
-    if (length > parser->body_max) {
+    if (length > parser->max_body_bytes) {
         fail(parser, 413);
         return;
     }
     parser->has_length = true;
-    parser->left = length;
+    parser->bytes_left = length;
 }
 
-static void header_value(struct rp_http_parser *parser, const char *name, const char *value) {
+static void parse_header_value(struct rp_http_parser *parser, const char *name, const char *value) {
     if (strcasecmp(name, "content-length") == 0) {
-        content_length(parser, value);
+        parse_content_length(parser, value);
     } else if (strcasecmp(name, "transfer-encoding") == 0) {
         if (strcasecmp(value, "chunked") != 0)
             fail(parser, 501);
@@ -179,12 +180,10 @@
             parser->retry_after = (int)seconds;
     } else if (strcasecmp(name, "expect") == 0) {
         parser->expect_continue = strcasecmp(value, "100-continue") == 0;
-    } else if (strcasecmp(name, "host") == 0) {
-        parser->has_host = true;
     }
 }
 
-static void header_line(struct rp_http_parser *parser) {
+static void parse_header_line(struct rp_http_parser *parser) {
     char *colon = strchr(parser->line, ':');
     if (!colon || colon == parser->line) {
         fail(parser, 400);
@@ -202,14 +201,14 @@
     char *end = parser->line + parser->line_len;
     while (end > value && (end[-1] == ' ' || end[-1] == '\t'))
         *--end = '\0';
-    header_value(parser, parser->line, value);
+    parse_header_value(parser, parser->line, value);
     if (parser->state != RP_HTTP_FAILED)
         set_state(parser, RP_HTTP_HEADERS);
 }
 
-static void headers_end(struct rp_http_parser *parser) {
+static void on_headers_end(struct rp_http_parser *parser) {
     if (parser->role == RP_HTTP_RESPONSE && parser->status / 100 == 1) {
-        set_state(parser, RP_HTTP_START_LINE); /* an interim answer: the real one follows */
+        set_state(parser, RP_HTTP_START_LINE); /* an interim response: the final one follows */
         return;
     }
     if (parser->role == RP_HTTP_RESPONSE && (parser->status == 204 || parser->status == 304))
@@ -217,7 +216,7 @@
     else if (parser->chunked)
         set_state(parser, RP_HTTP_CHUNK_SIZE);
     else if (parser->has_length)
-        set_state(parser, parser->left ? RP_HTTP_BODY_SIZED : RP_HTTP_DONE);
+        set_state(parser, parser->bytes_left ? RP_HTTP_BODY_SIZED : RP_HTTP_DONE);
     else if (parser->role == RP_HTTP_RESPONSE) {
         parser->close = true;
         set_state(parser, RP_HTTP_BODY_UNTIL_CLOSE);
@@ -225,21 +224,21 @@
         set_state(parser, RP_HTTP_DONE);
 }
 
-static void chunk_size(struct rp_http_parser *parser) {
+static void parse_chunk_size(struct rp_http_parser *parser) {
     size_t size;
     if (!parse_size(parser->line, 16, &size)) {
         fail(parser, 400);
         return;
     }
-    if (size > parser->body_max - parser->body_len) {
+    if (size > parser->max_body_bytes - parser->body_len) {
         fail(parser, 413);
         return;
     }
-    parser->left = size;
+    parser->bytes_left = size;
     set_state(parser, size ? RP_HTTP_CHUNK_DATA : RP_HTTP_TRAILERS);
 }
 
-static void whole_line(struct rp_http_parser *parser) {
+static void parse_line(struct rp_http_parser *parser) {
     parser->line[parser->line_len] = '\0';
     if (strlen(parser->line) != parser->line_len) {
         fail(parser, 400); /* a NUL byte inside */
@@ -252,18 +251,18 @@
             return;
         }
         if (parser->role == RP_HTTP_REQUEST)
-            request_line(parser);
+            parse_request_line(parser);
         else
-            status_line(parser);
+            parse_status_line(parser);
         break;
     case RP_HTTP_HEADERS:
         if (parser->line_len == 0)
-            headers_end(parser);
+            on_headers_end(parser);
         else
-            header_line(parser);
+            parse_header_line(parser);
         break;
     case RP_HTTP_CHUNK_SIZE:
-        chunk_size(parser);
+        parse_chunk_size(parser);
         break;
     case RP_HTTP_CHUNK_END:
         if (parser->line_len)
@@ -277,7 +276,7 @@
     }
 }
 
-static size_t feed_line(struct rp_http_parser *parser, const char *data, size_t len) {
+static size_t feed_line_bytes(struct rp_http_parser *parser, const char *data, size_t len) {
     const char *newline = memchr(data, '\n', len);
     size_t used = newline ? (size_t)(newline - data) + 1 : len;
     size_t text = newline ? used - 1 : used;
@@ -301,29 +300,29 @@
         return used;
     if (parser->line_len > 0 && parser->line[parser->line_len - 1] == '\r')
         parser->line_len--;
-    whole_line(parser);
+    parse_line(parser);
     return used;
 }
 
 static bool grow_body(struct rp_http_parser *parser, size_t more) {
     size_t need = parser->body_len + more + 1;
-    if (need <= parser->body_cap)
+    if (need <= parser->body_capacity)
         return true;
-    size_t cap = parser->body_cap * 2 > need ? parser->body_cap * 2 : need;
+    size_t cap = parser->body_capacity * 2 > need ? parser->body_capacity * 2 : need;
     char *body = realloc(parser->body, cap);
     if (!body) {
         fail(parser, 413);
         return false;
     }
     parser->body = body;
-    parser->body_cap = cap;
+    parser->body_capacity = cap;
     return true;
 }
 
-static size_t feed_body(struct rp_http_parser *parser, const char *data, size_t len) {
+static size_t feed_body_bytes(struct rp_http_parser *parser, const char *data, size_t len) {
     bool open_end = parser->state == RP_HTTP_BODY_UNTIL_CLOSE;
-    size_t take = !open_end && len > parser->left ? parser->left : len;
-    if (open_end && take > parser->body_max - parser->body_len) {
+    size_t take = !open_end && len > parser->bytes_left ? parser->bytes_left : len;
+    if (open_end && take > parser->max_body_bytes - parser->body_len) {
         fail(parser, 413);
         return len;
     }
@@ -334,8 +333,8 @@
     parser->body[parser->body_len] = '\0';
     if (open_end)
         return take;
-    parser->left -= take;
-    if (parser->left == 0)
+    parser->bytes_left -= take;
+    if (parser->bytes_left == 0)
         set_state(parser, parser->state == RP_HTTP_CHUNK_DATA ? RP_HTTP_CHUNK_END : RP_HTTP_DONE);
     return take;
 }
@@ -346,8 +345,8 @@
         bool body = parser->state == RP_HTTP_BODY_SIZED ||
                     parser->state == RP_HTTP_BODY_UNTIL_CLOSE ||
                     parser->state == RP_HTTP_CHUNK_DATA;
-        used += body ? feed_body(parser, data + used, len - used)
-                     : feed_line(parser, data + used, len - used);
+        used += body ? feed_body_bytes(parser, data + used, len - used)
+                     : feed_line_bytes(parser, data + used, len - used);
     }
     return used;
 }
--- a/src/main.c
+++ b/src/main.c
@@ -7,7 +7,8 @@
 #include <sys/signalfd.h>
 #include "base/log.h"
 #include "controller/node.h"
-#include "http/http.h"
+#include "http/client.h"
+#include "http/server.h"
 
 #define LEAVE_S 0.5  /* for the last answers, and for giving the key up */
 #define OWN_LEAST 64 /* connections for calls of this node's own, */
@@ -175,14 +176,14 @@
     size_t own = own_connections(settings->max_connections);
     size_t peer = settings->max_connections / 16 < 64 ? settings->max_connections / 16 : 64;
     size_t spare = settings->max_connections / 16 < 32 ? settings->max_connections / 16 : 32;
-    struct rp_http_limits user_limits = {.max_conns =
+    struct rp_http_limits user_limits = {.max_connections =
                                              settings->max_connections - own - peer - spare,
-                                         .body_max = 65536,
-                                         .idle_s = 120,
-                                         .receive_s = 10,
-                                         .send_s = 10};
+                                         .max_body_bytes = 65536,
+                                         .idle_timeout_s = 120,
+                                         .receive_timeout_s = 10,
+                                         .send_timeout_s = 10};
     struct rp_http_limits peer_limits = user_limits;
-    peer_limits.max_conns = peer;
+    peer_limits.max_connections = peer;
     int rc = node ? rp_loop_init(&loop, false) : -ENOMEM;
     if (rc < 0)
         goto out;
--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -11,7 +11,8 @@
 #include <sys/wait.h>
 #include <unistd.h>
 #include "base/log.h"
-#include "http/http.h"
+#include "http/client.h"
+#include "http/server.h"
 #include "sim.h"
 
 #define NODES 3
@@ -100,8 +101,11 @@
 
 static void open_server(struct world *world, struct rp_http_server *server, char addr[32],
                         rp_request_fn fn, void *arg) {
-    static const struct rp_http_limits limits = {
-        .max_conns = 500, .body_max = 1 << 20, .idle_s = 300, .receive_s = 10, .send_s = 10};
+    static const struct rp_http_limits limits = {.max_connections = 500,
+                                                 .max_body_bytes = 1 << 20,
+                                                 .idle_timeout_s = 300,
+                                                 .receive_timeout_s = 10,
+                                                 .send_timeout_s = 10};
     for (int tries = 0; tries < 200; tries++) {
         snprintf(addr, 32, "127.0.0.1:%d", world->port++);
         if (rp_http_server_open(server, &world->loop, addr, &limits, fn, arg) == 0)
--- a/tests/test_http.c
+++ b/tests/test_http.c
@@ -7,8 +7,9 @@
 #include <unistd.h>
 
 #include <gsl/gsl_rng.h>
-#include "http/http.h"
+#include "http/client.h"
 #include "http/parser.h"
+#include "http/server.h"
 
 static int parse(const char *text, size_t step, enum rp_http_role role,
                  struct rp_http_parser *parser) {
@@ -188,8 +189,8 @@
     assert_true(strncmp(got, "HTTP/1.1 200", 12) == 0);
     assert_int_equal(recv(fds[0], got, sizeof got, 0), 0);
     assert_int_equal(recv(fds[1], got, sizeof got, MSG_DONTWAIT), -1);
-    assert_int_equal(server.n_conns, 3);
-    assert_int_equal(server.evicted, 1);
+    assert_int_equal(server.n_connections, 3);
+    assert_int_equal(server.n_evicted, 1);
     rp_http_server_close(&server);
     rp_loop_close(&loop);
     for (int i = 0; i < 4; i++)
@@ -248,8 +249,8 @@
     assert_int_equal(rc, 0);
     struct outcome outcome = call_once(&loop, net, addr, 30);
     assert_true(outcome.status == 200 && !outcome.unsent);
-    assert_int_equal(client.n_open, 0); /* its connection isn't kept */
-    server.fn = say_nothing;
+    assert_int_equal(client.n_connections, 0); /* its connection isn't kept */
+    server.on_request = say_nothing;
     server.arg = &silent;
     outcome = call_once(&loop, net, addr, 2);
     assert_true(outcome.status == 0 && !outcome.unsent && silent);
@@ -303,11 +304,11 @@
             net.call(net.ctx, addr, "GET", "/show", NULL, 60, count_answer, &tally);
         else
             net.call_once(net.ctx, addr, "POST", "/do", "{}", 60, count_answer, &tally);
-        assert_true(client.n_open <= 8);
+        assert_true(client.n_connections <= 8);
     }
     assert_int_equal(rp_loop_run(&loop), 0);
     assert_int_equal(tally.good, HOSTS);
-    assert_true(client.n_hosts <= 8); /* only those with a connection are remembered */
+    assert_true(client.hosts.n_hosts <= 8); /* only those with a connection are remembered */
     rp_http_client_close(&client);
     rp_http_server_close(&server);
     rp_loop_close(&loop);
