--- a/src/protocol/wire.c
+++ b/src/protocol/wire.c
@@ -467,11 +467,11 @@
 
 /* ---- state service ---- */
 
-uint64_t rp_wire_revision(const json_t *body) {
+uint64_t rp_kv_codec_read_revision(const json_t *body) {
     return (uint64_t)json_integer_value(json_object_get(body, "ledger_rev"));
 }
 
-bool rp_wire_item(json_t *body, struct rp_kv_item *out) {
+bool rp_kv_codec_read_item(json_t *body, struct rp_kv_item *out) {
     out->key = json_string_value(json_object_get(body, "path"));
     out->value = json_object_get(body, "v");
     out->revision = (uint64_t)json_integer_value(json_object_get(body, "key_rev"));
@@ -479,20 +479,20 @@
     return out->key && out->value;
 }
 
-size_t rp_wire_items(json_t *body, bool *more) {
+size_t rp_kv_codec_n_items(json_t *body, bool *more) {
     *more = json_is_true(json_object_get(body, "has_next"));
     return json_array_size(json_object_get(body, "rows"));
 }
 
-bool rp_wire_items_at(json_t *body, size_t i, struct rp_kv_item *out) {
-    return rp_wire_item(json_array_get(json_object_get(body, "rows"), i), out);
+bool rp_kv_codec_read_item_at(json_t *body, size_t i, struct rp_kv_item *out) {
+    return rp_kv_codec_read_item(json_array_get(json_object_get(body, "rows"), i), out);
 }
 
-size_t rp_wire_events(json_t *body) {
+size_t rp_kv_codec_n_events(json_t *body) {
     return json_array_size(json_object_get(body, "log"));
 }
 
-bool rp_wire_event_at(json_t *body, size_t i, struct rp_kv_item *out) {
+bool rp_kv_codec_read_event_at(json_t *body, size_t i, struct rp_kv_item *out) {
     json_t *e = json_array_get(json_object_get(body, "log"), i);
     const char *put = json_string_value(json_object_get(e, "write"));
     const char *gone = json_string_value(json_object_get(e, "delete"));
@@ -503,7 +503,7 @@
     return out->key != NULL;
 }
 
-bool rp_wire_failed_key(json_t *body, const char *key) {
+bool rp_kv_codec_has_failed_condition(json_t *body, const char *key) {
     json_t *failed = json_object_get(body, "failed");
     for (size_t i = 0; i < json_array_size(failed); i++) {
         const char *k = json_string_value(json_array_get(failed, i));
@@ -513,34 +513,34 @@
     return false;
 }
 
-uint64_t rp_wire_lease(const json_t *body) {
+uint64_t rp_kv_codec_read_lease(const json_t *body) {
     return (uint64_t)json_integer_value(json_object_get(body, "lashing"));
 }
 
-json_t *rp_wire_txn(void) {
+json_t *rp_kv_codec_begin_txn(void) {
     return json_pack("{s:[],s:[]}", "when", "then");
 }
 
-void rp_wire_txn_if(json_t *txn, const char *key, uint64_t version) {
+void rp_kv_codec_add_condition(json_t *txn, const char *key, uint64_t version) {
     json_array_append_new(json_object_get(txn, "when"),
                           json_pack("{s:s,s:I}", "path", key, "key_rev", (json_int_t)version));
 }
 
-void rp_wire_txn_put(json_t *txn, const char *key, json_t *value, uint64_t lease) {
+void rp_kv_codec_add_put(json_t *txn, const char *key, json_t *value, uint64_t lease) {
     json_t *op = json_pack("{s:s,s:o}", "write", key, "v", value);
     if (lease)
         json_object_set_new(op, "lashing", json_integer((json_int_t)lease));
     json_array_append_new(json_object_get(txn, "then"), op);
 }
 
-void rp_wire_txn_delete(json_t *txn, const char *key) {
+void rp_kv_codec_add_delete(json_t *txn, const char *key) {
     json_array_append_new(json_object_get(txn, "then"), json_pack("{s:s}", "delete", key));
 }
 
-size_t rp_wire_txn_ops(const json_t *txn) {
+size_t rp_kv_codec_n_changes(const json_t *txn) {
     return json_array_size(json_object_get(txn, "then"));
 }
 
-char *rp_wire_lease_request(double ttl_s) {
+char *rp_kv_codec_write_lease_request(double ttl_s) {
     return dump(json_pack("{s:i}", "ttl_ms", (int)(ttl_s * 1000)));
 }
--- a/src/protocol/wire.h
+++ b/src/protocol/wire.h
@@ -68,20 +68,20 @@
 };
 /** Parses any answer of the state service; NULL when it isn't an object. */
 json_t *rp_codec_parse_object(const char *body, size_t len);
-uint64_t rp_wire_revision(const json_t *body);
-bool rp_wire_item(json_t *body, struct rp_kv_item *out);
-size_t rp_wire_items(json_t *body, bool *more); /* number of listed items */
-bool rp_wire_items_at(json_t *body, size_t i, struct rp_kv_item *out);
-size_t rp_wire_events(json_t *body);
-bool rp_wire_event_at(json_t *body, size_t i, struct rp_kv_item *out);
-bool rp_wire_failed_key(json_t *body, const char *key);
-uint64_t rp_wire_lease(const json_t *body);
-json_t *rp_wire_txn(void);
-void rp_wire_txn_if(json_t *txn, const char *key, uint64_t version);
+uint64_t rp_kv_codec_read_revision(const json_t *body);
+bool rp_kv_codec_read_item(json_t *body, struct rp_kv_item *out);
+size_t rp_kv_codec_n_items(json_t *body, bool *more); /* number of listed items */
+bool rp_kv_codec_read_item_at(json_t *body, size_t i, struct rp_kv_item *out);
+size_t rp_kv_codec_n_events(json_t *body);
+bool rp_kv_codec_read_event_at(json_t *body, size_t i, struct rp_kv_item *out);
+bool rp_kv_codec_has_failed_condition(json_t *body, const char *key);
+uint64_t rp_kv_codec_read_lease(const json_t *body);
+json_t *rp_kv_codec_begin_txn(void);
+void rp_kv_codec_add_condition(json_t *txn, const char *key, uint64_t version);
 /** Steals `value`. `lease` 0: none. */
-void rp_wire_txn_put(json_t *txn, const char *key, json_t *value, uint64_t lease);
-void rp_wire_txn_delete(json_t *txn, const char *key);
-size_t rp_wire_txn_ops(const json_t *txn);
-char *rp_wire_lease_request(double ttl_s);
+void rp_kv_codec_add_put(json_t *txn, const char *key, json_t *value, uint64_t lease);
+void rp_kv_codec_add_delete(json_t *txn, const char *key);
+size_t rp_kv_codec_n_changes(const json_t *txn);
+char *rp_kv_codec_write_lease_request(double ttl_s);
 
 #endif
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -307,8 +307,8 @@
 }
 
 void rp_kv_lease_grant(struct rp_kv_client *client, double ttl_s, rp_kv_fn fn, void *arg) {
-    start(client, RP_KV_BUDGET_LEADERSHIP, "POST", format("/leases"), rp_wire_lease_request(ttl_s),
-          ANSWER_S, 0, fn, arg);
+    start(client, RP_KV_BUDGET_LEADERSHIP, "POST", format("/leases"),
+          rp_kv_codec_write_lease_request(ttl_s), ANSWER_S, 0, fn, arg);
 }
 
 void rp_kv_lease_renew(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg) {
--- a/src/store/kv_result.c
+++ b/src/store/kv_result.c
@@ -14,40 +14,40 @@
 }
 
 bool rp_kv_result_item(const struct rp_kv_result *result, struct rp_kv_item *out) {
-    return result->outcome == RP_KV_OK && rp_wire_item(result->body, out);
+    return result->outcome == RP_KV_OK && rp_kv_codec_read_item(result->body, out);
 }
 
 size_t rp_kv_result_n_items(const struct rp_kv_result *result) {
     bool more;
-    return rp_wire_items(result->body, &more);
+    return rp_kv_codec_n_items(result->body, &more);
 }
 
 bool rp_kv_result_item_at(const struct rp_kv_result *result, size_t i, struct rp_kv_item *out) {
-    return rp_wire_items_at(result->body, i, out);
+    return rp_kv_codec_read_item_at(result->body, i, out);
 }
 
 bool rp_kv_result_has_more(const struct rp_kv_result *result) {
     bool more;
-    (void)rp_wire_items(result->body, &more);
+    (void)rp_kv_codec_n_items(result->body, &more);
     return more;
 }
 
 size_t rp_kv_result_n_events(const struct rp_kv_result *result) {
-    return rp_wire_events(result->body);
+    return rp_kv_codec_n_events(result->body);
 }
 
 bool rp_kv_result_event_at(const struct rp_kv_result *result, size_t i, struct rp_kv_item *out) {
-    return rp_wire_event_at(result->body, i, out);
+    return rp_kv_codec_read_event_at(result->body, i, out);
 }
 
 uint64_t rp_kv_result_revision(const struct rp_kv_result *result) {
-    return rp_wire_revision(result->body);
+    return rp_kv_codec_read_revision(result->body);
 }
 
 uint64_t rp_kv_result_lease(const struct rp_kv_result *result) {
-    return rp_wire_lease(result->body);
+    return rp_kv_codec_read_lease(result->body);
 }
 
 bool rp_kv_result_failed_on(const struct rp_kv_result *result, const char *key) {
-    return rp_wire_failed_key(result->body, key);
+    return rp_kv_codec_has_failed_condition(result->body, key);
 }
