--- /dev/null
+++ b/tests/simulation/cloud.c
@@ -0,0 +1,123 @@
+/* The cloud's stand-in: catalog, provisioning, deletion and the list of machines. */
+#include "internal.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include "protocol/wire.h"
+
+const struct sim_machine_type sim_types[2] = {{"small", 8, 0, 32, 0.36, 0.11, 8},
+                                              {"wide", 32, 0, 128, 1.5, 0.45, 12}};
+const char *const sim_zones[2] = {"a", "b"};
+
+static json_t *cloud_catalog(void) {
+    json_t *list = json_array();
+    for (int i = 0; i < 2; i++)
+        json_array_append_new(list,
+                              json_pack("{s:s,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:f,s:[s,s]}", "name",
+                                        sim_types[i].name, "vcpus", sim_types[i].cpus, "cards",
+                                        sim_types[i].gpus, "memory_gb", sim_types[i].memory,
+                                        "cache_gb", 50.0, "fetch_gb_per_s", 1.0, "price",
+                                        sim_types[i].price, "market_price", sim_types[i].spot_price,
+                                        "boot_s", sim_types[i].boot, "yards", "a", "b"));
+    return json_pack("{s:o}", "frames", list);
+}
+
+static int cloud_provision(struct sim *sim, json_t *body, json_t **out) {
+    const char *request = json_string_value(json_object_get(body, "hire"));
+    json_t *known = json_object_get(sim->provisioned, request);
+    if (known) {
+        *out = json_incref(known);
+        return 200;
+    }
+    int type = strcmp(json_string_value(json_object_get(body, "frame")), "small") ? 1 : 0;
+    int zone = strcmp(json_string_value(json_object_get(body, "yard")), "a") ? 1 : 0;
+    bool spot = json_is_true(json_object_get(body, "loaners"));
+    int left = sim->size.capacity, count = (int)json_integer_value(json_object_get(body, "count"));
+    for (int i = 0; i < sim->size.workers; i++)
+        left -= sim->workers[i].used && sim->workers[i].alive && sim->workers[i].type == type &&
+                sim->workers[i].zone == zone && sim->workers[i].spot == spot;
+    json_t *names = json_array();
+    for (int i = 0; i < sim->size.workers && count > 0 && left > 0; i++) {
+        struct sim_worker *worker = &sim->workers[i];
+        if (worker->used)
+            continue;
+        *worker = (struct sim_worker){.used = true, .alive = true, .type = type, .zone = zone};
+        worker->spot = spot;
+        worker->provisioned_at = sim->now;
+        worker->boots_at = sim->now + (sim_chance(sim, sim->faults.fast_boot)
+                                           ? 0.1 + 1.9 * sim_uniform(sim)
+                                           : sim_types[type].boot * (0.3 + 1.2 * sim_uniform(sim)));
+        if (sim_chance(sim, sim->faults.boot_failure))
+            worker->boots_at = 1e9;
+        snprintf(worker->name, sizeof worker->name, "vm-%06d", sim->next_machine++);
+        json_array_append_new(names, json_string(worker->name));
+        count--;
+        left--;
+    }
+    if (json_array_size(names) == 0) {
+        json_decref(names);
+        *out = json_pack("{s:s}", "error", "no capacity");
+        return 503;
+    }
+    *out = json_pack("{s:o}", "sheaves", names);
+    json_object_set(sim->provisioned, request, *out);
+    return 200;
+}
+
+static int by_name(const void *a, const void *b) {
+    return strcmp((*(const struct sim_worker *const *)a)->name,
+                  (*(const struct sim_worker *const *)b)->name);
+}
+
+static json_t *cloud_list(const struct sim *sim, const char *target) {
+    const struct sim_worker *sorted[SIM_WORKERS] = {NULL};
+    char from[RP_TEXT_MAX];
+    size_t n = 0, most = 500;
+    json_t *list = json_array();
+    bool after = sim_query_parameter(target, "from=", from, sizeof from) != NULL;
+    for (int i = 0; i < sim->size.workers; i++)
+        if (sim->workers[i].used && sim->workers[i].provisioned_at < sim->now - 3 &&
+            (!after || strcmp(sim->workers[i].name, from) > 0))
+            sorted[n++] = &sim->workers[i];
+    // NOLINTNEXTLINE(bugprone-sizeof-expression): pointers are sorted
+    qsort(sorted, n, sizeof sorted[0], by_name);
+    for (size_t i = 0; i < n && i < most; i++) {
+        const struct sim_worker *worker = sorted[i];
+        json_array_append_new(
+            list, json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", "ref", worker->name, "address",
+                            sim_worker_address(sim, worker), "frame", sim_types[worker->type].name,
+                            "yard", sim_zones[worker->zone], "loaners", worker->spot, "tension",
+                            !worker->alive ? "failed"
+                            : worker->up   ? "running"
+                                           : "booting",
+                            "age_s", sim->now - worker->provisioned_at));
+    }
+    return json_pack("{s:o,s:b}", "sheaves", list, "has_next", n > most);
+}
+
+int sim_cloud_request(struct sim *sim, const struct sim_event *event, json_t *body, json_t **out) {
+    json_t *name;
+    size_t i;
+    if (sim->now < sim->cloud_outage_until) {
+        *out = json_pack("{s:s}", "error", "trouble");
+        return 503;
+    }
+    if (strcmp(event->target, RP_PATH_TYPES) == 0) {
+        *out = cloud_catalog();
+        return 200;
+    }
+    if (strcmp(event->target, RP_PATH_DELETE) == 0) {
+        json_array_foreach(json_object_get(body, "sheaves"), i, name) {
+            for (int w = 0; w < sim->size.workers; w++)
+                if (sim->workers[w].used &&
+                    strcmp(sim->workers[w].name, json_string_value(name)) == 0)
+                    sim->workers[w].used = sim->workers[w].alive = false;
+        }
+        return 200;
+    }
+    if (strcmp(event->method, "POST") == 0)
+        return cloud_provision(sim, body, out);
+    *out = cloud_list(sim, event->target);
+    return 200;
+}
--- /dev/null
+++ b/tests/simulation/events.c
@@ -0,0 +1,79 @@
+/* The simulated clock and the queue of what is under way: events are processed in the order of
+ * their places in the queue, once they are due. */
+#include "internal.h"
+
+#include <stdarg.h>
+#include <stdio.h>
+#include <stdlib.h>
+
+double sim_uniform(struct sim *sim) {
+    return gsl_rng_uniform(sim->rng);
+}
+
+bool sim_chance(struct sim *sim, double p) {
+    return p > 0 && sim_uniform(sim) < p;
+}
+
+void sim_violated(struct sim *sim, const char *fmt, ...) {
+    va_list ap;
+    if (sim->violation[0])
+        return;
+    va_start(ap, fmt);
+    int n = snprintf(sim->violation, sizeof sim->violation, "%.2f: ", sim->now);
+    vsnprintf(sim->violation + n, sizeof sim->violation - (size_t)n, fmt, ap);
+    va_end(ap);
+}
+
+struct sim_event *sim_event_new(struct sim *sim, enum event_kind kind, double after) {
+    struct sim_event *event = calloc(1, sizeof *event);
+    if (!event || sim->n_events == SIM_EVENTS)
+        abort();
+    event->kind = kind;
+    event->due_at = sim->now + after;
+    sim->events[sim->n_events++] = event;
+    return event;
+}
+
+void sim_event_free(struct sim_event *event) {
+    free(event->target);
+    free(event->body);
+    free(event);
+}
+
+void sim_process_events(struct sim *sim) {
+    for (int i = 0; i < sim->n_events; i++) {
+        struct sim_event *event = sim->events[i];
+        bool over = true;
+        if (event->kind == EV_REQUEST && !event->answered && sim->now >= event->deadline &&
+            event->due_at > sim->now && sim->now >= sim->nodes[event->node].paused_until)
+            sim_time_out(sim, event);
+        if (event->due_at > sim->now)
+            continue;
+        switch (event->kind) {
+        case EV_REQUEST:
+            over = sim_on_request(sim, event);
+            break;
+        case EV_HEARTBEAT:
+            sim_on_heartbeat(sim, event);
+            break;
+        case EV_HEARTBEAT_ANSWER:
+            sim_worker_on_heartbeat_answer(sim, event);
+            break;
+        case EV_USER_ANSWER:
+            sim_user_on_answer(sim, event);
+            break;
+        case EV_CONCURRENT_READ:
+            sim_send_for_user(sim, event->index, (enum sim_user_op)event->user_op, event->node);
+            break;
+        case EV_INVALID_ANSWER:
+            sim_check_invalid_request(sim, event);
+            break;
+        }
+        if (over) {
+            /* Call-backs may have added events: only the slot is reused. */
+            sim->events[i] = sim->events[--sim->n_events];
+            sim_event_free(event);
+            i--;
+        }
+    }
+}
--- a/tests/simulation/sim_trouble.c
+++ b/tests/simulation/faults.c
@@ -1,6 +1,6 @@
 /* What goes wrong in the simulated world: each trouble alone or with others, seeded (sim_faults) or
  * at times that a test chooses, by setting what it lasts until. */
-#include "sim_parts.h"
+#include "internal.h"
 
 #include <math.h>
 #include <stdio.h>
@@ -11,24 +11,13 @@
 
 /* ---- on the way ---- */
 
-static void copy_request(struct sim *sim, const struct sim_event *event, double after) {
-    struct sim_event *copy = sim_event_new(sim, EV_REQUEST, after);
-    double due = copy->due_at;
-    *copy = (struct sim_event){
-        .kind = EV_REQUEST, .due_at = due, .node = event->node, .answered = true};
-    strcpy(copy->addr, event->addr);
-    strcpy(copy->method, event->method);
-    copy->target = strdup(event->target);
-    copy->body = event->body ? strdup(event->body) : NULL;
-}
-
 /* A transaction that gets no answer: carried out at once, or seconds later and after newer ones. */
 void sim_fault_transaction(struct sim *sim, struct sim_event *event) {
     bool late = sim_chance(sim, sim->faults.delayed_write);
     bool lost = !late && sim_chance(sim, sim->faults.dropped_answer);
     if (!late && !lost)
         return;
-    copy_request(sim, event, late ? 2 + 10 * sim_uniform(sim) : event->due_at - sim->now);
+    sim_request_duplicate(sim, event, late ? 2 + 10 * sim_uniform(sim) : event->due_at - sim->now);
     event->unsent = true;
     event->due_at = event->deadline;
     sim->n_delayed_writes += late;
@@ -109,18 +98,25 @@
     int node = (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes);
     int kind = (int)gsl_rng_uniform_int(sim->rng, 7);
     sim->n_invalid_requests++;
+    struct sim_call call = {.method = "POST",
+                            .target = "/v1/jobs",
+                            .answer = EV_INVALID_ANSWER,
+                            .user_op = USER_SUBMITS};
+    char *body = NULL;
     if (kind == 5) {
-        sim_send_to_node(sim, node, "GET", "/v1/jobs/j-899999", "", EV_INVALID_ANSWER, 404,
-                         USER_POLLS);
+        call.method = "GET";
+        call.target = "/v1/jobs/j-899999";
+        call.index = 404;
+        call.user_op = USER_POLLS;
     } else if (kind == 6) {
-        sim_send_to_node(sim, node, "POST", "/v1/jobs", "[\"j-000001\"]", EV_INVALID_ANSWER, 400,
-                         USER_SUBMITS);
+        call.body = "[\"j-000001\"]";
+        call.index = 400;
     } else {
-        char *body = invalid_submission(sim, kind);
-        sim_send_to_node(sim, node, "POST", "/v1/jobs", body, EV_INVALID_ANSWER,
-                         kind == 0 ? 400 : 422, USER_SUBMITS);
-        free(body);
+        call.body = body = invalid_submission(sim, kind);
+        call.index = kind == 0 ? 400 : 422;
     }
+    sim_node_receive(sim, node, &call);
+    free(body);
 }
 
 /* Users call off that many jobs that run, all within a fifth of a second; up to eight of their
--- a/tests/simulation/sim_check.c
+++ b/tests/simulation/rules.c
@@ -1,6 +1,6 @@
 /* The rules of the simulated world: PROTOCOL's, and what the users added. Each is shown to fail on
  * a broken world (broken_worlds_are_caught). */
-#include "sim_parts.h"
+#include "internal.h"
 
 #include <math.h>
 #include <stdlib.h>
--- /dev/null
+++ b/tests/simulation/store.c
@@ -0,0 +1,334 @@
+/* The key-value store's stand-in: keys, leases, transactions, lists and changes for watches. */
+#include "internal.h"
+
+#include <math.h>
+#include <stdlib.h>
+#include <string.h>
+#include "protocol/wire.h"
+#include "store/records.h"
+
+static struct sim_key *key_find(struct sim *sim, const char *key) {
+    for (int i = 0; i < sim->n_keys; i++)
+        if (strcmp(sim->keys[i].key, key) == 0)
+            return &sim->keys[i];
+    return NULL;
+}
+
+static void log_change(struct sim *sim, const char *key, json_t *value) {
+    json_t *e = value ? json_pack("{s:s,s:O,s:I}", "write", key, "v", value, "key_rev",
+                                  (json_int_t)sim->revision)
+                      : json_pack("{s:s,s:I}", "delete", key, "key_rev", (json_int_t)sim->revision);
+    json_array_append_new(sim->change_log, e);
+}
+
+static void key_delete(struct sim *sim, struct sim_key *entry) {
+    log_change(sim, entry->key, NULL);
+    free(entry->key);
+    json_decref(entry->value);
+    *entry = sim->keys[--sim->n_keys];
+}
+
+static void key_put(struct sim *sim, const char *key, json_t *value, uint64_t lease) {
+    struct sim_key *entry = key_find(sim, key);
+    if (!entry) {
+        if (sim->n_keys == SIM_KEYS)
+            abort();
+        entry = &sim->keys[sim->n_keys++];
+        *entry = (struct sim_key){.key = strdup(key)};
+    }
+    json_decref(entry->value);
+    entry->value = json_incref(value);
+    entry->revision = sim->revision;
+    entry->lease = lease;
+    log_change(sim, key, value);
+}
+
+static void lease_expire(struct sim *sim, struct sim_lease *lease) {
+    sim->revision++;
+    for (int i = sim->n_keys; i-- > 0;)
+        if (sim->keys[i].lease == lease->id)
+            key_delete(sim, &sim->keys[i]);
+    lease->id = 0;
+}
+
+static struct sim_lease *lease_find(struct sim *sim, uint64_t id) {
+    for (int i = 0; id && i < SIM_LEASES; i++)
+        if (sim->leases[i].id == id)
+            return &sim->leases[i];
+    return NULL;
+}
+
+static bool has_old_nodes(const struct sim *sim) {
+    bool old = false;
+    for (int i = 0; i < sim->n_nodes; i++)
+        old |= sim->nodes[i].is_old_version || sim->nodes[i].restarts_as_old;
+    return old;
+}
+
+static bool has_prefix(const char *key, const char *prefix) {
+    return strncmp(key, prefix, strlen(prefix)) == 0;
+}
+
+/* Nothing that the version before doesn't read may be stored while any of its nodes is left, and
+ * the activation neither; nor a service, which it would run as an array. */
+static void check_format(struct sim *sim, const char *key, const json_t *value) {
+    bool said = has_prefix(key, RP_KEY_VERSION) || strcmp(key, RP_KEY_FORMAT) == 0;
+    bool unit = has_prefix(key, RP_KEY_PROGRESS) && strstr(key, "/u");
+    const char *kind = json_string_value(json_object_get(json_object_get(value, "spec"), "haul"));
+    if (strcmp(key, RP_KEY_FORMAT) == 0) {
+        sim->format_active_at = sim->now;
+        if (has_old_nodes(sim))
+            sim_violated(sim, "activated_early");
+    }
+    if (!has_old_nodes(sim) && sim->format_active_at > 0)
+        return;
+    if (!said && (unit || has_prefix(key, RP_KEY_PART) || rp_record_format(value) > 1))
+        sim_violated(sim, "too_early: %s", key);
+    if (kind && strcmp(kind, "service") == 0)
+        sim_violated(sim, "too_early: service %s", key);
+}
+
+/* From a moment after the activation on, everything fits what is to come. */
+static int check_limits(struct sim *sim, json_t *ops) {
+    json_t *v;
+    size_t i, n = json_array_size(ops), largest = 0;
+    json_array_foreach(ops, i, v) {
+        const json_t *value = json_object_get(v, "v");
+        size_t size = value ? rp_record_size(value) : 0;
+        largest = size > largest ? size : largest;
+    }
+    bool fits = (double)n <= sim->announced_limits.txn_ops &&
+                (double)largest <= sim->announced_limits.value_bytes;
+    if (sim->format_active_at > 0 && sim->now > sim->format_active_at + 1.5 && !fits)
+        sim_violated(sim, "too_large: changes=%zu bytes=%zu", n, largest);
+    if ((double)n > sim->limits.txn_ops || (double)largest > sim->limits.value_bytes) {
+        sim->n_oversized_writes++;
+        return 400;
+    }
+    double rate = sim->limits.write_rps;
+    sim->write_tokens = fmin(rate, sim->write_tokens + (sim->now - sim->write_tokens_at) * rate);
+    sim->write_tokens_at = sim->now;
+    if (sim->write_tokens < (double)n) {
+        sim->n_rate_limited_writes++;
+        return 429;
+    }
+    sim->write_tokens -= (double)n;
+    return 200;
+}
+
+static int store_transaction(struct sim *sim, json_t *body, json_t **out) {
+    json_t *failed = json_array(), *value;
+    size_t i;
+    sim->n_comparisons += json_array_size(json_object_get(body, "then")) == 0;
+    int status = check_limits(sim, json_object_get(body, "then"));
+    if (status != 200) {
+        json_decref(failed);
+        *out = json_pack("{s:s}", "error", status == 400 ? "too large" : "too fast");
+        return status;
+    }
+    json_array_foreach(json_object_get(body, "when"), i, value) {
+        const char *path = json_string_value(json_object_get(value, "path"));
+        struct sim_key *entry = key_find(sim, path);
+        uint64_t want = (uint64_t)json_integer_value(json_object_get(value, "key_rev"));
+        if ((entry ? entry->revision : 0) != want && sim->breakage != SIM_STORE_IGNORES_CONDITIONS)
+            json_array_append_new(failed, json_string(path));
+    }
+    json_array_foreach(json_object_get(body, "then"), i, value) {
+        uint64_t lease = (uint64_t)json_integer_value(json_object_get(value, "lashing"));
+        if (lease && !lease_find(sim, lease)) {
+            json_decref(failed);
+            *out = json_pack("{s:s}", "error", "no such lease");
+            return 400;
+        }
+    }
+    if (json_array_size(failed)) {
+        *out = json_pack("{s:o,s:I}", "failed", failed, "ledger_rev", (json_int_t)sim->revision);
+        return 409;
+    }
+    json_decref(failed);
+    if (json_array_size(json_object_get(body, "then")))
+        sim->revision++;
+    json_array_foreach(json_object_get(body, "then"), i, value) {
+        const char *put = json_string_value(json_object_get(value, "write"));
+        const char *gone = json_string_value(json_object_get(value, "delete"));
+        if (put)
+            check_format(sim, put, json_object_get(value, "v"));
+        if (put)
+            key_put(sim, put, json_object_get(value, "v"),
+                    (uint64_t)json_integer_value(json_object_get(value, "lashing")));
+        else if (key_find(sim, gone))
+            key_delete(sim, key_find(sim, gone));
+    }
+    *out = json_pack("{s:I}", "ledger_rev", (json_int_t)sim->revision);
+    return 200;
+}
+
+static int store_lease(struct sim *sim, const char *method, const char *rest, json_t *body,
+                       json_t **out) {
+    if (!*rest) {
+        struct sim_lease *lease = NULL;
+        for (int i = 0; i < SIM_LEASES && !lease; i++)
+            if (!sim->leases[i].id)
+                lease = &sim->leases[i];
+        if (!lease)
+            abort();
+        lease->id = ++sim->next_lease;
+        lease->ttl_s = (double)json_integer_value(json_object_get(body, "ttl_ms")) / 1000;
+        lease->expires_at = sim->now + lease->ttl_s;
+        *out = json_pack("{s:I}", "lashing", (json_int_t)lease->id);
+        return 200;
+    }
+    struct sim_lease *lease = lease_find(sim, strtoull(rest + 1, NULL, 10));
+    if (!lease)
+        return 404;
+    if (strcmp(method, "DELETE") == 0)
+        lease_expire(sim, lease);
+    else
+        lease->expires_at = sim->now + lease->ttl_s;
+    return 200;
+}
+
+static int by_key(const void *a, const void *b) {
+    const struct sim_key *x = *(struct sim_key *const *)a, *y = *(struct sim_key *const *)b;
+    return strcmp(x->key, y->key);
+}
+
+/* A node that stands for the version before sees nothing that it wouldn't ask for. */
+static bool is_hidden_from(const struct sim *sim, int node, const char *key) {
+    return sim->nodes[node].is_old_version && !sim->nodes[node].old_node &&
+           (has_prefix(key, RP_KEY_VERSION) || strcmp(key, RP_KEY_FORMAT) == 0 ||
+            has_prefix(key, RP_KEY_PART));
+}
+
+static json_t *store_list(struct sim *sim, int node, const char *target) {
+    struct sim_key *found[SIM_KEYS] = {NULL};
+    char prefix[256], from[256], limit[32];
+    int n = 0;
+    json_t *rows = json_array();
+    sim_query_parameter(target, "prefix=", prefix, sizeof prefix);
+    bool after = sim_query_parameter(target, "&from=", from, sizeof from) != NULL;
+    size_t most = sim_query_parameter(target, "limit=", limit, sizeof limit)
+                      ? strtoul(limit, NULL, 10)
+                      : 1000;
+    for (int i = 0; i < sim->n_keys; i++)
+        if (has_prefix(sim->keys[i].key, prefix) && !is_hidden_from(sim, node, sim->keys[i].key) &&
+            (!after || strcmp(sim->keys[i].key, from) > 0))
+            found[n++] = &sim->keys[i];
+    // NOLINTNEXTLINE(bugprone-sizeof-expression): pointers are sorted
+    qsort(found, (size_t)n, sizeof found[0], by_key);
+    for (int i = 0; i < n && (size_t)i < most; i++)
+        json_array_append_new(rows, json_pack("{s:s,s:O,s:I}", "path", found[i]->key, "v",
+                                              found[i]->value, "key_rev",
+                                              (json_int_t)found[i]->revision));
+    return json_pack("{s:o,s:b,s:I}", "rows", rows, "has_next", (size_t)n > most, "ledger_rev",
+                     (json_int_t)sim->revision);
+}
+
+json_t *sim_store_changes(struct sim *sim, const char *target) {
+    char prefix[256], from[32];
+    json_t *log = json_array(), *e;
+    size_t i;
+    sim_query_parameter(target, "prefix=", prefix, sizeof prefix);
+    sim_query_parameter(target, "from=", from, sizeof from);
+    json_int_t since = (json_int_t)strtoll(from, NULL, 10);
+    /* The changes come in the order of their revisions. */
+    size_t first = json_array_size(sim->change_log);
+    while (first > 0 && json_integer_value(json_object_get(
+                            json_array_get(sim->change_log, first - 1), "key_rev")) > since)
+        first--;
+    for (i = first; i < json_array_size(sim->change_log); i++) {
+        e = json_array_get(sim->change_log, i);
+        const char *key = json_string_value(json_object_get(e, "write"));
+        key = key ? key : json_string_value(json_object_get(e, "delete"));
+        if (strncmp(key, prefix, strlen(prefix)) == 0)
+            json_array_append(log, e);
+    }
+    return json_pack("{s:I,s:o}", "ledger_rev", (json_int_t)sim->revision, "log", log);
+}
+
+bool sim_store_is_refusing(const struct sim *sim, int node) {
+    return sim->now < sim->store_outage_until || sim->now < sim->nodes[node].store_refusal_until;
+}
+
+int sim_store_request(struct sim *sim, const struct sim_event *event, json_t *body, json_t **out) {
+    if (sim_store_is_refusing(sim, event->node))
+        return 503;
+    if (strcmp(event->target, "/txn") == 0)
+        return store_transaction(sim, body, out);
+    if (strncmp(event->target, "/leases", 7) == 0)
+        return store_lease(sim, event->method, event->target + 7, body, out);
+    if (strncmp(event->target, "/kv?", 4) == 0) {
+        *out = store_list(sim, event->node, event->target);
+        sim->n_state_lists++;
+        sim->n_rows_read += json_array_size(json_object_get(*out, "rows"));
+        return 200;
+    }
+    sim->n_state_reads++;
+    struct sim_key *entry = key_find(sim, event->target + 4);
+    if (entry && is_hidden_from(sim, event->node, entry->key))
+        entry = NULL;
+    if (!entry) {
+        *out = json_pack("{s:I}", "ledger_rev", (json_int_t)sim->revision);
+        return 404;
+    }
+    *out = json_pack("{s:s,s:O,s:I}", "path", entry->key, "v", entry->value, "key_rev",
+                     (json_int_t)entry->revision);
+    return 200;
+}
+
+void sim_lower_limits(struct sim *sim) {
+    sim->limits = sim->announced_limits;
+    sim->write_tokens = fmin(sim->write_tokens, sim->announced_limits.write_rps);
+}
+
+void sim_put_record(struct sim *sim, const char *key, const char *text) {
+    json_t *value = json_loads(text, JSON_DECODE_ANY, NULL);
+    if (!value)
+        abort();
+    sim->revision++;
+    key_put(sim, key, value, 0);
+    json_decref(value);
+}
+
+const json_t *sim_find_record(struct sim *sim, const char *key) {
+    struct sim_key *entry = key_find(sim, key);
+    return entry ? entry->value : NULL;
+}
+
+bool sim_has_stored_result(struct sim *sim, const char *job, uint32_t task) {
+    char key[RP_KEY_MAX];
+    uint8_t bits[RP_CHUNK_BYTES] = {0};
+    rp_key_progress(key, job, 0);
+    struct sim_key *chunk = key_find(sim, key);
+    rp_key_unit(key, job, 0);
+    struct sim_key *unit = key_find(sim, key);
+    if (chunk && !rp_record_progress_read(chunk->value, bits, (SIM_JOB_TASKS + 7) / 8))
+        abort();
+    if (unit && !rp_record_progress_read(unit->value, bits, (SIM_JOB_TASKS + 7) / 8))
+        abort();
+    return bits[task / 8] >> (task % 8) & 1;
+}
+
+size_t sim_count_stored(struct sim *sim, const char *prefix) {
+    size_t n = 0;
+    for (int i = 0; i < sim->n_keys; i++)
+        n += has_prefix(sim->keys[i].key, prefix);
+    return n;
+}
+
+void sim_store_step(struct sim *sim) {
+    /* Leases stand still during an outage, and have their full time again after it. */
+    for (int i = 0; i < SIM_LEASES; i++) {
+        struct sim_lease *lease = &sim->leases[i];
+        if (lease->id && sim->now < sim->store_outage_until)
+            lease->expires_at = sim->now + lease->ttl_s;
+        if (lease->id && sim->now > lease->expires_at)
+            lease_expire(sim, lease);
+    }
+}
+
+void sim_store_free(struct sim *sim) {
+    while (sim->n_keys > 0)
+        key_delete(sim, &sim->keys[sim->n_keys - 1]);
+    json_decref(sim->change_log);
+}
--- /dev/null
+++ b/tests/simulation/users.c
@@ -0,0 +1,171 @@
+/* The users: they submit, poll and cancel, and remember what they were told. */
+#include "internal.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include "protocol/wire.h"
+
+void sim_send_for_user(struct sim *sim, int job, enum sim_user_op op, int node) {
+    static const char *const ends[] = {"", "", "/cancel"};
+    char target[128];
+    if (sim->node_in_partition == node + 1)
+        return;
+    snprintf(target, sizeof target, op == USER_SUBMITS ? "/v1/jobs%.0s%.0s" : "/v1/jobs/%s%s",
+             sim->jobs[job].spec.id, ends[op]);
+    sim_node_receive(sim, node,
+                     &(struct sim_call){.method = op == USER_POLLS ? "GET" : "POST",
+                                        .target = target,
+                                        .body = op == USER_SUBMITS ? sim->jobs[job].body : "",
+                                        .answer = EV_USER_ANSWER,
+                                        .index = job,
+                                        .user_op = op});
+}
+
+static void send_to_any_node(struct sim *sim, int job, enum sim_user_op op) {
+    sim_send_for_user(sim, job, op,
+                      (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes));
+}
+
+void sim_user_on_answer(struct sim *sim, const struct sim_event *event) {
+    struct sim_job *job = &sim->jobs[event->index];
+    if (sim->breakage == SIM_POLLS_ARE_DROPPED && event->index == 0 && job->accepted)
+        return;
+    json_t *body = json_loads(event->body, 0, NULL);
+    const char *word = json_string_value(json_object_get(body, "tension"));
+    if (event->status == 404 && job->accepted)
+        sim_violated(sim, "forgotten: %s gets 404", job->spec.id);
+    if ((event->status == 400 || event->status == 422) && job->accepted)
+        sim_violated(sim, "forgotten: %s gets %d", job->spec.id, event->status);
+    bool untold = sim->breakage == SIM_GANGS_ARE_NOT_SERVED && job->spec.kind == RP_JOB_GANG;
+    if (untold && word && strcmp(word, "done") == 0)
+        word = "running";
+    if (sim->breakage == SIM_ANSWERS_ARE_STALE && job->told_done)
+        word = "pending";
+    if (word) {
+        sim->n_polls_known += event->user_op == USER_POLLS;
+        job->answered_at = sim->now;
+        if (!job->accepted) {
+            job->accepted_at = sim->now;
+            job->accepted = true;
+            if (job->cancel_on_acceptance)
+                job->cancel_at = sim->now;
+            sim_read_concurrently(sim, event->index);
+        }
+        if (strcmp(word, "done") == 0) {
+            if (job->told_cancelled)
+                sim_violated(sim, "went_back: %s", job->spec.id);
+            sim_check_done(sim, job);
+            sim->n_done_jobs += !job->told_done;
+            if (!job->told_done) {
+                job->told_at = sim->now;
+                job->told_done = true;
+                sim_read_concurrently(sim, event->index);
+            }
+        } else if (strcmp(word, "aborted") == 0) {
+            if (job->told_done || !job->cancel_asked)
+                sim_violated(sim, "went_back: %s cancelled", job->spec.id);
+            if (!job->told_cancelled) {
+                job->cancelled_at = job->told_at = sim->now;
+                job->told_cancelled = true;
+                sim_read_concurrently(sim, event->index);
+            }
+        } else if ((job->told_done || job->told_cancelled) && event->asked_at > job->told_at) {
+            /* An answer may cross another on its way: only what was asked afterwards counts. */
+            sim_violated(sim, "went_back: %s is %s", job->spec.id, word);
+        }
+    }
+    json_decref(body);
+}
+
+void sim_user_step(struct sim *sim, int index) {
+    struct sim_job *job = &sim->jobs[index];
+    if (sim->now < job->submit_at)
+        return;
+    if (!job->accepted || sim_chance(sim, 0.0002)) {
+        if (!job->accepted)
+            job->submit_at = sim->now + 1;
+        send_to_any_node(sim, index, USER_SUBMITS);
+        return;
+    }
+    bool over = job->told_cancelled || job->told_done;
+    if (job->cancel_at > 0 && sim->now > job->cancel_at && (!over || job->cancel_again)) {
+        job->cancel_again = job->cancel_again && !over; /* once more, when it is over */
+        job->cancel_asked = true;
+        job->cancel_at = sim->now + 1;
+        send_to_any_node(sim, index, USER_CANCELS);
+    }
+    if (sim->now > job->poll_at) {
+        /* Hundreds of users who go on asking about what is over would be all that is measured. */
+        bool seldom = over && sim->n_jobs > 128;
+        double again = (seldom ? 20 : 2) + 3 * sim_uniform(sim);
+        job->poll_at = sim->now + again * (sim->has_eager_users ? 0.05 : 1);
+        sim->n_polls++;
+        send_to_any_node(sim, index, USER_POLLS);
+    }
+}
+
+int sim_submit(struct sim *sim, double at, const char *kind, unsigned tasks, double cpus,
+               double run_s, double cancel_at) {
+    struct sim_job *job = &sim->jobs[sim->n_jobs];
+    char id[32], why[128];
+    snprintf(id, sizeof id, "j-%06d", sim->n_jobs);
+    bool gang = strncmp(kind, "ensemble", strlen("ensemble")) == 0;
+    bool service = strcmp(kind, "service") == 0;
+    bool low = !gang || strcmp(kind, "ensemble:low") == 0;
+    json_t *value = json_pack(
+        "{s:s,s:s,s:s,s:s,s:s,s:i,s:f,s:f,s:f,s:s,s:f,s:n,s:n,s:b,s:b,s:b,s:f,s:f,s:f,s:n}", "ref",
+        id, "rig",
+        gang      ? "g"
+        : service ? "s"
+                  : "a",
+        "crew", "t", "haul", gang ? "ensemble" : kind, "precedence",
+        service ? "critical"
+        : low   ? "low"
+                : "urgent",
+        "lifts", (int)tasks, "vcpus", cpus, "cards", 0.0, "memory_gb", 2.0, "payload", "img-1",
+        "image_gb", 1.0, "frames", "yard", "one_zone", gang, "spread", service, "loaners", !service,
+        "run_guess_s", service ? 0.0 : run_s, "brace_every_s", service ? 0.0 : 5.0, "brace_s", 1.0,
+        "due_s");
+    if (!value || !rp_wire_spec_read(value, &job->spec, why))
+        abort();
+    job->used = true;
+    job->body = json_dumps(value, JSON_COMPACT);
+    job->submit_at = at;
+    job->cancel_at = cancel_at;
+    json_decref(value);
+    return sim->n_jobs++;
+}
+
+void sim_set_field(struct sim *sim, int index, const char *field, json_t *value) {
+    struct sim_job *job = &sim->jobs[index];
+    char why[128];
+    json_t *v = json_loads(job->body, 0, NULL);
+    json_object_set_new(v, field, value);
+    rp_job_spec_free(&job->spec);
+    if (!rp_wire_spec_read(v, &job->spec, why))
+        abort();
+    free(job->body);
+    job->body = json_dumps(v, JSON_COMPACT);
+    json_decref(v);
+}
+
+int sim_submit_long(struct sim *sim, double at, unsigned tasks, double run_s) {
+    int index = sim_submit(sim, at, "sweep", tasks, 1, run_s, 0);
+    struct sim_job *job = &sim->jobs[index];
+    json_t *value = json_loads(job->body, 0, NULL), *types = json_array();
+    char text[RP_TEXT_MAX];
+    memset(text, 1, sizeof text - 1); /* each takes six bytes in JSON */
+    text[sizeof text - 1] = '\0';
+    json_object_set_new(value, "rig", json_string(text));
+    json_object_set_new(value, "payload", json_string(text));
+    for (int i = 0; i < 900; i++) {
+        snprintf(text, sizeof text, "a-type-that-no-machine-is-of-%d", i);
+        json_array_append_new(types, json_string(i % 300 == 7 ? "wide" : text));
+    }
+    json_object_set_new(value, "frames", types);
+    free(job->body);
+    job->body = json_dumps(value, JSON_COMPACT);
+    json_decref(value);
+    return index;
+}
--- /dev/null
+++ b/tests/simulation/world.c
@@ -0,0 +1,126 @@
+/* Set-up and end of a world, and its steps. */
+#include "internal.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include "protocol/wire.h"
+
+bool sim_standby;
+
+void sim_step(struct sim *sim, double now) {
+    sim->now = now;
+    sim_inject_faults(sim);
+    sim_store_step(sim);
+    for (int i = 0; i < sim->n_nodes && !sim->remote; i++)
+        sim_node_step(sim, i);
+    for (int i = 0; i < sim->size.workers; i++)
+        sim_worker_step(sim, i);
+    for (int i = 0; i < sim->n_jobs; i++)
+        sim_user_step(sim, i);
+    sim_process_events(sim);
+    sim->steps++;
+    sim_check_step(sim);
+}
+
+void sim_run(struct sim *sim, double seconds) {
+    double end = sim->now + seconds;
+    while (sim->now < end && !sim->violation[0])
+        sim_step(sim, sim->now + SIM_STEP_S);
+}
+
+bool sim_all_terminal(const struct sim *sim) {
+    for (int i = 0; i < sim->n_jobs; i++)
+        if (!sim->jobs[i].told_done && !sim->jobs[i].told_cancelled && !sim->jobs[i].fails_always)
+            return false;
+    return true;
+}
+
+static const char settings_text[] =
+    "{\"node_name\":\"n%d\",\"location\":\"a\",\"client_listen\":\"10.0.0.1:1\",\"peer_listen\":"
+    "\"10.0.0.1:2\",\"seeds\":[%s],\"external\":{\"cloud\":\"cloud\",\"state\":\"state\"},"
+    "\"params\":{\"nodes\":%d,\"zones\":[\"a\",\"b\"],\"teams\":[{\"name\":\"t\",\"cpus\":0,"
+    "\"cpus_max\":60,\"gpus\":0,\"gpus_max\":0},{\"name\":\"guests\",\"cpus\":0,\"cpus_max\":0,"
+    "\"gpus\":0,\"gpus_max\":0}],\"objectives\":[],\"workers\":{\"report_s\":%g,"
+    "\"lease_s\":%g,\"gang_wait_s\":40,\"gang_peer_s\":5,\"cancel_s\":%g},\"state\":{\"rps\":%g,"
+    "\"write_rps\":%g,\"value_kb\":8,\"txn_ops\":8,\"next\":{\"write_rps\":%g,"
+    "\"value_kb\":1,\"txn_ops\":4}},\"cloud\":{\"rps\":%g,\"list_lag_s\":3},"
+    "\"machine_limits\":{\"cpu_share\":0.1,\"mem_mb\":64,\"max_connections\":800}}}";
+
+struct sim *sim_new(unsigned long seed, const struct sim_faults *faults, enum sim_breakage breakage,
+                    int n_nodes) {
+    static const struct sim_size small = {64, 6, 2, 14, 39, 200, 20, 5};
+    return sim_new_sized(seed, faults, breakage, n_nodes, &small);
+}
+
+static struct sim *create_world(unsigned long seed, const struct sim_faults *faults,
+                                enum sim_breakage breakage, int n_nodes,
+                                const struct sim_size *size, const struct sim_remote *remote) {
+    struct sim *sim = calloc(1, sizeof *sim);
+    if (!sim)
+        abort();
+    sim->rng = gsl_rng_alloc(gsl_rng_taus2);
+    gsl_rng_set(sim->rng, seed);
+    sim->size = *size;
+    sim->n_nodes = n_nodes;
+    sim->remote = remote;
+    sim->faults = *faults;
+    sim->breakage = breakage;
+    sim->limits = (struct sim_limits){8192, 8, size->write_rps};
+    sim->announced_limits = (struct sim_limits){1024, 4, size->write_rps * 0.75};
+    sim->write_tokens = size->write_rps;
+    sim->change_log = json_array();
+    sim->provisioned = json_object();
+    for (int i = 0; i < sim->n_nodes; i++) {
+        char *text;
+        char peers[1024] = "";
+        for (int p = 0; p < sim->n_nodes; p++)
+            if (p != i)
+                sprintf(peers + strlen(peers),
+                        "%s{\"node_name\":\"n%d\",\"location\":\"a\",\"addr\":\"peer%d\"}",
+                        *peers ? "," : "", p, p);
+        if (asprintf(&text, settings_text, i, peers, sim->n_nodes, size->heartbeat_s, size->lease_s,
+                     size->cancel_s, size->rps, size->write_rps, size->write_rps * 0.75,
+                     size->cloud_rps) < 0 ||
+            rp_settings_parse(&sim->settings[i], text, "settings", stderr))
+            abort();
+        sim->nodes[i].settings = text;
+        rp_settings_complete(&sim->settings[i]);
+        sim->settings[i].tuning.round_period_s = 2;
+        sim->settings[i].tuning.standby = sim_standby || getenv("RP_SIM_STANDBY");
+        sim_node_start(sim, i);
+    }
+    return sim;
+}
+
+struct sim *sim_new_sized(unsigned long seed, const struct sim_faults *faults,
+                          enum sim_breakage breakage, int n_nodes, const struct sim_size *size) {
+    return create_world(seed, faults, breakage, n_nodes, size, NULL);
+}
+
+struct sim *sim_new_remote(unsigned long seed, int n_nodes, const struct sim_size *size,
+                           const struct sim_remote *remote) {
+    static const struct sim_faults none = {0};
+    struct sim *sim = create_world(seed, &none, SIM_SOUND, n_nodes, size, remote);
+    sim->nodes[SIM_REMOTE_NODE].alive = true;
+    return sim;
+}
+
+void sim_free(struct sim *sim) {
+    sim->nodes[SIM_REMOTE_NODE].alive &= !sim->remote;
+    for (int i = 0; i < sim->n_nodes; i++) {
+        sim_crash(sim, i, 1e9);
+        free(sim->nodes[i].settings);
+        rp_settings_free(&sim->settings[i]);
+    }
+    for (int i = 0; i < sim->n_events; i++)
+        sim_event_free(sim->events[i]);
+    sim_store_free(sim);
+    for (int i = 0; i < sim->n_jobs; i++) {
+        free(sim->jobs[i].body);
+        rp_job_spec_free(&sim->jobs[i].spec);
+    }
+    json_decref(sim->provisioned);
+    gsl_rng_free(sim->rng);
+    free(sim);
+}
