--- a/tests/simulation/cloud.c
+++ b/tests/simulation/cloud.c
@@ -103,11 +103,11 @@
         *out = json_pack("{s:s}", "error", "trouble");
         return 503;
     }
-    if (strcmp(event->target, RP_PATH_TYPES) == 0) {
+    if (strcmp(event->target, RP_PATH_CATALOG) == 0) {
         *out = cloud_catalog();
         return 200;
     }
-    if (strcmp(event->target, RP_PATH_DELETE) == 0) {
+    if (strcmp(event->target, RP_PATH_RELEASE) == 0) {
         json_array_foreach(json_object_get(body, "sheaves"), i, name) {
             for (int w = 0; w < sim->size.workers; w++)
                 if (sim->workers[w].used &&
--- a/tests/simulation/internal.h
+++ b/tests/simulation/internal.h
@@ -114,11 +114,11 @@
 /* A direct command or question, when it arrives. 0: nobody is there to answer. */
 int sim_worker_request(struct sim *sim, const struct sim_event *event, json_t *body, json_t **out);
 /* The machine is paused, or its zone is cut off: what is on its way to it waits. */
-bool sim_worker_is_paused(const struct sim *sim, const struct sim_event *event);
+bool sim_worker_is_paused(struct sim *sim, const struct sim_event *event);
 void sim_worker_on_heartbeat_answer(struct sim *sim, const struct sim_event *event);
 void sim_worker_step(struct sim *sim, int index);
 bool sim_task_is_placed(const struct sim_task *task);
-void sim_task_start(struct sim *sim, struct sim_worker *worker, const char *job, uint32_t index,
+void sim_task_start(struct sim *sim, struct sim_worker *worker, const char *job_id, uint32_t index,
                     uint64_t attempt);
 void sim_task_stop(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
                    double grace_s);
