--- a/src/controller/cycle_trigger.c
+++ b/src/controller/cycle_trigger.c
@@ -1,6 +1,7 @@
 #include "controller/cycle_trigger.h"
 
 #include "scheduler/cycle.h"
+#include "worker/direct_commands.h"
 
 /* The share of this node's processor time that triggered cycles may use. */
 #define CYCLE_CPU_SHARE 0.35
@@ -26,8 +27,8 @@
 static void run_cycle(struct rp_cycle_trigger *trigger) {
     rp_timer_cancel(trigger->loop, &trigger->timer);
     rp_scheduler_run_cycle(trigger->scheduler);
-    rp_workers_send_fenced(trigger->workers);
-    rp_workers_answer_held_heartbeats(trigger->workers);
+    rp_direct_commands_send_fenced(&trigger->workers->context);
+    rp_workers_answer_pending(trigger->workers);
 }
 
 static void on_cycle_due(void *arg) {
