--- a/src/jobs/job_loader.c
+++ b/src/jobs/job_loader.c
@@ -12,6 +12,8 @@
     unsigned long generation;
 };
 
+typedef void (*item_fn)(struct rp_job_loader *loader, const struct rp_kv_item *item);
+
 static void list_open_jobs(struct rp_job_loader *loader, const char *after);
 static void list_progress(struct rp_job_loader *loader, const char *after);
 
@@ -73,19 +75,27 @@
     }
 }
 
+/* Reads a page of a list item by item. Returns whether another page follows, after `last_key`,
+ * which is borrowed from the result. */
+static bool read_page(struct rp_job_loader *loader, const struct rp_kv_result *result,
+                      item_fn read_item, const char **last_key) {
+    struct rp_kv_item item = {0};
+    size_t n = rp_kv_result_n_items(result);
+    for (size_t i = 0; i < n; i++)
+        if (rp_kv_result_item_at(result, i, &item))
+            read_item(loader, &item);
+    *last_key = item.key;
+    return rp_kv_result_has_more(result) && n > 0;
+}
+
 static void on_progress_page(void *arg, const struct rp_kv_result *result) {
     struct list_request *request = arg;
     struct rp_job_loader *loader = request->loader;
+    const char *last_key;
     if (!has_page(request, result))
         goto out;
-    bool has_more = rp_kv_result_has_more(result);
-    struct rp_kv_item item = {0};
-    size_t n = rp_kv_result_n_items(result);
-    for (size_t i = 0; i < n; i++)
-        if (rp_kv_result_item_at(result, i, &item))
-            read_progress_record(loader, &item);
-    if (has_more && n > 0) {
-        list_progress(loader, item.key);
+    if (read_page(loader, result, read_progress_record, &last_key)) {
+        list_progress(loader, last_key);
         goto out;
     }
     restore_progress(loader);
@@ -112,20 +122,17 @@
 static void on_open_jobs_page(void *arg, const struct rp_kv_result *result) {
     struct list_request *request = arg;
     struct rp_job_loader *loader = request->loader;
+    const char *last_key;
     if (!has_page(request, result))
         goto out;
-    bool has_more = rp_kv_result_has_more(result);
-    struct rp_kv_item item = {0};
-    size_t n = rp_kv_result_n_items(result);
-    for (size_t i = 0; i < n; i++)
-        if (rp_kv_result_item_at(result, i, &item))
-            read_open_item(loader, &item);
+    bool has_next = read_page(loader, result, read_open_item, &last_key);
     /* A fence may have ended this term. */
     if (!rp_jobs_context_is_current(loader->context, request->generation))
         goto out;
-    rp_job_watch_on_list_page(loader->watch, rp_kv_result_revision(result), has_more);
-    if (has_more && n > 0)
-        list_open_jobs(loader, item.key);
+    rp_job_watch_on_list_page(loader->watch, rp_kv_result_revision(result),
+                              rp_kv_result_has_more(result));
+    if (has_next)
+        list_open_jobs(loader, last_key);
     else
         continue_with_parts(loader);
 out:
--- a/src/jobs/progress_writer.c
+++ b/src/jobs/progress_writer.c
@@ -46,9 +46,9 @@
         .context = context, .table = table, .collector = collector, .max_records = TXN_RECORDS_MAX};
 }
 
-/* The job as long as it has not ended; NULL afterwards. */
-static struct rp_job *find_unended_job(const struct rp_progress_writer *writer,
-                                       const char *job_id) {
+/* The job as long as it is not closed; NULL afterwards. */
+static struct rp_job *find_unclosed_job(const struct rp_progress_writer *writer,
+                                        const char *job_id) {
     struct rp_job *job = rp_job_table_find(writer->table, job_id);
     return job && job->state != RP_JOB_CLOSED ? job : NULL;
 }
@@ -66,12 +66,12 @@
     struct rp_kv_item item;
     if (!rp_jobs_context_is_current(writer->context, read->generation))
         goto out;
-    struct rp_job *job = find_unended_job(writer, read->job_id);
+    struct rp_job *job = find_unclosed_job(writer, read->job_id);
     if (!job)
         goto out;
     rp_job_progress_apply(&job->progress, read->record, RP_PROGRESS_READ_RETURNED);
     if (result->outcome == RP_KV_NOT_FOUND)
-        rp_job_progress_set_revision(&job->progress, read->record, 0);
+        rp_job_progress_set_revision(&job->progress, read->record, RP_KV_ABSENT);
     else if (rp_kv_result_item(result, &item))
         rp_job_progress_set_revision(&job->progress, read->record, item.revision);
     note_stored(job, read->record);
@@ -148,7 +148,7 @@
         goto out;
     for (size_t i = 0; i < write->n_records; i++) {
         const struct written_record *written = &write->records[i];
-        struct rp_job *job = find_unended_job(writer, written->job_id);
+        struct rp_job *job = find_unclosed_job(writer, written->job_id);
         if (!job)
             note_late_write(writer, written, result->outcome);
         else if (result->outcome == RP_KV_OK)
