--- /dev/null
+++ b/src/scheduler/array_packing.c
@@ -0,0 +1,115 @@
+#include "scheduler/array_packing.h"
+
+#include "scheduler/packing.h"
+#include "scheduler/plan_resources.h"
+#include "scheduler/provisioning.h"
+
+#define HOLDER_SHARE 1.0 /* of a fetch's time that capacity with the image is waited for */
+#define SPARE_SHARE 0.7  /* of a task's time that a machine must be in use for anyway */
+
+/* Puts what fits on a machine now; `later`: into the room it will have. */
+static void place_on_machine(struct rp_packing *packing, struct rp_group_packing *current,
+                             size_t machine_index, bool later) {
+    const struct rp_plan_machine *machine = &packing->input->machines[machine_index];
+    const struct rp_plan_group *group = current->group;
+    if (!rp_plan_group_may_use_machine(group, machine))
+        return;
+    uint32_t n_fitting = rp_packing_zone_limit(current, machine->zone);
+    n_fitting =
+        rp_plan_n_fitting(&group->each, &packing->bins[machine_index].free_later, n_fitting);
+    if (!later)
+        n_fitting =
+            rp_plan_n_fitting(&group->each, &packing->bins[machine_index].free_now, n_fitting);
+    if (n_fitting == 0)
+        return;
+    double end_s = (later ? machine->free_later_after_s : 0) + group->run_s +
+                   rp_plan_fetch_s(group, machine->fetch_gb_per_s,
+                                   group->has_image && group->has_image[machine_index]);
+    rp_packing_place(packing, current, machine_index, n_fitting, !later, end_s);
+}
+
+/* Machines that have the image and will have room before a fetch elsewhere could be over: waiting
+ * for them costs no time, and the fetch's time isn't paid for. */
+static void place_on_image_holders(struct rp_packing *packing, struct rp_group_packing *current) {
+    const struct rp_plan_group *group = current->group;
+    /* Urgent work has room made for it rather than wait (measured: it lost by waiting). */
+    if (group->priority >= RP_PRIORITY_HIGH)
+        return;
+    const struct rp_candidate_list *list = &packing->lists[packing->group_list[current->index]];
+    for (size_t i = 0; i < list->n[RP_CAPACITY_LATER] && current->n_left > 0; i++) {
+        size_t machine_index = list->machines[RP_CAPACITY_LATER][i];
+        packing->plan->n_machines_examined++;
+        const struct rp_plan_machine *machine = &packing->input->machines[machine_index];
+        /* The cheap look first: under overload nearly no machine has any room left. */
+        if (group->has_image && group->has_image[machine_index] &&
+            rp_plan_n_fitting(&group->each, &packing->bins[machine_index].free_later, 1) &&
+            rp_plan_machine_fits_after_s(machine, &group->each) <
+                HOLDER_SHARE * rp_plan_fetch_s(group, machine->fetch_gb_per_s, false))
+            place_on_machine(packing, current, machine_index, true);
+    }
+}
+
+void rp_array_packing_place_at_hand(struct rp_packing *packing, struct rp_group_packing *current,
+                                    bool later) {
+    const struct rp_candidate_list *list = &packing->lists[packing->group_list[current->index]];
+    enum rp_capacity_kind kind = later ? RP_CAPACITY_LATER : RP_CAPACITY_NOW;
+    for (int with_image = 1; with_image >= 0; with_image--) {
+        if (!later && !with_image)
+            place_on_image_holders(packing, current);
+        for (size_t i = 0; i < list->n[kind] && current->n_left > 0; i++) {
+            size_t machine_index = list->machines[kind][i];
+            packing->plan->n_machines_examined++;
+            bool has_image = current->group->has_image && current->group->has_image[machine_index];
+            if (has_image == (with_image == 1))
+                place_on_machine(packing, current, machine_index, later);
+        }
+    }
+}
+
+static bool may_use_spare(const struct rp_plan_group *group, const struct rp_plan_machine *machine,
+                          bool has_image) {
+    bool is_allowed = (group->spare_types >> machine->type & 1) &&
+                      (group->zones >> machine->zone & 1) && (!machine->spot || group->spot);
+    if (!is_allowed || machine->reserved_for)
+        return false;
+    double task_s = group->run_s + rp_plan_fetch_s(group, machine->fetch_gb_per_s, has_image);
+    return !(machine->own_busy_s < SPARE_SHARE * task_s);
+}
+
+/* What the GPU work on a machine leaves of its CPUs costs nothing more: work that has no use for
+ * the GPUs may take that, where it is over before the machine's own work. (Measured by all work on
+ * the machine, such work drew more of its like after it, and kept a third of the GPU machines for
+ * minutes after the last GPU task had ended.) */
+static void place_on_spare_capacity(struct rp_packing *packing, struct rp_group_packing *current) {
+    const struct rp_plan_group *group = current->group;
+    const struct rp_candidate_list *list = &packing->lists[packing->spare_list[current->index]];
+    if (!group->spare_types)
+        return;
+    for (int with_image = 1; with_image >= 0; with_image--)
+        for (size_t i = 0; i < list->n[RP_CAPACITY_SPARE] && current->n_left > 0; i++) {
+            size_t machine_index = list->machines[RP_CAPACITY_SPARE][i];
+            packing->plan->n_machines_examined++;
+            const struct rp_plan_machine *machine = &packing->input->machines[machine_index];
+            bool has_image = group->has_image && group->has_image[machine_index];
+            if (has_image != (with_image == 1) || !may_use_spare(group, machine, has_image))
+                continue;
+            uint32_t n_fitting =
+                rp_plan_n_fitting(&group->each, &packing->bins[machine_index].free_spare,
+                                  rp_packing_zone_limit(current, machine->zone));
+            n_fitting =
+                rp_plan_n_fitting(&group->each, &packing->bins[machine_index].free_now, n_fitting);
+            if (n_fitting > 0)
+                rp_packing_place(packing, current, machine_index, n_fitting, true, 0);
+        }
+}
+
+void rp_array_packing_place(struct rp_packing *packing, struct rp_group_packing *current) {
+    rp_array_packing_place_at_hand(packing, current, false);
+    place_on_spare_capacity(packing, current);
+    rp_array_packing_place_at_hand(packing, current, true);
+    rp_provisioning_place(packing, current);
+    if (current->n_left > 0 && !current->group->is_guaranteed &&
+        rp_provisioning_can_wait(packing, current))
+        return;
+    rp_provisioning_place_rest(packing, current);
+}
--- /dev/null
+++ b/src/scheduler/candidate_list.c
@@ -0,0 +1,92 @@
+#include "scheduler/candidate_list.h"
+
+#include <math.h>
+#include <stdlib.h>
+#include "scheduler/plan_resources.h"
+
+/* A machine that holds not even the least demanding task is looked at by no group. */
+static bool is_useful(const struct rp_packing *packing, const struct rp_candidate_list *list,
+                      enum rp_capacity_kind kind, size_t machine) {
+    const struct rp_bin *bin = &packing->bins[machine];
+    const struct rp_resources *available = kind == RP_CAPACITY_NOW     ? &bin->free_now
+                                           : kind == RP_CAPACITY_LATER ? &bin->free_later
+                                                                       : &bin->free_spare;
+    return (list->types >> packing->input->machines[machine].type & 1) &&
+           rp_plan_n_fitting(&list->smallest_need, available, 1) > 0;
+}
+
+void rp_candidate_list_refresh(struct rp_packing *packing, struct rp_candidate_list *list) {
+    if (!list->is_stale)
+        return;
+    for (int kind = 0; kind < RP_CAPACITY_KINDS; kind++) {
+        size_t n_kept = 0;
+        for (size_t i = 0; i < list->n[kind]; i++)
+            if (is_useful(packing, list, (enum rp_capacity_kind)kind, list->machines[kind][i]))
+                list->machines[kind][n_kept++] = list->machines[kind][i];
+        list->n[kind] = n_kept;
+    }
+    list->is_stale = false;
+}
+
+static void note_smallest_need(struct rp_candidate_list *list, const struct rp_resources *each) {
+    list->smallest_need.cpus = fmin(list->smallest_need.cpus, each->cpus);
+    list->smallest_need.gpus = fmin(list->smallest_need.gpus, each->gpus);
+    list->smallest_need.memory_gb = fmin(list->smallest_need.memory_gb, each->memory_gb);
+}
+
+static size_t candidate_list_for(struct rp_packing *packing, uint32_t types,
+                                 const struct rp_resources *each) {
+    size_t list = 0;
+    while (list < packing->n_lists && packing->lists[list].types != types)
+        list++;
+    if (list >= RP_CANDIDATE_LISTS_MAX) {
+        list = RP_CANDIDATE_LISTS_MAX - 1;
+        packing->lists[list].types |= types;
+    } else if (list == packing->n_lists) {
+        packing->lists[packing->n_lists++] = (struct rp_candidate_list){
+            .types = types, .is_stale = true, .smallest_need = {INFINITY, INFINITY, INFINITY}};
+    }
+    note_smallest_need(&packing->lists[list], each);
+    return list;
+}
+
+void rp_candidate_lists_assign(struct rp_packing *packing) {
+    for (size_t i = 0; i < packing->input->n_groups; i++) {
+        const struct rp_plan_group *group = &packing->input->groups[i];
+        packing->group_list[i] = candidate_list_for(packing, group->types, &group->each);
+        packing->spare_list[i] = group->spare_types
+                                     ? candidate_list_for(packing, group->spare_types, &group->each)
+                                     : packing->group_list[i];
+    }
+}
+
+bool rp_candidate_lists_build(struct rp_packing *packing) {
+    size_t n = packing->input->n_machines;
+    for (size_t k = 0; k < packing->n_lists; k++) {
+        struct rp_candidate_list *list = &packing->lists[k];
+        for (int kind = 0; kind < RP_CAPACITY_KINDS; kind++) {
+            list->machines[kind] = malloc((n + 1) * sizeof(size_t));
+            if (!list->machines[kind])
+                return false;
+            for (size_t i = 0; i < n; i++) {
+                size_t machine = kind == RP_CAPACITY_SPARE ? i : packing->machine_order[i];
+                if (is_useful(packing, list, (enum rp_capacity_kind)kind, machine))
+                    list->machines[kind][list->n[kind]++] = machine;
+            }
+        }
+        list->is_stale = false;
+    }
+    return true;
+}
+
+void rp_candidate_lists_mark_stale(struct rp_packing *packing, size_t machine) {
+    int type = packing->input->machines[machine].type;
+    for (size_t k = 0; k < packing->n_lists; k++)
+        packing->lists[k].is_stale |= packing->lists[k].types >> type & 1;
+}
+
+void rp_candidate_lists_free(struct rp_packing *packing) {
+    for (size_t k = 0; k < packing->n_lists; k++)
+        for (int kind = 0; kind < RP_CAPACITY_KINDS; kind++)
+            free(packing->lists[k].machines[kind]);
+}
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -5,6 +5,8 @@
 #include <string.h>
 #include "base/log.h"
 #include "scheduler/cycle_input.h"
+#include "scheduler/plan_cost.h"
+#include "scheduler/portfolio.h"
 #include "scheduler/quota.h"
 #include "scheduler/reservation.h"
 #include "scheduler/room.h"
--- a/src/scheduler/cycle_input.c
+++ b/src/scheduler/cycle_input.c
@@ -5,6 +5,7 @@
 #include <string.h>
 #include "base/log.h"
 #include "cluster/quarantine.h"
+#include "scheduler/plan_resources.h"
 #include "scheduler/reservation.h"
 
 #define SUSPECT_TASKS 2 /* of a job that has failed wherever it was started, at a time */
--- /dev/null
+++ b/src/scheduler/load_shedding.c
@@ -0,0 +1,107 @@
+#include "scheduler/load_shedding.h"
+
+#include <math.h>
+#include "scheduler/machine_pool.h"
+#include "scheduler/packing.h"
+#include "scheduler/plan_resources.h"
+
+/* Work is shed beyond so many times what can be done in time: estimates are rough, and the rougher
+ * the fewer machines they are spread over. */
+#define SHED_LOAD 0.9
+#define SHED_LOAD_FEW_MACHINES 30.0 /* more, divided by the number of machines */
+#define RARE_JOBS 10.0 /* a class with fewer unfinished jobs is rare, where another has more */
+
+void rp_load_shedding_count_classes(struct rp_packing *packing) {
+    for (size_t i = 0; i < packing->input->n_groups; i++) {
+        const struct rp_plan_group *group = &packing->input->groups[i];
+        uint32_t *most =
+            &packing->most_class_jobs[group->priority][rp_plan_group_needs_gpus(group)];
+        if (group->kind == RP_JOB_ARRAY && group->slack_s < RP_NO_OBJECTIVE_S &&
+            group->class_jobs > *most)
+            *most = group->class_jobs;
+    }
+}
+
+double rp_load_shedding_class_factor(const struct rp_packing *packing,
+                                     const struct rp_plan_group *group) {
+    if (group->class_jobs >=
+            packing->most_class_jobs[group->priority][rp_plan_group_needs_gpus(group)] ||
+        group->class_jobs == 0)
+        return 1;
+    return fmin(1, (group->class_jobs - 1) / RARE_JOBS);
+}
+
+/* The group's work, in seconds of a CPU or a GPU. */
+static double group_work(const struct rp_plan_group *group) {
+    return group->n_tasks * group->run_s *
+           (rp_plan_group_needs_gpus(group) ? group->each.gpus : group->each.cpus);
+}
+
+/* Of the first `n` groups in the order, the one that takes most work for its share of its class and
+ * isn't given up. Gangs never are: what a whole gang gains isn't told by its work, and they are
+ * few. */
+static const struct rp_plan_group *largest_admitted(const struct rp_packing *packing, size_t n) {
+    const struct rp_plan_group *largest = NULL;
+    double largest_work = 0;
+    for (size_t k = 0; k < n; k++) {
+        const struct rp_plan_group *group = &packing->input->groups[packing->sort_entries[k].item];
+        double work = group_work(group) * rp_load_shedding_class_factor(packing, group);
+        if (group->kind != RP_JOB_ARRAY || packing->is_shed[packing->sort_entries[k].item] ||
+            (largest && work <= largest_work))
+            continue;
+        largest = group;
+        largest_work = work;
+    }
+    return largest;
+}
+
+/* Sorts the groups of the priority that have an objective by their due times; returns how many. */
+static size_t sort_by_due_time(struct rp_packing *packing, enum rp_priority priority, bool gpus) {
+    size_t n = 0;
+    for (size_t i = 0; i < packing->input->n_groups; i++) {
+        const struct rp_plan_group *group = &packing->input->groups[i];
+        if (group->priority == priority && rp_plan_group_needs_gpus(group) == gpus &&
+            group->slack_s < RP_NO_OBJECTIVE_S)
+            packing->sort_entries[n++] =
+                (struct rp_sort_entry){.item = i, .key = group->slack_s, .rank = 0};
+    }
+    rp_packing_sort_entries(packing->sort_entries, n);
+    return n;
+}
+
+/* Moore's rule: in the order of due times, whenever the work taken so far can't be done by then,
+ * its largest job is shed. So the most jobs are in time; without it, under a load that lasts, those
+ * about to be late take the capacity of those that still can be in time, and all are late. */
+static void shed_priority(struct rp_packing *packing, enum rp_priority priority, bool gpus,
+                          struct rp_pool_load *load) {
+    size_t n = sort_by_due_time(packing, priority, gpus);
+    for (size_t i = 0; i < n; i++) {
+        const struct rp_plan_group *group = &packing->input->groups[packing->sort_entries[i].item];
+        if (group->is_late)
+            continue;
+        load->work += group_work(group);
+        if (load->work <= load->capacity * group->slack_s)
+            continue;
+        const struct rp_plan_group *largest = largest_admitted(packing, i + 1);
+        if (!largest)
+            continue;
+        packing->is_shed[largest - packing->input->groups] = true;
+        packing->plan->short_of_capacity[gpus] = true;
+        load->work -= group_work(largest);
+    }
+    for (size_t i = 0; i < n && packing->plan->short_of_capacity[gpus]; i++) {
+        size_t item = packing->sort_entries[i].item;
+        if (packing->input->groups[item].is_late)
+            packing->is_shed[item] = packing->input->groups[item].kind == RP_JOB_ARRAY;
+    }
+}
+
+void rp_load_shedding_run(struct rp_packing *packing) {
+    for (int gpus = 0; gpus < 2; gpus++) {
+        struct rp_pool_load load = rp_machine_pools_load(packing, gpus);
+        if (load.n_machines > 0)
+            load.capacity *= SHED_LOAD + SHED_LOAD_FEW_MACHINES / load.n_machines;
+        for (int p = RP_PRIORITY_CRITICAL; p >= RP_PRIORITY_LOW && load.capacity > 0; p--)
+            shed_priority(packing, (enum rp_priority)p, gpus, &load);
+    }
+}
--- a/src/scheduler/room.c
+++ b/src/scheduler/room.c
@@ -4,6 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
+#include "scheduler/plan_resources.h"
 #include "scheduler/reservation.h"
 
 #define START_COUNTS_S 31 /* a start that is stopped sooner counts for no aim (PROTOCOL) */
--- a/tests/test_plan.c
+++ b/tests/test_plan.c
@@ -3,7 +3,9 @@
 
 #include <gsl/gsl_rng.h>
 #include <math.h>
-#include "scheduler/planner.h"
+#include "scheduler/plan_cost.h"
+#include "scheduler/plan_resources.h"
+#include "scheduler/portfolio.h"
 
 static const struct rp_heuristic fcfs_sm = {RP_JOB_ORDER_FCFS, RP_MACHINE_ORDER_SM};
 
