--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -56,9 +56,9 @@
  * read the same body, and found it sound. */
 static void op_unavailable(struct op *operation) {
     if (operation->kind == OP_SUBMIT && operation->refusal == 400)
-        op_answer(operation, 400, rp_wire_error(operation->why), 0);
+        op_answer(operation, 400, rp_codec_write_error(operation->why), 0);
     else
-        op_answer(operation, 503, rp_wire_error("not possible just now"), RETRY_AFTER_S);
+        op_answer(operation, 503, rp_codec_write_error("not possible just now"), RETRY_AFTER_S);
 }
 
 static void op_status(struct op *operation, int status, enum rp_job_phase phase) {
@@ -66,7 +66,7 @@
     rp_string_copy(st.id, sizeof st.id, operation->id);
     if (phase == RP_JOB_QUEUED && status == 200)
         operation->api->fill_running_counts(operation->api->arg, &st);
-    op_answer(operation, status, rp_wire_job_status(&st), 0);
+    op_answer(operation, status, rp_user_codec_write_job_status(&st), 0);
 }
 
 /* The job's end, as the state service has it: it stays so, and this node answers by itself next
@@ -91,23 +91,22 @@
         operation->looked_up = false;
         op_next(operation, OP_READ_OPEN);
     } else if (operation->kind != OP_SUBMIT)
-        op_answer(operation, 404, rp_wire_error("no such job"), 0);
+        op_answer(operation, 404, rp_codec_write_error("no such job"), 0);
     else if (operation->refusal == 503)
         op_unavailable(operation);
     else if (operation->refusal)
-        op_answer(operation, operation->refusal, rp_wire_error(operation->why), 0);
+        op_answer(operation, operation->refusal, rp_codec_write_error(operation->why), 0);
     else
         op_next(operation, OP_WRITE);
 }
 
 static void over_read(void *arg, const struct rp_kv_result *result) {
     struct op *operation = arg;
-    struct rp_item item;
+    struct rp_kv_item item;
     enum rp_job_phase phase;
     if (result->outcome == RP_KV_NOT_FOUND)
         op_unknown_job(operation);
-    else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item) &&
-             rp_record_terminal_read(item.value, &phase))
+    else if (rp_kv_result_item(result, &item) && rp_record_terminal_read(item.value, &phase))
         op_final(operation, phase);
     else
         op_unavailable(operation);
@@ -131,11 +130,11 @@
 
 static void open_read(void *arg, const struct rp_kv_result *result) {
     struct op *operation = arg;
-    struct rp_item item;
+    struct rp_kv_item item;
     if (result->outcome == RP_KV_NOT_FOUND) {
         op_next(operation, OP_READ_OVER);
-    } else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
-        operation->version = item.version;
+    } else if (rp_kv_result_item(result, &item)) {
+        operation->version = item.revision;
         if (operation->kind == OP_CANCEL)
             op_next(operation, OP_WRITE);
         else
@@ -156,8 +155,8 @@
  * only once there is none left. */
 static void format_read(void *arg, const struct rp_kv_result *result) {
     struct op *operation = arg;
-    struct rp_item item;
-    if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item))
+    struct rp_kv_item item;
+    if (rp_kv_result_item(result, &item))
         rp_upgrade_on_activation_record(operation->api->upgrade, item.value);
     if (rp_upgrade_is_active(operation->api->upgrade)) {
         op_next(operation, OP_WRITE);
@@ -249,30 +248,31 @@
         op_next(operation, OP_READ_OPEN);
         return;
     }
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_key(open, RP_KEY_OPEN, operation->id);
     rp_key(over, RP_KEY_TERMINAL, operation->id);
-    rp_wire_txn_if(txn, open, 0);
-    rp_wire_txn_if(txn, over, 0);
-    rp_wire_txn_put(txn, open, pieces[0], 0);
+    rp_kv_txn_if(txn, open, RP_KV_ABSENT);
+    rp_kv_txn_if(txn, over, RP_KV_ABSENT);
+    rp_kv_txn_put(txn, open, pieces[0], RP_KV_NO_LEASE);
     for (size_t i = 1; i < count; i++) {
         rp_key_part(part, operation->id, (unsigned)i);
-        rp_wire_txn_put(txn, part, pieces[i], 0);
+        rp_kv_txn_put(txn, part, pieces[i], RP_KV_NO_LEASE);
     }
-    rp_kv_txn(operation->api->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
+    rp_kv_txn_submit(operation->api->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
 }
 
 static void write_cancellation(struct op *operation) {
     char open[RP_KEY_MAX], over[RP_KEY_MAX];
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_key(open, RP_KEY_OPEN, operation->id);
     rp_key(over, RP_KEY_TERMINAL, operation->id);
-    rp_wire_txn_if(txn, open, operation->version);
-    rp_wire_txn_delete(txn, open);
-    rp_wire_txn_put(
+    rp_kv_txn_if(txn, open, operation->version);
+    rp_kv_txn_delete(txn, open);
+    rp_kv_txn_put(
         txn, over,
-        rp_upgrade_mark_record(operation->api->upgrade, rp_record_terminal(RP_JOB_CANCELLED)), 0);
-    rp_kv_txn(operation->api->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
+        rp_upgrade_mark_record(operation->api->upgrade, rp_record_terminal(RP_JOB_CANCELLED)),
+        RP_KV_NO_LEASE);
+    rp_kv_txn_submit(operation->api->store, RP_KV_BUDGET_SUBMISSIONS, txn, written, operation);
 }
 
 static enum rp_kv_budget op_share(const struct op *operation) {
@@ -357,14 +357,14 @@
     struct op *operation = op_new(api, req, OP_SUBMIT);
     if (!operation)
         return;
-    if (!rp_wire_submission_id(req->body, req->len, operation->id)) {
+    if (!rp_user_codec_parse_submission_id(req->body, req->len, operation->id)) {
         rp_string_copy(operation->why, sizeof operation->why, "not a JSON object with a valid id");
-        op_answer(operation, 400, rp_wire_error(operation->why), 0);
+        op_answer(operation, 400, rp_codec_write_error(operation->why), 0);
         return;
     }
     if (op_known_final(operation))
         return;
-    if (!rp_wire_submission(req->body, req->len, &operation->spec, operation->why))
+    if (!rp_user_codec_parse_submission(req->body, req->len, &operation->spec, operation->why))
         operation->refusal = 400;
     else
         operation->refusal = judge(api, &operation->spec, operation->why);
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -42,7 +42,7 @@
 /* Takes the types over if there are none yet, and `v` has some. */
 static bool take(struct rp_catalog_source *source, const json_t *value, const char *origin) {
     struct rp_catalog fresh;
-    if (source->known || !rp_wire_catalog_read(value, &fresh))
+    if (source->known || !rp_cloud_codec_read_catalog(value, &fresh))
         return source->known;
     *source->catalog = fresh;
     source->known = true;
@@ -56,9 +56,9 @@
 
 static void cloud_came(void *arg, const struct rp_answer *answer) {
     struct rp_catalog_source *source = arg;
-    json_t *value = answer->status == 200 ? rp_wire_parse(answer->body, answer->len) : NULL;
+    json_t *value = answer->status == 200 ? rp_codec_parse_object(answer->body, answer->len) : NULL;
     struct rp_catalog read;
-    if (rp_wire_catalog_read(value, &read)) {
+    if (rp_cloud_codec_read_catalog(value, &read)) {
         source->from_cloud = json_incref(value);
         (void)take(source, value, "the cloud");
     } else {
@@ -69,14 +69,13 @@
 
 static void cloud_due(void *arg) {
     struct rp_catalog_source *source = arg;
-    rp_cloud_call(source->cloud, RP_CLOUD_URGENT, "GET", RP_PATH_TYPES, NULL, cloud_came, source);
+    rp_cloud_call(source->cloud, RP_CLOUD_URGENT, "GET", RP_PATH_CATALOG, NULL, cloud_came, source);
 }
 
 static void stored_came(void *arg, const struct rp_kv_result *result) {
     struct rp_catalog_source *source = arg;
-    struct rp_item item;
-    bool read = result->outcome == RP_KV_OK && rp_wire_item(result->body, &item) &&
-                rp_record_format(item.value) <= RP_FORMAT;
+    struct rp_kv_item item;
+    bool read = rp_kv_result_item(result, &item) && rp_record_format(item.value) <= RP_FORMAT;
     if (!read || !take(source, item.value, "the state service"))
         rp_timer_set(source->loop, &source->stored_timer, STORED_AFTER_S);
 }
@@ -99,8 +98,8 @@
 
 static void compare_came(void *arg, const struct rp_kv_result *result) {
     struct rp_catalog_source *source = arg;
-    struct rp_item item = {0};
-    bool found = result->outcome == RP_KV_OK && rp_wire_item(result->body, &item);
+    struct rp_kv_item item = {0};
+    bool found = rp_kv_result_item(result, &item);
     if ((!found && result->outcome != RP_KV_NOT_FOUND) ||
         source->election->state != RP_ELECTION_HOLDING_KEY || !source->from_cloud)
         return;
@@ -110,11 +109,11 @@
         json_decref(record);
         return;
     }
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(source->election, txn);
-    rp_wire_txn_if(txn, RP_KEY_CATALOG, found ? item.version : 0);
-    rp_wire_txn_put(txn, RP_KEY_CATALOG, record, 0);
-    rp_kv_txn(source->store, RP_KV_BUDGET_LEADER, txn, written, source);
+    rp_kv_txn_if(txn, RP_KEY_CATALOG, found ? item.revision : RP_KV_ABSENT);
+    rp_kv_txn_put(txn, RP_KEY_CATALOG, record, RP_KV_NO_LEASE);
+    rp_kv_txn_submit(source->store, RP_KV_BUDGET_LEADER, txn, written, source);
 }
 
 /* Before the activation nothing is written that the version before doesn't know. */
