--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -5,11 +5,14 @@
 #include <string.h>
 #include "base/log.h"
 #include "scheduler/cycle_input.h"
+#include "scheduler/gang_repair.h"
+#include "scheduler/gang_reservation.h"
+#include "scheduler/machine_draining.h"
 #include "scheduler/plan_cost.h"
 #include "scheduler/portfolio.h"
+#include "scheduler/preemption.h"
 #include "scheduler/quota.h"
 #include "scheduler/reservation.h"
-#include "scheduler/room.h"
 
 static void tick(void *arg);
 
@@ -213,7 +216,7 @@
     scheduler->last_cycle_at = now;
     scheduler->n_cycles++;
     rp_services_run(scheduler->services);
-    rp_room_mend_gangs(scheduler, now);
+    rp_gang_repair_run(scheduler, now);
     if (!rp_cycle_input_build(scheduler, &input, now))
         goto out;
     size_t winner =
@@ -230,7 +233,7 @@
              scheduler->settings->tuning.heuristics[winner]);
     if (rp_log_current() >= RP_LOG_DEBUG && scheduler->n_cycles % 10 == 0)
         log_use(scheduler);
-    rp_room_prefer_holders(scheduler, &input, &plan, now);
+    rp_preemption_prefer_image_holders(scheduler, &input, &plan, now);
     apply_starts(scheduler, &input, &plan);
     rp_services_send(scheduler->services);
     /* While machines from before the takeover are unknown, what they run is, too: renting for
@@ -239,9 +242,9 @@
         apply_rentals(scheduler, &input, &plan);
         hold_ready(scheduler, &input, &plan);
         rp_quota_enforce_guarantees(scheduler, &input, &plan, now);
-        rp_room_preempt(scheduler, &input, &plan, now);
-        rp_room_gather(scheduler, &input, &plan, now);
-        rp_room_drain_machines(scheduler, &input, now);
+        rp_preemption_run(scheduler, &input, &plan, now);
+        rp_gang_reservation_run(scheduler, &input, &plan, now);
+        rp_machine_draining_run(scheduler, &input, now);
     }
     apply_returns(scheduler, &input, &plan, now);
     scheduler->last_cycle_s = rp_ts_since(rp_loop_now(scheduler->loop), now);
--- a/src/scheduler/cycle_input.c
+++ b/src/scheduler/cycle_input.c
@@ -6,12 +6,12 @@
 #include "base/log.h"
 #include "cluster/quarantine.h"
 #include "scheduler/plan_resources.h"
+#include "scheduler/remaining_time.h"
 #include "scheduler/reservation.h"
 
 #define SUSPECT_TASKS 2 /* of a job that has failed wherever it was started, at a time */
 #define NO_LIMIT 1e15
 #define NEW_MAX 60
-#define OVERRUN 0.3       /* expected rest of a task, as a share of what it has run */
 #define LATE_SLACK_S 100  /* time to spare given to a job that has just become late */
 #define BATCH_MAX 8192    /* groups in a round: by far more than can begin in one */
 #define ASKED_MAX 8       /* machines of a kind asked for, beyond which the answer is waited for */
@@ -56,29 +56,6 @@
     input->plan_input.offerings = input->offerings;
 }
 
-double rp_allocation_remaining_s(const struct rp_scheduler *scheduler,
-                                 const struct rp_machine *machine,
-                                 const struct rp_allocation *allocation, struct timespec now) {
-    const struct rp_job *job = allocation->job;
-    double run = rp_jobs_expected_run_s(scheduler->jobs, job);
-    if (allocation->stop_requested)
-        return allocation->grace_s + 1;
-    if (run <= 0) {
-        /* No estimate: until the end of the machine's billing unit. */
-        double unit = scheduler->settings->tuning.billing_unit_s;
-        return unit - fmod(rp_ts_since(now, machine->requested_at), unit);
-    }
-    if (allocation->running_since.tv_sec == 0) {
-        double rate = rp_scheduler_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
-        bool has = rp_machine_has_image(machine, job->image_hash);
-        double fetch = has || rate <= 0 ? 0 : job->spec.image_gb / rate;
-        return run + fmax(0.5, fetch - rp_ts_since(now, allocation->planned_at));
-    }
-    /* Work that has outrun its estimate goes on for a while yet: run times have long tails. */
-    double ran = rp_ts_since(now, allocation->running_since);
-    return fmax(run - ran, OVERRUN * ran + 1);
-}
-
 static void add_end(struct rp_plan_release *ends, size_t *n, double s,
                     const struct rp_resources *gives) {
     size_t at = (*n)++;
--- a/src/scheduler/cycle_input.h
+++ b/src/scheduler/cycle_input.h
@@ -5,6 +5,8 @@
 
 #include "scheduler/scheduler.h"
 
+/** The planner's input with the memory that it refers to. `ref` of a machine is its rp_machine,
+ * NULL for one that is only requested; `ref` of a group is its rp_job. */
 struct rp_cycle_input {
     struct rp_plan_input plan_input;
     struct rp_plan_offering *offerings;
@@ -22,11 +24,15 @@
 /** False when memory is short; to be freed in either case. */
 bool rp_cycle_input_build(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                           struct timespec now);
+/** Frees the arrays. */
 void rp_cycle_input_free(struct rp_cycle_input *input);
 
-/** Seconds until the task's estimated end. */
-double rp_allocation_remaining_s(const struct rp_scheduler *scheduler,
-                                 const struct rp_machine *machine,
-                                 const struct rp_allocation *allocation, struct timespec now);
+/** The machine that a placement is on; NULL for one that is only requested, or new. */
+static inline struct rp_machine *rp_cycle_input_machine(const struct rp_cycle_input *input,
+                                                        const struct rp_placement *placement) {
+    return placement->machine < input->plan_input.n_machines
+               ? input->machines[placement->machine].ref
+               : NULL;
+}
 
 #endif
--- /dev/null
+++ b/src/scheduler/gang_reservation.h
@@ -0,0 +1,18 @@
+/** @file
+ * Which machines are reserved for a gang that no plan has room for. Plans place a gang whole or not
+ * at all, and what falls free meanwhile is taken by work that needs less: on a full fleet a gang of
+ * several whole machines would never find them free together. The machines that can be free soonest
+ * are reserved for one gang at a time; all of them at once, so that no two gangs hold a part each
+ * of what both need, and for a bounded time. Called by the scheduling cycle after the plan is made;
+ * the cycle's input is only read. */
+#ifndef RP_SCHEDULER_GANG_RESERVATION_H
+#define RP_SCHEDULER_GANG_RESERVATION_H
+
+#include "scheduler/cycle_input.h"
+
+/** Reserves machines for one gang of several tasks, and for some gangs of one task that have waited
+ * long. */
+void rp_gang_reservation_run(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
+                             const struct rp_plan *plan, struct timespec now);
+
+#endif
--- /dev/null
+++ b/src/scheduler/preemption.c
@@ -0,0 +1,166 @@
+#include "scheduler/preemption.h"
+
+#include <math.h>
+#include "base/log.h"
+#include "scheduler/reservation.h"
+
+#define HOLDER_WORTH_S 15 /* a fetch this long is worth freeing a machine with the image */
+#define GRACE_FACTOR 1.2  /* times what a task says it needs to save */
+#define GRACE_MARGIN_S 1
+#define PROGRESS_LOST_S 5.0 /* what a task that saves is taken to lose at most */
+
+double rp_preemption_grace_s(const struct rp_job_spec *spec) {
+    return spec->checkpoint_s > 0 ? spec->save_s * GRACE_FACTOR + GRACE_MARGIN_S : 0;
+}
+
+double rp_preemption_lost_s(const struct rp_allocation *allocation, struct timespec now) {
+    double ran_s =
+        rp_ts_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
+    return allocation->job->spec.checkpoint_s > 0 ? fmin(ran_s, PROGRESS_LOST_S) : ran_s;
+}
+
+static bool may_preempt_task(const struct rp_allocation *allocation, enum rp_priority above) {
+    return allocation->state != RP_ALLOCATION_EXITED &&
+           allocation->job->spec.kind == RP_JOB_ARRAY && allocation->job->spec.priority < above;
+}
+
+double rp_preemption_cost(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
+                          const struct rp_job *job, struct timespec now) {
+    struct rp_resources available = rp_machine_free_resources(scheduler->cluster, machine);
+    double cost = 1;
+    for (size_t i = 0; i < machine->n_allocations && !rp_resources_fit(&job->spec.each, &available);
+         i++) {
+        const struct rp_allocation *allocation = &machine->allocations[i];
+        if (!may_preempt_task(allocation, job->spec.priority))
+            continue;
+        rp_resources_add(&available, &allocation->job->spec.each);
+        /* What is being stopped already costs nothing more: so a second probe chooses the same
+         * machine again, and not one more. */
+        if (!allocation->stop_requested)
+            cost += rp_preemption_lost_s(allocation, now);
+    }
+    return rp_resources_fit(&job->spec.each, &available) ? cost : -1;
+}
+
+/* What the machine has free once the lower tasks that are being stopped there have ended. */
+static struct rp_resources free_after_stops(const struct rp_scheduler *scheduler,
+                                            const struct rp_machine *machine,
+                                            const struct rp_job *job) {
+    struct rp_resources available = rp_machine_free_resources(scheduler->cluster, machine);
+    for (size_t i = 0; i < machine->n_allocations; i++)
+        if (machine->allocations[i].stop_requested &&
+            may_preempt_task(&machine->allocations[i], job->spec.priority))
+            rp_resources_add(&available, &machine->allocations[i].job->spec.each);
+    return available;
+}
+
+void rp_preemption_free_machine(struct rp_scheduler *scheduler, struct rp_machine *machine,
+                                const struct rp_job *job) {
+    struct rp_resources available = free_after_stops(scheduler, machine, job);
+    unsigned n_stopped = 0;
+    double longest_grace_s = 0;
+    for (size_t i = machine->n_allocations;
+         i-- > 0 && !rp_resources_fit(&job->spec.each, &available);) {
+        struct rp_allocation *allocation = &machine->allocations[i];
+        if (allocation->stop_requested || !may_preempt_task(allocation, job->spec.priority))
+            continue;
+        rp_resources_add(&available, &allocation->job->spec.each);
+        n_stopped++;
+        if (allocation->state == RP_ALLOCATION_PLANNED) {
+            rp_allocation_remove(scheduler->cluster, machine, i);
+            continue;
+        }
+        double grace_s = rp_preemption_grace_s(&allocation->job->spec);
+        rp_allocation_request_stop(allocation, grace_s);
+        longest_grace_s = fmax(longest_grace_s, grace_s);
+        scheduler->n_preempted++;
+    }
+    rp_reservation_make(scheduler, machine, job, longest_grace_s);
+    if (n_stopped)
+        rp_info("tasks preempted: job=%s machine=%s n_tasks=%u", job->spec.id, machine->name,
+                n_stopped);
+}
+
+/* The machine where room for the job costs least; of those that hold its image, if asked so. */
+static struct rp_machine *cheapest_machine(struct rp_scheduler *scheduler, const struct rp_job *job,
+                                           bool with_image, struct timespec now) {
+    struct rp_machine *best = NULL;
+    double best_cost = 0;
+    for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next) {
+        if (!rp_machine_is_usable(machine) || rp_reservation_job(scheduler, machine) ||
+            (with_image && !rp_machine_has_image(machine, job->image_hash)) ||
+            !rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
+                                   machine->spot))
+            continue;
+        double cost = rp_preemption_cost(scheduler, machine, job, now);
+        if (cost >= 0 && (!best || cost < best_cost)) {
+            best = machine;
+            best_cost = cost;
+        }
+    }
+    return best;
+}
+
+static bool may_preempt(const struct rp_job *job) {
+    return job->spec.priority >= RP_PRIORITY_HIGH && job->spec.kind == RP_JOB_GANG &&
+           job->spec.n_tasks == 1;
+}
+
+/* Whether the placement's task would wait for a long fetch of the job's image. */
+static bool has_long_fetch(const struct rp_scheduler *scheduler, const struct rp_job *job,
+                           const struct rp_machine *machine) {
+    if (rp_machine_has_image(machine, job->image_hash))
+        return false;
+    double rate = rp_scheduler_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
+    return !(rate <= 0 || job->spec.image_gb / rate < HOLDER_WORTH_S);
+}
+
+void rp_preemption_prefer_image_holders(struct rp_scheduler *scheduler,
+                                        const struct rp_cycle_input *input, struct rp_plan *plan,
+                                        struct timespec now) {
+    if (!scheduler->settings->tuning.preemption || !rp_cluster_is_reconciled(scheduler->cluster))
+        return;
+    for (size_t i = 0; i < plan->n_placements; i++) {
+        struct rp_placement *placement = &plan->placements[i];
+        const struct rp_job *job = input->groups[placement->group].ref;
+        const struct rp_machine *machine = rp_cycle_input_machine(input, placement);
+        if (!placement->starts_now || !machine || !may_preempt(job) ||
+            !has_long_fetch(scheduler, job, machine))
+            continue;
+        struct rp_machine *holder = cheapest_machine(scheduler, job, true, now);
+        if (!holder)
+            continue;
+        rp_preemption_free_machine(scheduler, holder, job);
+        placement->count = 0;
+    }
+}
+
+/* Whether the plan starts the group now, or on a machine that is free soon. */
+static bool starts_soon(const struct rp_cycle_input *input, const struct rp_plan *plan,
+                        size_t group) {
+    for (size_t p = 0; p < plan->n_placements; p++) {
+        const struct rp_placement *placement = &plan->placements[p];
+        if (placement->group != group)
+            continue;
+        const struct rp_machine *machine = rp_cycle_input_machine(input, placement);
+        bool is_free_soon = machine && machine->state == RP_MACHINE_UP &&
+                            input->machines[placement->machine].busy_s < RP_FREE_SOON_S;
+        if (placement->starts_now || is_free_soon)
+            return true;
+    }
+    return false;
+}
+
+void rp_preemption_run(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
+                       const struct rp_plan *plan, struct timespec now) {
+    if (!scheduler->settings->tuning.preemption || !rp_cluster_is_reconciled(scheduler->cluster))
+        return;
+    for (size_t g = 0; g < input->plan_input.n_groups; g++) {
+        const struct rp_job *job = input->groups[g].ref;
+        if (input->groups[g].has_reservation || !may_preempt(job) || starts_soon(input, plan, g))
+            continue;
+        struct rp_machine *machine = cheapest_machine(scheduler, job, false, now);
+        if (machine)
+            rp_preemption_free_machine(scheduler, machine, job);
+    }
+}
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -1,14 +1,12 @@
 #include "scheduler/quota.h"
 
-#include <math.h>
 #include <stdlib.h>
 #include "base/log.h"
+#include "scheduler/preemption.h"
 #include "scheduler/reservation.h"
 
 #define EPS 1e-9
-#define STOPS_MOST 64       /* machines freed in one round */
-#define GRACE_SLACK 1.2     /* of the time that a task says it needs to save */
-#define KEPT_PROGRESS_S 5.0 /* what a task that saves is taken to lose at most */
+#define STOPS_MOST 64 /* machines freed in one round */
 
 /* What each team uses beyond its guarantee, without what is being stopped already. */
 struct surplus {
@@ -97,9 +95,7 @@
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (!may_stop(surplus, allocation, job))
             continue;
-        double ran =
-            rp_ts_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
-        cost += allocation->job->spec.checkpoint_s > 0 ? fmin(ran, KEPT_PROGRESS_S) : ran;
+        cost += rp_preemption_lost_s(allocation, now);
         rp_resources_add(&room, &allocation->job->spec.each);
     }
     return rp_resources_fit(&job->spec.each, &room) ? cost : -1;
@@ -120,8 +116,7 @@
             rp_allocation_remove(scheduler->cluster, machine, i);
             continue;
         }
-        rp_allocation_request_stop(allocation,
-                                   spec->checkpoint_s > 0 ? spec->save_s * GRACE_SLACK + 1 : 0);
+        rp_allocation_request_stop(allocation, rp_preemption_grace_s(spec));
         scheduler->n_preempted++;
     }
 }
@@ -176,9 +171,7 @@
             stops++;
         }
         if (stops > before)
-            rp_info("job %s is within its team's guarantee: other teams' work is stopped for "
-                    "tasks=%u",
-                    job->spec.id, stops - before);
+            rp_info("guaranteed quota enforced: job=%s n_tasks=%u", job->spec.id, stops - before);
     }
     free(surplus.of);
 }
