--- a/src/controller/running_counts.c
+++ b/src/controller/running_counts.c
@@ -91,7 +91,7 @@
 
 char *rp_running_counts_json(const struct rp_running_counts *counts) {
     json_t *jobs = json_object();
-    for (const struct rp_job *job = counts->jobs->first; job; job = job->next) {
+    for (const struct rp_job *job = counts->jobs->table.first; job; job = job->next) {
         bool has_counts = job->n_done > 0 || job->n_running > 0;
         if (has_counts && job->state != RP_JOB_CLOSED)
             json_object_set_new(jobs, job->spec.id,
--- a/src/scheduler/machine_draining.c
+++ b/src/scheduler/machine_draining.c
@@ -7,10 +7,11 @@
 #include "scheduler/reservation.h"
 #include "scheduler/task_moves.h"
 
-#define MACHINES_PER_DRAINING 40 /* one machine, and one more of so many, may be draining at once  \
-                                  */
-#define REPLICA_SHARE_MAX 0.25   /* of a machine that its replicas may hold for them to be moved */
-#define REPLICA_MOVE_EVERY_S 20  /* machines with replicas are drained one after the other */
+#define MACHINES_PER_DRAINING                                                                      \
+    40                          /* one machine, and one more of so many, may be draining at once   \
+                                 */
+#define REPLICA_SHARE_MAX 0.25  /* of a machine that its replicas may hold for them to be moved */
+#define REPLICA_MOVE_EVERY_S 20 /* machines with replicas are drained one after the other */
 
 /* What a run works on. */
 struct draining {
