--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -1,125 +1,122 @@
 #include "store/kv_client.h"
 
-#include <math.h>
+#include <inttypes.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
+#include "base/memory.h"
 #include "protocol/wire.h"
 
 #define ANSWER_S 1.5      /* an answer takes milliseconds, now and then a few hundred */
-#define QUEUE_USERS_S 0.3 /* how long a request may wait here for its budget */
+#define LIST_ANSWER_S 3.0 /* up to 512 KiB have to come */
+/* How long a request may wait here for its budget. Users come back at once where they are refused;
+ * the leader would only ask again. */
+#define QUEUE_USERS_S 0.3
 #define QUEUE_LEADER_S 4.0
-#define TRIES_429 3
-#define BURST_SHARE 0.25
-/* Of its even part that a node may use: balancers never spread evenly. For changes by users it is
- * more, since the leader rarely needs all of its own, and the service refuses what is too much. */
-#define EVEN_SHARE 1.2
-#define SUBMISSIONS_SHARE 1.8
-#define LEADER_BURST 2.0 /* changes at once, at least: a job's move */
+#define QUEUE_CHECK_S 0.02     /* between looks whether a budget lets a waiting request through */
+#define RATE_LIMIT_ATTEMPTS 3  /* of a request that the store refuses as one too many */
+#define RATE_LIMIT_PAUSE_S 0.1 /* before the second attempt; before the third it is twice that */
+#define RATE_LIMIT_LOG_EVERY 100
 #define SHED_LOG_EVERY_S 5.0
 
-static const char *const share_names[RP_KV_BUDGETS] = {"leadership", "leader", "submissions",
-                                                       "queries"};
+enum {
+    STATUS_OK = 200,
+    STATUS_BAD_REQUEST = 400,
+    STATUS_NOT_FOUND = 404,
+    STATUS_CONFLICT = 409,
+    STATUS_GONE = 410,
+    STATUS_TOO_MANY_REQUESTS = 429,
+    STATUS_UNAVAILABLE = 503
+};
 
 struct rp_kv_call {
     struct rp_kv_client *client;
-    struct rp_kv_call *next;
-    enum rp_kv_budget share;
-    char *method, *target, *body;
+    struct rp_kv_call *next; /* in its queue */
+    enum rp_kv_budget budget;
+    const char *method;
+    char *target, *body;
     double timeout_s;
-    unsigned writes;
-    unsigned tries;
-    struct timespec queued;
-    struct rp_timer again;
+    unsigned n_writes;  /* changes that it makes */
+    unsigned n_refused; /* attempts that the store refused as one too many */
+    struct timespec queued_at;
+    struct rp_timer retry_timer;
     rp_kv_fn fn;
     void *arg;
 };
 
-static void pump_due(void *arg);
+static void on_queue_timer(void *arg);
 
-/* What is left of a bucket stays in it. */
-static void set_rate(struct rp_token_bucket *bucket, double rate, double depth,
-                     struct timespec now) {
-    double level = bucket->depth > 0 ? fmin(bucket->level, depth) : depth;
-    rp_token_bucket_init(bucket, rate, depth, now);
-    bucket->level = level;
-}
-
-void rp_kv_client_set_limits(struct rp_kv_client *client, double rps, double write_rps) {
-    struct timespec now = rp_loop_now(client->loop);
-    /* The shares of all nodes together stay below the service's limits: one leader, and on each
-     * node its users. A node may use half as much again as its even part, since the load
-     * balancer never spreads evenly. */
-    double users = 1.0 - client->leader_write_share;
-    double part = EVEN_SHARE / (double)client->n_nodes;
-    double changes = users * SUBMISSIONS_SHARE / (double)client->n_nodes;
-    set_rate(&client->requests[RP_KV_BUDGET_LEADER], rps * 0.3, rps * 0.25, now);
-    set_rate(&client->writes[RP_KV_BUDGET_LEADER], write_rps * client->leader_write_share * 0.9,
-             fmax(write_rps * client->leader_write_share * 0.6, LEADER_BURST), now);
-    set_rate(&client->requests[RP_KV_BUDGET_QUERIES], rps * 0.45 * part, rps * 0.35 * part, now);
-    set_rate(&client->requests[RP_KV_BUDGET_SUBMISSIONS], rps * 0.1 * part, rps * 0.05, now);
-    /* Submissions come in bursts, and no node knows of the others': a node may let a quarter of a
-     * second's worth of changes go at once, however many nodes there are, and rely on the service
-     * to refuse what is too much, which is then tried again. */
-    set_rate(&client->writes[RP_KV_BUDGET_SUBMISSIONS], write_rps * changes,
-             write_rps * fmax(changes, BURST_SHARE), now);
-}
+/* ---- the client ---- */
 
 void rp_kv_client_init(struct rp_kv_client *client, struct rp_loop *loop, struct rp_net net,
                        const char *addr, double rps, double write_rps, size_t n_nodes,
                        double leader_write_share) {
-    memset(client, 0, sizeof *client);
-    client->loop = loop;
-    client->net = net;
-    client->addr = addr;
-    client->n_nodes = n_nodes;
-    client->leader_write_share = leader_write_share;
-    client->pump = (struct rp_timer){.fn = pump_due, .arg = client};
+    *client = (struct rp_kv_client){
+        .loop = loop,
+        .net = net,
+        .addr = addr,
+        .limits = {.n_nodes = n_nodes, .leader_write_share = leader_write_share},
+        .queue_timer = {.fn = on_queue_timer, .arg = client}};
     rp_kv_client_set_limits(client, rps, write_rps);
 }
 
+void rp_kv_client_set_limits(struct rp_kv_client *client, double rps, double write_rps) {
+    client->limits.requests_per_s = rps;
+    client->limits.writes_per_s = write_rps;
+    rp_kv_budgets_set_limits(&client->budgets, &client->limits, rp_loop_now(client->loop));
+}
+
+double rp_kv_write_headroom(struct rp_kv_client *client, enum rp_kv_budget budget) {
+    double headroom =
+        rp_kv_budgets_write_headroom(&client->budgets, budget, rp_loop_now(client->loop));
+    return client->queues[budget].first ? 0 : headroom;
+}
+
+bool rp_kv_must_wait(struct rp_kv_client *client, enum rp_kv_budget budget) {
+    return client->queues[budget].first ||
+           !rp_token_bucket_has(&client->budgets.requests[budget], 1, rp_loop_now(client->loop));
+}
+
+double rp_kv_failing_s(const struct rp_kv_client *client) {
+    static const double just_failed_s = 1e-3; /* so that it isn't 0 in the moment of the failure */
+    if (rp_ts_zero(client->failing_since))
+        return 0;
+    return rp_ts_since(rp_loop_now(client->loop), client->failing_since) + just_failed_s;
+}
+
+/* ---- answers ---- */
+
 static void call_free(struct rp_kv_call *call) {
-    rp_timer_cancel(call->client->loop, &call->again);
-    free(call->method);
+    rp_timer_cancel(call->client->loop, &call->retry_timer);
     free(call->target);
     free(call->body);
     free(call);
 }
 
-void rp_kv_client_close(struct rp_kv_client *client) {
-    rp_timer_cancel(client->loop, &client->pump);
-    for (int s = 0; s < RP_KV_BUDGETS; s++)
-        while (client->first[s]) {
-            struct rp_kv_call *call = client->first[s];
-            client->first[s] = call->next;
-            call_free(call);
-        }
-}
-
 static void finish(struct rp_kv_call *call, enum rp_kv_outcome outcome, json_t *body) {
     struct rp_kv_result result = {.outcome = outcome, .body = body};
-    rp_kv_fn fn = call->fn;
+    rp_kv_fn callback = call->fn;
     void *arg = call->arg;
     call_free(call);
-    fn(arg, &result);
+    callback(arg, &result);
     json_decref(body);
 }
 
-static enum rp_kv_outcome outcome_of(int status) {
+static enum rp_kv_outcome outcome_of_status(int status) {
     switch (status) {
-    case 200:
+    case STATUS_OK:
         return RP_KV_OK;
-    case 400:
+    case STATUS_BAD_REQUEST:
         return RP_KV_BAD_REQUEST;
-    case 404:
+    case STATUS_NOT_FOUND:
         return RP_KV_NOT_FOUND;
-    case 409:
+    case STATUS_CONFLICT:
         return RP_KV_CONDITION_FAILED;
-    case 410:
+    case STATUS_GONE:
         return RP_KV_COMPACTED;
-    case 429:
-    case 503:
+    case STATUS_TOO_MANY_REQUESTS:
+    case STATUS_UNAVAILABLE:
         return RP_KV_REFUSED;
     default:
         return RP_KV_UNKNOWN;
@@ -127,10 +124,9 @@
 }
 
 static void note_health(struct rp_kv_client *client, enum rp_kv_outcome outcome, int status) {
-    struct timespec now = rp_loop_now(client->loop);
-    if (outcome == RP_KV_UNKNOWN || status == 503) {
-        if (client->failing_since.tv_sec == 0 && client->failing_since.tv_nsec == 0)
-            client->failing_since = now;
+    if (outcome == RP_KV_UNKNOWN || status == STATUS_UNAVAILABLE) {
+        if (rp_ts_zero(client->failing_since))
+            client->failing_since = rp_loop_now(client->loop);
     } else {
         client->failing_since = (struct timespec){0};
         client->n_ok++;
@@ -139,208 +135,233 @@
     client->n_unknown += outcome == RP_KV_UNKNOWN;
 }
 
+static void note_rate_limit(struct rp_kv_client *client, const struct rp_kv_call *call) {
+    if (client->n_too_fast++ % RATE_LIMIT_LOG_EVERY == 0)
+        rp_info("key-value store refuses requests over its rate limit: budget=%s n_refused=%lu",
+                rp_kv_budget_name(call->budget), client->n_too_fast);
+    rp_kv_budgets_penalize(&client->budgets, call->budget, call->n_writes);
+}
+
 static void enqueue(struct rp_kv_call *call);
 
-static void again_due(void *arg) {
+static void on_retry_timer(void *arg) {
     enqueue(arg);
 }
 
-/* The service took less than we thought that it would: its limits have come down, or other nodes
- * used them up. What was refused is paid for once more, so that the pace goes down with it. */
-static void too_fast(struct rp_kv_client *client, const struct rp_kv_call *call) {
-    struct rp_token_bucket *writes = &client->writes[call->share];
-    if (client->n_too_fast++ % 100 == 0)
-        rp_info("state service refuses more requests or changes a second, so far %lu times",
-                client->n_too_fast);
-    if (writes->level > -writes->depth)
-        rp_token_bucket_take(writes, call->writes);
-}
-
-static void answered(void *arg, const struct rp_answer *answer) {
+static void on_answer(void *arg, const struct rp_answer *answer) {
     struct rp_kv_call *call = arg;
     struct rp_kv_client *client = call->client;
-    enum rp_kv_outcome outcome = outcome_of(answer->status);
-    json_t *body = NULL;
+    enum rp_kv_outcome outcome = outcome_of_status(answer->status);
     note_health(client, outcome, answer->status);
-    if (answer->status == 429)
-        too_fast(client, call);
-    if (answer->status == 429 && ++call->tries < TRIES_429) {
-        rp_timer_set(client->loop, &call->again, 0.1 * call->tries);
-        return;
+    if (answer->status == STATUS_TOO_MANY_REQUESTS) {
+        note_rate_limit(client, call);
+        if (++call->n_refused < RATE_LIMIT_ATTEMPTS) {
+            rp_timer_set(client->loop, &call->retry_timer, RATE_LIMIT_PAUSE_S * call->n_refused);
+            return;
+        }
     }
-    if (answer->len)
-        body = rp_wire_parse(answer->body, answer->len);
-    if (outcome == RP_KV_OK && answer->len && !body)
+    json_t *body = answer->len ? rp_wire_parse(answer->body, answer->len) : NULL;
+    bool is_garbled = answer->len && !body;
+    if (outcome == RP_KV_OK && is_garbled)
         outcome = RP_KV_UNKNOWN;
-    client->n_bad += outcome == RP_KV_BAD_REQUEST;
-    if (outcome == RP_KV_BAD_REQUEST)
-        rp_error("state service refused %s %s: %.200s", call->method, call->target, answer->body);
+    if (outcome == RP_KV_BAD_REQUEST) {
+        client->n_bad++;
+        rp_error("key-value store rejected a request: method=%s target=%s answer=%.200s",
+                 call->method, call->target, answer->body);
+    }
     finish(call, outcome, body);
 }
 
+/* ---- queues ---- */
+
+static void queue_push(struct rp_kv_queue *queue, struct rp_kv_call *call) {
+    call->next = NULL;
+    if (queue->last)
+        queue->last->next = call;
+    else
+        queue->first = call;
+    queue->last = call;
+}
+
+static struct rp_kv_call *queue_pop(struct rp_kv_queue *queue) {
+    struct rp_kv_call *call = queue->first;
+    queue->first = call->next;
+    if (!queue->first)
+        queue->last = NULL;
+    call->next = NULL;
+    return call;
+}
+
+static bool can_send(struct rp_kv_client *client, const struct rp_kv_call *call) {
+    return rp_kv_budgets_can_send(&client->budgets, call->budget, call->n_writes,
+                                  rp_loop_now(client->loop));
+}
+
 static void send_call(struct rp_kv_call *call) {
     struct rp_kv_client *client = call->client;
-    rp_token_bucket_take(&client->requests[call->share], 1);
-    rp_token_bucket_take(&client->writes[call->share], call->writes);
+    rp_kv_budgets_spend(&client->budgets, call->budget, call->n_writes);
     client->net.call(client->net.ctx, client->addr, call->method, call->target, call->body,
-                     call->timeout_s, answered, call);
+                     call->timeout_s, on_answer, call);
 }
 
-static bool may_send(struct rp_kv_client *client, const struct rp_kv_call *call) {
-    struct timespec now = rp_loop_now(client->loop);
-    if (call->share == RP_KV_BUDGET_LEADERSHIP)
-        return true;
-    return rp_token_bucket_has(&client->requests[call->share], 1, now) &&
-           (call->writes == 0 ||
-            rp_token_bucket_has(&client->writes[call->share], call->writes, now));
-}
-
-/* Tells which budget is too small, at most once in SHED_LOG_EVERY_S for each share. */
-static void log_shed(struct rp_kv_client *client, enum rp_kv_budget budget) {
+/* Refuses a request that has waited too long, and tells which budget is too small, at most once in
+ * SHED_LOG_EVERY_S for each. */
+static void shed(struct rp_kv_call *call) {
+    struct rp_kv_client *client = call->client;
+    struct rp_kv_queue *queue = &client->queues[call->budget];
     struct timespec now = rp_loop_now(client->loop);
     client->n_shed++;
-    client->shed_unlogged[budget]++;
-    if (!rp_ts_zero(client->shed_logged[budget]) &&
-        rp_ts_since(now, client->shed_logged[budget]) < SHED_LOG_EVERY_S)
-        return;
-    rp_info("requests refused for lack of the state service's budget: share=%s requests=%lu",
-            share_names[budget], client->shed_unlogged[budget]);
-    client->shed_unlogged[budget] = 0;
-    client->shed_logged[budget] = now;
+    queue->n_shed_unlogged++;
+    if (rp_ts_zero(queue->shed_logged_at) ||
+        rp_ts_since(now, queue->shed_logged_at) >= SHED_LOG_EVERY_S) {
+        rp_info("requests shed, request budget exhausted: budget=%s n_requests=%lu",
+                rp_kv_budget_name(call->budget), queue->n_shed_unlogged);
+        queue->n_shed_unlogged = 0;
+        queue->shed_logged_at = now;
+    }
+    finish(call, RP_KV_REFUSED, NULL);
 }
 
-static void pump_share(struct rp_kv_client *client, enum rp_kv_budget budget) {
-    double patience = budget == RP_KV_BUDGET_LEADER ? QUEUE_LEADER_S : QUEUE_USERS_S;
-    while (client->first[budget]) {
-        struct rp_kv_call *call = client->first[budget];
-        bool late = rp_ts_since(rp_loop_now(client->loop), call->queued) > patience;
-        if (!late && !may_send(client, call))
+/* Sends or sheds from the front of the queue, up to the first request that has to wait on. */
+static void drain_queue(struct rp_kv_client *client, enum rp_kv_budget budget) {
+    struct rp_kv_queue *queue = &client->queues[budget];
+    double patience_s = budget == RP_KV_BUDGET_LEADER ? QUEUE_LEADER_S : QUEUE_USERS_S;
+    while (queue->first) {
+        double waited_s = rp_ts_since(rp_loop_now(client->loop), queue->first->queued_at);
+        if (waited_s > patience_s)
+            shed(queue_pop(queue));
+        else if (can_send(client, queue->first))
+            send_call(queue_pop(queue));
+        else
             return;
-        client->first[budget] = call->next;
-        if (!call->next)
-            client->last[budget] = NULL;
-        call->next = NULL;
-        if (late) {
-            log_shed(client, budget);
-            finish(call, RP_KV_REFUSED, NULL);
-        } else {
-            send_call(call);
-        }
     }
 }
 
-static void pump_due(void *arg) {
+static void on_queue_timer(void *arg) {
     struct rp_kv_client *client = arg;
-    bool waiting = false;
-    for (int s = 0; s < RP_KV_BUDGETS; s++) {
-        pump_share(client, (enum rp_kv_budget)s);
-        waiting |= client->first[s] != NULL;
+    bool is_waiting = false;
+    for (int i = 0; i < RP_KV_BUDGETS; i++) {
+        drain_queue(client, (enum rp_kv_budget)i);
+        is_waiting |= client->queues[i].first != NULL;
     }
-    if (waiting)
-        rp_timer_set(client->loop, &client->pump, 0.02);
+    if (is_waiting)
+        rp_timer_set(client->loop, &client->queue_timer, QUEUE_CHECK_S);
 }
 
+/* Sends a request, or lets it wait behind those that came before. */
 static void enqueue(struct rp_kv_call *call) {
     struct rp_kv_client *client = call->client;
-    if (!client->first[call->share] && may_send(client, call)) {
+    struct rp_kv_queue *queue = &client->queues[call->budget];
+    if (!queue->first && can_send(client, call)) {
         send_call(call);
         return;
     }
-    if (client->last[call->share])
-        client->last[call->share]->next = call;
-    else
-        client->first[call->share] = call;
-    client->last[call->share] = call;
-    if (!client->pump.heap_index)
-        rp_timer_set(client->loop, &client->pump, 0.02);
+    queue_push(queue, call);
+    if (!client->queue_timer.heap_index)
+        rp_timer_set(client->loop, &client->queue_timer, QUEUE_CHECK_S);
 }
 
-/* Takes `body` over. */
-static void start(struct rp_kv_client *client, enum rp_kv_budget budget, const char *method,
-                  char *target, char *body, double timeout_s, unsigned writes, rp_kv_fn fn,
-                  void *arg) {
-    struct rp_kv_call *call = calloc(1, sizeof *call);
-    if (!call || !target)
-        abort();
+void rp_kv_client_close(struct rp_kv_client *client) {
+    rp_timer_cancel(client->loop, &client->queue_timer);
+    for (int i = 0; i < RP_KV_BUDGETS; i++)
+        while (client->queues[i].first)
+            call_free(queue_pop(&client->queues[i]));
+}
+
+/* ---- requests ---- */
+
+/* What distinguishes one kind of request from another; `target` and `body` are taken over. */
+struct request {
+    const char *method;
+    char *target, *body;
+    double timeout_s;
+    unsigned n_writes;
+};
+
+static void start(struct rp_kv_client *client, enum rp_kv_budget budget, struct request request,
+                  rp_kv_fn fn, void *arg) {
+    struct rp_kv_call *call = rp_alloc(1, sizeof *call);
     *call = (struct rp_kv_call){.client = client,
-                                .share = budget,
-                                .method = strdup(method),
-                                .target = target,
-                                .body = body,
-                                .timeout_s = timeout_s,
-                                .writes = writes,
-                                .queued = rp_loop_now(client->loop),
+                                .budget = budget,
+                                .method = request.method,
+                                .target = request.target,
+                                .body = request.body,
+                                .timeout_s = request.timeout_s,
+                                .n_writes = request.n_writes,
+                                .queued_at = rp_loop_now(client->loop),
+                                .retry_timer = {.fn = on_retry_timer, .arg = call},
                                 .fn = fn,
                                 .arg = arg};
-    call->again = (struct rp_timer){.fn = again_due, .arg = call};
     enqueue(call);
 }
 
+/* The formatted text, which the caller frees. Ends the process when memory is out. */
 static char *format(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
 static char *format(const char *fmt, ...) {
-    char *text;
+    char *text = NULL;
     va_list ap;
     va_start(ap, fmt);
     int n = vasprintf(&text, fmt, ap);
     va_end(ap);
-    return n < 0 ? NULL : text;
+    if (n < 0)
+        abort();
+    return text;
 }
 
 void rp_kv_get(struct rp_kv_client *client, enum rp_kv_budget budget, const char *key, rp_kv_fn fn,
                void *arg) {
-    start(client, budget, "GET", format("/kv/%s", key), NULL, ANSWER_S, 0, fn, arg);
+    struct request request = {
+        .method = "GET", .target = format("/kv/%s", key), .timeout_s = ANSWER_S};
+    start(client, budget, request, fn, arg);
 }
 
 void rp_kv_list(struct rp_kv_client *client, enum rp_kv_budget budget, const char *prefix,
                 const char *after, unsigned limit, rp_kv_fn fn, void *arg) {
-    char *target = after ? format("/kv?prefix=%s&from=%s&limit=%u", prefix, after, limit)
-                         : format("/kv?prefix=%s&limit=%u", prefix, limit);
-    start(client, budget, "GET", target, NULL, ANSWER_S * 2, 0, fn, arg);
+    struct request request = {
+        .method = "GET",
+        .target = after ? format("/kv?prefix=%s&from=%s&limit=%u", prefix, after, limit)
+                        : format("/kv?prefix=%s&limit=%u", prefix, limit),
+        .timeout_s = LIST_ANSWER_S};
+    start(client, budget, request, fn, arg);
 }
 
 void rp_kv_txn_submit(struct rp_kv_client *client, enum rp_kv_budget budget, struct rp_kv_txn *txn,
                       rp_kv_fn fn, void *arg) {
-    unsigned writes = (unsigned)rp_kv_txn_n_ops(txn);
-    char *body = rp_kv_txn_encode(txn);
+    struct request request = {.method = "POST",
+                              .target = format("/txn"),
+                              .body = rp_kv_txn_encode(txn),
+                              .timeout_s = ANSWER_S,
+                              .n_writes = (unsigned)rp_kv_txn_n_ops(txn)};
     rp_kv_txn_discard(txn);
-    start(client, budget, "POST", format("/txn"), body, ANSWER_S, writes, fn, arg);
+    start(client, budget, request, fn, arg);
 }
 
 void rp_kv_lease_grant(struct rp_kv_client *client, double ttl_s, rp_kv_fn fn, void *arg) {
-    start(client, RP_KV_BUDGET_LEADERSHIP, "POST", format("/leases"), rp_wire_lease_request(ttl_s),
-          ANSWER_S, 0, fn, arg);
+    struct request request = {.method = "POST",
+                              .target = format("/leases"),
+                              .body = rp_wire_lease_request(ttl_s),
+                              .timeout_s = ANSWER_S};
+    start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
 
 void rp_kv_lease_renew(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg) {
-    start(client, RP_KV_BUDGET_LEADERSHIP, "POST",
-          format("/leases/%llu/touch", (unsigned long long)lease), NULL, ANSWER_S, 0, fn, arg);
+    struct request request = {.method = "POST",
+                              .target = format("/leases/%" PRIu64 "/touch", lease),
+                              .timeout_s = ANSWER_S};
+    start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
 
 void rp_kv_lease_revoke(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg) {
-    start(client, RP_KV_BUDGET_LEADERSHIP, "DELETE",
-          format("/leases/%llu", (unsigned long long)lease), NULL, ANSWER_S, 0, fn, arg);
+    struct request request = {
+        .method = "DELETE", .target = format("/leases/%" PRIu64, lease), .timeout_s = ANSWER_S};
+    start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
 
 void rp_kv_watch(struct rp_kv_client *client, const char *prefix, uint64_t from, double hold_s,
                  rp_kv_fn fn, void *arg) {
-    start(client, RP_KV_BUDGET_LEADERSHIP, "GET",
-          format("/follow?prefix=%s&from=%llu&hold_ms=%d", prefix, (unsigned long long)from,
-                 (int)(hold_s * 1000)),
-          NULL, hold_s + ANSWER_S, 0, fn, arg);
-}
-
-double rp_kv_write_headroom(struct rp_kv_client *client, enum rp_kv_budget budget) {
-    rp_token_bucket_refill(&client->writes[budget], rp_loop_now(client->loop));
-    return client->first[budget] ? 0 : client->writes[budget].level;
-}
-
-bool rp_kv_must_wait(struct rp_kv_client *client, enum rp_kv_budget budget) {
-    return client->first[budget] ||
-           !rp_token_bucket_has(&client->requests[budget], 1, rp_loop_now(client->loop));
-}
-
-double rp_kv_failing_s(const struct rp_kv_client *client) {
-    if (client->failing_since.tv_sec == 0 && client->failing_since.tv_nsec == 0)
-        return 0;
-    return rp_ts_since(rp_loop_now(client->loop), client->failing_since) + 1e-3;
+    struct request request = {.method = "GET",
+                              .target = format("/follow?prefix=%s&from=%" PRIu64 "&hold_ms=%d",
+                                               prefix, from, (int)(hold_s * 1000)),
+                              .timeout_s = hold_s + ANSWER_S};
+    start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
--- a/src/store/kv_result.c
+++ b/src/store/kv_result.c
@@ -22,8 +22,8 @@
     return rp_wire_items(result->body, &more);
 }
 
-bool rp_kv_result_item_at(const struct rp_kv_result *result, size_t i, struct rp_kv_item *out) {
-    return rp_wire_items_at(result->body, i, out);
+bool rp_kv_result_item_at(const struct rp_kv_result *result, size_t index, struct rp_kv_item *out) {
+    return rp_wire_items_at(result->body, index, out);
 }
 
 bool rp_kv_result_has_more(const struct rp_kv_result *result) {
@@ -36,8 +36,9 @@
     return rp_wire_events(result->body);
 }
 
-bool rp_kv_result_event_at(const struct rp_kv_result *result, size_t i, struct rp_kv_item *out) {
-    return rp_wire_event_at(result->body, i, out);
+bool rp_kv_result_event_at(const struct rp_kv_result *result, size_t index,
+                           struct rp_kv_item *out) {
+    return rp_wire_event_at(result->body, index, out);
 }
 
 uint64_t rp_kv_result_revision(const struct rp_kv_result *result) {
--- a/src/store/kv_result.h
+++ b/src/store/kv_result.h
@@ -52,15 +52,15 @@
 
 /** The number of items on this page of a list. */
 size_t rp_kv_result_n_items(const struct rp_kv_result *result);
-/** Item `i` of the page; false, and `out` undefined, when it is malformed. */
-bool rp_kv_result_item_at(const struct rp_kv_result *result, size_t i, struct rp_kv_item *out);
+/** Item `index` of the page; false, and `out` undefined, when it is malformed. */
+bool rp_kv_result_item_at(const struct rp_kv_result *result, size_t index, struct rp_kv_item *out);
 /** Whether there are items after this page. */
 bool rp_kv_result_has_more(const struct rp_kv_result *result);
 
 /** The number of changes that a watch was answered with, oldest first. */
 size_t rp_kv_result_n_events(const struct rp_kv_result *result);
-/** Change `i`; its value is NULL when the key was deleted. False when it is malformed. */
-bool rp_kv_result_event_at(const struct rp_kv_result *result, size_t i, struct rp_kv_item *out);
+/** Change `index`; its value is NULL when the key was deleted. False when it is malformed. */
+bool rp_kv_result_event_at(const struct rp_kv_result *result, size_t index, struct rp_kv_item *out);
 
 /** The store's revision as of the answer; for a transaction, the one at which it was made. */
 uint64_t rp_kv_result_revision(const struct rp_kv_result *result);
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -55,7 +55,7 @@
     rp_kv_client_init(&world->state, &world->loop, net, "state", RPS, 10, 1, 0.6);
     rp_job_lookup_init(&world->lookup, &world->loop, &world->state, &world->settings);
     while (!rp_job_lookup_pays(&world->lookup))
-        rp_token_bucket_take(&world->state.requests[RP_KV_BUDGET_QUERIES], 1);
+        rp_token_bucket_take(&world->state.budgets.requests[RP_KV_BUDGET_QUERIES], 1);
 }
 
 static void world_close(struct world *world) {
