--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -160,7 +160,7 @@
             return;
         }
     }
-    json_t *body = answer->len ? rp_wire_parse(answer->body, answer->len) : NULL;
+    json_t *body = answer->len ? rp_codec_parse_object(answer->body, answer->len) : NULL;
     bool is_garbled = answer->len && !body;
     if (outcome == RP_KV_OK && is_garbled)
         outcome = RP_KV_UNKNOWN;
