--- a/src/store/records.c
+++ b/src/store/records.c
@@ -1,68 +1,19 @@
 #include "store/records.h"
 
-#include <ctype.h>
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "base/memory.h"
 #include "base/string_copy.h"
 #include "protocol/wire.h"
 
-void rp_key(char out[RP_KEY_MAX], const char *prefix, const char *name) {
-    snprintf(out, RP_KEY_MAX, "%s%s", prefix, name);
-}
-
-void rp_key_progress(char out[RP_KEY_MAX], const char *job, unsigned chunk) {
-    snprintf(out, RP_KEY_MAX, "%s%s/%02u", RP_KEY_PROGRESS, job, chunk);
-}
-
-void rp_key_unit(char out[RP_KEY_MAX], const char *job, unsigned unit) {
-    snprintf(out, RP_KEY_MAX, "%s%s/u%02u", RP_KEY_PROGRESS, job, unit);
-}
-
-void rp_key_part(char out[RP_KEY_MAX], const char *job, unsigned part) {
-    snprintf(out, RP_KEY_MAX, "%s%s/%02u", RP_KEY_PART, job, part);
-}
-
-/* "<prefix><job>/<rest>": the rest, or NULL. */
-static const char *split_key(const char *key, const char *prefix, char job[RP_ID_MAX]) {
-    size_t len = strlen(prefix);
-    const char *slash = strrchr(key, '/');
-    if (strncmp(key, prefix, len) != 0 || !slash || slash < key + len ||
-        (size_t)(slash - key) - len >= RP_ID_MAX)
-        return NULL;
-    memcpy(job, key + len, (size_t)(slash - key) - len);
-    job[(size_t)(slash - key) - len] = '\0';
-    return slash + 1;
-}
-
-static bool read_number(const char *text, unsigned below, unsigned *out) {
-    char *end;
-    if (!isdigit((unsigned char)*text))
-        return false;
-    unsigned long n = strtoul(text, &end, 10);
-    *out = (unsigned)n;
-    return !*end && n < below;
-}
-
-bool rp_key_progress_read(const char *key, char job[RP_ID_MAX], unsigned *piece, bool *unit) {
-    const char *rest = split_key(key, RP_KEY_PROGRESS, job);
-    if (!rest)
-        return false;
-    *unit = *rest == 'u';
-    return *unit ? read_number(rest + 1, RP_UNITS_MAX, piece)
-                 : read_number(rest, (RP_TASKS_MAX + RP_CHUNK_TASKS - 1) / RP_CHUNK_TASKS, piece);
-}
-
-bool rp_key_part_read(const char *key, char job[RP_ID_MAX], unsigned *part) {
-    const char *rest = split_key(key, RP_KEY_PART, job);
-    return rest && read_number(rest, RP_PARTS_MAX, part);
-}
+#define PIECE_FRAME_BYTES 64 /* of a piece: the names and numbers around its text, rounded up */
 
 /* ---- formats ---- */
 
 unsigned rp_record_format(const json_t *value) {
-    json_int_t f = json_integer_value(json_object_get(value, "f"));
-    return f > 0 ? (unsigned)f : 1;
+    json_int_t format = json_integer_value(json_object_get(value, "f"));
+    return format > 0 ? (unsigned)format : 1;
 }
 
 json_t *rp_record_mark(json_t *value) {
@@ -74,30 +25,32 @@
     return json_dumpb(value, NULL, 0, JSON_COMPACT);
 }
 
-/* How much of the text, which is plain ASCII, fits into a JSON string of so many bytes. */
-static size_t fitting(const char *text, size_t most) {
-    size_t n = 0, bytes = 0;
-    for (; text[n]; n++) {
-        bytes += text[n] == '"' || text[n] == '\\' ? 2 : 1;
-        if (bytes > most)
+/* The length of the longest beginning of `text`, which is plain ASCII, that takes at most
+ * `max_bytes` within a JSON string. */
+static size_t fitting_length(const char *text, size_t max_bytes) {
+    size_t len = 0;
+    size_t n_bytes = 0;
+    for (; text[len]; len++) {
+        bool is_escaped = text[len] == '"' || text[len] == '\\';
+        n_bytes += is_escaped ? 2 : 1;
+        if (n_bytes > max_bytes)
             break;
     }
-    return n;
+    return len;
 }
 
 size_t rp_record_cut(const json_t *record, size_t most, json_t **pieces, size_t max) {
-    static const size_t frame = 64; /* the names and numbers around the text */
     char *text = json_dumps(record, JSON_COMPACT | JSON_ENSURE_ASCII);
-    const char *at = text;
+    const char *rest = text;
     size_t n = 0;
-    if (!text || most <= 2 * frame)
+    if (!text || most <= 2 * PIECE_FRAME_BYTES)
         goto out;
-    for (; *at && n < max && n < RP_PARTS_MAX; n++) {
-        size_t len = fitting(at, most - frame);
-        pieces[n] = rp_record_mark(json_pack("{s:s%}", "text", at, len));
-        at += len;
+    for (; *rest && n < max && n < RP_PARTS_MAX; n++) {
+        size_t len = fitting_length(rest, most - PIECE_FRAME_BYTES);
+        pieces[n] = rp_record_mark(json_pack("{s:s%}", "text", rest, len));
+        rest += len;
     }
-    if (*at) {
+    if (*rest) { /* it takes more pieces than there may be */
         while (n > 0)
             json_decref(pieces[--n]);
         goto out;
@@ -119,12 +72,12 @@
     json_t *value = NULL;
     for (size_t i = 0; i < n; i++) {
         const char *piece = json_string_value(json_object_get(pieces[i], "text"));
-        char *longer = piece ? realloc(text, len + strlen(piece) + 1) : NULL;
-        if (!longer)
+        if (!piece)
             goto out;
-        text = longer;
-        strcpy(text + len, piece);
-        len += strlen(piece);
+        size_t piece_len = strlen(piece);
+        text = rp_realloc(text, len + piece_len + 1, 1);
+        memcpy(text + len, piece, piece_len + 1);
+        len += piece_len;
     }
     value = text ? json_loads(text, 0, NULL) : NULL;
 out:
@@ -132,6 +85,8 @@
     return value;
 }
 
+/* ---- the format's activation ---- */
+
 json_t *rp_record_version(const char *node) {
     return rp_record_mark(json_pack("{s:s,s:s}", "node", node, "version", RP_VERSION));
 }
@@ -147,11 +102,11 @@
 }
 
 bool rp_record_open_read(json_t *value, struct rp_job_spec *spec, struct timespec *accepted) {
-    char why[128];
+    char reason[128]; /* not told: the record was checked before it was written */
     if (rp_record_format(value) > RP_FORMAT)
         return false;
     *accepted = rp_ts(json_number_value(json_object_get(value, "at")));
-    return rp_job_codec_read_spec(json_object_get(value, "spec"), spec, why);
+    return rp_job_codec_read_spec(json_object_get(value, "spec"), spec, reason);
 }
 
 json_t *rp_record_terminal(enum rp_job_phase phase) {
@@ -178,10 +133,11 @@
     return json_pack("{s:s}", "done", hex);
 }
 
-static int hex_digit(char c) {
-    if (c >= '0' && c <= '9')
-        return c - '0';
-    return c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
+/* The value of a lower-case hexadecimal digit, or -1. */
+static int hex_digit_value(char digit) {
+    if (digit >= '0' && digit <= '9')
+        return digit - '0';
+    return digit >= 'a' && digit <= 'f' ? digit - 'a' + 10 : -1;
 }
 
 bool rp_record_progress_read(json_t *value, uint8_t *bits, size_t n_bytes) {
@@ -190,7 +146,8 @@
     if (rp_record_format(value) > RP_FORMAT || len % 2 || len / 2 > n_bytes)
         return false;
     for (size_t i = 0; i < len / 2; i++) {
-        int high = hex_digit(hex[2 * i]), low = hex_digit(hex[2 * i + 1]);
+        int high = hex_digit_value(hex[2 * i]);
+        int low = hex_digit_value(hex[2 * i + 1]);
         if (high < 0 || low < 0)
             return false;
         bits[i] |= (uint8_t)(high << 4 | low);
@@ -198,6 +155,8 @@
     return true;
 }
 
+/* ---- leadership ---- */
+
 static void put_lease(json_t *value, const char *name, const struct rp_fenced_lease *lease) {
     if (lease->lease)
         json_object_set_new(
@@ -205,7 +164,7 @@
             json_pack("{s:I,s:f}", "lease", (json_int_t)lease->lease, "ttl", lease->ttl_s));
 }
 
-/* A lease without a sensible length is none: nobody takes over from its holder. */
+/* A lease without a positive time to live counts as none: nobody fails over from its holder. */
 static struct rp_fenced_lease read_lease(const json_t *value, const char *name) {
     const json_t *object = json_object_get(value, name);
     json_int_t id = json_integer_value(json_object_get(object, "lease"));
@@ -225,9 +184,8 @@
 bool rp_record_leader_read(const json_t *value, struct rp_leader_record *out) {
     const char *node = json_string_value(json_object_get(value, "node"));
     memset(out, 0, sizeof *out);
-    if (!node || strlen(node) >= sizeof out->node)
+    if (!node || !rp_string_try_copy(out->node, sizeof out->node, node))
         return false;
-    rp_string_copy(out->node, sizeof out->node, node);
     out->own = read_lease(value, "own");
     out->fenced = read_lease(value, "deposed");
     return true;
@@ -238,29 +196,32 @@
     return json_pack("{s:s}", "node", node);
 }
 
+/* ---- provision requests ---- */
+
 json_t *rp_record_provision(const struct rp_provision_record *record, const char *const *names,
-                            const bool *up, size_t n) {
+                            const bool *is_up, size_t n) {
     json_t *value = json_pack("{s:s,s:s,s:b,s:i,s:f}", "type", record->type, "zone", record->zone,
                               "spot", record->spot, "count", (int)record->count, "asked",
                               rp_ts_s(record->requested_at));
     if (!record->answered)
         return value;
-    json_t *list = json_array(), *ups = json_array();
+    json_t *machines = json_array();
+    json_t *up_machines = json_array();
     for (size_t i = 0; i < n; i++) {
-        json_array_append_new(list, json_string(names[i]));
-        if (up[i])
-            json_array_append_new(ups, json_string(names[i]));
+        json_array_append_new(machines, json_string(names[i]));
+        if (is_up[i])
+            json_array_append_new(up_machines, json_string(names[i]));
     }
-    json_object_set_new(value, "machines", list);
-    json_object_set_new(value, "up", ups);
+    json_object_set_new(value, "machines", machines);
+    json_object_set_new(value, "up", up_machines);
     return value;
 }
 
 bool rp_record_provision_is_up(json_t *value, const char *name) {
-    json_t *ups = json_object_get(value, "up");
-    for (size_t i = 0; i < json_array_size(ups); i++) {
-        const char *up = json_string_value(json_array_get(ups, i));
-        if (up && strcmp(up, name) == 0)
+    json_t *up_machines = json_object_get(value, "up");
+    for (size_t i = 0; i < json_array_size(up_machines); i++) {
+        const char *up_name = json_string_value(json_array_get(up_machines, i));
+        if (up_name && strcmp(up_name, name) == 0)
             return true;
     }
     return false;
@@ -272,10 +233,11 @@
     memset(out, 0, sizeof *out);
     if (rp_record_format(value) > RP_FORMAT)
         return false;
-    if (!type || strlen(type) >= RP_TEXT_MAX || !zone || strlen(zone) >= RP_TEXT_MAX)
+    if (!type || !zone)
+        return false;
+    if (!rp_string_try_copy(out->type, sizeof out->type, type) ||
+        !rp_string_try_copy(out->zone, sizeof out->zone, zone))
         return false;
-    rp_string_copy(out->type, sizeof out->type, type);
-    rp_string_copy(out->zone, sizeof out->zone, zone);
     out->spot = json_is_true(json_object_get(value, "spot"));
     out->count = (unsigned)json_integer_value(json_object_get(value, "count"));
     out->requested_at = rp_ts(json_number_value(json_object_get(value, "asked")));
@@ -287,6 +249,6 @@
     return json_array_size(json_object_get(value, "machines"));
 }
 
-const char *rp_record_provision_name(json_t *value, size_t i) {
-    return json_string_value(json_array_get(json_object_get(value, "machines"), i));
+const char *rp_record_provision_name(json_t *value, size_t index) {
+    return json_string_value(json_array_get(json_object_get(value, "machines"), index));
 }
