--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -994,8 +994,9 @@
         machine->requested_at = rp_ts_sub(now, rp_ts(age > 0 ? age : 0));
         /* No earlier leader can have answered the machine after this node got the key, or, if it
          * was deposed, after the end of what it had renewed. */
-        struct timespec last =
-            rp_ts_cmp(fleet->election->cleared_at, now) > 0 ? fleet->election->cleared_at : now;
+        struct timespec last = rp_ts_cmp(fleet->election->fenced_leader_expiry, now) > 0
+                                   ? fleet->election->fenced_leader_expiry
+                                   : now;
         machine->contact.lease_expiry =
             rp_ts_after(last, rp_settings_worker_lease_s(fleet->settings));
     }
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -194,7 +194,7 @@
     rp_election_init(&node->election, node->loop, &node->store, settings->node,
                      tuning->leader_ttl_s, tuning->leader_check_s, on_elected, on_leadership_lost,
                      node);
-    node->election.fenced_terms = tuning->standby && !tuning->keep_old_forms;
+    node->election.failover_enabled = tuning->standby && !tuning->keep_old_forms;
     rp_upgrade_init(&node->upgrade, node->loop, &node->store, &node->election, settings,
                     on_format_change, node);
     rp_catalog_source_init(&node->catalog_source, node->loop, &node->cloud, &node->store,
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -38,7 +38,7 @@
     election->timer = (struct rp_timer){.fn = tick, .arg = election};
 }
 
-struct timespec rp_election_trust(struct timespec sent, double ttl_s) {
+struct timespec rp_election_trusted_until(struct timespec sent, double ttl_s) {
     return rp_ts_after(sent, ttl_s * (1.0 - DRIFT) - MARGIN_S);
 }
 
@@ -49,8 +49,8 @@
 /* Stands still, or has gone. Where the key is still its own when any lease would have ended, it
  * lives, and only this node can't reach it. */
 static bool silent(const struct rp_election *election, struct timespec now) {
-    return !rp_ts_zero(election->silent_since) &&
-           rp_ts_since(now, election->silent_since) < election->ttl_s + SILENT_SLACK_S;
+    return !rp_ts_zero(election->leader_silent_since) &&
+           rp_ts_since(now, election->leader_silent_since) < election->ttl_s + SILENT_SLACK_S;
 }
 
 /* A node that is cut from the state service knows of a leader that may be long gone: workers must
@@ -58,18 +58,18 @@
 const char *rp_election_leader(const struct rp_election *election, struct timespec now) {
     if (election->state == RP_ELECTION_HOLDING_KEY || !election->leader[0] ||
         silent(election, now) || strcmp(election->leader, election->node) == 0 ||
-        rp_ts_since(now, election->leader_seen_at) > election->ttl_s + STALE_SLACK_S)
+        rp_ts_since(now, election->leader_key_read_at) > election->ttl_s + STALE_SLACK_S)
         return NULL;
     return election->leader;
 }
 
 /* A leader that stands still keeps the key until its lease ends: workers that were sent back to it
  * waited there once more, and many lost their lease before they found the next one. */
-void rp_election_note_answer(struct rp_election *election, bool answered) {
+void rp_election_note_leader_answer(struct rp_election *election, bool answered) {
     if (answered)
-        election->silent_since = (struct timespec){0};
-    else if (rp_ts_zero(election->silent_since))
-        election->silent_since = rp_loop_now(election->loop);
+        election->leader_silent_since = (struct timespec){0};
+    else if (rp_ts_zero(election->leader_silent_since))
+        election->leader_silent_since = rp_loop_now(election->loop);
 }
 
 void rp_election_guard(const struct rp_election *election, struct rp_kv_txn *txn) {
@@ -109,7 +109,8 @@
     struct rp_election *election = arg;
     if (result->outcome == RP_KV_OK) {
         election->fencing_token = rp_kv_result_revision(result);
-        election->valid_until = rp_election_trust(election->asked, election->term_ttl_s);
+        election->valid_until =
+            rp_election_trusted_until(election->lease_requested_at, election->term_ttl_s);
         set_state(election, RP_ELECTION_HOLDING_KEY);
         rp_timer_set(election->loop, &election->timer, fmin(TOUCH_S, election->term_ttl_s / 8));
         return;
@@ -125,7 +126,7 @@
 static json_t *own_record(const struct rp_election *election, uint64_t lease) {
     struct rp_leader_record record = {.fenced = election->fenced_lease};
     snprintf(record.node, sizeof record.node, "%s", election->node);
-    if (lease && election->fenced_terms)
+    if (lease && election->failover_enabled)
         record.own = (struct rp_fenced_lease){.lease = lease, .ttl_s = election->term_ttl_s};
     return rp_record_leader(&record);
 }
@@ -138,16 +139,17 @@
     }
     election->lease = rp_kv_result_lease(result);
     struct rp_kv_txn *txn = rp_kv_txn_begin();
-    rp_kv_txn_if(txn, RP_KEY_LEADER, election->claim_over);
+    rp_kv_txn_if(txn, RP_KEY_LEADER, election->claim_revision);
     rp_kv_txn_put(txn, RP_KEY_LEADER, own_record(election, election->lease), election->lease);
     set_state(election, RP_ELECTION_CLAIMING_KEY);
     rp_kv_txn_submit(election->store, RP_KV_BUDGET_LEADERSHIP, txn, claimed, election);
 }
 
 static void ask_lease(struct rp_election *election) {
-    election->asked = rp_loop_now(election->loop);
-    election->term_ttl_s =
-        rp_ts_zero(election->silent_since) ? election->ttl_s : fmin(SILENT_TTL_S, election->ttl_s);
+    election->lease_requested_at = rp_loop_now(election->loop);
+    election->term_ttl_s = rp_ts_zero(election->leader_silent_since)
+                               ? election->ttl_s
+                               : fmin(SILENT_TTL_S, election->ttl_s);
     /* Whoever finds our key gone has waited at least as long as the deposed leader may act. */
     if (election->fenced_lease.lease)
         election->term_ttl_s = fmax(election->ttl_s, election->fenced_lease.ttl_s);
@@ -169,8 +171,8 @@
         return;
     }
     /* Whatever renewal it trusts was sent before the lease's end, and that was before now. */
-    election->cleared_at = rp_ts_after(rp_loop_now(election->loop),
-                                       election->fenced_lease.ttl_s * (1.0 + DRIFT) + MARGIN_S);
+    election->fenced_leader_expiry = rp_ts_after(
+        rp_loop_now(election->loop), election->fenced_lease.ttl_s * (1.0 + DRIFT) + MARGIN_S);
     ask_lease(election);
 }
 
@@ -180,9 +182,9 @@
 }
 
 static void claim(struct rp_election *election, uint64_t over, struct rp_fenced_lease deposed) {
-    election->claim_over = over;
+    election->claim_revision = over;
     election->fenced_lease = deposed;
-    election->cleared_at = (struct timespec){0};
+    election->fenced_leader_expiry = (struct timespec){0};
     if (deposed.lease)
         fence(election);
     else
@@ -199,9 +201,9 @@
 }
 
 bool rp_election_fence_leader(struct rp_election *election) {
-    const struct rp_leader_record *seen = &election->seen;
-    bool possible = election->state == RP_ELECTION_FOLLOWING && election->fenced_terms &&
-                    election->seen_version > 0 && strcmp(seen->node, election->node) != 0 &&
+    const struct rp_leader_record *seen = &election->leader_key;
+    bool possible = election->state == RP_ELECTION_FOLLOWING && election->failover_enabled &&
+                    election->leader_key_revision > 0 && strcmp(seen->node, election->node) != 0 &&
                     rp_ts_reached(rp_loop_now(election->loop), election->backoff_until);
     /* A node whose own takeover has stopped halfway holds no lease yet. */
     election->fenced_lease = seen->own.lease ? seen->own : seen->fenced;
@@ -209,9 +211,9 @@
         return false;
     rp_timer_cancel(election->loop, &election->timer);
     rp_info("taking over from %s, key=%llu", seen->node,
-            (unsigned long long)election->seen_version);
+            (unsigned long long)election->leader_key_revision);
     struct rp_kv_txn *txn = rp_kv_txn_begin();
-    rp_kv_txn_if(txn, RP_KEY_LEADER, election->seen_version);
+    rp_kv_txn_if(txn, RP_KEY_LEADER, election->leader_key_revision);
     rp_kv_txn_put(txn, RP_KEY_LEADER, own_record(election, 0), RP_KV_NO_LEASE);
     rp_kv_txn_put(txn, RP_KEY_FENCE, rp_record_fence(election->node), RP_KV_NO_LEASE);
     set_state(election, RP_ELECTION_OVERWRITING_KEY);
@@ -236,13 +238,13 @@
     if (election->state != RP_ELECTION_FOLLOWING)
         return; /* a takeover has begun meanwhile */
     if (result->outcome == RP_KV_OK)
-        election->leader_seen_at = rp_loop_now(election->loop);
+        election->leader_key_read_at = rp_loop_now(election->loop);
     /* A key that was given up is left to the others, also while the end of its lease, which may be
      * carried out seconds later, hasn't taken our name away yet. */
     bool may_claim = rp_ts_reached(rp_loop_now(election->loop), election->backoff_until);
     if (result->outcome == RP_KV_NOT_FOUND) {
         election->leader[0] = '\0';
-        election->seen_version = 0;
+        election->leader_key_revision = 0;
         if (may_claim) {
             claim(election, 0, none);
             return;
@@ -258,10 +260,10 @@
             return;
         }
         if (strcmp(record.node, election->leader) != 0)
-            election->silent_since = (struct timespec){0}; /* another one */
+            election->leader_silent_since = (struct timespec){0}; /* another one */
         snprintf(election->leader, sizeof election->leader, "%.63s", record.node);
-        election->seen = record;
-        election->seen_version = item.revision;
+        election->leader_key = record;
+        election->leader_key_revision = item.revision;
     }
     rp_timer_set(election->loop, &election->timer,
                  result->outcome == RP_KV_OK ? election->check_s : RETRY_S);
@@ -289,7 +291,7 @@
     if (result->outcome == RP_KV_OK) {
         /* While the lease lives, the key is attached to it and nobody else can have written it:
          * leadership goes on even if it could not be proven for a while. */
-        election->valid_until = rp_election_trust(renewal.asked, election->term_ttl_s);
+        election->valid_until = rp_election_trusted_until(renewal.asked, election->term_ttl_s);
         rp_timer_set(election->loop, &election->timer, fmin(TOUCH_S, election->term_ttl_s / 8));
         return;
     }
@@ -324,7 +326,7 @@
     rp_info("resigning");
     election->backoff_until = rp_ts_after(rp_loop_now(election->loop), stand_back_s);
     /* While a leader that was deposed may still act, the key must not be found free. */
-    if (rp_ts_reached(rp_loop_now(election->loop), election->cleared_at))
+    if (rp_ts_reached(rp_loop_now(election->loop), election->fenced_leader_expiry))
         rp_kv_lease_revoke(election->store, election->lease, dropped, NULL);
     follow_again(election, election->check_s);
 }
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -5,8 +5,8 @@
  *
  * A standby needn't wait until the lease of a silent leader has ended: it writes the key over that
  * leader's (deposing), ends the lease (fencing), and only then takes a lease of its own. From then
- * on the earlier leader can renew nothing; it may act on what it renewed before until `cleared_at`.
- * docs/safety.md, "Takeovers", has the argument. */
+ * on the earlier leader can renew nothing; it may act on what it renewed before until
+ * `fenced_leader_expiry`. docs/safety.md, "Takeovers", has the argument. */
 #ifndef RP_ELECTION_ELECTION_H
 #define RP_ELECTION_ELECTION_H
 
@@ -32,19 +32,20 @@
     double ttl_s, check_s; /* as the settings have them */
     double term_ttl_s;     /* the length of this term's lease, at most ttl_s */
     enum rp_election_state state;
-    uint64_t fencing_token, lease, claim_over;
+    uint64_t fencing_token, lease, claim_revision;
     struct timespec valid_until; /* on the steady clock, margins taken off */
     /* An earlier leader that was deposed may answer workers until then; zero: none can. */
-    struct timespec cleared_at;
+    struct timespec fenced_leader_expiry;
     struct rp_fenced_lease fenced_lease; /* its lease; of the claim under way, then of this term */
-    struct rp_leader_record seen; /* the key as last looked at, and its revision; 0: it was free */
-    uint64_t seen_version;
-    bool fenced_terms;              /* this node's terms can be ended by a takeover */
-    struct timespec backoff_until;  /* until then only the others may claim a free key */
-    struct timespec asked;          /* when the claim's lease was asked for */
-    char leader[64];                /* who held the key when we last looked, "" for nobody */
-    struct timespec leader_seen_at; /* when that was */
-    struct timespec silent_since;   /* the leader doesn't answer this node; zero: it does */
+    struct rp_leader_record
+        leader_key; /* the key as last looked at, and its revision; 0: it was free */
+    uint64_t leader_key_revision;
+    bool failover_enabled;               /* this node's terms can be ended by a takeover */
+    struct timespec backoff_until;       /* until then only the others may claim a free key */
+    struct timespec lease_requested_at;  /* when the claim's lease was asked for */
+    char leader[64];                     /* who held the key when we last looked, "" for nobody */
+    struct timespec leader_key_read_at;  /* when that was */
+    struct timespec leader_silent_since; /* the leader doesn't answer this node; zero: it does */
     struct rp_timer timer;
     rp_election_fn on_elected, on_lost;
     void *arg;
@@ -60,9 +61,9 @@
 /** The other node that leads, as far as is known now; NULL when nothing is. */
 const char *rp_election_leader(const struct rp_election *election, struct timespec now);
 /** Whether that node answered when it was asked something. */
-void rp_election_note_answer(struct rp_election *election, bool answered);
+void rp_election_note_leader_answer(struct rp_election *election, bool answered);
 /** Until when a lease may be trusted that was asked for, or touched, at `sent`. */
-struct timespec rp_election_trust(struct timespec sent, double ttl_s);
+struct timespec rp_election_trusted_until(struct timespec sent, double ttl_s);
 /** The condition that makes a leader's late transactions die. */
 void rp_election_guard(const struct rp_election *election, struct rp_kv_txn *txn);
 /** Somebody shows a token above ours, or a guarded write failed: look at the key now. */
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -197,7 +197,7 @@
     if (answer->status == 0 || standby->state > RP_STANDBY_SUSPECTING)
         return;
     standby->silent_s = 0;
-    rp_election_note_answer(standby->election, true);
+    rp_election_note_leader_answer(standby->election, true);
     if (standby->state == RP_STANDBY_SUSPECTING)
         set_state(standby, RP_STANDBY_FOLLOWING);
     if (read_answer(standby, answer, &message)) {
@@ -293,11 +293,11 @@
     double verdict_s =
         standby->settings->tuning.suspect_after_s + RANK_S * (double)rank_of(standby);
     /* A node that has just begun doesn't know the machines yet: another one does it sooner. */
-    if (standby->directory.term != standby->election->seen_version)
+    if (standby->directory.term != standby->election->leader_key_revision)
         verdict_s += NO_REPLICA_S;
     return standby->silent_s >= verdict_s && others_agree(standby, now) &&
            rp_kv_failing_s(standby->election->store) <= 0 &&
-           rp_ts_since(now, standby->election->leader_seen_at) < LOOK_FRESH_S;
+           rp_ts_since(now, standby->election->leader_key_read_at) < LOOK_FRESH_S;
 }
 
 static void suspect(struct rp_standby *standby, struct timespec now) {
@@ -312,7 +312,7 @@
         standby->heard_by_another = standby->missed_by_another = (struct timespec){0};
         set_state(standby, RP_STANDBY_SUSPECTING);
         /* Reports wait here from now on rather than being sent to it. */
-        rp_election_note_answer(standby->election, false);
+        rp_election_note_leader_answer(standby->election, false);
     }
     ask_peers(standby, now, PEERS_ASK_S);
     if (!may_take_over(standby, now))
@@ -357,7 +357,7 @@
     struct rp_standby *standby = arg;
     struct timespec now = rp_loop_now(standby->loop);
     rp_timer_set(standby->loop, &standby->timer, TICK_S);
-    if (standby->state == RP_STANDBY_OFF && standby->election->fenced_terms)
+    if (standby->state == RP_STANDBY_OFF && standby->election->failover_enabled)
         set_state(standby, RP_STANDBY_FOLLOWING);
     switch (standby->state) {
     case RP_STANDBY_FOLLOWING:
--- a/tests/unit/test_election.c
+++ b/tests/unit/test_election.c
@@ -10,7 +10,7 @@
     for (double ttl = 1; ttl < 100; ttl *= 1.7) {
         /* The node's clock may run 0.05% fast, the service's at its own pace: what the node
          * measures as the lease's time must be less than the service grants. */
-        double trusted = rp_ts_since(rp_election_trust(sent, ttl), sent);
+        double trusted = rp_ts_since(rp_election_trusted_until(sent, ttl), sent);
         assert_true(trusted * 1.0005 < ttl * 0.9995);
         assert_true(trusted > ttl * 0.8);
     }
@@ -80,18 +80,18 @@
                                    .node = "n0",
                                    .leader = "n1",
                                    .ttl_s = 10,
-                                   .leader_seen_at = rp_ts(50)};
+                                   .leader_key_read_at = rp_ts(50)};
     (void)state;
     assert_string_equal(rp_election_leader(&election, rp_ts(55)), "n1");
     assert_null(rp_election_leader(&election, rp_ts(63)));
     /* One that doesn't answer isn't named, until it must have lost the key and hasn't. */
     struct rp_loop loop = {.is_virtual = true, .virtual_now = rp_ts(51)};
     election.loop = &loop;
-    rp_election_note_answer(&election, false);
+    rp_election_note_leader_answer(&election, false);
     assert_null(rp_election_leader(&election, rp_ts(52)));
-    election.leader_seen_at = rp_ts(61);
+    election.leader_key_read_at = rp_ts(61);
     assert_string_equal(rp_election_leader(&election, rp_ts(61.6)), "n1");
-    rp_election_note_answer(&election, true);
+    rp_election_note_leader_answer(&election, true);
     assert_string_equal(rp_election_leader(&election, rp_ts(62)), "n1");
     election.state = RP_ELECTION_HOLDING_KEY;
     assert_null(rp_election_leader(&election, rp_ts(62)));
