--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -339,7 +339,7 @@
 void rp_kv_lease_grant(struct rp_kv_client *client, double ttl_s, rp_kv_fn fn, void *arg) {
     struct request request = {.method = "POST",
                               .target = format("/leases"),
-                              .body = rp_wire_lease_request(ttl_s),
+                              .body = rp_kv_codec_write_lease_request(ttl_s),
                               .timeout_s = ANSWER_S};
     start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
