--- a/src/cloud/catalog_source.h
+++ b/src/cloud/catalog_source.h
@@ -7,7 +7,7 @@
 #include "cloud/cloud_client.h"
 #include "config/settings.h"
 #include "election/election.h"
-#include "model/model.h"
+#include "model/catalog.h"
 #include "store/kv_client.h"
 #include "upgrade/format_upgrade.h"
 
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -6,7 +6,9 @@
 #define RP_CLUSTER_CLUSTER_H
 
 #include "jobs/jobs.h"
-#include "model/model.h"
+#include "model/catalog.h"
+#include "model/heartbeat.h"
+#include "model/job_spec.h"
 
 enum rp_machine_state {
     RP_MACHINE_BOOTING,      /* rented, has not reported yet, can hold nothing */
--- a/src/cluster/tombstones.c
+++ b/src/cluster/tombstones.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 #include <string.h>
-#include "model/model.h"
+#include "model/names.h"
 
 static uint32_t *head_of(const struct rp_tombstones *tombstones, uint64_t hash) {
     return &tombstones->heads[hash % RP_TOMBSTONES_MAX];
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -10,7 +10,8 @@
 
 #include "jobs/context.h"
 #include "jobs/job_progress.h"
-#include "model/model.h"
+#include "model/catalog.h"
+#include "model/job_spec.h"
 
 /** How far a job is; changed by rp_job_table_set_state only. */
 enum rp_job_state {
--- a/src/jobs/job_lookup.h
+++ b/src/jobs/job_lookup.h
@@ -7,7 +7,6 @@
 #define RP_JOBS_JOB_LOOKUP_H
 
 #include "config/settings.h"
-#include "model/model.h"
 #include "store/kv_client.h"
 
 enum rp_lookup_result {
--- a/src/jobs/terminal_states.h
+++ b/src/jobs/terminal_states.h
@@ -5,7 +5,8 @@
 #ifndef RP_JOBS_TERMINAL_STATES_H
 #define RP_JOBS_TERMINAL_STATES_H
 
-#include "model/model.h"
+#include <stdbool.h>
+#include "model/job_status.h"
 
 #define RP_TERMINAL_STATES_MAX 4096 /* a later job takes the position of one with the same hash */
 
--- a/src/model/heuristic.c
+++ b/src/model/heuristic.c
@@ -3,11 +3,14 @@
 #include <stddef.h>
 #include <string.h>
 
-static const char *const job_names[] = {"FCFS", "RR",  "LJF", "SJF", "LTJF",
-                                        "STJF", "EDF", "SRW", "ESW"};
-static const char *const machine_names[] = {"RND", "LM",  "SM",  "LA",  "EA", "LD", "ED",
-                                            "LAA", "EAA", "CFH", "FFH", "BF", "CP"};
+/* In the order of enum rp_job_order. */
+static const char *const job_order_names[] = {"FCFS", "RR",  "LJF", "SJF", "LTJF",
+                                              "STJF", "EDF", "SRW", "ESW"};
+/* In the order of enum rp_machine_order. */
+static const char *const machine_order_names[] = {"RND", "LM",  "SM",  "LA",  "EA", "LD", "ED",
+                                                  "LAA", "EAA", "CFH", "FFH", "BF", "CP"};
 
+/* -1: none. */
 static int name_index(const char *name, size_t len, const char *const *names, size_t n) {
     for (size_t i = 0; i < n; i++)
         if (strlen(names[i]) == len && strncmp(names[i], name, len) == 0)
@@ -19,13 +22,13 @@
     const char *dash = strchr(name, '-');
     if (!dash)
         return false;
-    int jobs =
-        name_index(name, (size_t)(dash - name), job_names, sizeof job_names / sizeof job_names[0]);
-    int machines = name_index(dash + 1, strlen(dash + 1), machine_names,
-                              sizeof machine_names / sizeof machine_names[0]);
-    if (jobs < 0 || machines < 0)
+    int job_order = name_index(name, (size_t)(dash - name), job_order_names,
+                               sizeof job_order_names / sizeof job_order_names[0]);
+    int machine_order = name_index(dash + 1, strlen(dash + 1), machine_order_names,
+                                   sizeof machine_order_names / sizeof machine_order_names[0]);
+    if (job_order < 0 || machine_order < 0)
         return false;
-    out->job_order = (enum rp_job_order)jobs;
-    out->machine_order = (enum rp_machine_order)machines;
+    out->job_order = (enum rp_job_order)job_order;
+    out->machine_order = (enum rp_machine_order)machine_order;
     return true;
 }
--- a/src/protocol/wire.h
+++ b/src/protocol/wire.h
@@ -4,7 +4,12 @@
 #define RP_PROTOCOL_WIRE_H
 
 #include <jansson.h>
-#include "model/model.h"
+#include "model/catalog.h"
+#include "model/command.h"
+#include "model/heartbeat.h"
+#include "model/job_spec.h"
+#include "model/job_status.h"
+#include "model/listed_machine.h"
 
 /** Paths, in the protocol's words. */
 #define RP_PATH_JOBS "/v1/jobs"
--- a/src/scheduler/planner.h
+++ b/src/scheduler/planner.h
@@ -5,8 +5,9 @@
 #ifndef RP_SCHEDULER_PLANNER_H
 #define RP_SCHEDULER_PLANNER_H
 
+#include "model/catalog.h"
 #include "model/heuristic.h"
-#include "model/model.h"
+#include "model/job_spec.h"
 
 /** A machine that is returned costs at least this long (PROTOCOL, price). */
 #define RP_MIN_CHARGE_S 60.0
--- a/src/standby/stream_message.h
+++ b/src/standby/stream_message.h
@@ -7,7 +7,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
-#include "model/model.h"
+#include "model/names.h"
 
 /** A message of another version is refused: its sender is followed by heartbeats only. */
 #define RP_STREAM_VERSION 1
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -4,7 +4,9 @@
 #define RP_STORE_RECORDS_H
 
 #include <jansson.h>
-#include "model/model.h"
+#include "base/timeutil.h"
+#include "model/job_spec.h"
+#include "model/job_status.h"
 
 /** All keys lie below one tenant's prefix; a hosted service would have one for each tenant. */
 #define RP_KEY_ROOT "rp/main/"
