--- /dev/null
+++ b/tests/simulation/workers.c
@@ -0,0 +1,272 @@
+/* The workers: leases, heartbeats, and the commands that come with answers or directly. */
+#include "internal.h"
+
+#include <math.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include "protocol/wire.h"
+
+#define HEARTBEAT_TIMEOUT_S                                                                        \
+    4.0                    /* a worker waits so long for an answer, then asks the next node        \
+                            */
+#define RETRY_S 1.0        /* and the next heartbeat goes so long afterwards */
+#define NAMED_LEADER_S 0.2 /* or so long, if it was told who leads */
+#define CHANGE_S 0.5       /* a change is told so long after the last heartbeat */
+
+const char *sim_worker_address(const struct sim *sim, const struct sim_worker *worker) {
+    return sim->remote ? sim->remote->worker_addr(sim->remote->ctx, (int)(worker - sim->workers))
+                       : worker->name;
+}
+
+static void carry_out(struct sim *sim, struct sim_worker *worker, json_t *command) {
+    const char *op = json_string_value(json_object_get(command, "signal"));
+    const char *name = json_string_value(json_object_get(command, "lift"));
+    uint64_t attempt = (uint64_t)json_integer_value(json_object_get(command, "pull"));
+    char job[RP_ID_MAX] = "";
+    const char *slash = strchr(name, '/');
+    memcpy(job, name, (size_t)(slash - name));
+    uint32_t index = (uint32_t)strtoul(slash + 1, NULL, 10);
+    if (strcmp(op, "run") == 0) {
+        if (sim->breakage != SIM_STARTS_ARE_DROPPED || strcmp(job, sim->jobs[1].spec.id) != 0)
+            sim_task_start(sim, worker, job, index, attempt);
+        return;
+    }
+    for (int i = 0; i < worker->n_tasks; i++) {
+        struct sim_task *task = &worker->tasks[i];
+        if (strcmp(task->job, job) != 0 || task->index != index || task->attempt != attempt)
+            continue;
+        if (strcmp(op, "halt") == 0) {
+            sim_task_stop(sim, worker, task, json_number_value(json_object_get(command, "ease_s")));
+        } else if (task->state == RP_TASK_EXITED) {
+            *task = worker->tasks[--worker->n_tasks];
+        }
+        return;
+    }
+}
+
+static void carry_out_all(struct sim *sim, struct sim_worker *worker, json_t *body) {
+    json_t *list = json_object_get(body, "signals"), *command;
+    size_t i;
+    json_array_foreach(list, i, command) {
+        carry_out(sim, worker, command);
+    }
+}
+
+static bool accept_token(struct sim_worker *worker, json_t *body) {
+    uint64_t token = (uint64_t)json_integer_value(json_object_get(body, "warrant"));
+    if (!json_object_get(body, "warrant") || token < worker->fencing_token)
+        return false;
+    if (token > worker->fencing_token)
+        worker->changed = true;
+    worker->fencing_token = token;
+    return true;
+}
+
+static json_t *task_entry(const struct sim_task *task) {
+    static const char *const phases[] = {"fetching", "waiting", "running", "flushing", "exited"};
+    char name[80];
+    snprintf(name, sizeof name, "%s/%u", task->job, task->index);
+    json_t *entry = json_pack("{s:s,s:I,s:s}", "lift", name, "pull", (json_int_t)task->attempt,
+                              "tension", phases[task->state]);
+    if (task->exit_reason)
+        json_object_set_new(entry, "slack_reason", json_string(task->exit_reason));
+    if (task->checkpointed)
+        json_object_set_new(entry, "stored", json_true());
+    return entry;
+}
+
+static json_t *heartbeat_body(const struct sim *sim, struct sim_worker *worker) {
+    json_t *tasks = json_array();
+    for (int i = 0; i < worker->n_tasks; i++)
+        json_array_append_new(tasks, task_entry(&worker->tasks[i]));
+    worker->sequence_number++;
+    json_t *spot_notice_s = worker->reclaimed_at > 0
+                                ? json_real(fmax(0, worker->reclaimed_at - sim->now))
+                                : json_null();
+    return json_pack("{s:s,s:s,s:s,s:s,s:b,s:I,s:I,s:I,s:o,s:o}", "sheave", worker->name, "address",
+                     sim_worker_address(sim, worker), "frame", sim_types[worker->type].name, "yard",
+                     sim_zones[worker->zone], "loaners", worker->spot, "stint",
+                     (json_int_t)worker->incarnation, "tick", (json_int_t)worker->sequence_number,
+                     "warrant", (json_int_t)worker->fencing_token, "recall_s", spot_notice_s,
+                     "lifts", tasks);
+}
+
+static struct sim_worker *find_worker(struct sim *sim, const char *name) {
+    for (int i = 0; i < sim->size.workers; i++)
+        if (sim->workers[i].used && strcmp(sim->workers[i].name, name) == 0)
+            return &sim->workers[i];
+    return NULL;
+}
+
+int sim_worker_request(struct sim *sim, const struct sim_event *event, json_t *body, json_t **out) {
+    struct sim_worker *worker = find_worker(sim, event->addr);
+    int status = 200;
+    if (!worker || !worker->alive || !worker->up || sim->now < worker->one_way_partition_until)
+        return 0;
+    sim->n_direct_to_unreachable += sim->now < worker->unreachable_until;
+    if (strcmp(event->target, RP_PATH_DIRECT) == 0) {
+        sim->n_direct++;
+        if ((uint64_t)json_integer_value(json_object_get(body, "stint")) != worker->incarnation ||
+            !accept_token(worker, body))
+            status = 409;
+        else
+            carry_out_all(sim, worker, body);
+    }
+    *out = heartbeat_body(sim, worker);
+    return status;
+}
+
+bool sim_worker_is_paused(struct sim *sim, const struct sim_event *event) {
+    const struct sim_worker *worker = find_worker(sim, event->addr);
+    return worker && (sim->now < worker->paused_until || sim->partitioned_zone == worker->zone + 1);
+}
+
+/* ---- heartbeats ---- */
+
+/* Of a broken world: an old heartbeat passes for one of the next incarnation. */
+static void make_duplicate_look_new(struct sim_event *copy) {
+    json_t *value = json_loads(copy->body, 0, NULL);
+    json_object_set_new(value, "stint",
+                        json_integer(json_integer_value(json_object_get(value, "stint")) + 1));
+    json_object_set_new(value, "lifts", json_array());
+    free(copy->body);
+    copy->body = json_dumps(value, JSON_COMPACT);
+    json_decref(value);
+}
+
+static void ask_next_node(struct sim *sim, struct sim_worker *worker) {
+    worker->node = (worker->node + 1) % sim->n_nodes;
+    worker->next_heartbeat_at = sim->now + RETRY_S;
+}
+
+/* A copy of the heartbeat that comes later; a late one, beyond leases, to any node. */
+static void send_duplicate(struct sim *sim, const struct sim_event *event, bool is_late) {
+    struct sim_event *copy = sim_event_new(sim, EV_HEARTBEAT,
+                                           is_late ? 1 + 5 * sim->size.lease_s * sim_uniform(sim)
+                                                   : 0.1 + 40 * sim_uniform(sim));
+    copy->body = strdup(event->body);
+    if (sim->breakage == SIM_DUPLICATES_LOOK_NEW)
+        make_duplicate_look_new(copy);
+    copy->index = event->index;
+    copy->node = event->node;
+    if (is_late)
+        copy->node = (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes);
+}
+
+/* When the heartbeat arrives, if it does. */
+static void delay_heartbeat(struct sim *sim, struct sim_event *event) {
+    bool is_held_back = sim->delayed_worker == event->index + 1 && sim->now < sim->delayed_until;
+    if (is_held_back) /* they arrive in their order */
+        event->due_at = sim->delayed_until + 0.5 - 0.025 * (sim->delayed_until - sim->now);
+    else if (sim_chance(sim, sim->faults.drop))
+        event->due_at = sim->now + SIM_NEVER;
+    else if (sim_chance(sim, sim->faults.delay))
+        event->due_at = sim->now + 5 + 60 * sim_uniform(sim);
+}
+
+static void send_heartbeat(struct sim *sim, int index) {
+    struct sim_worker *worker = &sim->workers[index];
+    worker->changed = false;
+    if (sim->now < worker->unreachable_until) {
+        ask_next_node(sim, worker); /* no connection can be made */
+        return;
+    }
+    struct sim_event *event = sim_event_new(sim, EV_HEARTBEAT, sim_network_delay(sim));
+    json_t *body = heartbeat_body(sim, worker);
+    event->body = json_dumps(body, JSON_COMPACT);
+    json_decref(body);
+    event->index = index;
+    event->node = worker->node;
+    event->heartbeat_number = ++worker->heartbeat_number;
+    worker->heartbeat_in_flight = true;
+    worker->sent_at = sim->now;
+    delay_heartbeat(sim, event);
+    bool is_late = sim_chance(sim, sim->faults.late_duplicate);
+    sim_fault_heartbeat(sim, event);
+    if (is_late || sim_chance(sim, sim->faults.duplicate))
+        send_duplicate(sim, event, is_late);
+}
+
+/* ---- steps ---- */
+
+static void boot(struct sim *sim, struct sim_worker *worker) {
+    worker->up = true;
+    worker->incarnation = 1;
+    worker->renewed_at = sim->now;
+    worker->next_heartbeat_at = sim->now;
+    worker->node = (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes);
+}
+
+/* The lease ends by the worker's clock whether the machine is paused or not. */
+static void expire_lease(struct sim *sim, struct sim_worker *worker) {
+    if (sim->now <= worker->renewed_at + sim->size.lease_s)
+        return;
+    if (sim->breakage != SIM_WORKERS_KEEP_TASKS)
+        worker->n_tasks = 0;
+    worker->incarnation++;
+    worker->renewed_at = sim->now;
+}
+
+void sim_worker_step(struct sim *sim, int index) {
+    struct sim_worker *worker = &sim->workers[index];
+    if (!worker->used || !worker->alive)
+        return;
+    if (!worker->up) {
+        if (sim->now < worker->boots_at)
+            return;
+        boot(sim, worker);
+    }
+    if (worker->reclaimed_at > 0 && sim->now > worker->reclaimed_at) {
+        worker->used = worker->alive = false;
+        return;
+    }
+    expire_lease(sim, worker);
+    if (sim->now < worker->paused_until)
+        return;
+    for (int i = 0; i < worker->n_tasks; i++)
+        sim_task_step(sim, worker, &worker->tasks[i]);
+    if (worker->heartbeat_in_flight && sim->now > worker->sent_at + HEARTBEAT_TIMEOUT_S) {
+        worker->heartbeat_in_flight = false;
+        ask_next_node(sim, worker);
+    }
+    bool is_due = sim->now >= worker->next_heartbeat_at ||
+                  (worker->changed && sim->now > worker->sent_at + CHANGE_S);
+    if (!worker->heartbeat_in_flight && is_due)
+        send_heartbeat(sim, index);
+}
+
+/* Whether the worker still waits for this answer, and hears it. */
+static bool is_answer_heard(const struct sim *sim, const struct sim_worker *worker,
+                            const struct sim_event *event) {
+    bool is_awaited = worker->used && worker->alive && worker->heartbeat_in_flight &&
+                      event->heartbeat_number == worker->heartbeat_number &&
+                      sim->now <= worker->sent_at + HEARTBEAT_TIMEOUT_S;
+    return is_awaited && sim->now >= worker->paused_until &&
+           sim->now >= worker->one_way_partition_until;
+}
+
+void sim_worker_on_heartbeat_answer(struct sim *sim, const struct sim_event *event) {
+    struct sim_worker *worker = &sim->workers[event->index];
+    if (!is_answer_heard(sim, worker, event))
+        return;
+    worker->heartbeat_in_flight = false;
+    worker->next_heartbeat_at = sim->now + RETRY_S;
+    json_t *body = json_loads(event->body ? event->body : "{}", 0, NULL);
+    if (event->status == 200) {
+        worker->next_heartbeat_at =
+            worker->sent_at + sim->size.heartbeat_s * (0.75 + 0.5 * sim_uniform(sim));
+        if (accept_token(worker, body)) {
+            worker->renewed_at = worker->sent_at;
+            carry_out_all(sim, worker, body);
+            sim_check_lease_renewal(sim, worker);
+        }
+    } else {
+        const char *leader = json_string_value(json_object_get(body, "foreman"));
+        int node = leader && event->status == 421 ? atoi(leader + strlen("n")) : -1;
+        worker->node = node >= 0 && node != worker->node ? node : (worker->node + 1) % sim->n_nodes;
+        if (node >= 0)
+            worker->next_heartbeat_at = sim->now + NAMED_LEADER_S;
+    }
+    json_decref(body);
+}
