--- a/tests/simulation/cloud.c
+++ b/tests/simulation/cloud.c
@@ -10,6 +10,15 @@
                                               {"wide", 32, 0, 128, 1.5, 0.45, 12}};
 const char *const sim_zones[2] = {"a", "b"};
 
+#define LIST_LAG_S 3.0 /* new machines appear in the list so late, as in the settings */
+#define PAGE_ROWS 500
+
+/* Machines of a kind: the cloud has so many of each. */
+struct pool {
+    int type, zone;
+    bool is_spot;
+};
+
 static json_t *cloud_catalog(void) {
     json_t *list = json_array();
     for (int i = 0; i < 2; i++)
@@ -23,36 +32,53 @@
     return json_pack("{s:o}", "frames", list);
 }
 
-static int cloud_provision(struct sim *sim, json_t *body, json_t **out) {
+static int count_machines(const struct sim *sim, const struct pool *pool) {
+    int n = 0;
+    for (int i = 0; i < sim->size.workers; i++) {
+        const struct sim_worker *worker = &sim->workers[i];
+        n += worker->used && worker->alive && worker->type == pool->type &&
+             worker->zone == pool->zone && worker->spot == pool->is_spot;
+    }
+    return n;
+}
+
+static void add_machine(struct sim *sim, struct sim_worker *worker, const struct pool *pool) {
+    *worker = (struct sim_worker){.used = true,
+                                  .alive = true,
+                                  .type = pool->type,
+                                  .zone = pool->zone,
+                                  .spot = pool->is_spot,
+                                  .provisioned_at = sim->now};
+    worker->boots_at =
+        sim->now + (sim_chance(sim, sim->faults.fast_boot)
+                        ? 0.1 + 1.9 * sim_uniform(sim)
+                        : sim_types[pool->type].boot * (0.3 + 1.2 * sim_uniform(sim)));
+    if (sim_chance(sim, sim->faults.boot_failure))
+        worker->boots_at = SIM_NEVER;
+    snprintf(worker->name, sizeof worker->name, "vm-%06d", sim->next_machine++);
+}
+
+/* A repeated request gets the first one's machines. */
+static int cloud_provision(struct sim *sim, const json_t *body, json_t **out) {
     const char *request = json_string_value(json_object_get(body, "hire"));
     json_t *known = json_object_get(sim->provisioned, request);
     if (known) {
         *out = json_incref(known);
         return 200;
     }
-    int type = strcmp(json_string_value(json_object_get(body, "frame")), "small") ? 1 : 0;
-    int zone = strcmp(json_string_value(json_object_get(body, "yard")), "a") ? 1 : 0;
-    bool spot = json_is_true(json_object_get(body, "loaners"));
-    int left = sim->size.capacity, count = (int)json_integer_value(json_object_get(body, "count"));
-    for (int i = 0; i < sim->size.workers; i++)
-        left -= sim->workers[i].used && sim->workers[i].alive && sim->workers[i].type == type &&
-                sim->workers[i].zone == zone && sim->workers[i].spot == spot;
+    struct pool pool = {
+        .type = strcmp(json_string_value(json_object_get(body, "frame")), "small") ? 1 : 0,
+        .zone = strcmp(json_string_value(json_object_get(body, "yard")), "a") ? 1 : 0,
+        .is_spot = json_is_true(json_object_get(body, "loaners"))};
+    int left = sim->size.capacity - count_machines(sim, &pool);
+    int wanted = (int)json_integer_value(json_object_get(body, "count"));
     json_t *names = json_array();
-    for (int i = 0; i < sim->size.workers && count > 0 && left > 0; i++) {
-        struct sim_worker *worker = &sim->workers[i];
-        if (worker->used)
+    for (int i = 0; i < sim->size.workers && wanted > 0 && left > 0; i++) {
+        if (sim->workers[i].used)
             continue;
-        *worker = (struct sim_worker){.used = true, .alive = true, .type = type, .zone = zone};
-        worker->spot = spot;
-        worker->provisioned_at = sim->now;
-        worker->boots_at = sim->now + (sim_chance(sim, sim->faults.fast_boot)
-                                           ? 0.1 + 1.9 * sim_uniform(sim)
-                                           : sim_types[type].boot * (0.3 + 1.2 * sim_uniform(sim)));
-        if (sim_chance(sim, sim->faults.boot_failure))
-            worker->boots_at = 1e9;
-        snprintf(worker->name, sizeof worker->name, "vm-%06d", sim->next_machine++);
-        json_array_append_new(names, json_string(worker->name));
-        count--;
+        add_machine(sim, &sim->workers[i], &pool);
+        json_array_append_new(names, json_string(sim->workers[i].name));
+        wanted--;
         left--;
     }
     if (json_array_size(names) == 0) {
@@ -65,40 +91,51 @@
     return 200;
 }
 
+static void cloud_release(struct sim *sim, const json_t *names) {
+    json_t *name;
+    size_t i;
+    json_array_foreach(names, i, name) {
+        for (int k = 0; k < sim->size.workers; k++) {
+            struct sim_worker *worker = &sim->workers[k];
+            if (worker->used && strcmp(worker->name, json_string_value(name)) == 0)
+                worker->used = worker->alive = false;
+        }
+    }
+}
+
 static int by_name(const void *a, const void *b) {
     return strcmp((*(const struct sim_worker *const *)a)->name,
                   (*(const struct sim_worker *const *)b)->name);
 }
 
+static json_t *list_entry(const struct sim *sim, const struct sim_worker *worker) {
+    const char *phase = worker->up ? "running" : "booting";
+    return json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", "ref", worker->name, "address",
+                     sim_worker_address(sim, worker), "frame", sim_types[worker->type].name, "yard",
+                     sim_zones[worker->zone], "loaners", worker->spot, "tension",
+                     worker->alive ? phase : "failed", "age_s", sim->now - worker->provisioned_at);
+}
+
 static json_t *cloud_list(const struct sim *sim, const char *target) {
     const struct sim_worker *sorted[SIM_WORKERS] = {NULL};
     char from[RP_TEXT_MAX];
-    size_t n = 0, most = 500;
+    size_t n = 0;
     json_t *list = json_array();
-    bool after = sim_query_parameter(target, "from=", from, sizeof from) != NULL;
-    for (int i = 0; i < sim->size.workers; i++)
-        if (sim->workers[i].used && sim->workers[i].provisioned_at < sim->now - 3 &&
-            (!after || strcmp(sim->workers[i].name, from) > 0))
-            sorted[n++] = &sim->workers[i];
+    bool is_continued = sim_query_parameter(target, "from=", from, sizeof from) != NULL;
+    for (int i = 0; i < sim->size.workers; i++) {
+        const struct sim_worker *worker = &sim->workers[i];
+        if (worker->used && worker->provisioned_at < sim->now - LIST_LAG_S &&
+            (!is_continued || strcmp(worker->name, from) > 0))
+            sorted[n++] = worker;
+    }
     // NOLINTNEXTLINE(bugprone-sizeof-expression): pointers are sorted
     qsort(sorted, n, sizeof sorted[0], by_name);
-    for (size_t i = 0; i < n && i < most; i++) {
-        const struct sim_worker *worker = sorted[i];
-        json_array_append_new(
-            list, json_pack("{s:s,s:s,s:s,s:s,s:b,s:s,s:f}", "ref", worker->name, "address",
-                            sim_worker_address(sim, worker), "frame", sim_types[worker->type].name,
-                            "yard", sim_zones[worker->zone], "loaners", worker->spot, "tension",
-                            !worker->alive ? "failed"
-                            : worker->up   ? "running"
-                                           : "booting",
-                            "age_s", sim->now - worker->provisioned_at));
-    }
-    return json_pack("{s:o,s:b}", "sheaves", list, "has_next", n > most);
+    for (size_t i = 0; i < n && i < PAGE_ROWS; i++)
+        json_array_append_new(list, list_entry(sim, sorted[i]));
+    return json_pack("{s:o,s:b}", "sheaves", list, "has_next", n > PAGE_ROWS);
 }
 
 int sim_cloud_request(struct sim *sim, const struct sim_event *event, json_t *body, json_t **out) {
-    json_t *name;
-    size_t i;
     if (sim->now < sim->cloud_outage_until) {
         *out = json_pack("{s:s}", "error", "trouble");
         return 503;
@@ -108,12 +145,7 @@
         return 200;
     }
     if (strcmp(event->target, RP_PATH_RELEASE) == 0) {
-        json_array_foreach(json_object_get(body, "sheaves"), i, name) {
-            for (int w = 0; w < sim->size.workers; w++)
-                if (sim->workers[w].used &&
-                    strcmp(sim->workers[w].name, json_string_value(name)) == 0)
-                    sim->workers[w].used = sim->workers[w].alive = false;
-        }
+        cloud_release(sim, json_object_get(body, "sheaves"));
         return 200;
     }
     if (strcmp(event->method, "POST") == 0)
--- a/tests/simulation/events.c
+++ b/tests/simulation/events.c
@@ -10,8 +10,8 @@
     return gsl_rng_uniform(sim->rng);
 }
 
-bool sim_chance(struct sim *sim, double p) {
-    return p > 0 && sim_uniform(sim) < p;
+bool sim_chance(struct sim *sim, double probability) {
+    return probability > 0 && sim_uniform(sim) < probability;
 }
 
 void sim_violated(struct sim *sim, const char *fmt, ...) {
@@ -40,40 +40,47 @@
     free(event);
 }
 
+/* Processes a due event; true: it is over. */
+static bool process_event(struct sim *sim, struct sim_event *event) {
+    switch (event->kind) {
+    case EV_REQUEST:
+        return sim_on_request(sim, event);
+    case EV_HEARTBEAT:
+        sim_on_heartbeat(sim, event);
+        break;
+    case EV_HEARTBEAT_ANSWER:
+        sim_worker_on_heartbeat_answer(sim, event);
+        break;
+    case EV_USER_ANSWER:
+        sim_user_on_answer(sim, event);
+        break;
+    case EV_CONCURRENT_READ:
+        sim_send_for_user(sim, event->index, (enum sim_user_op)event->user_op, event->node);
+        break;
+    case EV_INVALID_ANSWER:
+        sim_check_invalid_request(sim, event);
+        break;
+    }
+    return true;
+}
+
+/* Whether its node waits for an answer that comes too late. */
+static bool is_timed_out(const struct sim *sim, const struct sim_event *event) {
+    bool is_awaited = event->kind == EV_REQUEST && !event->answered;
+    return is_awaited && sim->now >= event->deadline && event->due_at > sim->now &&
+           sim->now >= sim->nodes[event->node].paused_until;
+}
+
 void sim_process_events(struct sim *sim) {
     for (int i = 0; i < sim->n_events; i++) {
         struct sim_event *event = sim->events[i];
-        bool over = true;
-        if (event->kind == EV_REQUEST && !event->answered && sim->now >= event->deadline &&
-            event->due_at > sim->now && sim->now >= sim->nodes[event->node].paused_until)
+        if (is_timed_out(sim, event))
             sim_time_out(sim, event);
-        if (event->due_at > sim->now)
+        if (event->due_at > sim->now || !process_event(sim, event))
             continue;
-        switch (event->kind) {
-        case EV_REQUEST:
-            over = sim_on_request(sim, event);
-            break;
-        case EV_HEARTBEAT:
-            sim_on_heartbeat(sim, event);
-            break;
-        case EV_HEARTBEAT_ANSWER:
-            sim_worker_on_heartbeat_answer(sim, event);
-            break;
-        case EV_USER_ANSWER:
-            sim_user_on_answer(sim, event);
-            break;
-        case EV_CONCURRENT_READ:
-            sim_send_for_user(sim, event->index, (enum sim_user_op)event->user_op, event->node);
-            break;
-        case EV_INVALID_ANSWER:
-            sim_check_invalid_request(sim, event);
-            break;
-        }
-        if (over) {
-            /* Call-backs may have added events: only the slot is reused. */
-            sim->events[i] = sim->events[--sim->n_events];
-            sim_event_free(event);
-            i--;
-        }
+        /* Call-backs may have added events: only the slot is reused. */
+        sim->events[i] = sim->events[--sim->n_events];
+        sim_event_free(event);
+        i--;
     }
 }
--- a/tests/simulation/faults.c
+++ b/tests/simulation/faults.c
@@ -1,5 +1,5 @@
-/* What goes wrong in the simulated world: each trouble alone or with others, seeded (sim_faults) or
- * at times that a test chooses, by setting what it lasts until. */
+/* What goes wrong in the simulated world: each fault alone or with others, at random (struct
+ * sim_faults) or at times that a test chooses, by setting until when it lasts. */
 #include "internal.h"
 
 #include <math.h>
@@ -7,7 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HELD_DUPLICATES_MAX 200 /* copies kept for the next leader */
+#define HELD_DUPLICATES_MAX 200 /* held for the next leader */
+#define PAUSED_MAX 8            /* machines that are paused with a cancellation */
 
 /* ---- on the way ---- */
 
@@ -119,25 +120,29 @@
     free(body);
 }
 
-/* Users call off that many jobs that run, all within a fifth of a second; up to eight of their
- * machines hang at the same time. */
-void sim_cancel_running(struct sim *sim, int count, double hang_s) {
-    int hung = 0;
+/* Whether the user of the job still waits for it, and may call it off. */
+static bool is_cancellable(const struct sim_job *job, const struct sim_task *task, int left) {
+    return task->state == RP_TASK_RUNNING && !job->told_done && (job->cancel_asked || left > 0);
+}
+
+/* Users call off that many jobs that run, all within a fifth of a second; up to PAUSED_MAX of their
+ * machines are paused at the same time. */
+void sim_cancel_running(struct sim *sim, int count, double pause_s) {
+    int n_paused = 0;
     for (int i = 0; i < sim->size.workers; i++) {
         struct sim_worker *worker = &sim->workers[i];
         for (int k = 0; worker->used && worker->alive && k < worker->n_tasks; k++) {
             struct sim_job *job = &sim->jobs[worker->tasks[k].job_index];
-            if (worker->tasks[k].state != RP_TASK_RUNNING || job->told_done ||
-                (!job->cancel_asked && count <= 0))
+            if (!is_cancellable(job, &worker->tasks[k], count))
                 continue;
             if (!job->cancel_asked) {
                 count--;
                 job->cancel_at = sim->now + 0.2 * sim_uniform(sim);
                 job->cancel_asked = true;
             }
-            if (hang_s > 0 && hung < 8 && sim->now >= worker->paused_until) {
-                worker->paused_until = sim->now + hang_s;
-                hung++;
+            if (pause_s > 0 && n_paused < PAUSED_MAX && sim->now >= worker->paused_until) {
+                worker->paused_until = sim->now + pause_s;
+                n_paused++;
             }
         }
     }
@@ -145,40 +150,51 @@
 
 /* ---- steps ---- */
 
-static bool happens_within_step(struct sim *sim, double mean) {
-    return mean > 0 && sim_chance(sim, SIM_STEP_S / mean);
+static bool happens_within_step(struct sim *sim, double mean_s) {
+    return mean_s > 0 && sim_chance(sim, SIM_STEP_S / mean_s);
 }
 
-static void inject_random_faults(struct sim *sim) {
-    const struct sim_faults *faults = &sim->faults;
-    int node = (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes);
-    struct sim_worker *worker =
-        &sim->workers[gsl_rng_uniform_int(sim->rng, (unsigned long)sim->size.workers)];
-    if (happens_within_step(sim, faults->crash_s))
+/* A fault that is on draws its chance in every step, also where it doesn't befall the machine: see
+ * internal.h on the order of the draws. */
+
+static void crash_nodes(struct sim *sim, int node) {
+    if (happens_within_step(sim, sim->faults.crash_s))
         sim_crash(sim, node, sim_chance(sim, 0.3) ? 0.1 : 3);
-    if (happens_within_step(sim, faults->crash_s * 4))
+    if (happens_within_step(sim, sim->faults.crash_s * 4))
         for (int i = 0; i < sim->n_nodes; i++)
             sim_crash(sim, i, 0.1 + 4 * sim_uniform(sim));
+}
+
+static void cut_off_nodes(struct sim *sim, int node) {
+    const struct sim_faults *faults = &sim->faults;
     if (happens_within_step(sim, faults->store_outage_s))
         sim->store_outage_until = sim->now + 1 + 19 * sim_uniform(sim);
     if (happens_within_step(sim, faults->store_refusal_s))
         sim->nodes[node].store_refusal_until = sim->now + 1 + 20 * sim_uniform(sim);
     if (happens_within_step(sim, faults->partitioned_node_s))
         sim->nodes[node].partitioned_until = sim->now + 3 + 25 * sim_uniform(sim);
-    if (happens_within_step(sim, faults->one_way_partition_s / 8))
-        worker->one_way_partition_until = sim->now + 3 + 50 * sim_uniform(sim);
-    if (happens_within_step(sim, faults->fast_restart_s))
+}
+
+/* The machine was off for a moment: a new incarnation, nothing on it. */
+static void restart_machine(struct sim *sim, struct sim_worker *worker) {
+    worker->n_tasks = 0;
+    worker->incarnation++;
+    worker->renewed_at = sim->now;
+    worker->heartbeat_in_flight = false;
+    worker->heartbeat_number++;
+    worker->next_heartbeat_at = sim->now + 0.05 + 0.45 * sim_uniform(sim);
+}
+
+static void restart_fast(struct sim *sim, int node, struct sim_worker *worker) {
+    if (happens_within_step(sim, sim->faults.fast_restart_s))
         sim_crash(sim, node, 0.05 + 0.45 * sim_uniform(sim));
-    if (happens_within_step(sim, faults->fast_restart_s / 4) && worker->used && worker->up) {
-        worker->n_tasks = 0; /* the machine was off for a moment: a new session, nothing on it */
-        worker->incarnation++;
-        worker->renewed_at = sim->now;
-        worker->heartbeat_in_flight = false;
-        worker->heartbeat_number++;
-        worker->next_heartbeat_at = sim->now + 0.05 + 0.45 * sim_uniform(sim);
-    }
-    if (happens_within_step(sim, faults->node_pause_s))
-        sim->nodes[node].paused_until = sim->now + 12 * sim_uniform(sim);
+    if (happens_within_step(sim, sim->faults.fast_restart_s / 4) && worker->used && worker->up)
+        restart_machine(sim, worker);
+}
+
+/* The means are for some machine of eight. */
+static void fail_machine(struct sim *sim, struct sim_worker *worker) {
+    const struct sim_faults *faults = &sim->faults;
     if (happens_within_step(sim, faults->pause_s / 8))
         worker->paused_until = sim->now + 40 * sim_uniform(sim);
     if (happens_within_step(sim, faults->spot_notice_s / 8) && worker->used && worker->spot &&
@@ -190,6 +206,21 @@
         worker->alive = false;
     if (happens_within_step(sim, faults->unreachable_s / 8))
         worker->unreachable_until = sim->now + 3 + 50 * sim_uniform(sim);
+}
+
+static void inject_random_faults(struct sim *sim) {
+    const struct sim_faults *faults = &sim->faults;
+    int node = (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes);
+    struct sim_worker *worker =
+        &sim->workers[gsl_rng_uniform_int(sim->rng, (unsigned long)sim->size.workers)];
+    crash_nodes(sim, node);
+    cut_off_nodes(sim, node);
+    if (happens_within_step(sim, faults->one_way_partition_s / 8))
+        worker->one_way_partition_until = sim->now + 3 + 50 * sim_uniform(sim);
+    restart_fast(sim, node, worker);
+    if (happens_within_step(sim, faults->node_pause_s))
+        sim->nodes[node].paused_until = sim->now + 12 * sim_uniform(sim);
+    fail_machine(sim, worker);
     if (happens_within_step(sim, faults->peer_partition_s))
         sim->peer_partition_until = sim->now + 2 + 20 * sim_uniform(sim);
     if (happens_within_step(sim, faults->invalid_request_s))
--- a/tests/simulation/nodes.c
+++ b/tests/simulation/nodes.c
@@ -33,21 +33,21 @@
     rp_node_start(node->node);
 }
 
-void sim_crash(struct sim *sim, int node, double back_s) {
-    struct sim_node *n = &sim->nodes[node];
-    if (!n->alive)
+void sim_crash(struct sim *sim, int index, double back_s) {
+    struct sim_node *node = &sim->nodes[index];
+    if (!node->alive)
         return;
     /* What the process held is gone with it; requests under way are leaked on purpose, as the
      * node's call-backs must never run again. */
-    n->alive = false;
-    n->restarts_at = sim->now + back_s;
-    if (n->old_node) {
-        sim_old_engine->close(n->old_node);
-        n->old_node = NULL;
+    node->alive = false;
+    node->restarts_at = sim->now + back_s;
+    if (node->old_node) {
+        sim_old_engine->close(node->old_node);
+        node->old_node = NULL;
         return;
     }
-    rp_node_close(n->node);
-    rp_loop_close(&n->loop);
+    rp_node_close(node->node);
+    rp_loop_close(&node->loop);
 }
 
 void sim_upgrade(struct sim *sim, int node, double back_s) {
--- a/tests/simulation/rules.c
+++ b/tests/simulation/rules.c
@@ -6,58 +6,86 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* After the troubles: */
+#define ROUNDING 1e-6    /* of sums of resources */
+#define REPLICAS_EVERY 5 /* steps between two checks of the replicas */
+#define WAITING_EVERY 25 /* and of waiting jobs */
+
+/* After the faults: */
 #define ANSWERED_WITHIN_S                                                                          \
     75.0                     /* a job that no question about is answered for so long is forgotten */
 #define BEGUN_WITHIN_S 240.0 /* every job begins by then */
 #define PLACED_WITHIN_S 90.0 /* no job waits longer while there is room for it */
 #define REPLICA_DOWN_S 90.0  /* and no replica of a service is missing for longer */
 
+/* Its machine is the cluster's, and hasn't crashed. */
+static bool is_rented(const struct sim_worker *worker) {
+    return worker->used && worker->alive;
+}
+
 /* One team has a limit, the guests have none. */
 static bool has_limit(const struct sim_job *job) {
     return strcmp(job->spec.team, "t") == 0;
 }
 
+/* Sums over what is on all machines when a task starts. */
+struct start_survey {
+    double cpus;      /* of the teams with a limit */
+    uint32_t in_zone; /* tasks of its job in its zone, with it */
+};
+
+/* Another task that is on a machine while this one starts. */
+static void check_other_task(struct sim *sim, const struct sim_worker *worker,
+                             const struct sim_task *task, const struct sim_worker *other_worker,
+                             const struct sim_task *other) {
+    if (other->index == task->index)
+        sim_violated(sim, "ran_twice: %s/%u on %s and %s", task->job, task->index, worker->name,
+                     other_worker->name);
+    if (sim->jobs[task->job_index].spec.one_zone && other_worker->zone != worker->zone)
+        sim_violated(sim, "wrong_place: %s/%u in two zones", task->job, task->index);
+}
+
+static struct start_survey check_other_tasks(struct sim *sim, const struct sim_worker *worker,
+                                             const struct sim_task *task) {
+    struct start_survey survey = {.in_zone = 1};
+    for (int i = 0; i < sim->size.workers; i++) {
+        const struct sim_worker *other_worker = &sim->workers[i];
+        for (int k = 0; is_rented(other_worker) && k < other_worker->n_tasks; k++) {
+            const struct sim_task *other = &other_worker->tasks[k];
+            if (!sim_task_is_placed(other))
+                continue;
+            if (has_limit(&sim->jobs[other->job_index]))
+                survey.cpus += sim->jobs[other->job_index].spec.each.cpus;
+            if (other == task || other->job_index != task->job_index)
+                continue;
+            check_other_task(sim, worker, task, other_worker, other);
+            survey.in_zone += other_worker->zone == worker->zone;
+        }
+    }
+    return survey;
+}
+
 void sim_check_start(struct sim *sim, const struct sim_worker *worker,
                      const struct sim_task *task) {
-    const struct sim_job *job = &sim->jobs[task->job_index];
+    struct sim_job *job = &sim->jobs[task->job_index];
     const struct rp_job_spec *spec = &job->spec;
-    double cpus = 0;
-    uint32_t in_zone = 1;
+    int zone = sim->breakage == SIM_MACHINES_ELSEWHERE ? 1 - worker->zone : worker->zone;
+    double limit =
+        sim->settings[0].teams[0].cpus_max * (sim->breakage == SIM_LIMIT_IS_LOWER ? 0.5 : 1);
     sim->n_starts++;
-    sim->jobs[task->job_index].begun = true;
+    job->begun = true;
     if (job->told_cancelled && sim->now > job->cancelled_at + sim->size.cancel_s)
         sim_violated(sim, "ran_cancelled: %s/%u starts", task->job, task->index);
     if (worker->spot && !spec->spot)
         sim_violated(sim, "wrong_place: %s/%u on a spot machine", task->job, task->index);
-    int zone = sim->breakage == SIM_MACHINES_ELSEWHERE ? 1 - worker->zone : worker->zone;
-    double limit =
-        sim->settings[0].teams[0].cpus_max * (sim->breakage == SIM_LIMIT_IS_LOWER ? 0.5 : 1);
     if (*spec->zone && strcmp(spec->zone, sim_zones[zone]) != 0)
         sim_violated(sim, "wrong_place: %s/%u in zone %s", task->job, task->index,
                      sim_zones[worker->zone]);
-    for (int i = 0; i < sim->size.workers; i++)
-        for (int k = 0;
-             sim->workers[i].used && sim->workers[i].alive && k < sim->workers[i].n_tasks; k++) {
-            const struct sim_task *other = &sim->workers[i].tasks[k];
-            if (!sim_task_is_placed(other))
-                continue;
-            if (has_limit(&sim->jobs[other->job_index]))
-                cpus += sim->jobs[other->job_index].spec.each.cpus;
-            if (other == task || other->job_index != task->job_index)
-                continue;
-            if (other->index == task->index)
-                sim_violated(sim, "ran_twice: %s/%u on %s and %s", task->job, task->index,
-                             worker->name, sim->workers[i].name);
-            in_zone += sim->workers[i].zone == worker->zone;
-            if (spec->one_zone && sim->workers[i].zone != worker->zone)
-                sim_violated(sim, "wrong_place: %s/%u in two zones", task->job, task->index);
-        }
-    if (spec->spread && in_zone > (spec->n_tasks + 1) / 2)
-        sim_violated(sim, "wrong_place: %s has %u tasks in zone %s", task->job, in_zone,
+    struct start_survey survey = check_other_tasks(sim, worker, task);
+    if (spec->spread && survey.in_zone > (spec->n_tasks + 1) / 2)
+        sim_violated(sim, "wrong_place: %s has %u tasks in zone %s", task->job, survey.in_zone,
                      sim_zones[worker->zone]);
-    if (cpus > limit + 1e-6)
-        sim_violated(sim, "quota: %.1f CPUs in use", cpus);
+    if (survey.cpus > limit + ROUNDING)
+        sim_violated(sim, "quota: %.1f CPUs in use", survey.cpus);
 }
 
 void sim_check_done(struct sim *sim, const struct sim_job *job) {
@@ -69,16 +97,17 @@
 }
 
 static void check_cancelled(struct sim *sim) {
-    for (int i = 0; i < sim->size.workers; i++)
-        for (int k = 0;
-             sim->workers[i].used && sim->workers[i].alive && k < sim->workers[i].n_tasks; k++) {
-            const struct sim_task *task = &sim->workers[i].tasks[k];
+    for (int i = 0; i < sim->size.workers; i++) {
+        const struct sim_worker *worker = &sim->workers[i];
+        for (int k = 0; is_rented(worker) && k < worker->n_tasks; k++) {
+            const struct sim_task *task = &worker->tasks[k];
             const struct sim_job *job = &sim->jobs[task->job_index];
             if (sim_task_is_placed(task) && job->told_cancelled &&
                 sim->now > job->cancelled_at + sim->size.cancel_s)
                 sim_violated(sim, "ran_cancelled: %s/%u on %s", task->job, task->index,
-                             sim->workers[i].name);
+                             worker->name);
         }
+    }
 }
 
 /* The users' addition to the rules. */
@@ -97,32 +126,39 @@
     }
 }
 
-/* Replicas' time, counted from 10 s after acceptance; and, once the troubles are over, how long one
+static void find_replicas(const struct sim *sim, int job, bool is_up[SIM_JOB_TASKS]) {
+    for (int i = 0; i < sim->size.workers; i++) {
+        const struct sim_worker *worker = &sim->workers[i];
+        for (int k = 0; is_rented(worker) && k < worker->n_tasks; k++)
+            if (worker->tasks[k].job_index == job && worker->tasks[k].state == RP_TASK_RUNNING &&
+                sim->now >= worker->paused_until)
+                is_up[worker->tasks[k].index] = true;
+    }
+}
+
+static void check_replica(struct sim *sim, struct sim_job *job, uint32_t task, bool is_up) {
+    if (sim->now > job->accepted_at + 10)
+        *(is_up ? &job->up_s : &job->down_s) += SIM_STEP_S * REPLICAS_EVERY;
+    if (is_up)
+        job->down_since[task] = 0;
+    else if (job->down_since[task] <= 0)
+        job->down_since[task] = sim->now;
+    if (!is_up && !job->fails_always && sim->faults_ended_at > 0 &&
+        sim->now > fmax(job->down_since[task], sim->faults_ended_at) + REPLICA_DOWN_S)
+        sim_violated(sim, "replica_down: %s/%u", job->spec.id, task);
+}
+
+/* Replicas' time, counted from 10 s after acceptance; and, once the faults are over, how long one
  * may be down. */
 static void check_replicas(struct sim *sim) {
-    for (int j = 0; j < sim->n_jobs; j++) {
-        struct sim_job *job = &sim->jobs[j];
+    for (int i = 0; i < sim->n_jobs; i++) {
+        struct sim_job *job = &sim->jobs[i];
+        bool is_up[SIM_JOB_TASKS] = {false};
         if (job->spec.kind != RP_JOB_SERVICE || !job->accepted || job->cancel_asked)
             continue;
-        bool up[SIM_JOB_TASKS] = {false};
-        for (int i = 0; i < sim->size.workers; i++)
-            for (int k = 0;
-                 sim->workers[i].used && sim->workers[i].alive && k < sim->workers[i].n_tasks; k++)
-                if (sim->workers[i].tasks[k].job_index == j &&
-                    sim->workers[i].tasks[k].state == RP_TASK_RUNNING &&
-                    sim->now >= sim->workers[i].paused_until)
-                    up[sim->workers[i].tasks[k].index] = true;
-        for (uint32_t t = 0; t < job->spec.n_tasks; t++) {
-            if (sim->now > job->accepted_at + 10)
-                *(up[t] ? &job->up_s : &job->down_s) += SIM_STEP_S * 5;
-            if (up[t])
-                job->down_since[t] = 0;
-            else if (job->down_since[t] <= 0)
-                job->down_since[t] = sim->now;
-            if (!up[t] && !job->fails_always && sim->faults_ended_at > 0 &&
-                sim->now > fmax(job->down_since[t], sim->faults_ended_at) + REPLICA_DOWN_S)
-                sim_violated(sim, "replica_down: %s/%u", job->spec.id, t);
-        }
+        find_replicas(sim, i, is_up);
+        for (uint32_t task = 0; task < job->spec.n_tasks; task++)
+            check_replica(sim, job, task, is_up[task]);
     }
 }
 
@@ -227,46 +263,60 @@
                               survey->capacity[i].memory_gb / spec->each.memory_gb + 1e-9)));
     }
     unsigned both = in_zone[0] + in_zone[1];
-    return spec->one_zone ? (in_zone[0] > in_zone[1] ? in_zone[0] : in_zone[1]) : both;
+    unsigned larger = in_zone[0] > in_zone[1] ? in_zone[0] : in_zone[1];
+    return spec->one_zone ? larger : both;
+}
+
+/* Tasks of the job that must be placed together, or 0 if it doesn't wait for a place. */
+static unsigned n_tasks_waiting(const struct capacity_survey *survey, const struct sim_job *job,
+                                int index, unsigned *missing) {
+    const struct rp_job_spec *spec = &job->spec;
+    bool is_gang = spec->kind == RP_JOB_GANG;
+    bool is_open = job->accepted && !job->cancel_asked && !job->told_done && !job->fails_always;
+    *missing = 0;
+    for (uint32_t i = 0; i < spec->n_tasks; i++)
+        *missing += !job->done[i] && !survey->placed[index][i];
+    if (!is_open || spec->kind == RP_JOB_SERVICE || *missing == 0)
+        return 0;
+    if (is_gang)
+        return *missing == spec->n_tasks ? spec->n_tasks : 0;
+    return 1;
+}
+
+static void check_waiting_job(struct sim *sim, const struct capacity_survey *survey, int index) {
+    struct sim_job *job = &sim->jobs[index];
+    const struct rp_job_spec *spec = &job->spec;
+    double limit = has_limit(job) ? sim->settings[0].teams[0].cpus_max : INFINITY;
+    unsigned missing;
+    unsigned needed = n_tasks_waiting(survey, job, index, &missing);
+    bool is_placeable = needed > 0 && survey->cpus + needed * spec->each.cpus <= limit + ROUNDING &&
+                        tasks_that_fit(sim, survey, spec) >= needed;
+    if (!is_placeable)
+        job->placeable_since = 0;
+    else if (job->placeable_since <= 0)
+        job->placeable_since = sim->now;
+    else if (sim->now > fmax(job->placeable_since, sim->faults_ended_at) + PLACED_WITHIN_S)
+        sim_violated(sim, "left_waiting: %s, %u tasks, though there is capacity", spec->id,
+                     missing);
 }
 
-/* Once the troubles are over, no job is left waiting while a machine that fits has room and its
+/* Once the faults are over, no job is left waiting while a machine that fits has capacity and its
  * team is under its limit. */
 static void check_waiting(struct sim *sim) {
     struct capacity_survey *survey = malloc(sizeof *survey);
     if (!survey)
         abort();
     survey_machines(sim, survey);
-    for (int j = 0; j < sim->n_jobs; j++) {
-        struct sim_job *job = &sim->jobs[j];
-        const struct rp_job_spec *spec = &job->spec;
-        bool gang = spec->kind == RP_JOB_GANG;
-        unsigned missing = 0;
-        for (uint32_t t = 0; t < spec->n_tasks; t++)
-            missing += !job->done[t] && !survey->placed[j][t];
-        unsigned need = gang ? spec->n_tasks : 1;
-        bool waits = job->accepted && !job->cancel_asked && !job->told_done && !job->fails_always &&
-                     spec->kind != RP_JOB_SERVICE && (gang ? missing == need : missing > 0);
-        double limit = sim->settings[0].teams[0].cpus_max;
-        if (!has_limit(job))
-            limit = INFINITY;
-        if (!waits || survey->cpus + need * spec->each.cpus > limit + 1e-6 ||
-            tasks_that_fit(sim, survey, spec) < need)
-            job->placeable_since = 0;
-        else if (job->placeable_since <= 0)
-            job->placeable_since = sim->now;
-        else if (sim->now > fmax(job->placeable_since, sim->faults_ended_at) + PLACED_WITHIN_S)
-            sim_violated(sim, "left_waiting: %s, %u tasks, though there is room", spec->id,
-                         missing);
-    }
+    for (int i = 0; i < sim->n_jobs; i++)
+        check_waiting_job(sim, survey, i);
     free(survey);
 }
 
 void sim_check_step(struct sim *sim) {
     check_cancelled(sim);
     check_known(sim);
-    if (sim->steps % 5 == 0)
+    if (sim->steps % REPLICAS_EVERY == 0)
         check_replicas(sim);
-    if (sim->faults_ended_at > 0 && sim->steps % 25 == 0)
+    if (sim->faults_ended_at > 0 && sim->steps % WAITING_EVERY == 0)
         check_waiting(sim);
 }
--- a/tests/simulation/sim.h
+++ b/tests/simulation/sim.h
@@ -286,9 +286,9 @@
 void sim_cancel_running(struct sim *sim, int count, double hang_s);
 bool sim_all_terminal(const struct sim *sim);
 /* Kills a node's process; it comes back `back_s` later. */
-void sim_crash(struct sim *sim, int node, double back_s);
+void sim_crash(struct sim *sim, int index, double back_s);
 /* The same, and from then on it is of this version. */
-void sim_upgrade(struct sim *sim, int node, double back_s);
+void sim_upgrade(struct sim *sim, int index, double back_s);
 /* Makes all nodes of the version before, at the beginning of a day. */
 void sim_start_as_old_version(struct sim *sim);
 /* The state service takes less from now on: what the settings announce. */
--- a/tests/simulation/store.c
+++ b/tests/simulation/store.c
@@ -7,6 +7,8 @@
 #include "protocol/wire.h"
 #include "store/records.h"
 
+#define SETTLING_S 1.5 /* after the format activation, writes under way may still be larger */
+
 static struct sim_key *key_find(struct sim *sim, const char *key) {
     for (int i = 0; i < sim->n_keys; i++)
         if (strcmp(sim->keys[i].key, key) == 0)
@@ -15,10 +17,11 @@
 }
 
 static void log_change(struct sim *sim, const char *key, json_t *value) {
-    json_t *e = value ? json_pack("{s:s,s:O,s:I}", "write", key, "v", value, "key_rev",
-                                  (json_int_t)sim->revision)
-                      : json_pack("{s:s,s:I}", "delete", key, "key_rev", (json_int_t)sim->revision);
-    json_array_append_new(sim->change_log, e);
+    json_t *change =
+        value ? json_pack("{s:s,s:O,s:I}", "write", key, "v", value, "key_rev",
+                          (json_int_t)sim->revision)
+              : json_pack("{s:s,s:I}", "delete", key, "key_rev", (json_int_t)sim->revision);
+    json_array_append_new(sim->change_log, change);
 }
 
 static void key_delete(struct sim *sim, struct sim_key *entry) {
@@ -88,93 +91,135 @@
         sim_violated(sim, "too_early: service %s", key);
 }
 
-/* From a moment after the activation on, everything fits what is to come. */
-static int check_limits(struct sim *sim, json_t *ops) {
-    json_t *v;
-    size_t i, n = json_array_size(ops), largest = 0;
-    json_array_foreach(ops, i, v) {
-        const json_t *value = json_object_get(v, "v");
+/* From a moment after the activation on, everything fits what is announced. */
+static void check_announced_limits(struct sim *sim, size_t n_changes, size_t largest) {
+    bool fits = (double)n_changes <= sim->announced_limits.txn_ops &&
+                (double)largest <= sim->announced_limits.value_bytes;
+    bool is_active = sim->format_active_at > 0 && sim->now > sim->format_active_at + SETTLING_S;
+    if (is_active && !fits)
+        sim_violated(sim, "too_large: changes=%zu bytes=%zu", n_changes, largest);
+}
+
+/* Takes from the token bucket of writes; false: there isn't enough in it. */
+static bool take_write_tokens(struct sim *sim, size_t n_changes) {
+    double rate = sim->limits.write_rps;
+    sim->write_tokens = fmin(rate, sim->write_tokens + (sim->now - sim->write_tokens_at) * rate);
+    sim->write_tokens_at = sim->now;
+    if (sim->write_tokens < (double)n_changes)
+        return false;
+    sim->write_tokens -= (double)n_changes;
+    return true;
+}
+
+/* 200, or the status with which the transaction is refused for its size or the rate. */
+static int check_limits(struct sim *sim, json_t *changes) {
+    json_t *change;
+    size_t i, n_changes = json_array_size(changes), largest = 0;
+    json_array_foreach(changes, i, change) {
+        const json_t *value = json_object_get(change, "v");
         size_t size = value ? rp_record_size(value) : 0;
         largest = size > largest ? size : largest;
     }
-    bool fits = (double)n <= sim->announced_limits.txn_ops &&
-                (double)largest <= sim->announced_limits.value_bytes;
-    if (sim->format_active_at > 0 && sim->now > sim->format_active_at + 1.5 && !fits)
-        sim_violated(sim, "too_large: changes=%zu bytes=%zu", n, largest);
-    if ((double)n > sim->limits.txn_ops || (double)largest > sim->limits.value_bytes) {
+    check_announced_limits(sim, n_changes, largest);
+    if ((double)n_changes > sim->limits.txn_ops || (double)largest > sim->limits.value_bytes) {
         sim->n_oversized_writes++;
         return 400;
     }
-    double rate = sim->limits.write_rps;
-    sim->write_tokens = fmin(rate, sim->write_tokens + (sim->now - sim->write_tokens_at) * rate);
-    sim->write_tokens_at = sim->now;
-    if (sim->write_tokens < (double)n) {
+    if (!take_write_tokens(sim, n_changes)) {
         sim->n_rate_limited_writes++;
         return 429;
     }
-    sim->write_tokens -= (double)n;
     return 200;
 }
 
-static int store_transaction(struct sim *sim, json_t *body, json_t **out) {
-    json_t *failed = json_array(), *value;
+/* The keys whose revision isn't the one that the transaction asks for. */
+static json_t *failed_conditions(struct sim *sim, const json_t *conditions) {
+    json_t *failed = json_array(), *condition;
     size_t i;
-    sim->n_comparisons += json_array_size(json_object_get(body, "then")) == 0;
-    int status = check_limits(sim, json_object_get(body, "then"));
+    json_array_foreach(conditions, i, condition) {
+        const char *path = json_string_value(json_object_get(condition, "path"));
+        const struct sim_key *entry = key_find(sim, path);
+        uint64_t wanted = (uint64_t)json_integer_value(json_object_get(condition, "key_rev"));
+        bool is_met = (entry ? entry->revision : 0) == wanted;
+        if (!is_met && sim->breakage != SIM_STORE_IGNORES_CONDITIONS)
+            json_array_append_new(failed, json_string(path));
+    }
+    return failed;
+}
+
+static uint64_t lease_of(const json_t *change) {
+    return (uint64_t)json_integer_value(json_object_get(change, "lashing"));
+}
+
+static bool has_unknown_lease(struct sim *sim, const json_t *changes) {
+    json_t *change;
+    size_t i;
+    json_array_foreach(changes, i, change) {
+        if (lease_of(change) && !lease_find(sim, lease_of(change)))
+            return true;
+    }
+    return false;
+}
+
+static void apply_changes(struct sim *sim, const json_t *changes) {
+    json_t *change;
+    size_t i;
+    if (json_array_size(changes))
+        sim->revision++;
+    json_array_foreach(changes, i, change) {
+        const char *written = json_string_value(json_object_get(change, "write"));
+        const char *deleted = json_string_value(json_object_get(change, "delete"));
+        json_t *value = json_object_get(change, "v");
+        if (written) {
+            check_format(sim, written, value);
+            key_put(sim, written, value, lease_of(change));
+        } else if (key_find(sim, deleted)) {
+            key_delete(sim, key_find(sim, deleted));
+        }
+    }
+}
+
+static int store_transaction(struct sim *sim, const json_t *body, json_t **out) {
+    json_t *changes = json_object_get(body, "then");
+    sim->n_comparisons += json_array_size(changes) == 0;
+    int status = check_limits(sim, changes);
     if (status != 200) {
-        json_decref(failed);
         *out = json_pack("{s:s}", "error", status == 400 ? "too large" : "too fast");
         return status;
     }
-    json_array_foreach(json_object_get(body, "when"), i, value) {
-        const char *path = json_string_value(json_object_get(value, "path"));
-        struct sim_key *entry = key_find(sim, path);
-        uint64_t want = (uint64_t)json_integer_value(json_object_get(value, "key_rev"));
-        if ((entry ? entry->revision : 0) != want && sim->breakage != SIM_STORE_IGNORES_CONDITIONS)
-            json_array_append_new(failed, json_string(path));
-    }
-    json_array_foreach(json_object_get(body, "then"), i, value) {
-        uint64_t lease = (uint64_t)json_integer_value(json_object_get(value, "lashing"));
-        if (lease && !lease_find(sim, lease)) {
-            json_decref(failed);
-            *out = json_pack("{s:s}", "error", "no such lease");
-            return 400;
-        }
+    if (has_unknown_lease(sim, changes)) {
+        *out = json_pack("{s:s}", "error", "no such lease");
+        return 400;
     }
+    json_t *failed = failed_conditions(sim, json_object_get(body, "when"));
     if (json_array_size(failed)) {
         *out = json_pack("{s:o,s:I}", "failed", failed, "ledger_rev", (json_int_t)sim->revision);
         return 409;
     }
     json_decref(failed);
-    if (json_array_size(json_object_get(body, "then")))
-        sim->revision++;
-    json_array_foreach(json_object_get(body, "then"), i, value) {
-        const char *put = json_string_value(json_object_get(value, "write"));
-        const char *gone = json_string_value(json_object_get(value, "delete"));
-        if (put)
-            check_format(sim, put, json_object_get(value, "v"));
-        if (put)
-            key_put(sim, put, json_object_get(value, "v"),
-                    (uint64_t)json_integer_value(json_object_get(value, "lashing")));
-        else if (key_find(sim, gone))
-            key_delete(sim, key_find(sim, gone));
-    }
+    apply_changes(sim, changes);
     *out = json_pack("{s:I}", "ledger_rev", (json_int_t)sim->revision);
     return 200;
 }
 
-static int store_lease(struct sim *sim, const char *method, const char *rest, json_t *body,
+static struct sim_lease *grant_lease(struct sim *sim, const json_t *body) {
+    struct sim_lease *lease = NULL;
+    for (int i = 0; i < SIM_LEASES && !lease; i++)
+        if (!sim->leases[i].id)
+            lease = &sim->leases[i];
+    if (!lease)
+        abort();
+    lease->id = ++sim->next_lease;
+    lease->ttl_s = (double)json_integer_value(json_object_get(body, "ttl_ms")) / 1000;
+    lease->expires_at = sim->now + lease->ttl_s;
+    return lease;
+}
+
+/* `rest` is the part of the path behind /leases. */
+static int store_lease(struct sim *sim, const char *method, const char *rest, const json_t *body,
                        json_t **out) {
     if (!*rest) {
-        struct sim_lease *lease = NULL;
-        for (int i = 0; i < SIM_LEASES && !lease; i++)
-            if (!sim->leases[i].id)
-                lease = &sim->leases[i];
-        if (!lease)
-            abort();
-        lease->id = ++sim->next_lease;
-        lease->ttl_s = (double)json_integer_value(json_object_get(body, "ttl_ms")) / 1000;
-        lease->expires_at = sim->now + lease->ttl_s;
+        const struct sim_lease *lease = grant_lease(sim, body);
         *out = json_pack("{s:I}", "lashing", (json_int_t)lease->id);
         return 200;
     }
@@ -189,8 +234,9 @@
 }
 
 static int by_key(const void *a, const void *b) {
-    const struct sim_key *x = *(struct sim_key *const *)a, *y = *(struct sim_key *const *)b;
-    return strcmp(x->key, y->key);
+    const struct sim_key *first = *(struct sim_key *const *)a;
+    const struct sim_key *second = *(struct sim_key *const *)b;
+    return strcmp(first->key, second->key);
 }
 
 /* A node that stands for the version before sees nothing that it wouldn't ask for. */
@@ -224,26 +270,32 @@
                      (json_int_t)sim->revision);
 }
 
+/* The position of the first change after the revision; changes come in the order of revisions. */
+static size_t first_change_after(const struct sim *sim, json_int_t revision) {
+    size_t first = json_array_size(sim->change_log);
+    while (first > 0) {
+        const json_t *change = json_array_get(sim->change_log, first - 1);
+        if (json_integer_value(json_object_get(change, "key_rev")) <= revision)
+            break;
+        first--;
+    }
+    return first;
+}
+
 json_t *sim_store_changes(struct sim *sim, const char *target) {
     char prefix[256], from[32];
-    json_t *log = json_array(), *e;
-    size_t i;
+    json_t *changes = json_array();
     sim_query_parameter(target, "prefix=", prefix, sizeof prefix);
     sim_query_parameter(target, "from=", from, sizeof from);
-    json_int_t since = (json_int_t)strtoll(from, NULL, 10);
-    /* The changes come in the order of their revisions. */
-    size_t first = json_array_size(sim->change_log);
-    while (first > 0 && json_integer_value(json_object_get(
-                            json_array_get(sim->change_log, first - 1), "key_rev")) > since)
-        first--;
-    for (i = first; i < json_array_size(sim->change_log); i++) {
-        e = json_array_get(sim->change_log, i);
-        const char *key = json_string_value(json_object_get(e, "write"));
-        key = key ? key : json_string_value(json_object_get(e, "delete"));
-        if (strncmp(key, prefix, strlen(prefix)) == 0)
-            json_array_append(log, e);
+    size_t first = first_change_after(sim, (json_int_t)strtoll(from, NULL, 10));
+    for (size_t i = first; i < json_array_size(sim->change_log); i++) {
+        json_t *change = json_array_get(sim->change_log, i);
+        const char *key = json_string_value(json_object_get(change, "write"));
+        key = key ? key : json_string_value(json_object_get(change, "delete"));
+        if (has_prefix(key, prefix))
+            json_array_append(changes, change);
     }
-    return json_pack("{s:I,s:o}", "ledger_rev", (json_int_t)sim->revision, "log", log);
+    return json_pack("{s:I,s:o}", "ledger_rev", (json_int_t)sim->revision, "log", changes);
 }
 
 bool sim_store_is_refusing(const struct sim *sim, int node) {
--- a/tests/simulation/world.c
+++ b/tests/simulation/world.c
@@ -53,6 +53,28 @@
     return sim_new_sized(seed, faults, breakage, n_nodes, &small);
 }
 
+/* Writes the settings file of a node, and reads it. */
+static void set_up_node(struct sim *sim, int index) {
+    const struct sim_size *size = &sim->size;
+    struct rp_settings *settings = &sim->settings[index];
+    char *text;
+    char peers[1024] = "";
+    for (int peer = 0; peer < sim->n_nodes; peer++)
+        if (peer != index)
+            sprintf(peers + strlen(peers),
+                    "%s{\"node_name\":\"n%d\",\"location\":\"a\",\"addr\":\"peer%d\"}",
+                    *peers ? "," : "", peer, peer);
+    if (asprintf(&text, settings_text, index, peers, sim->n_nodes, size->heartbeat_s, size->lease_s,
+                 size->cancel_s, size->rps, size->write_rps, sim->announced_limits.write_rps,
+                 size->cloud_rps) < 0 ||
+        rp_settings_parse(settings, text, "settings", stderr))
+        abort();
+    sim->nodes[index].settings = text;
+    rp_settings_complete(settings);
+    settings->tuning.round_period_s = 2;
+    settings->tuning.standby = sim_standby || getenv("RP_SIM_STANDBY");
+}
+
 static struct sim *create_world(unsigned long seed, const struct sim_faults *faults,
                                 enum sim_breakage breakage, int n_nodes,
                                 const struct sim_size *size, const struct sim_remote *remote) {
@@ -72,22 +94,7 @@
     sim->change_log = json_array();
     sim->provisioned = json_object();
     for (int i = 0; i < sim->n_nodes; i++) {
-        char *text;
-        char peers[1024] = "";
-        for (int p = 0; p < sim->n_nodes; p++)
-            if (p != i)
-                sprintf(peers + strlen(peers),
-                        "%s{\"node_name\":\"n%d\",\"location\":\"a\",\"addr\":\"peer%d\"}",
-                        *peers ? "," : "", p, p);
-        if (asprintf(&text, settings_text, i, peers, sim->n_nodes, size->heartbeat_s, size->lease_s,
-                     size->cancel_s, size->rps, size->write_rps, size->write_rps * 0.75,
-                     size->cloud_rps) < 0 ||
-            rp_settings_parse(&sim->settings[i], text, "settings", stderr))
-            abort();
-        sim->nodes[i].settings = text;
-        rp_settings_complete(&sim->settings[i]);
-        sim->settings[i].tuning.round_period_s = 2;
-        sim->settings[i].tuning.standby = sim_standby || getenv("RP_SIM_STANDBY");
+        set_up_node(sim, i);
         sim_node_start(sim, i);
     }
     return sim;
@@ -109,7 +116,7 @@
 void sim_free(struct sim *sim) {
     sim->nodes[SIM_REMOTE_NODE].alive &= !sim->remote;
     for (int i = 0; i < sim->n_nodes; i++) {
-        sim_crash(sim, i, 1e9);
+        sim_crash(sim, i, SIM_NEVER);
         free(sim->nodes[i].settings);
         rp_settings_free(&sim->settings[i]);
     }
