--- a/tests/simulation/internal.h
+++ b/tests/simulation/internal.h
@@ -131,7 +131,7 @@
 
 /* ---- users.c ---- */
 
-void sim_send_for_user(struct sim *sim, int job, enum sim_user_op op, int node);
+void sim_send_for_user(struct sim *sim, int job, enum sim_user_op operation, int node);
 void sim_user_on_answer(struct sim *sim, const struct sim_event *event);
 void sim_user_step(struct sim *sim, int index);
 
--- a/tests/simulation/network.c
+++ b/tests/simulation/network.c
@@ -364,7 +364,8 @@
 }
 
 static void carry_out(struct sim *sim, struct sim_event *event) {
-    json_t *out = NULL, *body = event->body ? json_loads(event->body, 0, NULL) : NULL;
+    json_t *out = NULL;
+    json_t *body = event->body ? json_loads(event->body, 0, NULL) : NULL;
     int status;
     if (strcmp(event->addr, "state") == 0)
         status = sim_store_request(sim, event, body, &out);
--- a/tests/simulation/rules.c
+++ b/tests/simulation/rules.c
@@ -164,7 +164,8 @@
 
 void sim_check_served(struct sim *sim) {
     /* Two classes, the largest jobs (of SIM_LARGE tasks and more), and the guests. */
-    unsigned asked[4] = {0}, served[4] = {0};
+    unsigned asked[4] = {0};
+    unsigned served[4] = {0};
     for (int i = 0; i < sim->n_jobs; i++) {
         const struct sim_job *job = &sim->jobs[i];
         if (!job->accepted || job->cancel_asked || job->spec.kind == RP_JOB_SERVICE)
--- a/tests/simulation/sim.h
+++ b/tests/simulation/sim.h
@@ -276,12 +276,12 @@
 /* Lets the world go on; stops early when a rule breaks. */
 void sim_run(struct sim *sim, double seconds);
 /* Submits a job at a time; returns its index. Gangs are urgent, but for "ensemble:low". */
-int sim_submit(struct sim *sim, double at, const char *kind, unsigned tasks, double cpus,
+int sim_submit(struct sim *sim, double submit_at, const char *kind, unsigned tasks, double cpus,
                double run_s, double cancel_at);
 /* Another value for a field of a job that is still to be submitted. */
 void sim_set_field(struct sim *sim, int index, const char *field, json_t *value);
 /* An array whose description is longer than the lowered limits let one value be. */
-int sim_submit_long(struct sim *sim, double at, unsigned tasks, double run_s);
+int sim_submit_long(struct sim *sim, double submit_at, unsigned tasks, double run_s);
 /* Users call off so many jobs that run, at once; with `hang_s`, some of their machines hang. */
 void sim_cancel_running(struct sim *sim, int count, double hang_s);
 bool sim_all_terminal(const struct sim *sim);
--- a/tests/simulation/store.c
+++ b/tests/simulation/store.c
@@ -114,7 +114,9 @@
 /* 200, or the status with which the transaction is refused for its size or the rate. */
 static int check_limits(struct sim *sim, json_t *changes) {
     json_t *change;
-    size_t i, n_changes = json_array_size(changes), largest = 0;
+    size_t i;
+    size_t n_changes = json_array_size(changes);
+    size_t largest = 0;
     json_array_foreach(changes, i, change) {
         const json_t *value = json_object_get(change, "v");
         size_t size = value ? rp_record_size(value) : 0;
@@ -134,7 +136,8 @@
 
 /* The keys whose revision isn't the one that the transaction asks for. */
 static json_t *failed_conditions(struct sim *sim, const json_t *conditions) {
-    json_t *failed = json_array(), *condition;
+    json_t *failed = json_array();
+    json_t *condition;
     size_t i;
     json_array_foreach(conditions, i, condition) {
         const char *path = json_string_value(json_object_get(condition, "path"));
@@ -248,7 +251,9 @@
 
 static json_t *store_list(struct sim *sim, int node, const char *target) {
     struct sim_key *found[SIM_KEYS] = {NULL};
-    char prefix[256], from[256], limit[32];
+    char prefix[256];
+    char from[256];
+    char limit[32];
     int n = 0;
     json_t *rows = json_array();
     sim_query_parameter(target, "prefix=", prefix, sizeof prefix);
@@ -283,7 +288,8 @@
 }
 
 json_t *sim_store_changes(struct sim *sim, const char *target) {
-    char prefix[256], from[32];
+    char prefix[256];
+    char from[32];
     json_t *changes = json_array();
     sim_query_parameter(target, "prefix=", prefix, sizeof prefix);
     sim_query_parameter(target, "from=", from, sizeof from);
--- a/tests/simulation/tasks.c
+++ b/tests/simulation/tasks.c
@@ -35,7 +35,8 @@
 static bool has_capacity(const struct sim *sim, const struct sim_worker *worker,
                          const struct rp_job_spec *spec) {
     const struct sim_machine_type *type = &sim_types[worker->type];
-    double cpus = 0, memory_gb = 0;
+    double cpus = 0;
+    double memory_gb = 0;
     for (int i = 0; i < worker->n_tasks; i++) {
         const struct sim_task *task = &worker->tasks[i];
         if (task->state == RP_TASK_EXITED)
--- a/tests/simulation/test_meetings.c
+++ b/tests/simulation/test_meetings.c
@@ -74,7 +74,8 @@
 static void refused_then_out(unsigned long seed, const struct sim_size *size, double refused_s,
                              double outage_after, double outage_s, double cancel_after) {
     struct sim *sim = sim_new_sized(seed, &none, SIM_SOUND, 3, size);
-    int confirmed = 0, running = 0;
+    int confirmed = 0;
+    int running = 0;
     for (int i = 0; i < 5; i++)
         sim_submit(sim, 1, "sweep", 12, 1, 150, 0);
     run(sim, 45);
@@ -454,7 +455,8 @@
         run(sim, 60);
         crash_leader(sim, 3);
         run(sim, 70);
-        int over = 0, cancelled = 0;
+        int over = 0;
+        int cancelled = 0;
         for (int i = 0; i < sim->n_jobs; i++) {
             over += sim->jobs[i].told_done || sim->jobs[i].told_cancelled;
             cancelled += sim->jobs[i].told_cancelled;
@@ -468,7 +470,9 @@
 /* Cancellations, questions and repeated submissions meet the end of the last task. */
 static void ends_meet_requests(void **state) {
     static const struct sim_faults troubled = {.crash_s = 30, .delayed_write = 0.05};
-    unsigned long met = 0, done = 0, cancelled = 0;
+    unsigned long met = 0;
+    unsigned long done = 0;
+    unsigned long cancelled = 0;
     (void)state;
     for (unsigned long seed = 310; seed < 318; seed++) {
         struct sim *sim = sim_new(seed, seed % 2 ? &none : &troubled, SIM_SOUND, 3);
@@ -518,7 +522,8 @@
                                              .store_outage_s = 40,
                                              .store_refusal_s = 40,
                                              .delayed_write = 0.03};
-    unsigned long answered = 0, asked = 0;
+    unsigned long answered = 0;
+    unsigned long asked = 0;
     (void)state;
     for (unsigned long seed = 330; seed < 336; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
@@ -715,7 +720,8 @@
                                              .pause_s = 25,
                                              .crash_s = 25,
                                              .fast_restart_s = 30};
-    unsigned long kept = 0, leaders = 0;
+    unsigned long kept = 0;
+    unsigned long leaders = 0;
     (void)state;
     for (unsigned long seed = 500; seed < 510; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
--- a/tests/simulation/test_sim.c
+++ b/tests/simulation/test_sim.c
@@ -306,7 +306,8 @@
     static const struct sim_faults none = {0};
     struct sim *sim = sim_new(10, &none, SIM_SOUND, 5);
     uint64_t sessions[SIM_WORKERS] = {0};
-    int kept = 0, all = 0;
+    int kept = 0;
+    int all = 0;
     (void)state;
     for (int i = 0; i < 6; i++)
         sim_submit(sim, 1, "sweep", 30, 1, 60, 0);
@@ -336,7 +337,8 @@
 static void leases_outlive(int nodes, unsigned long first, int days,
                            void (*trouble)(struct sim *sim)) {
     static const struct sim_faults none = {0};
-    int kept = 0, all = 0;
+    int kept = 0;
+    int all = 0;
     for (unsigned long seed = first; seed < first + (unsigned long)days; seed++) {
         struct sim *sim = sim_new(seed, &none, SIM_SOUND, nodes);
         for (int i = 0; i < sim->n_nodes; i++)
@@ -467,7 +469,8 @@
 static void takeover_keeps_images(void **state) {
     static const struct sim_faults none = {0};
     struct sim *sim = sim_new(16, &none, SIM_SOUND, 3);
-    size_t with_image = 0, still = 0;
+    size_t with_image = 0;
+    size_t still = 0;
     (void)state;
     sim_submit(sim, 1, "sweep", 40, 1, 8, 0);
     sim_submit(sim, 22, "service", 2, 1, 0, 100);
@@ -673,13 +676,15 @@
 static void questions_starve_nothing(void **state) {
     static const struct sim_faults none = {0};
     struct sim *sim = sim_new(60, &none, SIM_SOUND, 3);
-    int late = 0, cancelled = 0;
+    int late = 0;
+    int cancelled = 0;
     (void)state;
     sim->has_eager_users = true;
     for (int i = 0; i < 100; i++)
         sim_submit(sim, 1 + i, "sweep", 2, 1, 6, i % 4 ? 0 : 11 + i);
     sim_run(sim, 40);
-    unsigned long polls = sim->n_polls, reads = sim->n_state_reads + sim->n_comparisons;
+    unsigned long polls = sim->n_polls;
+    unsigned long reads = sim->n_state_reads + sim->n_comparisons;
     sim_run(sim, 60);
     polls = sim->n_polls - polls;
     reads = sim->n_state_reads + sim->n_comparisons - reads;
@@ -709,7 +714,8 @@
     sim_run(sim, 40);
     sim->has_eager_users = true;
     sim_run(sim, 5);
-    unsigned long polls = sim->n_polls, known = sim->n_polls_known;
+    unsigned long polls = sim->n_polls;
+    unsigned long known = sim->n_polls_known;
     unsigned long requests = sim->n_state_reads + sim->n_comparisons;
     sim_run(sim, 40);
     polls = sim->n_polls - polls;
@@ -731,7 +737,8 @@
     (void)state;
     for (unsigned long seed = 50; seed < 53; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
-        int begun = 0, swarm = 0;
+        int begun = 0;
+        int swarm = 0;
         for (int i = 0; i < 30; i++)
             sim_submit(sim, 1 + i * 4, i % 6 ? "sweep" : "ensemble", i % 6 ? 20 : 3, i % 6 ? 1 : 4,
                        12, 0);
@@ -761,7 +768,8 @@
 static void bad_machines_are_found(void **state) {
     static const struct sim_faults none = {0};
     struct sim *sim = sim_new(19, &none, SIM_SOUND, 3);
-    int bad = 0, left = 0;
+    int bad = 0;
+    int left = 0;
     (void)state;
     for (int i = 0; i < 12; i++)
         sim_submit(sim, 1 + i * 4, "sweep", 20, 1, 8, 0);
@@ -822,7 +830,8 @@
 static void cut_zone(bool takeover) {
     static const struct sim_faults none = {0};
     struct sim *sim = sim_new(14, &none, SIM_SOUND, 3);
-    int in_zone = 0, before = 0;
+    int in_zone = 0;
+    int before = 0;
     for (int i = 0; i < sim->n_nodes; i++)
         sim->settings[i].teams[0].cpus_max = 1e6;
     for (int i = 0; i < 40; i++)
@@ -900,8 +909,9 @@
     (void)state;
     struct sim *sim = large_fleet(31, 10);
     const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
-    unsigned long reads = sim->n_state_reads, polls = sim->n_polls,
-                  looks = node->scheduler.n_probes;
+    unsigned long reads = sim->n_state_reads;
+    unsigned long polls = sim->n_polls;
+    unsigned long looks = node->scheduler.n_probes;
     unsigned long rounds = node->scheduler.n_cycles;
     sim_run(sim, 8);
     for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
@@ -925,9 +935,12 @@
 static void large_fleet_takeover(void **state) {
     (void)state;
     struct sim *sim = large_fleet(32, 150);
-    int leader = sim_leader(sim), sessions = kept_sessions(sim), rented = sim->next_machine;
+    int leader = sim_leader(sim);
+    int sessions = kept_sessions(sim);
+    int rented = sim->next_machine;
     int before = machines_in(sim, RP_MACHINE_UP);
-    unsigned long lists = sim->n_state_lists, rows = sim->n_rows_read;
+    unsigned long lists = sim->n_state_lists;
+    unsigned long rows = sim->n_rows_read;
     sim_crash(sim, leader, 0.2); /* back within a split second */
     sim_run(sim, 8);
     assert_true(sim_leader(sim) >= 0);
@@ -952,7 +965,9 @@
 static void large_fleet_frozen_leader(void **state) {
     (void)state;
     struct sim *sim = large_fleet(33, 150);
-    int leader = sim_leader(sim), sessions = kept_sessions(sim), rented = sim->next_machine;
+    int leader = sim_leader(sim);
+    int sessions = kept_sessions(sim);
+    int rented = sim->next_machine;
     sim->nodes[leader].paused_until = sim->now + 24;
     sim_run(sim, 23);
     assert_true(sim_leader(sim) >= 0);
@@ -969,7 +984,9 @@
 static void large_fleet_mass_loss(void **state) {
     (void)state;
     struct sim *sim = large_fleet(34, 150);
-    int rented = sim->next_machine, hung = 0, kept = 0;
+    int rented = sim->next_machine;
+    int hung = 0;
+    int kept = 0;
     for (int i = 0; i < sim->size.workers; i++) {
         struct sim_worker *worker = &sim->workers[i];
         if (!worker->used || !worker->up)
@@ -1009,7 +1026,9 @@
     sim_run(sim, 60);
     assert_string_equal(sim->violation, "");
     assert_true(machines_in(sim, RP_MACHINE_UP) >= 3950);
-    int leader = sim_leader(sim), sessions = kept_sessions(sim), rented = sim->next_machine;
+    int leader = sim_leader(sim);
+    int sessions = kept_sessions(sim);
+    int rented = sim->next_machine;
     assert_int_equal(sim->nodes[leader].node->scheduler.n_over_bounds, 0);
     sim_crash(sim, leader, 60);
     sim_run(sim, 24);
--- a/tests/simulation/test_standby.c
+++ b/tests/simulation/test_standby.c
@@ -179,7 +179,9 @@
     (void)state;
     for (unsigned long seed = 60; seed < 64; seed++) {
         struct sim *sim = busy_world(seed, 5);
-        int leader = sim_leader(sim), claims = 0, holders = 0;
+        int leader = sim_leader(sim);
+        int claims = 0;
+        int holders = 0;
         for (int i = 0; i < sim->n_nodes; i++)
             claims += i != leader && rp_election_fence_leader(&sim->nodes[i].node->election);
         assert_true(claims >= 2);
@@ -202,7 +204,8 @@
     for (unsigned long seed = 70; seed < 78; seed++) {
         struct sim *sim = busy_world(seed, 3);
         enum rp_election_state stage = stages[seed % 4];
-        int leader = sim_leader(sim), ended = -1;
+        int leader = sim_leader(sim);
+        int ended = -1;
         sim->nodes[leader].paused_until = sim->now + 4 + (double)(seed % 3) * 3;
         for (int i = 0; i < 400 && ended < 0; i++) {
             run(sim, 0.02);
@@ -231,8 +234,8 @@
     }
 }
 
-static void submit_for_guests(struct sim *sim, double at, unsigned tasks, double run_s) {
-    sim_set_field(sim, sim_submit(sim, at, "sweep", tasks, 1, run_s, 0), "crew",
+static void submit_for_guests(struct sim *sim, double submit_at, unsigned tasks, double run_s) {
+    sim_set_field(sim, sim_submit(sim, submit_at, "sweep", tasks, 1, run_s, 0), "crew",
                   json_string("guests"));
 }
 
@@ -271,7 +274,8 @@
     sim_submit(sim, 1, "sweep", 40, 1, 70, 0);
     sim_submit(sim, 1, "sweep", 20, 1, 70, 0);
     run(sim, 25 + 0.37 * (double)(seed % 8));
-    int leader = sim_leader(sim), behind = 0;
+    int leader = sim_leader(sim);
+    int behind = 0;
     assert_true(leader >= 0);
     for (int i = 0; i < sim->size.workers; i++)
         behind += sim->workers[i].used && sim->workers[i].zone == 0 && sim->workers[i].n_tasks > 0;
--- a/tests/simulation/test_upgrade.c
+++ b/tests/simulation/test_upgrade.c
@@ -30,7 +30,8 @@
 }
 
 static double up_share(const struct sim *sim) {
-    double up = 0, down = 0;
+    double up = 0;
+    double down = 0;
     for (int i = 0; i < sim->n_jobs; i++) {
         up += sim->jobs[i].up_s;
         down += sim->jobs[i].down_s;
@@ -198,7 +199,8 @@
     static int was = -1; /* -1 nobody, 0 new, 1 old */
     for (double end = sim->now + seconds; sim->now < end && !sim->violation[0];) {
         sim_run(sim, 0.1);
-        int leader = sim_leader(sim), is = leader < 0 ? -1 : sim->nodes[leader].is_old_version;
+        int leader = sim_leader(sim);
+        int is = leader < 0 ? -1 : sim->nodes[leader].is_old_version;
         old_after_new += was == 0 && is == 1;
         new_after_old += was == 1 && is == 0;
         was = is < 0 ? was : is;
@@ -336,7 +338,9 @@
         "\"payload\":\"img\",\"image_gb\":1.0,\"frames\":[\"none-such\"],\"one_zone\":false,"
         "\"spread\":false,\"loaners\":true,\"run_guess_s\":10.0,\"brace_every_s\":0.0,"
         "\"brace_s\":0.0},\"at\":1790000000.5}";
-    char hex[2049], text[4096], key[RP_KEY_MAX];
+    char hex[2049];
+    char text[4096];
+    char key[RP_KEY_MAX];
     struct sim *sim = sim_new(46, &none, SIM_SOUND, 3);
     (void)state;
     memset(hex, '5', 2048);
@@ -496,7 +500,8 @@
     struct sim *sim = sim_new(50, &none, SIM_SOUND, 3);
     sim_start_as_old_version(sim);
     for (int i = 0; i < 3; i++) {
-        char key[RP_KEY_MAX], name[8];
+        char key[RP_KEY_MAX];
+        char name[8];
         snprintf(name, sizeof name, "n%d", i);
         rp_key(key, RP_KEY_VERSION, name);
         sim_put_record(sim, key, "{\"f\":2}");
--- a/tests/simulation/users.c
+++ b/tests/simulation/users.c
@@ -6,24 +6,26 @@
 #include <string.h>
 #include "protocol/wire.h"
 
-void sim_send_for_user(struct sim *sim, int job, enum sim_user_op op, int node) {
+void sim_send_for_user(struct sim *sim, int job, enum sim_user_op operation, int node) {
     static const char *const ends[] = {"", "", "/cancel"};
     char target[128];
     if (sim->node_in_partition == node + 1)
         return;
-    snprintf(target, sizeof target, op == USER_SUBMITS ? "/v1/jobs%.0s%.0s" : "/v1/jobs/%s%s",
-             sim->jobs[job].spec.id, ends[op]);
-    sim_node_receive(sim, node,
-                     &(struct sim_call){.method = op == USER_POLLS ? "GET" : "POST",
-                                        .target = target,
-                                        .body = op == USER_SUBMITS ? sim->jobs[job].body : "",
-                                        .answer = EV_USER_ANSWER,
-                                        .index = job,
-                                        .user_op = op});
+    snprintf(target, sizeof target,
+             operation == USER_SUBMITS ? "/v1/jobs%.0s%.0s" : "/v1/jobs/%s%s",
+             sim->jobs[job].spec.id, ends[operation]);
+    sim_node_receive(
+        sim, node,
+        &(struct sim_call){.method = operation == USER_POLLS ? "GET" : "POST",
+                           .target = target,
+                           .body = operation == USER_SUBMITS ? sim->jobs[job].body : "",
+                           .answer = EV_USER_ANSWER,
+                           .index = job,
+                           .user_op = operation});
 }
 
-static void send_to_any_node(struct sim *sim, int job, enum sim_user_op op) {
-    sim_send_for_user(sim, job, op,
+static void send_to_any_node(struct sim *sim, int job, enum sim_user_op operation) {
+    sim_send_for_user(sim, job, operation,
                       (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes));
 }
 
@@ -130,7 +132,8 @@
     bool is_gang = strncmp(kind, "ensemble", strlen("ensemble")) == 0;
     bool is_service = strcmp(kind, "service") == 0;
     bool is_low = !is_gang || strcmp(kind, "ensemble:low") == 0;
-    const char *class_name = is_gang ? "g" : "a", *priority = is_low ? "low" : "urgent";
+    const char *class_name = is_gang ? "g" : "a";
+    const char *priority = is_low ? "low" : "urgent";
     if (is_service) {
         class_name = "s";
         priority = "critical";
@@ -144,17 +147,18 @@
         is_service ? 0.0 : 5.0, "brace_s", 1.0, "due_s");
 }
 
-int sim_submit(struct sim *sim, double at, const char *kind, unsigned tasks, double cpus,
+int sim_submit(struct sim *sim, double submit_at, const char *kind, unsigned tasks, double cpus,
                double run_s, double cancel_at) {
     struct sim_job *job = &sim->jobs[sim->n_jobs];
-    char id[32], why[128];
+    char id[32];
+    char why[128];
     snprintf(id, sizeof id, "j-%06d", sim->n_jobs);
     json_t *body = job_body(id, kind, tasks, cpus, run_s);
     if (!body || !rp_job_codec_read_spec(body, &job->spec, why))
         abort();
     job->used = true;
     job->body = json_dumps(body, JSON_COMPACT);
-    job->submit_at = at;
+    job->submit_at = submit_at;
     job->cancel_at = cancel_at;
     json_decref(body);
     return sim->n_jobs++;
@@ -173,10 +177,11 @@
     json_decref(spec);
 }
 
-int sim_submit_long(struct sim *sim, double at, unsigned tasks, double run_s) {
-    int index = sim_submit(sim, at, "sweep", tasks, 1, run_s, 0);
+int sim_submit_long(struct sim *sim, double submit_at, unsigned tasks, double run_s) {
+    int index = sim_submit(sim, submit_at, "sweep", tasks, 1, run_s, 0);
     struct sim_job *job = &sim->jobs[index];
-    json_t *value = json_loads(job->body, 0, NULL), *types = json_array();
+    json_t *value = json_loads(job->body, 0, NULL);
+    json_t *types = json_array();
     char text[RP_TEXT_MAX];
     memset(text, 1, sizeof text - 1); /* each takes six bytes in JSON */
     text[sizeof text - 1] = '\0';
--- a/tests/simulation/workers.c
+++ b/tests/simulation/workers.c
@@ -20,14 +20,14 @@
 }
 
 static void carry_out(struct sim *sim, struct sim_worker *worker, json_t *command) {
-    const char *op = json_string_value(json_object_get(command, "signal"));
+    const char *signal = json_string_value(json_object_get(command, "signal"));
     const char *name = json_string_value(json_object_get(command, "lift"));
     uint64_t attempt = (uint64_t)json_integer_value(json_object_get(command, "pull"));
     char job[RP_ID_MAX] = "";
     const char *slash = strchr(name, '/');
     memcpy(job, name, (size_t)(slash - name));
     uint32_t index = (uint32_t)strtoul(slash + 1, NULL, 10);
-    if (strcmp(op, "run") == 0) {
+    if (strcmp(signal, "run") == 0) {
         if (sim->breakage != SIM_STARTS_ARE_DROPPED || strcmp(job, sim->jobs[1].spec.id) != 0)
             sim_task_start(sim, worker, job, index, attempt);
         return;
@@ -36,7 +36,7 @@
         struct sim_task *task = &worker->tasks[i];
         if (strcmp(task->job, job) != 0 || task->index != index || task->attempt != attempt)
             continue;
-        if (strcmp(op, "halt") == 0) {
+        if (strcmp(signal, "halt") == 0) {
             sim_task_stop(sim, worker, task, json_number_value(json_object_get(command, "ease_s")));
         } else if (task->state == RP_TASK_EXITED) {
             *task = worker->tasks[--worker->n_tasks];
@@ -46,7 +46,8 @@
 }
 
 static void carry_out_all(struct sim *sim, struct sim_worker *worker, json_t *body) {
-    json_t *list = json_object_get(body, "signals"), *command;
+    json_t *list = json_object_get(body, "signals");
+    json_t *command;
     size_t i;
     json_array_foreach(list, i, command) {
         carry_out(sim, worker, command);
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -13,7 +13,8 @@
 
 static int parse(const char *text, size_t step, enum rp_http_role role,
                  struct rp_http_parser *parser) {
-    size_t len = strlen(text), at = 0;
+    size_t len = strlen(text);
+    size_t at = 0;
     rp_http_parser_init(parser, role, 1000);
     while (at < len && parser->state != RP_HTTP_DONE && parser->state != RP_HTTP_FAILED) {
         size_t n = len - at < step ? len - at : step;
@@ -138,7 +139,8 @@
     gsl_rng_set(rng, 7);
     for (int round = 0; round < 3000; round++) {
         char text[512] = "";
-        struct rp_http_parser a, b;
+        struct rp_http_parser a;
+        struct rp_http_parser b;
         for (int k = 0; k < 12; k++)
             strcat(text, pieces[gsl_rng_uniform_int(rng, sizeof pieces / sizeof pieces[0])]);
         size_t step = 1 + gsl_rng_uniform_int(rng, 9);
@@ -172,8 +174,10 @@
     struct rp_http_server server;
     struct rp_http_limits limits = {3, 1000, 60, 60, 60};
     static const char ask[] = "GET /healthz HTTP/1.1\r\n\r\n";
-    char addr[32], got[64] = "";
-    int fds[4], rc = -1;
+    char addr[32];
+    char got[64] = "";
+    int fds[4];
+    int rc = -1;
     (void)state;
     assert_int_equal(rp_loop_init(&loop, false), 0);
     for (int port = 21000 + (int)getpid() % 20000, i = 0; rc < 0 && i < 100; i++) {
@@ -287,7 +291,8 @@
     struct rp_http_limits limits = {64, 1000, 60, 60, 60};
     struct tally tally = {.loop = &loop};
     char addr[32];
-    int rc = -1, port = 0;
+    int rc = -1;
+    int port = 0;
     (void)state;
     assert_int_equal(rp_loop_init(&loop, false), 0);
     rp_http_client_init(&client, &loop, 2, 8, 1000);
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -92,7 +92,8 @@
  * than the question. */
 static void answers_are_never_older(void **state) {
     struct world world;
-    int early = -1, late = -1;
+    int early = -1;
+    int late = -1;
     (void)state;
     world_open(&world);
     rp_job_lookup_add(&world.lookup, "j-000001", keep_result, &early);
--- a/tests/unit/test_plan.c
+++ b/tests/unit/test_plan.c
@@ -174,8 +174,9 @@
 }
 
 static void portfolio_takes_least_left_then_cheapest(void **state) {
-    struct rp_plan a = {.unplaced_work = 1, .cost = 5}, b = {.unplaced_work = 0, .cost = 9},
-                   c = {.unplaced_work = 0, .cost = 8};
+    struct rp_plan a = {.unplaced_work = 1, .cost = 5};
+    struct rp_plan b = {.unplaced_work = 0, .cost = 9};
+    struct rp_plan c = {.unplaced_work = 0, .cost = 8};
     (void)state;
     assert_true(rp_plan_is_better(&b, &a));
     assert_true(rp_plan_is_better(&c, &b));
@@ -194,7 +195,8 @@
         struct rp_plan_machine machines[12];
         struct rp_plan_group groups[20];
         struct rp_plan_team team[] = {{.cpus_left = gsl_rng_uniform(rng) * 100, .gpus_left = 1e9}};
-        size_t nm = gsl_rng_uniform_int(rng, 13), ng = gsl_rng_uniform_int(rng, 21);
+        size_t nm = gsl_rng_uniform_int(rng, 13);
+        size_t ng = gsl_rng_uniform_int(rng, 21);
         kinds[0].zone = (int)gsl_rng_uniform_int(rng, 2);
         for (size_t i = 0; i < nm; i++) {
             int t = (int)gsl_rng_uniform_int(rng, 2);
@@ -221,8 +223,11 @@
         in.teams = team;
         in.n_teams = 1;
         struct rp_plan plan;
-        double now_used[40] = {0}, used[40] = {0}, team_used = 0;
-        uint32_t placed[20] = {0}, zone_used[20][2] = {{0}};
+        double now_used[40] = {0};
+        double used[40] = {0};
+        double team_used = 0;
+        uint32_t placed[20] = {0};
+        uint32_t zone_used[20][2] = {{0}};
         rp_plan_build(&in, heuristic, &plan);
         assert_false(plan.failed);
         for (size_t i = 0; i < plan.n_placements; i++) {
@@ -305,7 +310,8 @@
     struct rp_plan_group groups[] = {group(2, 8, 50), group(5, 2, 50)};
     struct rp_plan_input in = input(NULL, 0, machines, 3, groups, 2);
     struct rp_plan plan;
-    int gang, other;
+    int gang;
+    int other;
     (void)state;
     groups[0].kind = RP_JOB_GANG;
     groups[0].has_reservation = true;
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -118,7 +118,8 @@
     (void)state;
     for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++) {
         struct rp_settings settings;
-        char text[2048], with[2400];
+        char text[2048];
+        char with[2400];
         snprintf(text, sizeof text, platform, 14.0, 39.0, "56");
         char *at = strstr(text, "\"txn_ops\":8") + strlen("\"txn_ops\":8");
         snprintf(with, sizeof with, "%.*s,\"next\":%s%s", (int)(at - text), text, cases[i].next,
--- a/tests/unit/test_stream.c
+++ b/tests/unit/test_stream.c
@@ -38,7 +38,8 @@
 static void messages_come_back_whole(void **state) {
     (void)state;
     for (unsigned machines = 0; machines <= 5000; machines += 2500) {
-        struct rp_stream_message sent = snapshot_of(machines), got;
+        struct rp_stream_message sent = snapshot_of(machines);
+        struct rp_stream_message got;
         char *text = rp_stream_encode(&sent);
         assert_non_null(text);
         if (machines == 5000) /* compressed: far below its 50 bytes a machine */
@@ -53,8 +54,8 @@
     }
     struct rp_change changes[3] = {change_of(1, false), change_of(2, true), change_of(3, true)};
     changes[2].kind = RP_CHANGE_MACHINE_RELEASING;
-    struct rp_stream_message sent = {.term = 9, .index = 3, .changes = changes, .n_changes = 3},
-                             got;
+    struct rp_stream_message sent = {.term = 9, .index = 3, .changes = changes, .n_changes = 3};
+    struct rp_stream_message got;
     char *text = rp_stream_encode(&sent);
     read_back(text, &got);
     assert_false(got.snapshot);
@@ -108,7 +109,8 @@
 }
 
 static void too_many_changes_are_refused(void **state) {
-    struct rp_stream_message sent = snapshot_of(RP_STREAM_CHANGES_MAX + 1), got;
+    struct rp_stream_message sent = snapshot_of(RP_STREAM_CHANGES_MAX + 1);
+    struct rp_stream_message got;
     struct rp_stream_error error;
     (void)state;
     sent.snapshot = false;
@@ -123,12 +125,14 @@
 static void mutations_do_no_harm(void **state) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     struct rp_machine_directory *directory = calloc(1, sizeof *directory);
-    unsigned long read = 0, refused = 0;
+    unsigned long read = 0;
+    unsigned long refused = 0;
     (void)state;
     assert_non_null(directory);
     gsl_rng_set(rng, 4);
     for (int i = 0; i < MUTATIONS; i++) {
-        struct rp_stream_message sent = snapshot_of(1 + (unsigned)gsl_rng_uniform_int(rng, 5)), got;
+        struct rp_stream_message sent = snapshot_of(1 + (unsigned)gsl_rng_uniform_int(rng, 5));
+        struct rp_stream_message got;
         struct rp_stream_error error;
         sent.snapshot = i % 2;
         char *text = rp_stream_encode(&sent);
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -24,8 +24,8 @@
 
 /* `good` with the value of a field replaced. */
 static bool reads_with(const char *field, const char *value) {
-    json_t *v = json_loads(good, 0, NULL),
-           *x = value ? json_loads(value, JSON_DECODE_ANY, NULL) : NULL;
+    json_t *v = json_loads(good, 0, NULL);
+    json_t *x = value ? json_loads(value, JSON_DECODE_ANY, NULL) : NULL;
     if (value)
         json_object_set_new(v, field, x);
     else
@@ -109,7 +109,8 @@
     gsl_rng_set(rng, 17);
     for (int round = 0; round < 20000; round++) {
         bool job = round % 2;
-        char text[1024], why[128];
+        char text[1024];
+        char why[128];
         struct rp_job_spec spec;
         struct rp_heartbeat heartbeat;
         strcpy(text, job ? good : report);
@@ -149,8 +150,10 @@
 /* A job of 100,000 tasks: every record stays far below the value limit and reads back. */
 static void progress(void **state) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
-    uint8_t bits[RP_CHUNK_BYTES], back[RP_CHUNK_BYTES] = {0};
-    char key[RP_KEY_MAX], job[RP_ID_MAX];
+    uint8_t bits[RP_CHUNK_BYTES];
+    uint8_t back[RP_CHUNK_BYTES] = {0};
+    char key[RP_KEY_MAX];
+    char job[RP_ID_MAX];
     unsigned chunk;
     bool unit;
     (void)state;
@@ -206,7 +209,8 @@
     struct rp_provision_record record;
     const char *names[] = {"vm-000006", "vm-000007"};
     const bool up[] = {true, false};
-    uint8_t bits[RP_CHUNK_BYTES] = {0x0f, 0xa0, 1}, back[RP_CHUNK_BYTES] = {0};
+    uint8_t bits[RP_CHUNK_BYTES] = {0x0f, 0xa0, 1};
+    uint8_t back[RP_CHUNK_BYTES] = {0};
     enum rp_job_phase phase;
     (void)state;
     json_t *value = json_loads(production_job, 0, NULL);
