--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -107,7 +107,7 @@
     rp_timer_cancel(node->loop, &node->recovery_timer);
     rp_cycle_trigger_stop(&node->cycle_trigger);
     if (state != RP_NODE_LEADING)
-        rp_workers_answer_held_heartbeats(&node->workers);
+        rp_workers_answer_pending(&node->workers);
     switch (state) {
     case RP_NODE_FOLLOWING:
         enter_following(node);
@@ -194,7 +194,7 @@
     rp_election_init(&node->election, node->loop, &node->store, settings->node,
                      tuning->leader_ttl_s, tuning->leader_check_s, on_elected, on_leadership_lost,
                      node);
-    node->election.fenced_terms = tuning->standby && !tuning->keep_old_forms;
+    node->election.failover_enabled = tuning->standby && !tuning->keep_old_forms;
     rp_upgrade_init(&node->upgrade, node->loop, &node->store, &node->election, settings,
                     on_format_change, node);
     rp_catalog_source_init(&node->catalog_source, node->loop, &node->cloud, &node->store,
@@ -228,8 +228,8 @@
         return -1;
     rp_workers_init(&node->workers, node->loop, &node->election, &node->cluster, &node->jobs,
                     &node->fleet, settings, &node->metrics, node->net);
-    node->workers.on_capacity_freed = on_capacity_freed;
-    node->workers.arg = node;
+    node->workers.context.on_capacity_freed = on_capacity_freed;
+    node->workers.context.arg = node;
     return rp_standby_init(&node->standby, node->loop, node->net, &node->election, &node->cluster,
                            &node->workers, settings);
 }
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -6,6 +6,7 @@
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/string_copy.h"
+#include "worker/worker_fencing.h"
 
 #define TICK_S 0.1
 #define TICK_MOST_S 0.3 /* a tick counts for no more: this node itself may have stood still */
@@ -197,7 +198,7 @@
     if (answer->status == 0 || standby->state > RP_STANDBY_SUSPECTING)
         return;
     standby->silent_s = 0;
-    rp_election_note_answer(standby->election, true);
+    rp_election_note_leader_answer(standby->election, true);
     if (standby->state == RP_STANDBY_SUSPECTING)
         set_state(standby, RP_STANDBY_FOLLOWING);
     if (read_answer(standby, answer, &message)) {
@@ -293,11 +294,11 @@
     double verdict_s =
         standby->settings->tuning.suspect_after_s + RANK_S * (double)rank_of(standby);
     /* A node that has just begun doesn't know the machines yet: another one does it sooner. */
-    if (standby->directory.term != standby->election->seen_version)
+    if (standby->directory.term != standby->election->leader_key_revision)
         verdict_s += NO_REPLICA_S;
     return standby->silent_s >= verdict_s && others_agree(standby, now) &&
            rp_kv_failing_s(standby->election->store) <= 0 &&
-           rp_ts_since(now, standby->election->leader_seen_at) < LOOK_FRESH_S;
+           rp_ts_since(now, standby->election->leader_key_read_at) < LOOK_FRESH_S;
 }
 
 static void suspect(struct rp_standby *standby, struct timespec now) {
@@ -312,7 +313,7 @@
         standby->heard_by_another = standby->missed_by_another = (struct timespec){0};
         set_state(standby, RP_STANDBY_SUSPECTING);
         /* Reports wait here from now on rather than being sent to it. */
-        rp_election_note_answer(standby->election, false);
+        rp_election_note_leader_answer(standby->election, false);
     }
     ask_peers(standby, now, PEERS_ASK_S);
     if (!may_take_over(standby, now))
@@ -357,7 +358,7 @@
     struct rp_standby *standby = arg;
     struct timespec now = rp_loop_now(standby->loop);
     rp_timer_set(standby->loop, &standby->timer, TICK_S);
-    if (standby->state == RP_STANDBY_OFF && standby->election->fenced_terms)
+    if (standby->state == RP_STANDBY_OFF && standby->election->failover_enabled)
         set_state(standby, RP_STANDBY_FOLLOWING);
     switch (standby->state) {
     case RP_STANDBY_FOLLOWING:
@@ -398,8 +399,8 @@
         if (!machine || !known || !*known->addr || machine->state != RP_MACHINE_UNRECONCILED)
             continue;
         standby->n_fencing++;
-        rp_workers_fence(standby->workers, machine, known->addr, known->incarnation, machine_fenced,
-                         standby);
+        rp_worker_fence(&standby->workers->context, machine, known->addr, known->incarnation,
+                        machine_fenced, standby);
     }
 }
 
@@ -426,7 +427,8 @@
             rp_machine_directory_find(&standby->directory, machine->name);
         if ((known && known->releasing) ||
             rp_tombstones_has(&standby->directory.tombstones, machine->name))
-            rp_fleet_scale_in(standby->workers->fleet, machine, "the leader before gave it back");
+            rp_fleet_scale_in(standby->workers->context.fleet, machine,
+                              "the leader before gave it back");
     }
 }
 
@@ -480,7 +482,7 @@
     set_state(standby, RP_STANDBY_LEADING);
     standby->n_fenced = standby->n_unfenced = 0;
     standby->second_pass = false;
-    standby->workers->direct_left = DIRECT_STARTS_MOST;
+    standby->workers->context.n_direct_array_starts_left = DIRECT_STARTS_MOST;
     return_again(standby);
     rp_timer_set(standby->loop, &standby->fence_timer, FENCE_AFTER_S);
 }
@@ -489,7 +491,7 @@
     rp_change_log_begin(&standby->log, 0);
     rp_timer_cancel(standby->loop, &standby->fence_timer);
     standby->n_to_fence = standby->next_to_fence = 0;
-    standby->workers->direct_left = 0;
+    standby->workers->context.n_direct_array_starts_left = 0;
     standby->leader[0] = '\0';
     standby->silent_s = 0;
     if (standby->state != RP_STANDBY_OFF)
