--- a/src/election/election.c
+++ b/src/election/election.c
@@ -1,344 +1,469 @@
 #include "election/election.h"
 
-#include <stdio.h>
+#include <assert.h>
+#include <inttypes.h>
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
 #include "base/memory.h"
+#include "base/string_copy.h"
 #include "store/records.h"
 
-/* The steady clock may run 0.05% fast against the service's: four times that, and a little for
- * the clock's steps and a turn that ends between the check and the sending. */
-#define DRIFT 0.002
-#define MARGIN_S 0.15
-#define STALE_SLACK_S 2.0 /* beyond the lease's length, after which a leader seen may be gone */
+/* The steady clock may run 0.05% fast against the store's: four times that, and a little for the
+ * clock's steps and for a turn of the event loop that ends between the check and the sending. */
+#define CLOCK_DRIFT 0.002
+#define CLOCK_MARGIN_S 0.15
+/* Beyond the lease's length; a leader whose key was read longer ago may have ended since. */
+#define STALE_SLACK_S 2.0
+/* Beyond the lease's length; a leader silent for longer that still has the key renews its lease. */
 #define SILENT_SLACK_S 0.5
 #define RETRY_S 0.25
-#define TOUCH_S 0.5 /* between renewals: what they are apart is lost when an outage begins */
+/* Between renewals, at most: what the lease has lost since the last one is missing when an outage
+ * of the store begins. */
+#define RENEWAL_PERIOD_S 0.5
+#define RENEWALS_PER_LEASE 8 /* at least, where the lease is short */
 /* The lease's length, at most, in a term that begins because the leader before fell silent: one
  * node is likely down, and where this leader falls silent too, workers have too few nodes left to
  * try. Each waits 4 s for an answer, tries the next node a second later, and is held there for up
  * to 3.7 s (worker/heartbeat_queue.c); by then the next leader has to be known. */
 #define SILENT_TTL_S 7.5
 
-static void tick(void *arg);
+static void on_timer(void *arg);
 
 void rp_election_init(struct rp_election *election, struct rp_loop *loop,
                       struct rp_kv_client *store, const char *node, double ttl_s, double check_s,
                       rp_election_fn on_elected, rp_election_fn on_lost, void *arg) {
-    memset(election, 0, sizeof *election);
-    election->loop = loop;
-    election->store = store;
-    election->node = node;
-    election->ttl_s = election->term_ttl_s = ttl_s;
-    election->check_s = check_s;
-    election->on_elected = on_elected;
-    election->on_lost = on_lost;
-    election->arg = arg;
-    election->timer = (struct rp_timer){.fn = tick, .arg = election};
+    *election = (struct rp_election){.loop = loop,
+                                     .store = store,
+                                     .node = node,
+                                     .ttl_s = ttl_s,
+                                     .term_ttl_s = ttl_s,
+                                     .check_s = check_s,
+                                     .on_elected = on_elected,
+                                     .on_lost = on_lost,
+                                     .arg = arg,
+                                     .timer = {.fn = on_timer, .arg = election}};
 }
 
+/* ---- questions ---- */
+
 struct timespec rp_election_trusted_until(struct timespec sent, double ttl_s) {
-    return rp_ts_after(sent, ttl_s * (1.0 - DRIFT) - MARGIN_S);
+    return rp_ts_after(sent, ttl_s * (1.0 - CLOCK_DRIFT) - CLOCK_MARGIN_S);
 }
 
 bool rp_election_is_valid(const struct rp_election *election, struct timespec now) {
     return election->state == RP_ELECTION_HOLDING_KEY && !rp_ts_reached(now, election->valid_until);
 }
 
-/* Stands still, or has gone. Where the key is still its own when any lease would have ended, it
- * lives, and only this node can't reach it. */
-static bool silent(const struct rp_election *election, struct timespec now) {
+/* Whether the leader stands still or has ended. One that still has the key when any lease would
+ * have ended lives, and only this node can't reach it. */
+static bool is_leader_silent(const struct rp_election *election, struct timespec now) {
     return !rp_ts_zero(election->leader_silent_since) &&
            rp_ts_since(now, election->leader_silent_since) < election->ttl_s + SILENT_SLACK_S;
 }
 
-/* A node that is cut from the state service knows of a leader that may be long gone: workers must
- * not be sent round in circles on such knowledge. */
+/* A node that is cut off from the store knows of a leader that may have ended long ago: workers
+ * must not be sent round in circles on such knowledge. */
+static bool is_leader_known(const struct rp_election *election, struct timespec now) {
+    double age_s = rp_ts_since(now, election->leader_key_read_at);
+    return election->leader[0] && age_s <= election->ttl_s + STALE_SLACK_S;
+}
+
 const char *rp_election_leader(const struct rp_election *election, struct timespec now) {
-    if (election->state == RP_ELECTION_HOLDING_KEY || !election->leader[0] ||
-        silent(election, now) || strcmp(election->leader, election->node) == 0 ||
-        rp_ts_since(now, election->leader_key_read_at) > election->ttl_s + STALE_SLACK_S)
+    bool is_own =
+        election->state == RP_ELECTION_HOLDING_KEY || strcmp(election->leader, election->node) == 0;
+    if (is_own || !is_leader_known(election, now) || is_leader_silent(election, now))
         return NULL;
     return election->leader;
 }
 
-/* A leader that stands still keeps the key until its lease ends: workers that were sent back to it
- * waited there once more, and many lost their lease before they found the next one. */
-void rp_election_note_leader_answer(struct rp_election *election, bool answered) {
-    if (answered)
-        election->leader_silent_since = (struct timespec){0};
-    else if (rp_ts_zero(election->leader_silent_since))
-        election->leader_silent_since = rp_loop_now(election->loop);
-}
-
 void rp_election_guard(const struct rp_election *election, struct rp_kv_txn *txn) {
     rp_kv_txn_if(txn, RP_KEY_LEADER, election->fencing_token);
 }
 
+/* Whether the time has passed for which a key that this node gave up is left to the others. That
+ * holds also while its lease's end, which may be carried out seconds later, hasn't taken this
+ * node's name out of the key yet. */
+static bool is_backoff_over(const struct rp_election *election) {
+    return rp_ts_reached(rp_loop_now(election->loop), election->backoff_until);
+}
+
+/* ---- the state ---- */
+
+/* The changes of state that there are, and what is known when each is made. docs/safety.md,
+ * "Takeovers", has the argument why that is enough. */
+static bool is_transition(enum rp_election_state from, enum rp_election_state to) {
+    switch (from) {
+    case RP_ELECTION_FOLLOWING:
+        switch (to) {
+        case RP_ELECTION_OVERWRITING_KEY:
+            /* The key was read, names another node, and names the lease by which that node, or one
+             * that it fenced, may act. Nothing is known of whether it still does. */
+            return true;
+        case RP_ELECTION_REVOKING_LEASE:
+            /* The key was read and names this node, which doesn't hold it: an earlier process of
+             * this node wrote it when it had fenced a leader, whose lease it names. That leader may
+             * still act. */
+            return true;
+        case RP_ELECTION_ACQUIRING_LEASE:
+            /* The key was read. Either it is free: the lease of whoever held it has ended. Or it
+             * names this node, and no leader that it had fenced: an earlier process, which has
+             * ended, or a claim whose answer was lost. Nobody acts on that claim, so there is no
+             * need to wait for its lease. */
+            return true;
+        default:
+            return false;
+        }
+    case RP_ELECTION_OVERWRITING_KEY:
+        /* To REVOKING_LEASE: the key was written over at a known revision. Every guarded write of
+         * the earlier leader fails from now on, but it may still answer workers.
+         * To FOLLOWING: a conflict, a refusal, or no answer. If it was carried out all the same,
+         * the next read shows this node's name with the lease that is to be ended. */
+        return to == RP_ELECTION_REVOKING_LEASE || to == RP_ELECTION_FOLLOWING;
+    case RP_ELECTION_REVOKING_LEASE:
+        /* To itself: no confirmation came, the end of the lease is asked for again.
+         * To ACQUIRING_LEASE: the store has confirmed that the lease has ended. The earlier leader
+         * can renew nothing more, and what it renewed before ends by fenced_leader_expiry. */
+        return to == RP_ELECTION_REVOKING_LEASE || to == RP_ELECTION_ACQUIRING_LEASE;
+    case RP_ELECTION_ACQUIRING_LEASE:
+        /* To CLAIMING_KEY: a lease of this node's own was granted.
+         * To FOLLOWING: none was, or no answer came; such a lease has no key. */
+        return to == RP_ELECTION_CLAIMING_KEY || to == RP_ELECTION_FOLLOWING;
+    case RP_ELECTION_CLAIMING_KEY:
+        /* To HOLDING_KEY: the key was written with the lease, on the condition of the revision that
+         * the claim began with: nobody else has held it since. Its revision is the fencing token.
+         * To FOLLOWING: another node was faster, or no answer came. */
+        return to == RP_ELECTION_HOLDING_KEY || to == RP_ELECTION_FOLLOWING;
+    case RP_ELECTION_HOLDING_KEY:
+        /* The lease has ended, the key was read and is another's or free, a fence of a later
+         * revision was seen, or this node gives the key up. That its leadership could not be proven
+         * for a while is no reason: rp_election_is_valid stops it from acting meanwhile. */
+        return to == RP_ELECTION_FOLLOWING;
+    }
+    return false;
+}
+
 /* The one place where the election changes its state. */
 static void set_state(struct rp_election *election, enum rp_election_state state) {
-    enum rp_election_state was = election->state;
+    bool was_holding = election->state == RP_ELECTION_HOLDING_KEY;
+    assert(is_transition(election->state, state));
     election->state = state;
-    if (was == RP_ELECTION_HOLDING_KEY && state != RP_ELECTION_HOLDING_KEY) {
-        rp_info("leadership lost, token=%llu", (unsigned long long)election->fencing_token);
+    if (was_holding) {
+        rp_info("leadership lost: term=%" PRIu64, election->fencing_token);
         election->fencing_token = 0;
         rp_log_term(0);
         election->on_lost(election->arg);
-    }
-    if (state == RP_ELECTION_HOLDING_KEY && was != RP_ELECTION_HOLDING_KEY) {
-        snprintf(election->leader, sizeof election->leader, "%s", election->node);
+    } else if (state == RP_ELECTION_HOLDING_KEY) {
+        rp_string_copy(election->leader, sizeof election->leader, election->node);
         rp_log_term(election->fencing_token);
-        rp_info("leadership taken, token=%llu lease=%llu",
-                (unsigned long long)election->fencing_token, (unsigned long long)election->lease);
+        rp_info("leadership taken: term=%" PRIu64 " lease=%" PRIu64, election->fencing_token,
+                election->lease);
         election->on_elected(election->arg);
     }
 }
 
-static void follow_again(struct rp_election *election, double after_s) {
+static void follow(struct rp_election *election, double read_after_s) {
     set_state(election, RP_ELECTION_FOLLOWING);
-    rp_timer_set(election->loop, &election->timer, after_s);
+    rp_timer_set(election->loop, &election->timer, read_after_s);
 }
 
-static void dropped(void *arg, const struct rp_kv_result *result) {
+/* ---- claiming the key ---- */
+
+static void ignore_result(void *arg, const struct rp_kv_result *result) {
     (void)arg;
     (void)result;
 }
 
-static void claimed(void *arg, const struct rp_kv_result *result) {
+static void schedule_renewal(struct rp_election *election) {
+    rp_timer_set(election->loop, &election->timer,
+                 fmin(RENEWAL_PERIOD_S, election->term_ttl_s / RENEWALS_PER_LEASE));
+}
+
+static void on_key_claimed(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
     if (result->outcome == RP_KV_OK) {
         election->fencing_token = rp_kv_result_revision(result);
         election->valid_until =
             rp_election_trusted_until(election->lease_requested_at, election->term_ttl_s);
         set_state(election, RP_ELECTION_HOLDING_KEY);
-        rp_timer_set(election->loop, &election->timer, fmin(TOUCH_S, election->term_ttl_s / 8));
+        schedule_renewal(election);
         return;
     }
-    /* An unanswered claim may still hold: the next look shows our own name, and a holder of our
-     * name that isn't us now is claimed over. */
+    /* Where the claim wasn't answered it may have been carried out: the lease is left to its time,
+     * and the next read shows this node's own name, which is claimed again. */
     if (result->outcome == RP_KV_CONDITION_FAILED)
-        rp_kv_lease_revoke(election->store, election->lease, dropped, NULL);
-    follow_again(election, RETRY_S);
+        rp_kv_lease_revoke(election->store, election->lease, ignore_result, NULL);
+    follow(election, RETRY_S);
 }
 
-/* The key's value for this node's next term. */
+/* The key's value for this node's next term. The lease is named only where other nodes may end it
+ * in a failover. */
 static json_t *own_record(const struct rp_election *election, uint64_t lease) {
     struct rp_leader_record record = {.fenced = election->fenced_lease};
-    snprintf(record.node, sizeof record.node, "%s", election->node);
-    if (lease && election->failover_enabled)
+    rp_string_copy(record.node, sizeof record.node, election->node);
+    if (lease != RP_KV_NO_LEASE && election->failover_enabled)
         record.own = (struct rp_fenced_lease){.lease = lease, .ttl_s = election->term_ttl_s};
     return rp_record_leader(&record);
 }
 
-static void leased(void *arg, const struct rp_kv_result *result) {
+static void on_lease_granted(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
-    if (result->outcome != RP_KV_OK || !rp_kv_result_lease(result)) {
-        follow_again(election, RETRY_S);
+    uint64_t lease = rp_kv_result_lease(result);
+    if (result->outcome != RP_KV_OK || lease == RP_KV_NO_LEASE) {
+        follow(election, RETRY_S);
         return;
     }
-    election->lease = rp_kv_result_lease(result);
+    election->lease = lease;
     struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_kv_txn_if(txn, RP_KEY_LEADER, election->claim_revision);
-    rp_kv_txn_put(txn, RP_KEY_LEADER, own_record(election, election->lease), election->lease);
+    rp_kv_txn_put(txn, RP_KEY_LEADER, own_record(election, lease), lease);
     set_state(election, RP_ELECTION_CLAIMING_KEY);
-    rp_kv_txn_submit(election->store, RP_KV_BUDGET_LEADERSHIP, txn, claimed, election);
+    rp_kv_txn_submit(election->store, RP_KV_BUDGET_LEADERSHIP, txn, on_key_claimed, election);
+}
+
+/* The length of the next term's lease. */
+static double next_term_ttl_s(const struct rp_election *election) {
+    /* Whoever finds this node's key free has waited for its lease, which is then at least as long
+     * as the fenced leader may act. */
+    if (election->fenced_lease.lease != RP_KV_NO_LEASE)
+        return fmax(election->ttl_s, election->fenced_lease.ttl_s);
+    if (!rp_ts_zero(election->leader_silent_since))
+        return fmin(SILENT_TTL_S, election->ttl_s);
+    return election->ttl_s;
 }
 
-static void ask_lease(struct rp_election *election) {
+static void acquire_lease(struct rp_election *election) {
     election->lease_requested_at = rp_loop_now(election->loop);
-    election->term_ttl_s = rp_ts_zero(election->leader_silent_since)
-                               ? election->ttl_s
-                               : fmin(SILENT_TTL_S, election->ttl_s);
-    /* Whoever finds our key gone has waited at least as long as the deposed leader may act. */
-    if (election->fenced_lease.lease)
-        election->term_ttl_s = fmax(election->ttl_s, election->fenced_lease.ttl_s);
+    election->term_ttl_s = next_term_ttl_s(election);
     set_state(election, RP_ELECTION_ACQUIRING_LEASE);
-    rp_kv_lease_grant(election->store, election->term_ttl_s, leased, election);
+    rp_kv_lease_grant(election->store, election->term_ttl_s, on_lease_granted, election);
 }
 
-/* ---- taking over from a leader that may still act ---- */
-
-static void fence(struct rp_election *election);
-
-static void fenced(void *arg, const struct rp_kv_result *result) {
+static void on_fenced_lease_revoked(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
     if (election->state != RP_ELECTION_REVOKING_LEASE)
         return;
-    if (result->outcome != RP_KV_OK && result->outcome != RP_KV_NOT_FOUND) {
-        rp_timer_set(election->loop, &election->timer,
-                     RETRY_S); /* nobody leads before it has ended */
+    bool has_ended = result->outcome == RP_KV_OK || result->outcome == RP_KV_NOT_FOUND;
+    if (!has_ended) {
+        /* Nobody leads before that lease has ended. */
+        rp_timer_set(election->loop, &election->timer, RETRY_S);
         return;
     }
-    /* Whatever renewal it trusts was sent before the lease's end, and that was before now. */
-    election->fenced_leader_expiry = rp_ts_after(
-        rp_loop_now(election->loop), election->fenced_lease.ttl_s * (1.0 + DRIFT) + MARGIN_S);
-    ask_lease(election);
+    /* Whatever renewal the fenced leader trusts was sent before the lease's end, and that was
+     * before now. */
+    election->fenced_leader_expiry =
+        rp_ts_after(rp_loop_now(election->loop),
+                    election->fenced_lease.ttl_s * (1.0 + CLOCK_DRIFT) + CLOCK_MARGIN_S);
+    acquire_lease(election);
 }
 
-static void fence(struct rp_election *election) {
+static void revoke_fenced_lease(struct rp_election *election) {
     set_state(election, RP_ELECTION_REVOKING_LEASE);
-    rp_kv_lease_revoke(election->store, election->fenced_lease.lease, fenced, election);
+    rp_kv_lease_revoke(election->store, election->fenced_lease.lease, on_fenced_lease_revoked,
+                       election);
 }
 
-static void claim(struct rp_election *election, uint64_t over, struct rp_fenced_lease deposed) {
-    election->claim_revision = over;
-    election->fenced_lease = deposed;
+/* Begins a claim of the key as it stands at `revision`. `fenced` is the lease of an earlier leader
+ * that may still act, and has to end first; without one, nobody may. */
+static void claim_key(struct rp_election *election, uint64_t revision,
+                      struct rp_fenced_lease fenced) {
+    election->claim_revision = revision;
+    election->fenced_lease = fenced;
     election->fenced_leader_expiry = (struct timespec){0};
-    if (deposed.lease)
-        fence(election);
+    if (fenced.lease != RP_KV_NO_LEASE)
+        revoke_fenced_lease(election);
     else
-        ask_lease(election);
+        acquire_lease(election);
 }
 
-static void deposed(void *arg, const struct rp_kv_result *result) {
+/* ---- fencing a leader that may still act ---- */
+
+static void on_key_overwritten(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
     if (result->outcome == RP_KV_OK)
-        claim(election, rp_kv_result_revision(result), election->fenced_lease);
+        claim_key(election, rp_kv_result_revision(result), election->fenced_lease);
     else
-        follow_again(election,
-                     RETRY_S); /* carried out all the same, the next look shows our name */
+        follow(election, RETRY_S);
+}
+
+static bool can_fence_leader(const struct rp_election *election) {
+    bool is_key_of_other = election->leader_key_revision != RP_KV_ABSENT &&
+                           strcmp(election->leader_key.node, election->node) != 0;
+    return election->state == RP_ELECTION_FOLLOWING && election->failover_enabled &&
+           is_key_of_other && is_backoff_over(election);
 }
 
 bool rp_election_fence_leader(struct rp_election *election) {
-    const struct rp_leader_record *seen = &election->leader_key;
-    bool possible = election->state == RP_ELECTION_FOLLOWING && election->failover_enabled &&
-                    election->leader_key_revision > 0 && strcmp(seen->node, election->node) != 0 &&
-                    rp_ts_reached(rp_loop_now(election->loop), election->backoff_until);
-    /* A node whose own takeover has stopped halfway holds no lease yet. */
-    election->fenced_lease = seen->own.lease ? seen->own : seen->fenced;
-    if (!possible || !election->fenced_lease.lease)
+    const struct rp_leader_record *leader = &election->leader_key;
+    bool can_fence = can_fence_leader(election);
+    /* A node whose own failover has stopped halfway holds no lease yet. */
+    election->fenced_lease = leader->own.lease != RP_KV_NO_LEASE ? leader->own : leader->fenced;
+    if (!can_fence || election->fenced_lease.lease == RP_KV_NO_LEASE)
         return false;
     rp_timer_cancel(election->loop, &election->timer);
-    rp_info("taking over from %s, key=%llu", seen->node,
-            (unsigned long long)election->leader_key_revision);
+    rp_info("fencing the leader: peer=%s key_revision=%" PRIu64, leader->node,
+            election->leader_key_revision);
     struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_kv_txn_if(txn, RP_KEY_LEADER, election->leader_key_revision);
-    rp_kv_txn_put(txn, RP_KEY_LEADER, own_record(election, 0), RP_KV_NO_LEASE);
+    rp_kv_txn_put(txn, RP_KEY_LEADER, own_record(election, RP_KV_NO_LEASE), RP_KV_NO_LEASE);
     rp_kv_txn_put(txn, RP_KEY_FENCE, rp_record_fence(election->node), RP_KV_NO_LEASE);
     set_state(election, RP_ELECTION_OVERWRITING_KEY);
-    rp_kv_txn_submit(election->store, RP_KV_BUDGET_LEADERSHIP, txn, deposed, election);
+    rp_kv_txn_submit(election->store, RP_KV_BUDGET_LEADERSHIP, txn, on_key_overwritten, election);
     return true;
 }
 
-void rp_election_note_fence(struct rp_election *election, uint64_t version) {
-    if (election->state != RP_ELECTION_HOLDING_KEY || version <= election->fencing_token)
+void rp_election_note_fence(struct rp_election *election, uint64_t revision) {
+    if (election->state != RP_ELECTION_HOLDING_KEY || revision <= election->fencing_token)
         return;
-    rp_info("another node has taken over, fence=%llu", (unsigned long long)version);
-    follow_again(election, 0);
+    rp_info("fenced by another node: fence_revision=%" PRIu64, revision);
+    follow(election, 0);
 }
 
-/* ---- looking who leads ---- */
+/* ---- following ---- */
 
-static void looked(void *arg, const struct rp_kv_result *result) {
-    struct rp_election *election = arg;
+/* A leader that stands still keeps the key until its lease ends: workers that were sent back to it
+ * waited there once more, and many lost their lease before they found the next one. */
+void rp_election_note_leader_answer(struct rp_election *election, bool answered) {
+    if (answered)
+        election->leader_silent_since = (struct timespec){0};
+    else if (rp_ts_zero(election->leader_silent_since))
+        election->leader_silent_since = rp_loop_now(election->loop);
+}
+
+static void note_leader(struct rp_election *election, const struct rp_leader_record *record,
+                        uint64_t revision) {
+    if (strcmp(record->node, election->leader) != 0)
+        election->leader_silent_since = (struct timespec){0}; /* it was another one's silence */
+    rp_string_copy(election->leader, sizeof election->leader, record->node);
+    election->leader_key = *record;
+    election->leader_key_revision = revision;
+}
+
+/* Takes in what was read of the key, and claims it where that is due: then true. */
+static bool read_leader_key(struct rp_election *election, const struct rp_kv_result *result) {
     static const struct rp_fenced_lease none = {0};
     struct rp_leader_record record = {0};
     struct rp_kv_item item;
-    if (election->state != RP_ELECTION_FOLLOWING)
-        return; /* a takeover has begun meanwhile */
-    if (result->outcome == RP_KV_OK)
-        election->leader_key_read_at = rp_loop_now(election->loop);
-    /* A key that was given up is left to the others, also while the end of its lease, which may be
-     * carried out seconds later, hasn't taken our name away yet. */
-    bool may_claim = rp_ts_reached(rp_loop_now(election->loop), election->backoff_until);
+    bool may_claim = is_backoff_over(election);
     if (result->outcome == RP_KV_NOT_FOUND) {
         election->leader[0] = '\0';
-        election->leader_key_revision = 0;
-        if (may_claim) {
-            claim(election, 0, none);
-            return;
-        }
+        election->leader_key_revision = RP_KV_ABSENT;
+        if (may_claim)
+            claim_key(election, RP_KV_ABSENT, none);
+        return may_claim;
     }
-    if (rp_kv_result_item(result, &item)) {
-        bool read = rp_record_leader_read(item.value, &record);
-        if (read && strcmp(record.node, election->node) == 0 && may_claim) {
-            /* Our own name, though we don't hold: an earlier process of this node, which has
-             * ended, or a claim whose answer was lost. Nobody acts on it, so there is no need to
-             * wait for its lease; but a leader that it had deposed may still act. */
-            claim(election, item.revision, record.fenced);
-            return;
-        }
-        if (strcmp(record.node, election->leader) != 0)
-            election->leader_silent_since = (struct timespec){0}; /* another one */
-        snprintf(election->leader, sizeof election->leader, "%.63s", record.node);
-        election->leader_key = record;
-        election->leader_key_revision = item.revision;
+    if (!rp_kv_result_item(result, &item))
+        return false;
+    bool is_readable = rp_record_leader_read(item.value, &record);
+    if (is_readable && strcmp(record.node, election->node) == 0 && may_claim) {
+        claim_key(election, item.revision, record.fenced);
+        return true;
     }
-    rp_timer_set(election->loop, &election->timer,
-                 result->outcome == RP_KV_OK ? election->check_s : RETRY_S);
+    note_leader(election, &record, item.revision);
+    return false;
+}
+
+static void on_leader_key_read(void *arg, const struct rp_kv_result *result) {
+    struct rp_election *election = arg;
+    if (election->state != RP_ELECTION_FOLLOWING)
+        return; /* a failover has begun meanwhile */
+    if (result->outcome == RP_KV_OK)
+        election->leader_key_read_at = rp_loop_now(election->loop);
+    if (!read_leader_key(election, result))
+        rp_timer_set(election->loop, &election->timer,
+                     result->outcome == RP_KV_OK ? election->check_s : RETRY_S);
 }
 
-/* A renewal under way: of this lease, asked for at this moment. */
+/* ---- holding the key ---- */
+
+/* A renewal that was sent. */
 struct renewal {
-    struct rp_election *e;
+    struct rp_election *election;
     uint64_t lease;
-    struct timespec asked;
+    struct timespec sent_at;
 };
 
-static void touched(void *arg, const struct rp_kv_result *result) {
+static void on_lease_renewed(void *arg, const struct rp_kv_result *result) {
     struct renewal renewal = *(struct renewal *)arg;
-    struct rp_election *election = renewal.e;
+    struct rp_election *election = renewal.election;
     free(arg);
     /* The answer to a renewal of an earlier term's lease says nothing of this one's: taken for it,
      * it proved a lease that nobody had renewed, or ended a term that was sound. */
     if (election->state != RP_ELECTION_HOLDING_KEY || renewal.lease != election->lease)
         return;
-    if (result->outcome == RP_KV_NOT_FOUND) {
-        follow_again(election, 0);
-        return;
-    }
-    if (result->outcome == RP_KV_OK) {
+    switch (result->outcome) {
+    case RP_KV_NOT_FOUND:
+        follow(election, 0);
+        break;
+    case RP_KV_OK:
         /* While the lease lives, the key is attached to it and nobody else can have written it:
          * leadership goes on even if it could not be proven for a while. */
-        election->valid_until = rp_election_trusted_until(renewal.asked, election->term_ttl_s);
-        rp_timer_set(election->loop, &election->timer, fmin(TOUCH_S, election->term_ttl_s / 8));
-        return;
+        election->valid_until = rp_election_trusted_until(renewal.sent_at, election->term_ttl_s);
+        schedule_renewal(election);
+        break;
+    default:
+        rp_timer_set(election->loop, &election->timer, RETRY_S);
     }
-    rp_timer_set(election->loop, &election->timer, RETRY_S);
 }
 
-static void renew(struct rp_election *election) {
+static void renew_lease(struct rp_election *election) {
     struct renewal *renewal = rp_alloc(1, sizeof *renewal);
     *renewal = (struct renewal){
-        .e = election, .lease = election->lease, .asked = rp_loop_now(election->loop)};
-    rp_kv_lease_renew(election->store, election->lease, touched, renewal);
+        .election = election, .lease = election->lease, .sent_at = rp_loop_now(election->loop)};
+    rp_kv_lease_renew(election->store, election->lease, on_lease_renewed, renewal);
 }
 
-static void doubted(void *arg, const struct rp_kv_result *result) {
+static void on_own_key_read(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
     struct rp_kv_item item;
     if (election->state != RP_ELECTION_HOLDING_KEY)
         return;
-    if (result->outcome == RP_KV_NOT_FOUND ||
-        (rp_kv_result_item(result, &item) && item.revision != election->fencing_token))
-        follow_again(election, 0);
+    bool is_free = result->outcome == RP_KV_NOT_FOUND;
+    bool is_of_other = rp_kv_result_item(result, &item) && item.revision != election->fencing_token;
+    if (is_free || is_of_other)
+        follow(election, 0);
 }
 
 void rp_election_verify(struct rp_election *election) {
     if (election->state == RP_ELECTION_HOLDING_KEY)
-        rp_kv_get(election->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_LEADER, doubted, election);
+        rp_kv_get(election->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_LEADER, on_own_key_read,
+                  election);
 }
 
-void rp_election_resign(struct rp_election *election, double stand_back_s) {
+void rp_election_resign(struct rp_election *election, double backoff_s) {
+    struct timespec now = rp_loop_now(election->loop);
     if (election->state != RP_ELECTION_HOLDING_KEY)
         return;
-    rp_info("resigning");
-    election->backoff_until = rp_ts_after(rp_loop_now(election->loop), stand_back_s);
-    /* While a leader that was deposed may still act, the key must not be found free. */
-    if (rp_ts_reached(rp_loop_now(election->loop), election->fenced_leader_expiry))
-        rp_kv_lease_revoke(election->store, election->lease, dropped, NULL);
-    follow_again(election, election->check_s);
+    rp_info("resigning leadership: backoff_s=%.1f", backoff_s);
+    election->backoff_until = rp_ts_after(now, backoff_s);
+    /* While a leader that was fenced may still act, the key must not be found free: then it ends
+     * with its lease, which is long enough (next_term_ttl_s). */
+    if (rp_ts_reached(now, election->fenced_leader_expiry))
+        rp_kv_lease_revoke(election->store, election->lease, ignore_result, NULL);
+    follow(election, election->check_s);
 }
 
-static void tick(void *arg) {
+/* ---- the timer ---- */
+
+/* What is to be done next in the present state; in those that need nothing an answer is awaited,
+ * which always comes. */
+static void on_timer(void *arg) {
     struct rp_election *election = arg;
-    if (election->state == RP_ELECTION_HOLDING_KEY) {
-        renew(election);
-    } else if (election->state == RP_ELECTION_REVOKING_LEASE) {
-        fence(election);
-    } else if (election->state == RP_ELECTION_FOLLOWING) {
-        rp_kv_get(election->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_LEADER, looked, election);
+    switch (election->state) {
+    case RP_ELECTION_FOLLOWING:
+        rp_kv_get(election->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_LEADER, on_leader_key_read,
+                  election);
+        break;
+    case RP_ELECTION_REVOKING_LEASE:
+        revoke_fenced_lease(election);
+        break;
+    case RP_ELECTION_HOLDING_KEY:
+        renew_lease(election);
+        break;
+    case RP_ELECTION_OVERWRITING_KEY:
+    case RP_ELECTION_ACQUIRING_LEASE:
+    case RP_ELECTION_CLAIMING_KEY:
+        break;
     }
 }
 
