--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -17,13 +17,13 @@
     rp_record_reader_read_next_parts(&jobs->record_reader);
 }
 
-static void on_loaded(void *arg, bool ok) {
+static void on_loaded(void *arg, bool is_complete) {
     struct rp_jobs *jobs = arg;
-    if (ok) {
+    if (is_complete) {
         rp_timer_set(jobs->context.loop, &jobs->tick_timer, TICK_PERIOD_S);
         rp_job_watch_start(&jobs->watch);
     }
-    jobs->on_loaded(jobs->arg, ok);
+    jobs->on_loaded(jobs->arg, is_complete);
 }
 
 static void on_job_closed(void *arg, struct rp_job *job) {
@@ -46,28 +46,21 @@
 }
 
 static void connect_parts(struct rp_jobs *jobs) {
-    const struct rp_jobs_context *context = &jobs->context;
-    jobs->table.on_job_closed = on_job_closed;
-    jobs->table.arg = jobs;
-    rp_garbage_collector_init(&jobs->garbage_collector, context);
-    rp_record_reader_init(&jobs->record_reader, context, &jobs->table);
+    struct rp_jobs_context *context = &jobs->context;
+    struct rp_job_table *table = &jobs->table;
+    struct rp_garbage_collector *collector = &jobs->garbage_collector;
+    rp_garbage_collector_init(collector, context);
+    rp_record_reader_init(&jobs->record_reader, context, table);
+    rp_job_watch_init(&jobs->watch, context, table, &jobs->record_reader, collector);
+    rp_job_loader_init(&jobs->loader, context, table, &jobs->record_reader, &jobs->watch,
+                       collector);
+    rp_progress_writer_init(&jobs->progress_writer, context, table, collector);
+    rp_job_finisher_init(&jobs->finisher, context, table, collector);
+    table->on_job_closed = on_job_closed;
     jobs->record_reader.on_parts = on_parts;
-    jobs->record_reader.arg = jobs;
-    rp_job_watch_init(&jobs->watch, context, &jobs->table, &jobs->record_reader,
-                      &jobs->garbage_collector);
     jobs->watch.on_jobs_changed = on_jobs_changed;
-    jobs->watch.arg = jobs;
-    jobs->loader = (struct rp_job_loader){.context = &jobs->context,
-                                          .table = &jobs->table,
-                                          .reader = &jobs->record_reader,
-                                          .watch = &jobs->watch,
-                                          .collector = &jobs->garbage_collector,
-                                          .on_loaded = on_loaded,
-                                          .arg = jobs};
-    rp_progress_writer_init(&jobs->progress_writer, context, &jobs->table,
-                            &jobs->garbage_collector);
-    jobs->finisher = (struct rp_job_finisher){
-        .context = context, .table = &jobs->table, .collector = &jobs->garbage_collector};
+    jobs->loader.on_loaded = on_loaded;
+    table->arg = jobs->record_reader.arg = jobs->watch.arg = jobs->loader.arg = jobs;
 }
 
 void rp_jobs_init(struct rp_jobs *jobs, struct rp_loop *loop, struct rp_kv_client *store,
@@ -124,7 +117,8 @@
         return;
     struct timespec now = rp_loop_now(jobs->context.loop);
     bool is_gang = job->spec.kind == RP_JOB_GANG;
-    uint32_t first = is_gang ? 0 : task, end = is_gang ? job->spec.n_tasks : task + 1;
+    uint32_t first = is_gang ? 0 : task;
+    uint32_t end = is_gang ? job->spec.n_tasks : task + 1;
     for (uint32_t i = first; i < end; i++)
         job->n_done += rp_job_progress_mark_done(&job->progress, i, now);
     if (job->n_done == job->spec.n_tasks) {
