--- /dev/null
+++ b/src/api/refusal.h
@@ -0,0 +1,39 @@
+/** @file
+ * Why a submission isn't accepted, and what its user is told. Users' programs may compare the
+ * texts: they stay as they are, and stand here only. */
+#ifndef RP_API_REFUSAL_H
+#define RP_API_REFUSAL_H
+
+#include "api/response_status.h"
+
+/** The size of a codec's text about a malformed submission, with the NUL (protocol/). */
+#define RP_REFUSAL_DETAIL_SIZE 128
+
+/** What every user is told whose request can't be answered now, but may be later. */
+#define RP_TEXT_UNAVAILABLE "not possible just now"
+
+/** Why a submission isn't accepted. */
+enum rp_refusal_reason {
+    RP_REFUSAL_NONE,             /* nothing speaks against it so far */
+    RP_REFUSAL_NO_ID,            /* not a JSON object, or without a valid id */
+    RP_REFUSAL_MALFORMED,        /* a field is missing or wrong: `detail` says which */
+    RP_REFUSAL_UNKNOWN_TEAM,     /* the settings have no such team */
+    RP_REFUSAL_CATALOG_UNKNOWN,  /* the cloud hasn't told the machine types yet */
+    RP_REFUSAL_NO_FITTING_TYPE,  /* a task is larger than every machine type that it allows */
+    RP_REFUSAL_OVER_TEAM_LIMIT,  /* more than the team may ever use at once */
+    RP_REFUSAL_TOO_LARGE,        /* no transaction of the store can hold the description */
+    RP_REFUSAL_FORMAT_NOT_ACTIVE /* it needs a stored format that not every node knows yet */
+};
+
+/** A reason, with the words of the codec where it has some. */
+struct rp_refusal {
+    enum rp_refusal_reason reason;
+    char detail[RP_REFUSAL_DETAIL_SIZE]; /* for RP_REFUSAL_MALFORMED */
+};
+
+/** The status of the response to a refused submission; RP_RESPONSE_OK for RP_REFUSAL_NONE. */
+enum rp_response_status rp_refusal_status(const struct rp_refusal *refusal);
+/** What the user is told; the text lives as long as the refusal. */
+const char *rp_refusal_text(const struct rp_refusal *refusal);
+
+#endif
--- a/src/api/status.h
+++ b/src/api/status.h
@@ -1,6 +1,9 @@
 /** @file
  * What a node tells of itself on its peers' port (`GET /status`), for operators and their tools.
- * The fields are listed in docs/operations.md; names stay as they are. */
+ * docs/operations.md lists the fields; their names are read by the users' tools and stay as they
+ * are, also where the code calls the same thing by another name.
+ *
+ * The module owns nothing: controller/node_requests.c collects the sources for each request. */
 #ifndef RP_API_STATUS_H
 #define RP_API_STATUS_H
 
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -1,11 +1,15 @@
 /** @file
  * The users' interface: submissions, queries and cancellations of jobs. Every node serves it
- * straight from the key-value store, whose reads and conditional writes are linearizable, so no
- * node can give an older answer than another. */
+ * directly from the key-value store, whose reads and conditional writes are linearizable, so no
+ * node can give an older answer than another. The leader learns of jobs from the store, too.
+ *
+ * The module keeps nothing but the requests that are under way. The node routes requests to it
+ * (controller/node_requests.h). */
 #ifndef RP_API_USER_API_H
 #define RP_API_USER_API_H
 
 #include "base/metrics.h"
+#include "base/net.h"
 #include "cloud/catalog_source.h"
 #include "cluster/cluster.h"
 #include "jobs/job_lookup.h"
@@ -22,17 +26,21 @@
     struct rp_job_lookup *job_lookup;
     struct rp_terminal_states *terminal_states;
     struct rp_metrics *metrics;
-    /* Fills in the counts of an open job's tasks, as far as this node knows them, for display. */
+    /** Fills in the counts of an open job's tasks, as far as this node knows them, for display. */
     void (*fill_running_counts)(void *arg, struct rp_job_status *status);
     void *arg;
     unsigned long n_accepted; /* submissions that this node has written */
 };
 
-/** Each answers `req` exactly once, now or later. */
+/** Submits the job in the request's body. Answers `req` exactly once, now or later: 201 once the
+ * job is stored, 200 with its state if it was known before, 400 or 422 if it isn't accepted, 503 if
+ * nothing is certain yet and the same submission should be repeated. */
 void rp_user_api_submit(struct rp_user_api *api, struct rp_request *req);
-/** `id` must be valid (rp_job_codec_is_id). */
+/** Tells the state of a job. Answers `req` exactly once, now or later: 200, 404 or 503. The caller
+ * must have checked `id` by rp_job_codec_is_id. */
 void rp_user_api_query(struct rp_user_api *api, struct rp_request *req, const char *id);
-/** The same. */
+/** Cancels a job. Answers `req` exactly once, now or later: 200 with the terminal state, which is
+ * durable then, 404, or 503 if nothing is certain yet. The caller must have checked `id`. */
 void rp_user_api_cancel(struct rp_user_api *api, struct rp_request *req, const char *id);
 
 #endif
--- a/src/controller/node_requests.c
+++ b/src/controller/node_requests.c
@@ -2,6 +2,7 @@
 
 #include <stdlib.h>
 #include <string.h>
+#include "api/response_status.h"
 #include "api/status.h"
 #include "controller/node.h"
 #include "protocol/wire.h"
@@ -9,13 +10,6 @@
 #define PATH_STATUS "/status"
 #define PATH_CANCEL "/cancel" /* after a job's path */
 
-enum http_status {
-    HTTP_OK = 200,
-    HTTP_NOT_FOUND = 404,
-    HTTP_METHOD_NOT_ALLOWED = 405,
-    HTTP_UNAVAILABLE = 503
-};
-
 static bool is_get(const struct rp_request *req) {
     return strcmp(req->method, "GET") == 0;
 }
@@ -28,25 +22,25 @@
     return strncmp(text, prefix, strlen(prefix)) == 0;
 }
 
-static void refuse(struct rp_request *req, enum http_status status, const char *text) {
+static void refuse(struct rp_request *req, enum rp_response_status status, const char *text) {
     char *body = rp_codec_write_error(text);
     req->respond(req, status, body ? body : "{}", 0);
     free(body);
 }
 
 static void refuse_path(struct rp_request *req) {
-    refuse(req, HTTP_NOT_FOUND, "no such path");
+    refuse(req, RP_RESPONSE_NOT_FOUND, "no such path");
 }
 
 static void refuse_method(struct rp_request *req) {
-    refuse(req, HTTP_METHOD_NOT_ALLOWED, "method not allowed");
+    refuse(req, RP_RESPONSE_METHOD_NOT_ALLOWED, "method not allowed");
 }
 
 /* ---- the peers' port ---- */
 
 /* Answers with `json`, which is freed; NULL: memory was out. */
 static void respond_json(struct rp_request *req, char *json) {
-    req->respond(req, json ? HTTP_OK : HTTP_UNAVAILABLE, json ? json : "{}", 0);
+    req->respond(req, json ? RP_RESPONSE_OK : RP_RESPONSE_UNAVAILABLE, json ? json : "{}", 0);
     free(json);
 }
 
@@ -72,7 +66,7 @@
 }
 
 static void answer_health_check(const struct rp_node *node, struct rp_request *req) {
-    req->respond(req, HTTP_OK,
+    req->respond(req, RP_RESPONSE_OK,
                  rp_peer_health_is_store_answering(&node->peer_health)
                      ? "{\"state_answers\":true,\"version\":\"" RP_VERSION "\"}"
                      : "{\"state_answers\":false,\"version\":\"" RP_VERSION "\"}",
@@ -103,7 +97,8 @@
 
 static void answer_healthz(struct rp_node *node, struct rp_request *req) {
     if (is_get(req))
-        req->respond(req, rp_node_is_healthy(node) ? HTTP_OK : HTTP_UNAVAILABLE, "{}", 0);
+        req->respond(req, rp_node_is_healthy(node) ? RP_RESPONSE_OK : RP_RESPONSE_UNAVAILABLE, "{}",
+                     0);
     else
         refuse_method(req);
 }
@@ -144,7 +139,7 @@
     else if (!is_allowed)
         refuse_method(req);
     else if (!read_job_id(path, id))
-        refuse(req, HTTP_NOT_FOUND, "no such job");
+        refuse(req, RP_RESPONSE_NOT_FOUND, "no such job");
     else if (is_cancel)
         rp_user_api_cancel(&node->api, req, id);
     else
