--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -230,8 +230,9 @@
                     &node->fleet, settings, &node->metrics, node->net);
     node->workers.on_capacity_freed = on_capacity_freed;
     node->workers.arg = node;
-    return rp_standby_init(&node->standby, node->loop, node->net, &node->election, &node->cluster,
-                           &node->workers, settings);
+    rp_standby_init(&node->standby, node->loop, node->net, &node->election, &node->cluster,
+                    &node->workers, settings);
+    return 0;
 }
 
 static void init_scheduling(struct rp_node *node) {
--- a/src/controller/node.h
+++ b/src/controller/node.h
@@ -75,7 +75,7 @@
 };
 
 /** Sets all parts up and starts none; `loop` and `settings` must outlive the node. Returns 0, or -1
- * when memory is out. Whatever it returns, the caller must call rp_node_close. */
+ * when memory is out: the process should end then. */
 int rp_node_init(struct rp_node *node, struct rp_loop *loop, struct rp_net net,
                  const struct rp_settings *settings);
 /** Starts the parts that run from the beginning; the loop does the rest. */
--- a/src/standby/machine_directory.c
+++ b/src/standby/machine_directory.c
@@ -9,8 +9,9 @@
     return (size_t)(rp_hash_string(machine) % RP_DIRECTORY_BUCKETS);
 }
 
-static struct rp_directory_machine **position_of(struct rp_machine_directory *directory,
-                                                 const char *machine) {
+/* Where the pointer to the machine is, or would be. */
+static struct rp_directory_machine **link_of(struct rp_machine_directory *directory,
+                                             const char *machine) {
     struct rp_directory_machine **link = &directory->buckets[bucket_of(machine)];
     while (*link && strcmp((*link)->machine, machine) != 0)
         link = &(*link)->next;
@@ -19,34 +20,43 @@
 
 const struct rp_directory_machine *
 rp_machine_directory_find(const struct rp_machine_directory *directory, const char *machine) {
-    const struct rp_directory_machine *m = directory->buckets[bucket_of(machine)];
-    while (m && strcmp(m->machine, machine) != 0)
-        m = m->next;
-    return m;
+    const struct rp_directory_machine *known = directory->buckets[bucket_of(machine)];
+    while (known && strcmp(known->machine, machine) != 0)
+        known = known->next;
+    return known;
 }
 
 static void put(struct rp_machine_directory *directory, const struct rp_change *change) {
-    struct rp_directory_machine **link = position_of(directory, change->machine);
-    if (!*link) {
-        *link = rp_alloc(1, sizeof **link);
-        rp_string_copy((*link)->machine, sizeof(*link)->machine, change->machine);
+    struct rp_directory_machine **link = link_of(directory, change->machine);
+    struct rp_directory_machine *known = *link;
+    if (!known) {
+        known = *link = rp_alloc(1, sizeof *known);
+        rp_string_copy(known->machine, sizeof known->machine, change->machine);
         directory->n_machines++;
     }
-    (*link)->releasing = change->kind == RP_CHANGE_MACHINE_RELEASING;
-    if ((*link)->releasing)
+    known->releasing = change->kind == RP_CHANGE_MACHINE_RELEASING;
+    if (known->releasing)
         return; /* where it could be reached last stays known */
-    rp_string_copy((*link)->addr, sizeof(*link)->addr, change->addr);
-    (*link)->incarnation = change->incarnation;
+    rp_string_copy(known->addr, sizeof known->addr, change->addr);
+    known->incarnation = change->incarnation;
 }
 
 static void drop(struct rp_machine_directory *directory, const char *machine) {
-    struct rp_directory_machine **link = position_of(directory, machine), *gone = *link;
+    struct rp_directory_machine **link = link_of(directory, machine);
+    struct rp_directory_machine *terminated = *link;
     rp_tombstones_add(&directory->tombstones, machine);
-    if (!gone)
+    if (!terminated)
         return;
-    *link = gone->next;
+    *link = terminated->next;
     directory->n_machines--;
-    free(gone);
+    free(terminated);
+}
+
+static void apply_change(struct rp_machine_directory *directory, const struct rp_change *change) {
+    if (change->kind == RP_CHANGE_MACHINE_TERMINATED)
+        drop(directory, change->machine);
+    else
+        put(directory, change);
 }
 
 void rp_machine_directory_clear(struct rp_machine_directory *directory) {
@@ -69,22 +79,20 @@
                                                      const struct rp_stream_message *message) {
     if (message->term < directory->term)
         return RP_DIRECTORY_OLD_TERM;
-    bool same_term = message->term == directory->term;
-    if (same_term && message->index <= directory->index && directory->index > 0)
+    bool is_same_term = message->term == directory->term;
+    bool is_not_newer = message->index <= directory->index && directory->index > 0;
+    if (is_same_term && is_not_newer)
         return RP_DIRECTORY_APPLIED; /* several questions were under way: known already */
-    uint64_t first = message->index - message->n_changes;
-    size_t known = 0;
+    uint64_t index_before = message->index - message->n_changes;
+    size_t n_known = 0;
     if (message->snapshot)
         rp_machine_directory_clear(directory);
-    else if (!same_term || first > directory->index)
+    else if (!is_same_term || index_before > directory->index)
         return RP_DIRECTORY_GAP;
     else
-        known = (size_t)(directory->index - first);
-    for (size_t i = known; i < message->n_changes; i++)
-        if (message->changes[i].kind == RP_CHANGE_MACHINE_TERMINATED)
-            drop(directory, message->changes[i].machine);
-        else
-            put(directory, &message->changes[i]);
+        n_known = (size_t)(directory->index - index_before);
+    for (size_t i = n_known; i < message->n_changes; i++)
+        apply_change(directory, &message->changes[i]);
     directory->term = message->term;
     directory->index = message->index;
     return RP_DIRECTORY_APPLIED;
--- a/src/standby/stream_message.c
+++ b/src/standby/stream_message.c
@@ -1,14 +1,16 @@
 #include "standby/stream_message.h"
 
 #include <jansson.h>
-#include <math.h>
+#include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 #include <zstd.h>
+#include "base/string_copy.h"
 
-#define COMPRESSION_LEVEL 1 /* the leader's time is dearer than a few KB */
-/* A machine's entry in an unpacked snapshot has at most two texts, each byte of which may take six
- * in JSON, and numbers. */
+/* Of zstd, the fastest: the leader's processor time costs more than a few KB. */
+#define COMPRESSION_LEVEL 1
+/* Bytes of a machine's entry in an unpacked snapshot: two texts at most, each byte of which may
+ * take six in JSON, and numbers. */
 #define ENTRY_BYTES_MAX (2 * 6 * RP_TEXT_MAX + 64)
 
 const char *rp_stream_fault_name(enum rp_stream_fault fault) {
@@ -23,9 +25,30 @@
     message->n_changes = 0;
 }
 
+/* ---- requests ---- */
+
+void rp_stream_request_encode(const struct rp_stream_request *request,
+                              char target[RP_STREAM_TARGET_MAX]) {
+    if (request)
+        snprintf(target, RP_STREAM_TARGET_MAX, RP_PATH_STREAM "?term=%llu&index=%llu",
+                 (unsigned long long)request->term, (unsigned long long)request->index);
+    else
+        rp_string_copy(target, RP_STREAM_TARGET_MAX, RP_PATH_STREAM);
+}
+
+struct rp_stream_request rp_stream_request_decode(const char *target) {
+    const char *query = strchr(target, '?');
+    unsigned long long term = 0;
+    unsigned long long index = 0;
+    /* Numbers out of range are refused by the change log. NOLINTNEXTLINE(cert-err34-c) */
+    if (!query || sscanf(query, "?term=%llu&index=%llu", &term, &index) != 2)
+        return (struct rp_stream_request){.term = 0, .index = 0};
+    return (struct rp_stream_request){.term = term, .index = index};
+}
+
 /* ---- writing ---- */
 
-#define RETURNING "returning" /* in place of an address */
+#define RETURNING "returning" /* on the wire, in place of an address */
 
 /* An array of one to three members: [machine], [machine, "returning"], [machine, addr, session]. */
 static json_t *change_json(const struct rp_change *change) {
@@ -46,29 +69,34 @@
     return list;
 }
 
-static char *hex_of(const unsigned char *bytes, size_t n) {
+static char *hex_encode(const unsigned char *bytes, size_t n) {
     static const char digits[] = "0123456789abcdef";
     char *text = malloc(2 * n + 1);
-    for (size_t i = 0; text && i < n; i++) {
+    if (!text)
+        return NULL;
+    for (size_t i = 0; i < n; i++) {
         text[2 * i] = digits[bytes[i] >> 4];
         text[2 * i + 1] = digits[bytes[i] & 15];
     }
-    if (text)
-        text[2 * n] = '\0';
+    text[2 * n] = '\0';
     return text;
 }
 
-static json_t *pack(json_t *list) {
-    char *text = json_dumps(list, JSON_COMPACT), *hex = NULL;
+/* The list as JSON text, compressed, in hexadecimal digits; NULL when memory or the library fails.
+ */
+static json_t *compress_list(json_t *list) {
+    char *text = json_dumps(list, JSON_COMPACT);
+    char *hex = NULL;
     json_t *packed = NULL;
-    size_t len = text ? strlen(text) : 0, room = ZSTD_compressBound(len);
-    unsigned char *bytes = text ? malloc(room) : NULL;
+    size_t len = text ? strlen(text) : 0;
+    size_t size_max = ZSTD_compressBound(len);
+    unsigned char *bytes = text ? malloc(size_max) : NULL;
     if (!bytes)
         goto out;
-    size_t n = ZSTD_compress(bytes, room, text, len, COMPRESSION_LEVEL);
+    size_t n = ZSTD_compress(bytes, size_max, text, len, COMPRESSION_LEVEL);
     if (ZSTD_isError(n))
         goto out;
-    hex = hex_of(bytes, n);
+    hex = hex_encode(bytes, n);
     packed = hex ? json_string(hex) : NULL;
 out:
     free(hex);
@@ -82,9 +110,9 @@
                               (json_int_t)message->term, "index", (json_int_t)message->index,
                               "leader", message->leader, "silent_s", message->silent_s);
     json_t *list = changes_json(message->changes, message->n_changes);
-    int failed = message->snapshot ? json_object_set_new(value, "snapshot", pack(list))
-                                   : json_object_set(value, "changes", list);
-    char *text = failed ? NULL : json_dumps(value, JSON_COMPACT);
+    int rc = message->snapshot ? json_object_set_new(value, "snapshot", compress_list(list))
+                               : json_object_set(value, "changes", list);
+    char *text = rc != 0 ? NULL : json_dumps(value, JSON_COMPACT);
     json_decref(list);
     json_decref(value);
     return text;
@@ -92,7 +120,7 @@
 
 /* ---- reading ---- */
 
-static bool fail(struct rp_stream_error *error, enum rp_stream_fault fault, const char *field) {
+static bool refuse(struct rp_stream_error *error, enum rp_stream_fault fault, const char *field) {
     *error = (struct rp_stream_error){.fault = fault, .field = field};
     return false;
 }
@@ -101,17 +129,14 @@
                        struct rp_stream_error *error) {
     const json_t *value = json_object_get(object, field);
     if (!json_is_integer(value) || json_integer_value(value) < 0)
-        return fail(error, RP_STREAM_BAD_FIELD, field);
+        return refuse(error, RP_STREAM_BAD_FIELD, field);
     *out = (uint64_t)json_integer_value(value);
     return true;
 }
 
-static bool read_text(const json_t *object, char *out, size_t size) {
-    const char *text = json_string_value(object);
-    if (!text || strlen(text) >= size)
-        return false;
-    strcpy(out, text);
-    return true;
+static bool read_text(const json_t *value, char *out, size_t size) {
+    const char *text = json_string_value(value);
+    return text && rp_string_try_copy(out, size, text);
 }
 
 static bool read_change(const json_t *object, struct rp_change *out,
@@ -121,22 +146,22 @@
     size_t n = json_array_size(object);
     memset(out, 0, sizeof *out);
     if (n < 1 || n > sizeof kinds / sizeof kinds[0])
-        return fail(error, RP_STREAM_BAD_FIELD, "changes");
+        return refuse(error, RP_STREAM_BAD_FIELD, "changes");
     out->kind = kinds[n - 1];
     if (!read_text(json_array_get(object, 0), out->machine, sizeof out->machine) || !*out->machine)
-        return fail(error, RP_STREAM_BAD_FIELD, "machine");
+        return refuse(error, RP_STREAM_BAD_FIELD, "machine");
     if (out->kind == RP_CHANGE_MACHINE_TERMINATED)
         return true;
     if (out->kind == RP_CHANGE_MACHINE_RELEASING) {
         const char *word = json_string_value(json_array_get(object, 1));
         return (word && strcmp(word, RETURNING) == 0) ||
-               fail(error, RP_STREAM_BAD_FIELD, "returning");
+               refuse(error, RP_STREAM_BAD_FIELD, "returning");
     }
     if (!read_text(json_array_get(object, 1), out->addr, sizeof out->addr) || !*out->addr)
-        return fail(error, RP_STREAM_BAD_FIELD, "addr");
+        return refuse(error, RP_STREAM_BAD_FIELD, "addr");
     const json_t *session = json_array_get(object, 2);
     if (!json_is_integer(session) || json_integer_value(session) < 1)
-        return fail(error, RP_STREAM_BAD_FIELD, "session");
+        return refuse(error, RP_STREAM_BAD_FIELD, "session");
     out->incarnation = (uint64_t)json_integer_value(session);
     return true;
 }
@@ -144,12 +169,12 @@
 static bool read_changes(const json_t *list, size_t most, struct rp_stream_message *out,
                          struct rp_stream_error *error) {
     if (!json_is_array(list))
-        return fail(error, RP_STREAM_BAD_FIELD, "changes");
+        return refuse(error, RP_STREAM_BAD_FIELD, "changes");
     if (json_array_size(list) > most)
-        return fail(error, RP_STREAM_TOO_LARGE, "changes");
+        return refuse(error, RP_STREAM_TOO_LARGE, "changes");
     out->changes = calloc(json_array_size(list) + 1, sizeof *out->changes);
     if (!out->changes)
-        return fail(error, RP_STREAM_TOO_LARGE, "changes");
+        return refuse(error, RP_STREAM_TOO_LARGE, "changes");
     for (size_t i = 0; i < json_array_size(list); i++) {
         if (!read_change(json_array_get(list, i), &out->changes[i], error)) {
             rp_stream_message_free(out);
@@ -160,17 +185,21 @@
     return true;
 }
 
-static int hex_digit(char c) {
-    if (c >= '0' && c <= '9')
-        return c - '0';
-    return c >= 'a' && c <= 'f' ? c - 'a' + 10 : -1;
+#define NO_DIGIT (-1)
+
+static int hex_digit(char digit) {
+    if (digit >= '0' && digit <= '9')
+        return digit - '0';
+    return digit >= 'a' && digit <= 'f' ? digit - 'a' + 10 : NO_DIGIT;
 }
 
-static unsigned char *bytes_of(const char *hex, size_t n) {
+/* The bytes that the 2 * n digits mean, which the caller frees; NULL when one is none. */
+static unsigned char *hex_decode(const char *hex, size_t n) {
     unsigned char *bytes = malloc(n + 1);
     for (size_t i = 0; bytes && i < n; i++) {
-        int high = hex_digit(hex[2 * i]), low = hex_digit(hex[2 * i + 1]);
-        if (high < 0 || low < 0) {
+        int high = hex_digit(hex[2 * i]);
+        int low = hex_digit(hex[2 * i + 1]);
+        if (high == NO_DIGIT || low == NO_DIGIT) {
             free(bytes);
             return NULL;
         }
@@ -179,23 +208,28 @@
     return bytes;
 }
 
+/* The length of the text that was compressed; 0 when it can't be told or no snapshot is so long. */
+static size_t text_len(const unsigned char *bytes, size_t n) {
+    const unsigned long long len_max = (unsigned long long)RP_STREAM_MACHINES_MAX * ENTRY_BYTES_MAX;
+    unsigned long long len = ZSTD_getFrameContentSize(bytes, n);
+    bool is_known = len != ZSTD_CONTENTSIZE_ERROR && len != ZSTD_CONTENTSIZE_UNKNOWN;
+    return is_known && len <= len_max ? (size_t)len : 0;
+}
+
 /* The list in a snapshot, or NULL. The bound on its length is checked before memory is taken. */
-static json_t *unpack(const json_t *packed) {
+static json_t *decompress_list(const json_t *packed) {
     const char *hex = json_string_value(packed);
     size_t n = hex ? strlen(hex) / 2 : 0;
-    unsigned char *bytes = n > 0 ? bytes_of(hex, n) : NULL;
+    unsigned char *bytes = n > 0 ? hex_decode(hex, n) : NULL;
     char *text = NULL;
     json_t *list = NULL;
     if (!bytes)
         return NULL;
-    unsigned long long len = ZSTD_getFrameContentSize(bytes, n);
-    if (len == ZSTD_CONTENTSIZE_ERROR || len == ZSTD_CONTENTSIZE_UNKNOWN ||
-        len > (unsigned long long)RP_STREAM_MACHINES_MAX * ENTRY_BYTES_MAX)
-        goto out;
-    text = malloc((size_t)len + 1);
-    if (!text || ZSTD_decompress(text, (size_t)len, bytes, n) != len)
+    size_t len = text_len(bytes, n);
+    text = len > 0 ? malloc(len) : NULL;
+    if (!text || ZSTD_decompress(text, len, bytes, n) != len)
         goto out;
-    list = json_loadb(text, (size_t)len, 0, NULL);
+    list = json_loadb(text, len, 0, NULL);
 out:
     free(text);
     free(bytes);
@@ -204,9 +238,9 @@
 
 static bool read_snapshot(const json_t *packed, struct rp_stream_message *out,
                           struct rp_stream_error *error) {
-    json_t *list = unpack(packed);
+    json_t *list = decompress_list(packed);
     if (!list)
-        return fail(error, RP_STREAM_BAD_COMPRESSION, "snapshot");
+        return refuse(error, RP_STREAM_BAD_COMPRESSION, "snapshot");
     out->snapshot = true;
     bool read = read_changes(list, RP_STREAM_MACHINES_MAX, out, error);
     json_decref(list);
@@ -218,19 +252,19 @@
     const json_t *silent = json_object_get(value, "silent_s");
     uint64_t version;
     if (!json_is_object(value))
-        return fail(error, RP_STREAM_NOT_JSON, "");
+        return refuse(error, RP_STREAM_NOT_JSON, "");
     if (!read_count(value, "v", &version, error))
         return false;
     if (version != RP_STREAM_VERSION)
-        return fail(error, RP_STREAM_OTHER_VERSION, "v");
+        return refuse(error, RP_STREAM_OTHER_VERSION, "v");
     if (!read_count(value, "term", &out->term, error) ||
         !read_count(value, "index", &out->index, error))
         return false;
     if (!read_text(json_object_get(value, "leader"), out->leader, sizeof out->leader))
-        return fail(error, RP_STREAM_BAD_FIELD, "leader");
+        return refuse(error, RP_STREAM_BAD_FIELD, "leader");
     out->silent_s = json_number_value(silent);
     if (!json_is_number(silent) || !(out->silent_s >= 0))
-        return fail(error, RP_STREAM_BAD_FIELD, "silent_s");
+        return refuse(error, RP_STREAM_BAD_FIELD, "silent_s");
     const json_t *snapshot = json_object_get(value, "snapshot");
     if (snapshot)
         return read_snapshot(snapshot, out, error);
@@ -239,7 +273,7 @@
     if (out->n_changes <= out->index)
         return true;
     rp_stream_message_free(out);
-    return fail(error, RP_STREAM_BAD_FIELD, "index");
+    return refuse(error, RP_STREAM_BAD_FIELD, "index");
 }
 
 bool rp_stream_decode(const char *text, size_t len, struct rp_stream_message *out,
--- /dev/null
+++ b/src/standby/stream_server.c
@@ -0,0 +1,72 @@
+#include "standby/stream_server.h"
+
+#include "base/memory.h"
+#include "base/string_copy.h"
+
+/* What a standby has to know of the machine as it is now. */
+static struct rp_change change_of(const struct rp_machine *machine) {
+    struct rp_change change = {.kind = RP_CHANGE_MACHINE_UP,
+                               .incarnation = machine->contact.incarnation};
+    if (machine->state == RP_MACHINE_RELEASING)
+        change.kind = RP_CHANGE_MACHINE_RELEASING;
+    rp_string_copy(change.machine, sizeof change.machine, machine->name);
+    rp_string_copy(change.addr, sizeof change.addr, machine->addr);
+    return change;
+}
+
+static void on_machine_changed(void *arg, const struct rp_machine *machine, bool is_terminated) {
+    struct rp_stream_server *server = arg;
+    if (!server->settings->tuning.standby)
+        return;
+    struct rp_change change = change_of(machine);
+    if (is_terminated)
+        change.kind = RP_CHANGE_MACHINE_TERMINATED;
+    rp_change_log_add(&server->log, &change);
+}
+
+void rp_stream_server_init(struct rp_stream_server *server, struct rp_cluster *cluster,
+                           const struct rp_settings *settings) {
+    *server = (struct rp_stream_server){.settings = settings, .cluster = cluster};
+    cluster->on_machine = on_machine_changed;
+    cluster->on_machine_arg = server;
+}
+
+void rp_stream_server_close(struct rp_stream_server *server) {
+    server->cluster->on_machine = NULL;
+    rp_change_log_free(&server->log);
+}
+
+void rp_stream_server_begin_term(struct rp_stream_server *server, uint64_t term) {
+    rp_change_log_begin(&server->log, term);
+}
+
+/* A standby has to know of machines that it can reach, and of those that it must not count on. */
+static bool is_in_snapshot(const struct rp_machine *machine) {
+    bool is_reachable = *machine->addr && machine->contact.incarnation > 0;
+    return is_reachable || machine->state == RP_MACHINE_RELEASING;
+}
+
+/* Terminated machines first: their stored records may not be written yet. */
+static void make_snapshot(const struct rp_stream_server *server, struct rp_stream_message *out) {
+    const struct rp_cluster *cluster = server->cluster;
+    size_t n_terminated = rp_change_log_n_terminated(&server->log);
+    out->changes = rp_alloc(cluster->n_machines + n_terminated + 1, sizeof *out->changes);
+    rp_change_log_terminated(&server->log, out->changes);
+    out->n_changes = n_terminated;
+    for (const struct rp_machine *machine = cluster->first; machine; machine = machine->next)
+        if (is_in_snapshot(machine))
+            out->changes[out->n_changes++] = change_of(machine);
+    out->term = server->log.term;
+    out->index = server->log.index;
+    out->snapshot = true;
+}
+
+void rp_stream_server_answer(struct rp_stream_server *server,
+                             const struct rp_stream_request *request,
+                             struct rp_stream_message *out) {
+    bool is_same_term = request->term == server->log.term;
+    if (is_same_term && rp_change_log_since(&server->log, request->index, out))
+        return;
+    make_snapshot(server, out);
+    server->n_snapshots++;
+}
--- a/tests/simulation/test_standby.c
+++ b/tests/simulation/test_standby.c
@@ -51,7 +51,7 @@
     unsigned long n = 0;
     for (int i = 0; i < sim->n_nodes; i++)
         if (sim->nodes[i].alive)
-            n += sim->nodes[i].node->standby.n_takeovers;
+            n += sim->nodes[i].node->standby.n_failovers;
     return n;
 }
 
