--- a/src/api/status.c
+++ b/src/api/status.c
@@ -36,24 +36,26 @@
 
 /* What went beyond a fixed bound, was put off or left out, and logged. */
 static unsigned long n_over_bounds(const struct rp_status_sources *sources) {
-    return sources->workers->n_over_bounds + sources->scheduler->n_over_bounds +
-           sources->jobs->n_over_bounds + sources->catalog->n_left_out;
+    return sources->workers->context.counters.n_unknown_tasks_above +
+           sources->scheduler->n_over_bounds + sources->jobs->run_time_estimator.n_unclassified +
+           sources->catalog->n_left_out;
 }
 
 static void set_node_counters(json_t *object, const struct rp_status_sources *sources) {
+    const struct rp_worker_counters *worker_counters = &sources->workers->context.counters;
     const struct counter counters[] = {{"nodes_known", sources->upgrade->n_known},
                                        {"state_too_fast", sources->store->n_too_fast},
                                        {"state_too_large", sources->store->n_bad},
                                        {"state_shed", sources->store->n_shed},
-                                       {"unreadable", sources->jobs->n_unreadable},
+                                       {"unreadable", sources->jobs->record_reader.n_unreadable},
                                        {"rounds", sources->scheduler->n_cycles},
-                                       {"starts", sources->workers->n_starts},
+                                       {"starts", worker_counters->n_starts},
                                        {"preempted", sources->scheduler->n_preempted},
                                        {"rented", sources->fleet->n_provisioned},
                                        {"refused", sources->fleet->n_refused},
                                        {"returned", sources->fleet->n_released},
                                        {"accepted", sources->api->n_accepted},
-                                       {"stale_reports", sources->workers->n_stale},
+                                       {"stale_reports", worker_counters->n_stale_heartbeats},
                                        {"over_bounds", n_over_bounds(sources)}};
     set_counters(object, counters, N_OF(counters));
 }
@@ -73,7 +75,7 @@
 
 static json_t *class_counts(const struct rp_status_sources *sources) {
     json_t *classes = json_object();
-    for (const struct rp_job *job = sources->jobs->first; job; job = job->next) {
+    for (const struct rp_job *job = sources->jobs->table.first; job; job = job->next) {
         /* What is over stays in the table while machines still list some of it. */
         if (job->state == RP_JOB_CLOSED)
             continue;
@@ -112,12 +114,13 @@
 
 static json_t *service_counts(const struct rp_status_sources *sources) {
     const struct rp_services *services = sources->services;
-    const struct counter placements[] = {{"jobs", sources->jobs->n_services},
+    const struct rp_worker_counters *worker_counters = &sources->workers->context.counters;
+    const struct counter placements[] = {{"jobs", sources->jobs->table.n_services},
                                          {"placed", services->n_placed},
                                          {"tasks_stopped_for_them", services->n_made_room},
                                          {"moved", services->n_moved}};
-    const struct counter commands[] = {{"direct", sources->workers->n_direct},
-                                       {"direct_unanswered", sources->workers->n_direct_lost}};
+    const struct counter commands[] = {{"direct", worker_counters->n_direct_commands},
+                                       {"direct_unanswered", worker_counters->n_direct_unanswered}};
     double ready_cpus = sources->leading ? rp_services_ready_cpus(services) : 0.0;
     json_t *object = json_object();
     set_counters(object, placements, N_OF(placements));
--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -280,7 +280,7 @@
 }
 
 /* The only function that changes a request's state; it begins what the state waits for. Edges:
- *   a query         begins looking up while lookups save requests, else reading open
+ *   a query         begins looking up while a read of its own had to wait, else reading open
  *   a cancellation  begins reading open
  *   a submission    begins writing; reading format if it is a service before the activation;
  * reading open if something is wrong with it, since a known job is answered first looking up ->
@@ -371,8 +371,8 @@
     struct user_request *request = request_new(api, req, REQUEST_QUERY, id);
     if (respond_known_terminal_state(request))
         return;
-    set_state(request,
-              rp_job_lookup_pays(api->job_lookup) ? REQUEST_LOOKING_UP : REQUEST_READING_OPEN);
+    set_state(request, rp_job_lookup_must_batch(api->job_lookup) ? REQUEST_LOOKING_UP
+                                                                 : REQUEST_READING_OPEN);
 }
 
 void rp_user_api_cancel(struct rp_user_api *api, struct rp_request *req, const char *id) {
--- a/src/scheduler/cycle_input.c
+++ b/src/scheduler/cycle_input.c
@@ -5,12 +5,13 @@
 #include <string.h>
 #include "base/log.h"
 #include "cluster/quarantine.h"
+#include "scheduler/plan_resources.h"
+#include "scheduler/remaining_time.h"
 #include "scheduler/reservation.h"
 
 #define SUSPECT_TASKS 2 /* of a job that has failed wherever it was started, at a time */
 #define NO_LIMIT 1e15
 #define NEW_MAX 60
-#define OVERRUN 0.3       /* expected rest of a task, as a share of what it has run */
 #define LATE_SLACK_S 100  /* time to spare given to a job that has just become late */
 #define BATCH_MAX 8192    /* groups in a round: by far more than can begin in one */
 #define ASKED_MAX 8       /* machines of a kind asked for, beyond which the answer is waited for */
@@ -55,29 +56,6 @@
     input->plan_input.offerings = input->offerings;
 }
 
-double rp_allocation_remaining_s(const struct rp_scheduler *scheduler,
-                                 const struct rp_machine *machine,
-                                 const struct rp_allocation *allocation, struct timespec now) {
-    const struct rp_job *job = allocation->job;
-    double run = rp_jobs_expected_run_s(scheduler->jobs, job);
-    if (allocation->stop_requested)
-        return allocation->grace_s + 1;
-    if (run <= 0) {
-        /* No estimate: until the end of the machine's billing unit. */
-        double unit = scheduler->settings->tuning.billing_unit_s;
-        return unit - fmod(rp_ts_since(now, machine->requested_at), unit);
-    }
-    if (allocation->running_since.tv_sec == 0) {
-        double rate = rp_scheduler_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
-        bool has = rp_machine_has_image(machine, job->image_hash);
-        double fetch = has || rate <= 0 ? 0 : job->spec.image_gb / rate;
-        return run + fmax(0.5, fetch - rp_ts_since(now, allocation->planned_at));
-    }
-    /* Work that has outrun its estimate goes on for a while yet: run times have long tails. */
-    double ran = rp_ts_since(now, allocation->running_since);
-    return fmax(run - ran, OVERRUN * ran + 1);
-}
-
 static void add_end(struct rp_plan_release *ends, size_t *n, double s,
                     const struct rp_resources *gives) {
     size_t at = (*n)++;
@@ -196,7 +174,7 @@
     const struct rp_resources *all = &rp_scheduler_catalog(scheduler)->types[type].capacity;
     struct rp_resources largest = {0}, sum = {0};
     double n_sum = 0;
-    for (const struct rp_job *job = scheduler->jobs->first; job; job = job->next) {
+    for (const struct rp_job *job = scheduler->jobs->table.first; job; job = job->next) {
         const struct rp_resources *each = &job->spec.each;
         if (each->gpus <= 0 || !rp_resources_fit(each, all))
             continue;
@@ -337,7 +315,7 @@
 
 static void count_classes(const struct rp_scheduler *scheduler, struct rp_cycle_input *input) {
     struct class_count counts[RP_CLASSES_MAX] = {0};
-    for (const struct rp_job *job = scheduler->jobs->first; job; job = job->next)
+    for (const struct rp_job *job = scheduler->jobs->table.first; job; job = job->next)
         if (job->state == RP_JOB_OPEN)
             class_of(counts, job)->jobs++;
     for (size_t g = 0; g < input->plan_input.n_groups; g++)
@@ -487,19 +465,20 @@
 
 static void build_groups(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                          struct timespec now) {
-    size_t most =
-        scheduler->jobs->n_jobs * 3 < BATCH_MAX ? scheduler->jobs->n_jobs * 3 + 1 : BATCH_MAX;
+    size_t most = scheduler->jobs->table.n_jobs * 3 < BATCH_MAX
+                      ? scheduler->jobs->table.n_jobs * 3 + 1
+                      : BATCH_MAX;
     input->groups = calloc(most, sizeof *input->groups);
     if (!input->groups || !fill_guarantees(scheduler, input))
         return;
-    if (scheduler->jobs->n_jobs * 3 >= BATCH_MAX && scheduler->n_over_bounds++ == 0)
+    if (scheduler->jobs->table.n_jobs * 3 >= BATCH_MAX && scheduler->n_over_bounds++ == 0)
         rp_error(
             "more than %d groups of tasks wait: the lowest and youngest are left out of rounds",
             BATCH_MAX);
     /* Higher priorities first, so that a full batch never leaves them out. */
     for (int priority = RP_PRIORITY_CRITICAL; priority >= RP_PRIORITY_LOW; priority--)
-        for (struct rp_job *job = scheduler->jobs->first; job && input->plan_input.n_groups < most;
-             job = job->next)
+        for (struct rp_job *job = scheduler->jobs->table.first;
+             job && input->plan_input.n_groups < most; job = job->next)
             if ((int)job->spec.priority == priority)
                 add_group(scheduler, input, job, most, now);
     input->plan_input.groups = input->groups;
--- a/src/standby/machine_fencing.c
+++ b/src/standby/machine_fencing.c
@@ -4,6 +4,7 @@
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/string_copy.h"
+#include "worker/worker_fencing.h"
 
 /* Machines asked at a time; docs/standby.md, "Leading". */
 #define WINDOW 128
@@ -35,8 +36,8 @@
     if (!is_needed || !is_reachable)
         return;
     fencing->n_under_way++;
-    rp_workers_fence(fencing->workers, machine, known->addr, known->incarnation, on_fenced,
-                     fencing);
+    rp_worker_fence(&fencing->workers->context, machine, known->addr, known->incarnation, on_fenced,
+                    fencing);
 }
 
 static void fence_next(struct rp_machine_fencing *fencing) {
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -241,7 +241,8 @@
             rp_machine_directory_find(directory, machine->name);
         bool is_releasing = known && known->releasing;
         if (is_releasing || rp_tombstones_has(&directory->tombstones, machine->name))
-            rp_fleet_scale_in(standby->workers->fleet, machine, "the leader before gave it back");
+            rp_fleet_scale_in(standby->workers->context.fleet, machine,
+                              "the leader before gave it back");
     }
 }
 
@@ -259,7 +260,7 @@
     if (standby->state == RP_STANDBY_OFF)
         return;
     set_state(standby, RP_STANDBY_LEADING);
-    standby->workers->direct_left = DIRECT_STARTS_MAX;
+    standby->workers->context.n_direct_array_starts_left = DIRECT_STARTS_MAX;
     release_again(standby);
     rp_machine_fencing_start(&standby->fencing);
 }
@@ -267,7 +268,7 @@
 void rp_standby_lost(struct rp_standby *standby) {
     rp_stream_server_begin_term(&standby->server, 0);
     rp_machine_fencing_stop(&standby->fencing);
-    standby->workers->direct_left = 0;
+    standby->workers->context.n_direct_array_starts_left = 0;
     rp_leader_suspicion_set_leader(&standby->suspicion, "");
     if (standby->state != RP_STANDBY_OFF)
         set_state(standby, RP_STANDBY_FOLLOWING);
