--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -79,9 +79,9 @@
 
 void rp_machine_remove(struct rp_cluster *cluster, struct rp_machine *machine) {
     rp_machine_end_incarnation(cluster, machine);
-    if (cluster->on_machine &&
+    if (cluster->on_machine_changed &&
         (machine->contact.incarnation > 0 || machine->state == RP_MACHINE_RELEASING))
-        cluster->on_machine(cluster->on_machine_arg, machine, true);
+        cluster->on_machine_changed(cluster->on_machine_arg, machine, true);
     struct rp_machine **link =
         &cluster->buckets[rp_hash_string(machine->name) % RP_CLUSTER_BUCKETS];
     while (*link != machine)
@@ -121,8 +121,8 @@
     cluster->unreconciled_stale = true;
     if (state == RP_MACHINE_RELEASING)
         machine->scale_in.since = now;
-    if (state == RP_MACHINE_RELEASING && cluster->on_machine)
-        cluster->on_machine(cluster->on_machine_arg, machine, false);
+    if (state == RP_MACHINE_RELEASING && cluster->on_machine_changed)
+        cluster->on_machine_changed(cluster->on_machine_arg, machine, false);
 }
 
 void rp_machine_note_contact(struct rp_cluster *cluster, struct rp_machine *machine,
@@ -130,8 +130,8 @@
     bool changed = machine->contact.incarnation != incarnation || strcmp(machine->addr, addr) != 0;
     machine->contact.incarnation = incarnation;
     snprintf(machine->addr, sizeof machine->addr, "%s", addr);
-    if (changed && cluster->on_machine)
-        cluster->on_machine(cluster->on_machine_arg, machine, false);
+    if (changed && cluster->on_machine_changed)
+        cluster->on_machine_changed(cluster->on_machine_arg, machine, false);
 }
 
 void rp_machine_note_fencing_token(struct rp_cluster *cluster, struct rp_machine *machine,
@@ -149,8 +149,8 @@
 bool rp_machine_add_unknown_task(struct rp_cluster *cluster, struct rp_machine *machine,
                                  const struct rp_unknown_task *unknown_tasks) {
     if (!machine->unknown_tasks)
-        machine->unknown_tasks = rp_alloc(RP_UNKNOWN_TASKS_KEPT, sizeof *machine->unknown_tasks);
-    bool full = machine->n_unknown_tasks == RP_UNKNOWN_TASKS_KEPT;
+        machine->unknown_tasks = rp_alloc(RP_UNKNOWN_TASKS_MAX, sizeof *machine->unknown_tasks);
+    bool full = machine->n_unknown_tasks == RP_UNKNOWN_TASKS_MAX;
     if (full || !unknown_tasks->exited) {
         cluster->n_with_unknown_live += machine->n_unknown_live == 0;
         machine->n_unknown_live++;
@@ -323,14 +323,14 @@
                                         const struct rp_released_resources *freed) {
     struct rp_resources room = rp_machine_free_resources(cluster, machine),
                         over = rp_cluster_over_quota(cluster, job);
-    rp_resources_add(&room, &freed->room);
+    rp_resources_add(&room, &freed->capacity);
     return job->state == RP_JOB_OPEN && task < job->spec.n_tasks &&
            rp_job_n_task_allocations(job, task) == 0 && !rp_job_is_task_done(job, task) &&
            rp_machine_is_usable(machine) && rp_cluster_is_job_reconciled(cluster, job) &&
            rp_cluster_is_allowed(cluster, &job->spec, machine->type, machine->zone,
                                  machine->spot) &&
            zone_fits(job, machine->zone) && rp_resources_fit(&job->spec.each, &room) &&
-           over.cpus <= freed->team.cpus && over.gpus <= freed->team.gpus;
+           over.cpus <= freed->quota.cpus && over.gpus <= freed->quota.gpus;
 }
 
 static void count_allocation(struct rp_cluster *cluster, struct rp_machine *machine,
@@ -432,7 +432,7 @@
         }
     }
     double cache = machine->type >= 0 ? cluster->catalog->types[machine->type].cache_gb : 0;
-    while (machine->n_images > 0 && (machine->n_images == RP_IMAGES_KEPT || total > cache)) {
+    while (machine->n_images > 0 && (machine->n_images == RP_IMAGES_MAX || total > cache)) {
         size_t oldest = 0;
         for (size_t i = 1; i < machine->n_images; i++)
             if (rp_ts_cmp(machine->images[i].used, machine->images[oldest].used) < 0)
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -39,11 +39,11 @@
     bool stop_requested;           /* is to be stopped */
     double grace_s;
     struct timespec stop_sent_at;
-    bool marked; /* scratch of a report's reading */
+    bool listed; /* scratch of a report's reading */
 };
 
-#define RP_IMAGES_KEPT 128 /* by 24 bytes; beyond, the one used longest ago is forgotten */
-#define RP_UNKNOWN_TASKS_KEPT 256
+#define RP_IMAGES_MAX 128 /* by 24 bytes; beyond, the one used longest ago is forgotten */
+#define RP_UNKNOWN_TASKS_MAX 256
 
 /** A task on a machine whose job this leader doesn't know (any more): stopped and forgotten. */
 struct rp_unknown_task {
@@ -161,7 +161,7 @@
     uint64_t attempt_base, attempt_next;
     /* A machine's address or session is known anew, it is being returned, or it is gone; NULL:
      * nobody wants to know. */
-    void (*on_machine)(void *arg, const struct rp_machine *machine, bool gone);
+    void (*on_machine_changed)(void *arg, const struct rp_machine *machine, bool gone);
     void *on_machine_arg;
 };
 
@@ -186,7 +186,7 @@
 void rp_machine_note_fencing_token(struct rp_cluster *cluster, struct rp_machine *machine,
                                    bool seen);
 /** Forgets, and adds, tasks of jobs that this leader doesn't know; false beyond
- * RP_UNKNOWN_TASKS_KEPT. */
+ * RP_UNKNOWN_TASKS_MAX. */
 void rp_machine_clear_unknown_tasks(struct rp_cluster *cluster, struct rp_machine *machine);
 bool rp_machine_add_unknown_task(struct rp_cluster *cluster, struct rp_machine *machine,
                                  const struct rp_unknown_task *unknown_tasks);
@@ -211,7 +211,7 @@
 /** What the very message that starts a task gives back before: of the machine's room, and of what
  * the job's team uses. */
 struct rp_released_resources {
-    struct rp_resources room, team;
+    struct rp_resources capacity, quota;
 };
 /** The same with that. */
 bool rp_cluster_may_start_after_release(struct rp_cluster *cluster, const struct rp_job *job,
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -134,7 +134,7 @@
 static struct rp_provision_request *rental_add(struct rp_fleet *fleet, const char *name) {
     struct rp_provision_request *request = rp_alloc(1, sizeof *request);
     snprintf(request->name, sizeof request->name, "%s", name);
-    request->version_known = true;
+    request->revision_known = true;
     request->next = fleet->provision_requests;
     fleet->provision_requests = request;
     return request;
@@ -152,7 +152,7 @@
 static void rental_set_state(struct rp_fleet *fleet, struct rp_provision_request *request,
                              enum rp_provision_state state) {
     request->state = state;
-    request->retry = (struct timespec){0};
+    request->retry_at = (struct timespec){0};
     if (state == RP_PROVISION_LIVE) {
         for (struct rp_machine *machine = fleet->cluster->first; machine; machine = machine->next)
             if (machine->provision_request == request)
@@ -164,7 +164,7 @@
 
 static void rental_later(struct rp_fleet *fleet, struct rp_provision_request *request,
                          double after_s) {
-    request->retry = rp_ts_after(rp_loop_now(fleet->loop), after_s);
+    request->retry_at = rp_ts_after(rp_loop_now(fleet->loop), after_s);
 }
 
 static size_t rental_names(const struct rp_fleet *fleet, const struct rp_provision_request *request,
@@ -189,9 +189,9 @@
 }
 
 void rp_fleet_record_up(struct rp_fleet *fleet, struct rp_machine *machine) {
-    if (machine->up_recorded || !machine->provision_request || machine->provision_request->changed)
+    if (machine->up_recorded || !machine->provision_request || machine->provision_request->is_dirty)
         return;
-    machine->provision_request->changed = true;
+    machine->provision_request->is_dirty = true;
     rental_step(fleet, machine->provision_request);
 }
 
@@ -208,7 +208,7 @@
     if (result->outcome == RP_KV_OK)
         note_recorded(fleet, rental, request);
     request_free(request);
-    rental->busy = false;
+    rental->in_flight = false;
     if (result->outcome == RP_KV_CONDITION_FAILED &&
         rp_wire_failed_key(result->body, RP_KEY_LEADER)) {
         rp_election_verify(fleet->election);
@@ -218,7 +218,7 @@
     if (result->outcome == RP_KV_BAD_REQUEST && fleet->value_max_bytes > VALUE_LEAST) {
         /* Larger than the limits told: smaller pieces, at a slower pace. */
         fleet->value_max_bytes = fleet->value_max_bytes * 3 / 4;
-        rental->changed = true;
+        rental->is_dirty = true;
         rental_later(fleet, rental, 1);
         return;
     }
@@ -226,12 +226,12 @@
         /* Each write carries the version that it replaces, so that a copy which arrives late can't
          * take names away again. After a lost answer, or a conflict with a write whose answer was
          * lost, the version has to be read. */
-        rental->changed = true;
-        rental->version_known = false;
+        rental->is_dirty = true;
+        rental->revision_known = false;
         rental_later(fleet, rental, 0.2);
         return;
     }
-    rental->version = rp_wire_revision(result->body);
+    rental->revision = rp_wire_revision(result->body);
     if (wrote == RP_PROVISION_ENDED) {
         rental_free(fleet, rental);
         return;
@@ -256,13 +256,13 @@
     request_free(request);
     if (!rental)
         return;
-    rental->busy = false;
+    rental->in_flight = false;
     if (result->outcome == RP_KV_NOT_FOUND) {
-        rental->version = 0;
-        rental->version_known = true;
+        rental->revision = 0;
+        rental->revision_known = true;
     } else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
-        rental->version = item.version;
-        rental->version_known = true;
+        rental->revision = item.version;
+        rental->revision_known = true;
     } else {
         rental_later(fleet, rental, 0.3);
         return;
@@ -312,8 +312,8 @@
             machine->provision_request = second;
     second->record.count = (unsigned)(n - n / 2);
     request->record.count = (unsigned)(n / 2);
-    rp_string_copy(request->after, sizeof request->after, name);
-    request->changed = true;
+    rp_string_copy(request->write_after, sizeof request->write_after, name);
+    request->is_dirty = true;
     rp_info("rental %s names machines=%zu, too many for a value: split with %s", request->name, n,
             name);
     rental_set_state(fleet, second, RP_PROVISION_RECORDING_NAMES);
@@ -327,14 +327,14 @@
     struct request *request = request_new(fleet, rental->name);
     char key[RP_KEY_MAX];
     rp_key(key, RP_KEY_PROVISION, rental->name);
-    rental->busy = true;
-    if (!rental->version_known) {
+    rental->in_flight = true;
+    if (!rental->revision_known) {
         rp_kv_get(fleet->store, RP_KV_BUDGET_LEADER, key, rental_read, request);
         return;
     }
     json_t *txn = rp_wire_txn();
     rp_election_guard(fleet->election, txn);
-    rp_wire_txn_if(txn, key, rental->version);
+    rp_wire_txn_if(txn, key, rental->revision);
     if (rental->state == RP_PROVISION_ENDED) {
         rp_wire_txn_delete(txn, key);
     } else {
@@ -342,7 +342,7 @@
         rp_wire_txn_put(txn, key, rental_record(fleet, rental, request), 0);
     }
     request->wrote = rental->state;
-    rental->changed = false;
+    rental->is_dirty = false;
     rp_kv_txn(fleet->store, RP_KV_BUDGET_LEADER, txn, rental_written, request);
 }
 
@@ -361,9 +361,9 @@
     struct rp_capacity_refusal *found = refusal_of(fleet, type, zone, request->record.spot);
     if (!found)
         return;
-    bool again = found->pause_s > 0 && rp_ts_since(now, found->until) < found->pause_s;
-    found->pause_s = again ? fmin(found->pause_s * 2, base * REFUSED_PAUSES) : base;
-    found->until = rp_ts_after(now, found->pause_s);
+    bool again = found->backoff_s > 0 && rp_ts_since(now, found->until) < found->backoff_s;
+    found->backoff_s = again ? fmin(found->backoff_s * 2, base * REFUSED_PAUSES) : base;
+    found->until = rp_ts_after(now, found->backoff_s);
     fleet->n_refused++;
     rp_debug("kind %s/%s%s refused for lack of capacity", request->record.type,
              request->record.zone, request->record.spot ? " (spot)" : "");
@@ -421,7 +421,7 @@
     request_free(request);
     if (!rental || rental->state != RP_PROVISION_REQUESTING)
         return;
-    rental->busy = false;
+    rental->in_flight = false;
     if (answer->status == 200) {
         rented(fleet, rental, answer);
     } else if (answer->status == 503 && rp_wire_no_capacity(answer->body, answer->len)) {
@@ -442,7 +442,7 @@
 
 static void rental_ask(struct rp_fleet *fleet, struct rp_provision_request *request) {
     const struct rp_provision_record *rec = &request->record;
-    request->busy = true;
+    request->in_flight = true;
     rp_cloud_call(fleet->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_MACHINES,
                   rp_wire_rent(request->name, rec->type, rec->zone, rec->spot, rec->count),
                   rental_answered, request_new(fleet, request->name));
@@ -451,14 +451,14 @@
 /* Does what the rental's state asks for, unless something is under way or has to wait. */
 static void rental_step(struct rp_fleet *fleet, struct rp_provision_request *request) {
     struct timespec now = rp_loop_now(fleet->loop);
-    if (request->busy || !rp_ts_reached(now, request->retry) ||
+    if (request->in_flight || !rp_ts_reached(now, request->retry_at) ||
         !rp_election_is_valid(fleet->election, now))
         return;
     const struct rp_provision_request *first =
-        *request->after ? rental_find(fleet, request->after) : NULL;
+        *request->write_after ? rental_find(fleet, request->write_after) : NULL;
     if (first && !first->stored)
         return;
-    request->after[0] = '\0';
+    request->write_after[0] = '\0';
     switch (request->state) {
     case RP_PROVISION_RECORDING_INTENT:
     case RP_PROVISION_RECORDING_NAMES:
@@ -468,7 +468,7 @@
         rental_ask(fleet, request);
         break;
     case RP_PROVISION_LIVE:
-        if (request->changed)
+        if (request->is_dirty)
             rental_write(fleet, request);
         break;
     case RP_PROVISION_ENDED:
@@ -554,7 +554,7 @@
         (request->state == RP_PROVISION_LIVE || request->state == RP_PROVISION_RECORDING_NAMES))
         rental_set_state(fleet, request, RP_PROVISION_ENDED);
     else
-        request->changed = true;
+        request->is_dirty = true;
 }
 
 static void deleted(void *arg, const struct rp_answer *answer) {
@@ -969,8 +969,8 @@
         return;
     }
     request->stored = true;
-    request->version = item->version;
-    request->version_known = true;
+    request->revision = item->version;
+    request->revision_known = true;
     if (!request->record.answered) {
         rental_set_state(fleet, request, RP_PROVISION_REQUESTING);
         return;
--- a/src/cluster/fleet.h
+++ b/src/cluster/fleet.h
@@ -19,20 +19,21 @@
     char name[RP_TEXT_MAX];
     enum rp_provision_state state;
     struct rp_provision_record record;
-    bool stored;      /* the record exists */
-    bool busy;        /* a request about it is under way */
-    bool changed;     /* the names differ from the record */
-    uint64_t version; /* of the record, 0: there is none */
-    bool version_known;
-    struct timespec retry;
-    char after[RP_TEXT_MAX]; /* written only once that one is: it takes over some of the names */
+    bool stored;       /* the record exists */
+    bool in_flight;    /* a request about it is under way */
+    bool is_dirty;     /* the names differ from the record */
+    uint64_t revision; /* of the record, 0: there is none */
+    bool revision_known;
+    struct timespec retry_at;
+    char write_after[RP_TEXT_MAX]; /* written only once that one is: it takes over some of the names
+                                    */
     struct rp_provision_request *next;
 };
 
 /** What the cloud has lately refused of a kind of machine. */
 struct rp_capacity_refusal {
     struct timespec until;
-    double pause_s; /* grows while the kind goes on being refused; 0: it isn't */
+    double backoff_s; /* grows while the kind goes on being refused; 0: it isn't */
 };
 
 struct rp_fleet {
--- a/src/scheduler/services.c
+++ b/src/scheduler/services.c
@@ -84,9 +84,9 @@
 
 static void free_allocation(struct rp_released_resources *freed,
                             const struct rp_allocation *allocation, const struct rp_job *job) {
-    rp_resources_add(&freed->room, &allocation->job->spec.each);
+    rp_resources_add(&freed->capacity, &allocation->job->spec.each);
     if (allocation->job->team == job->team)
-        rp_resources_add(&freed->team, &allocation->job->spec.each);
+        rp_resources_add(&freed->quota, &allocation->job->spec.each);
 }
 
 /* What stops under way on the machine give back before anything that is started there now. */
@@ -106,10 +106,10 @@
                          const struct rp_job *job, const struct rp_released_resources *freed) {
     struct rp_resources room = rp_machine_free_resources(services->cluster, machine);
     struct rp_resources over = rp_cluster_over_quota(services->cluster, job);
-    rp_resources_add(&room, &freed->room);
+    rp_resources_add(&room, &freed->capacity);
     if (!rp_resources_fit(&job->spec.each, &room))
         return LACK_ROOM;
-    bool quota = over.cpus <= freed->team.cpus && over.gpus <= freed->team.gpus;
+    bool quota = over.cpus <= freed->quota.cpus && over.gpus <= freed->quota.gpus;
     return quota ? LACK_NOTHING : LACK_QUOTA;
 }
 
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -46,7 +46,7 @@
     standby->settings = settings;
     standby->timer = (struct rp_timer){.fn = tick, .arg = standby};
     standby->fence_timer = (struct rp_timer){.fn = fence_due, .arg = standby};
-    cluster->on_machine = on_machine;
+    cluster->on_machine_changed = on_machine;
     cluster->on_machine_arg = standby;
     standby->peers = calloc(settings->n_peers + 1, sizeof *standby->peers);
     for (size_t i = 0; standby->peers && i < settings->n_peers; i++)
@@ -455,7 +455,7 @@
 void rp_standby_close(struct rp_standby *standby) {
     rp_timer_cancel(standby->loop, &standby->timer);
     rp_timer_cancel(standby->loop, &standby->fence_timer);
-    standby->cluster->on_machine = NULL;
+    standby->cluster->on_machine_changed = NULL;
     rp_change_log_free(&standby->log);
     rp_machine_directory_free(&standby->directory);
     free(standby->to_fence);
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -150,7 +150,7 @@
     /* The machine gets no work while it has any, so the rest is stopped from a later report. */
     if (workers->n_over_bounds++ == 0)
         rp_error("machine %s holds over %d tasks of unknown jobs", machine->name,
-                 RP_UNKNOWN_TASKS_KEPT);
+                 RP_UNKNOWN_TASKS_MAX);
 }
 
 /* A replica that ended by itself runs again elsewhere at once. One that ended soon after its start
@@ -230,7 +230,7 @@
         allocation = rp_allocation_add(workers->cluster, machine, job, status->task,
                                        status->attempt, RP_ALLOCATION_SEEN);
     }
-    allocation->marked = true;
+    allocation->listed = true;
     allocation->seen_seq = machine->contact.seq;
     if (allocation->state == RP_ALLOCATION_EXITED)
         return;
@@ -303,7 +303,7 @@
         struct rp_allocation *allocation = &machine->allocations[i];
         bool in_flight = allocation->state == RP_ALLOCATION_SENT && allocation->sent_seq >= seq;
         bool may_arrive = allocation->state == RP_ALLOCATION_SENT && allocation->started_directly;
-        if (!allocation->marked && allocation->state != RP_ALLOCATION_PLANNED && !in_flight &&
+        if (!allocation->listed && allocation->state != RP_ALLOCATION_PLANNED && !in_flight &&
             !may_arrive && allocation->seen_seq < seq)
             rp_allocation_remove(workers->cluster, machine, i);
     }
@@ -354,7 +354,7 @@
                                   heartbeat->tasks[i].attempt)
                 : NULL;
         if (allocation)
-            allocation->marked = true;
+            allocation->listed = true;
     }
 }
 
@@ -373,7 +373,7 @@
     rp_machine_note_fencing_token(workers->cluster, machine,
                                   heartbeat->fencing_token == workers->election->fencing_token);
     for (size_t i = 0; i < machine->n_allocations; i++)
-        machine->allocations[i].marked = false;
+        machine->allocations[i].listed = false;
     if (behind) {
         mark_listed(workers, machine, heartbeat);
     } else {
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -37,7 +37,7 @@
     unsigned long n_heartbeats, n_stale, n_starts;
     unsigned direct_left; /* tasks of arrays that may still be started directly after a takeover */
     unsigned long
-        n_over_bounds; /* tasks of unknown jobs beyond RP_UNKNOWN_TASKS_KEPT on a machine */
+        n_over_bounds; /* tasks of unknown jobs beyond RP_UNKNOWN_TASKS_MAX on a machine */
 };
 
 void rp_workers_init(struct rp_workers *workers, struct rp_loop *loop, struct rp_election *election,
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -389,7 +389,7 @@
         strcpy(name, node->cluster.first->name);
         for (struct rp_provision_request *request = node->fleet.provision_requests; request;
              request = request->next)
-            request->retry =
+            request->retry_at =
                 rp_ts_after(rp_loop_now(node->loop), 60); /* no record is written any more */
         rp_fleet_scale_in(&node->fleet, node->cluster.first, "for the test");
         run(sim, 1);
