--- a/src/api/status.c
+++ b/src/api/status.c
@@ -96,9 +96,9 @@
                                        {"rounds", sources->scheduler->n_cycles},
                                        {"starts", sources->workers->n_starts},
                                        {"preempted", sources->scheduler->n_preempted},
-                                       {"rented", sources->fleet->n_provisioned},
-                                       {"refused", sources->fleet->n_refused},
-                                       {"returned", sources->fleet->n_released},
+                                       {"rented", sources->fleet->provisioning.n_provisioned},
+                                       {"refused", sources->fleet->provisioning.refusals.n_refused},
+                                       {"returned", sources->fleet->release.n_released},
                                        {"accepted", sources->api->n_accepted},
                                        {"stale_reports", sources->workers->n_stale},
                                        {"over_bounds", over_bounds(sources)}};
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -5,6 +5,7 @@
 #include <string.h>
 #include "base/log.h"
 #include "base/memory.h"
+#include "cluster/catalog_index.h"
 
 int rp_cluster_init(struct rp_cluster *cluster, struct rp_loop *loop, struct rp_jobs *jobs,
                     const struct rp_settings *settings, const struct rp_catalog *catalog) {
@@ -125,6 +126,17 @@
         cluster->on_machine_changed(cluster->on_machine_arg, machine, false);
 }
 
+void rp_machine_describe(struct rp_machine *machine, const struct rp_catalog *catalog,
+                         const char *type, const char *zone, bool spot) {
+    bool is_known = machine->type >= 0 && machine->zone >= 0;
+    /* A zone never changes under a machine's tasks: they are counted by it. */
+    if (is_known || machine->n_allocations > 0)
+        return;
+    machine->type = rp_catalog_type_index(catalog, type);
+    machine->zone = rp_catalog_zone_index(catalog, zone);
+    machine->spot = spot;
+}
+
 void rp_machine_note_contact(struct rp_cluster *cluster, struct rp_machine *machine,
                              const char *addr, uint64_t incarnation) {
     bool changed = machine->contact.incarnation != incarnation || strcmp(machine->addr, addr) != 0;
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -179,6 +179,11 @@
 /** The one place where a machine changes its state. */
 void rp_machine_set_state(struct rp_cluster *cluster, struct rp_machine *machine,
                           enum rp_machine_state state);
+/** What kind of machine it is, by names that a record, the cloud or its worker told. Nothing
+ * changes once type and zone are known, or while it holds allocations: they are counted by its
+ * zone. */
+void rp_machine_describe(struct rp_machine *machine, const struct rp_catalog *catalog,
+                         const char *type, const char *zone, bool spot);
 /** Where it can be reached, and in which session, as its newest message says. */
 void rp_machine_note_contact(struct rp_cluster *cluster, struct rp_machine *machine,
                              const char *addr, uint64_t incarnation);
--- /dev/null
+++ b/src/cluster/provision_loading.c
@@ -0,0 +1,120 @@
+#include "cluster/provision_loading.h"
+
+#include <stdlib.h>
+#include <string.h>
+#include "base/log.h"
+#include "base/memory.h"
+#include "protocol/wire.h"
+
+#define RECORDS_PER_PAGE 1000
+
+struct load_call {
+    struct rp_provisioning *provisioning;
+    unsigned long generation;
+    rp_provision_loaded_fn on_loaded;
+    void *arg;
+};
+
+/* How long ago the machines were asked for, by the time of day; never negative. In virtual mode
+ * there is no time of day, and 0 is returned. */
+static double request_age_s(const struct rp_fleet_context *context,
+                            const struct rp_provision_record *record) {
+    struct timespec wall;
+    clock_gettime(CLOCK_REALTIME, &wall);
+    double age_s = context->loop->is_virtual ? 0 : rp_ts_since(wall, record->requested_at);
+    return age_s > 0 ? age_s : 0;
+}
+
+/* No earlier leader can have answered a machine after this node got the key, or, if that leader was
+ * fenced, after the end of what it had renewed. */
+static struct timespec earlier_leaders_lease_expiry(const struct rp_fleet_context *context) {
+    struct timespec now = rp_loop_now(context->loop);
+    struct timespec cleared_at = context->election->cleared_at;
+    struct timespec last_answer = rp_ts_cmp(cleared_at, now) > 0 ? cleared_at : now;
+    return rp_ts_after(last_answer, rp_settings_worker_lease_s(context->settings));
+}
+
+/* A machine of a record. No leader starts anything on a machine before its record says that it is
+ * up, so one that isn't holds nothing. */
+static void load_machine(const struct rp_fleet_context *context,
+                         struct rp_provision_request *request, const char *name, bool is_up,
+                         double age_s) {
+    const struct rp_provision_record *record = &request->record;
+    struct rp_machine *machine = rp_machine_add(
+        context->cluster, name, is_up ? RP_MACHINE_UNRECONCILED : RP_MACHINE_BOOTING);
+    machine->up_recorded = is_up;
+    machine->provision_request = request;
+    rp_machine_describe(machine, context->catalog, record->type, record->zone, record->spot);
+    machine->requested_at = rp_ts_sub(rp_loop_now(context->loop), rp_ts(age_s));
+    machine->contact.lease_expiry = earlier_leaders_lease_expiry(context);
+}
+
+static void load_record(struct rp_provisioning *provisioning, const struct rp_item *item) {
+    const struct rp_fleet_context *context = provisioning->context;
+    struct rp_provision_request *request =
+        rp_provision_request_add(&provisioning->requests, item->key + strlen(RP_KEY_PROVISION));
+    if (!rp_record_provision_read(item->value, &request->record)) {
+        rp_error("provision record can't be read, left alone: key=%s", item->key);
+        rp_provision_request_remove(&provisioning->requests, request);
+        return;
+    }
+    request->stored = true;
+    request->revision = item->version;
+    request->revision_known = true;
+    if (!request->record.answered) {
+        rp_provision_request_set_state(context, request, RP_PROVISION_REQUESTING);
+        return;
+    }
+    double age_s = request_age_s(context, &request->record);
+    for (size_t i = 0; i < rp_record_provision_n_names(item->value); i++) {
+        const char *name = rp_record_provision_name(item->value, i);
+        if (name && !rp_machine_find(context->cluster, name))
+            load_machine(context, request, name, rp_record_provision_is_up(item->value, name),
+                         age_s);
+    }
+    /* What a split that was cut short has left names nothing that another record doesn't. */
+    bool has_machines = rp_provision_request_has_machines(context, request);
+    rp_provision_request_set_state(context, request,
+                                   has_machines ? RP_PROVISION_LIVE : RP_PROVISION_ENDED);
+}
+
+static void load_page(struct load_call *call, const char *after);
+
+static void on_page(void *arg, const struct rp_kv_result *result) {
+    struct load_call *call = arg;
+    struct rp_provisioning *provisioning = call->provisioning;
+    struct rp_item item = {0};
+    bool has_more = false;
+    if (call->generation != provisioning->context->generation)
+        goto out;
+    if (result->outcome != RP_KV_OK) {
+        call->on_loaded(call->arg, false);
+        goto out;
+    }
+    size_t n = rp_wire_items(result->body, &has_more);
+    for (size_t i = 0; i < n; i++)
+        if (rp_wire_items_at(result->body, i, &item))
+            load_record(provisioning, &item);
+    if (has_more && n > 0) {
+        load_page(call, item.key);
+        return;
+    }
+    call->on_loaded(call->arg, true);
+out:
+    free(call);
+}
+
+static void load_page(struct load_call *call, const char *after) {
+    rp_kv_list(call->provisioning->context->store, RP_KV_BUDGET_LEADER, RP_KEY_PROVISION, after,
+               RECORDS_PER_PAGE, on_page, call);
+}
+
+void rp_provision_load(struct rp_provisioning *provisioning, rp_provision_loaded_fn on_loaded,
+                       void *arg) {
+    struct load_call *call = rp_alloc(1, sizeof *call);
+    *call = (struct load_call){.provisioning = provisioning,
+                               .generation = provisioning->context->generation,
+                               .on_loaded = on_loaded,
+                               .arg = arg};
+    load_page(call, NULL);
+}
--- /dev/null
+++ b/src/cluster/provision_request.c
@@ -0,0 +1,88 @@
+#include "cluster/provision_request.h"
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <utlist.h>
+#include "base/memory.h"
+
+struct rp_provision_request *rp_provision_request_find(const struct rp_provision_requests *requests,
+                                                       const char *name) {
+    struct rp_provision_request *request = requests->first;
+    while (request && strcmp(request->name, name) != 0)
+        request = request->next;
+    return request;
+}
+
+struct rp_provision_request *rp_provision_request_add(struct rp_provision_requests *requests,
+                                                      const char *name) {
+    struct rp_provision_request *request = rp_alloc(1, sizeof *request);
+    snprintf(request->name, sizeof request->name, "%s", name);
+    request->revision_known = true;
+    LL_PREPEND(requests->first, request);
+    return request;
+}
+
+void rp_provision_request_remove(struct rp_provision_requests *requests,
+                                 struct rp_provision_request *request) {
+    LL_DELETE(requests->first, request);
+    free(request);
+}
+
+void rp_provision_request_new_name(struct rp_provision_requests *requests, const char *prefix,
+                                   uint64_t fencing_token, char name[RP_TEXT_MAX]) {
+    snprintf(name, RP_TEXT_MAX, "%s-%llu-%lu", prefix, (unsigned long long)fencing_token,
+             ++requests->n_named);
+}
+
+static void mark_machines_recorded(const struct rp_fleet_context *context,
+                                   const struct rp_provision_request *request) {
+    for (struct rp_machine *machine = context->cluster->first; machine; machine = machine->next)
+        if (machine->provision_request == request)
+            machine->recorded = true;
+}
+
+/* The edges:
+ * (new) -> RECORDING_INTENT         machines are wanted (rp_provisioning_request_machines)
+ * RECORDING_INTENT -> REQUESTING    the record is durable: whoever leads next asks again by its
+ * name (new) -> REQUESTING               a record without names was loaded: it may have been
+ * carried out REQUESTING -> RECORDING_NAMES     the cloud has told the machines' names REQUESTING
+ * -> ENDED               the cloud has refused, or given no machine (new) -> RECORDING_NAMES a
+ * machine of no record is adopted, or takes part in a split RECORDING_NAMES -> LIVE           the
+ * names are durable: starts may go to the machines (new) -> LIVE                     a record with
+ * names was loaded (new) -> ENDED                    one was loaded whose names other records have,
+ * too RECORDING_NAMES, LIVE -> ENDED    its last machine has been terminated ENDED -> (freed) its
+ * record has been deleted, or there was none */
+void rp_provision_request_set_state(const struct rp_fleet_context *context,
+                                    struct rp_provision_request *request,
+                                    enum rp_provision_state state) {
+    request->state = state;
+    request->retry_at = (struct timespec){0};
+    if (state != RP_PROVISION_LIVE)
+        return;
+    mark_machines_recorded(context, request);
+    rp_fleet_context_notify(context);
+}
+
+void rp_provision_request_retry_after(const struct rp_fleet_context *context,
+                                      struct rp_provision_request *request, double delay_s) {
+    request->retry_at = rp_ts_after(rp_loop_now(context->loop), delay_s);
+}
+
+bool rp_provision_request_has_machines(const struct rp_fleet_context *context,
+                                       const struct rp_provision_request *request) {
+    for (const struct rp_machine *machine = context->cluster->first; machine;
+         machine = machine->next)
+        if (machine->provision_request == request)
+            return true;
+    return false;
+}
+
+void rp_provision_request_move_machines(const struct rp_fleet_context *context,
+                                        const struct rp_provision_request *request,
+                                        struct rp_provision_request *second, size_t n_kept) {
+    size_t n = 0;
+    for (struct rp_machine *machine = context->cluster->first; machine; machine = machine->next)
+        if (machine->provision_request == request && n++ >= n_kept)
+            machine->provision_request = second;
+}
--- /dev/null
+++ b/src/cluster/provisioning.c
@@ -0,0 +1,500 @@
+#include "cluster/provisioning.h"
+
+#include <math.h>
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include "base/log.h"
+#include "base/memory.h"
+#include "base/string_copy.h"
+#include "cluster/catalog_index.h"
+#include "protocol/wire.h"
+
+#define MACHINES_PER_REQUEST_MAX 50 /* the cloud's limit (PROTOCOL) */
+#define MACHINES_PER_RECORD_MAX 64  /* at most 50 are asked for at once */
+#define RECORD_HEAD_BYTES 320       /* of a record besides its machines' names */
+#define RECORD_NAME_BYTES 16 /* of a machine's name in it, as a rule; what is longer is split */
+#define RECORD_MAX_LEAST_BYTES 256 /* of a record that no limit is expected to refuse */
+#define RECORD_SHRINK 0.75         /* of the size, after the store has refused a record */
+
+/* Until a call about a request is repeated. */
+#define FENCED_RETRY_S 1.0
+#define RECORD_REFUSED_RETRY_S 1.0
+#define WRITE_RETRY_S 0.2
+#define READ_RETRY_S 0.3
+#define CLOUD_RETRY_S 1.0
+#define CLOUD_RATE_LIMITED_RETRY_S 0.5
+
+/* One call about a request, to the store or to the cloud. */
+struct provision_call {
+    struct rp_provisioning *provisioning;
+    unsigned long generation;
+    char request_name[RP_TEXT_MAX];
+    /* A write: the request's state then, and its machines' names; "" for one that wasn't up. */
+    enum rp_provision_state written_state;
+    size_t n_names;
+    char (*names)[RP_TEXT_MAX];
+};
+
+void rp_provisioning_init(struct rp_provisioning *provisioning, struct rp_fleet_context *context) {
+    memset(provisioning, 0, sizeof *provisioning);
+    provisioning->context = context;
+    provisioning->record_max_bytes = (size_t)(context->settings->state_fit.value_kb * 1024);
+}
+
+void rp_provisioning_clear(struct rp_provisioning *provisioning) {
+    struct rp_provision_requests *requests = &provisioning->requests;
+    rp_capacity_refusals_clear(&provisioning->refusals);
+    for (struct rp_machine *machine = provisioning->context->cluster->first; machine;
+         machine = machine->next)
+        machine->provision_request = NULL;
+    while (requests->first)
+        rp_provision_request_remove(requests, requests->first);
+}
+
+/* ---- calls ---- */
+
+static struct provision_call *provision_call_new(struct rp_provisioning *provisioning,
+                                                 const struct rp_provision_request *request) {
+    struct provision_call *call = rp_alloc(1, sizeof *call);
+    call->provisioning = provisioning;
+    call->generation = provisioning->context->generation;
+    rp_string_copy(call->request_name, sizeof call->request_name, request->name);
+    return call;
+}
+
+static void provision_call_free(struct provision_call *call) {
+    free(call->names);
+    free(call);
+}
+
+/* The request that the call was about; NULL if it is no longer there. */
+static struct rp_provision_request *request_of_call(const struct provision_call *call) {
+    struct rp_provisioning *provisioning = call->provisioning;
+    if (call->generation != provisioning->context->generation)
+        return NULL;
+    return rp_provision_request_find(&provisioning->requests, call->request_name);
+}
+
+/* ---- the record ---- */
+
+/* What a record says that has been written: these machines are up. */
+static void mark_up_recorded(const struct provision_call *call,
+                             const struct rp_provision_request *request) {
+    struct rp_cluster *cluster = call->provisioning->context->cluster;
+    for (size_t i = 0; i < call->n_names; i++) {
+        struct rp_machine *machine =
+            *call->names[i] ? rp_machine_find(cluster, call->names[i]) : NULL;
+        if (machine && machine->provision_request == request)
+            machine->up_recorded = true;
+    }
+}
+
+static void on_record_durable(struct rp_provisioning *provisioning,
+                              struct rp_provision_request *request,
+                              enum rp_provision_state written_state, uint64_t revision) {
+    request->revision = revision;
+    if (written_state == RP_PROVISION_ENDED) {
+        rp_provision_request_remove(&provisioning->requests, request);
+        return;
+    }
+    request->stored = true;
+    /* The state may have moved on while the write was under way: its machines can be terminated. */
+    bool is_same_state = request->state == written_state;
+    if (written_state == RP_PROVISION_RECORDING_INTENT && is_same_state)
+        rp_provision_request_set_state(provisioning->context, request, RP_PROVISION_REQUESTING);
+    else if (written_state == RP_PROVISION_RECORDING_NAMES && is_same_state)
+        rp_provision_request_set_state(provisioning->context, request, RP_PROVISION_LIVE);
+    else if (written_state == RP_PROVISION_LIVE)
+        rp_fleet_context_notify(provisioning->context);
+    rp_provisioning_step(provisioning, request);
+}
+
+static void on_write_failed(struct rp_provisioning *provisioning,
+                            struct rp_provision_request *request,
+                            const struct rp_kv_result *result) {
+    const struct rp_fleet_context *context = provisioning->context;
+    if (result->outcome == RP_KV_CONDITION_FAILED &&
+        rp_wire_failed_key(result->body, RP_KEY_LEADER)) {
+        rp_election_verify(context->election);
+        rp_provision_request_retry_after(context, request, FENCED_RETRY_S);
+        return;
+    }
+    request->is_dirty = true;
+    if (result->outcome == RP_KV_BAD_REQUEST &&
+        provisioning->record_max_bytes > RECORD_MAX_LEAST_BYTES) {
+        /* Larger than the limits told: smaller pieces, at a slower pace. */
+        provisioning->record_max_bytes =
+            (size_t)((double)provisioning->record_max_bytes * RECORD_SHRINK);
+        rp_provision_request_retry_after(context, request, RECORD_REFUSED_RETRY_S);
+        return;
+    }
+    /* Each write carries the revision that it replaces, so that a copy which arrives late can't
+     * take names away again. After a lost answer, or a conflict with a write whose answer was lost,
+     * the revision has to be read. */
+    request->revision_known = false;
+    rp_provision_request_retry_after(context, request, WRITE_RETRY_S);
+}
+
+static void on_record_written(void *arg, const struct rp_kv_result *result) {
+    struct provision_call *call = arg;
+    struct rp_provisioning *provisioning = call->provisioning;
+    struct rp_provision_request *request = request_of_call(call);
+    if (!request)
+        goto out;
+    request->in_flight = false;
+    if (result->outcome == RP_KV_OK) {
+        mark_up_recorded(call, request);
+        on_record_durable(provisioning, request, call->written_state,
+                          rp_wire_revision(result->body));
+    } else {
+        on_write_failed(provisioning, request, result);
+    }
+out:
+    provision_call_free(call);
+}
+
+static void on_revision_read(void *arg, const struct rp_kv_result *result) {
+    struct provision_call *call = arg;
+    struct rp_provisioning *provisioning = call->provisioning;
+    struct rp_provision_request *request = request_of_call(call);
+    struct rp_item item;
+    provision_call_free(call);
+    if (!request)
+        return;
+    request->in_flight = false;
+    if (result->outcome == RP_KV_NOT_FOUND) {
+        request->revision = 0;
+    } else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
+        request->revision = item.version;
+    } else {
+        rp_provision_request_retry_after(provisioning->context, request, READ_RETRY_S);
+        return;
+    }
+    request->revision_known = true;
+    rp_provisioning_step(provisioning, request);
+}
+
+/* The record as it stands; with a call, the names that it says are up are noted there. */
+static json_t *build_record(const struct rp_provisioning *provisioning,
+                            const struct rp_provision_request *request,
+                            struct provision_call *call) {
+    const struct rp_fleet_context *context = provisioning->context;
+    const char *names[MACHINES_PER_RECORD_MAX];
+    bool is_up[MACHINES_PER_RECORD_MAX];
+    size_t n = 0;
+    for (struct rp_machine *machine = context->cluster->first;
+         machine && n < MACHINES_PER_RECORD_MAX; machine = machine->next) {
+        if (machine->provision_request != request)
+            continue;
+        names[n] = machine->name;
+        is_up[n] = machine->up_recorded || machine->contact.incarnation > 0;
+        if (call)
+            rp_string_copy(call->names[n], sizeof call->names[n], is_up[n] ? machine->name : "");
+        n++;
+    }
+    if (call)
+        call->n_names = n;
+    return rp_upgrade_mark_record(context->jobs->upgrade,
+                                  rp_record_provision(&request->record, names, is_up, n));
+}
+
+/* A record that names more machines than a value may hold (the version before wrote up to 50, and
+ * the limit came down) is split: a new one takes over the second half of the names and is written
+ * first, then the old one without them. Whoever reads both in between takes the first that names a
+ * machine. Returns false if no split is needed. */
+static bool split_record(struct rp_provisioning *provisioning,
+                         struct rp_provision_request *request) {
+    const struct rp_fleet_context *context = provisioning->context;
+    json_t *value = build_record(provisioning, request, NULL);
+    size_t size_bytes = rp_record_size(value);
+    size_t n_names = rp_record_provision_n_names(value);
+    char name[RP_TEXT_MAX];
+    json_decref(value);
+    if (size_bytes <= provisioning->record_max_bytes || n_names < 2 || !request->record.answered)
+        return false;
+    rp_provision_request_new_name(&provisioning->requests, "s", context->election->fencing_token,
+                                  name);
+    struct rp_provision_request *second = rp_provision_request_add(&provisioning->requests, name);
+    second->record = request->record;
+    rp_provision_request_move_machines(context, request, second, n_names / 2);
+    second->record.count = (unsigned)(n_names - n_names / 2);
+    request->record.count = (unsigned)(n_names / 2);
+    rp_string_copy(request->write_after, sizeof request->write_after, name);
+    request->is_dirty = true;
+    rp_info("provision record split: request=%s n_machines=%zu split_with=%s", request->name,
+            n_names, name);
+    rp_provision_request_set_state(context, second, RP_PROVISION_RECORDING_NAMES);
+    rp_provisioning_step(provisioning, second);
+    return true;
+}
+
+/* Writes the record, or deletes it once the request has ended; reads its revision first if that
+ * isn't known. */
+static void write_record(struct rp_provisioning *provisioning,
+                         struct rp_provision_request *request) {
+    const struct rp_fleet_context *context = provisioning->context;
+    if (request->state != RP_PROVISION_ENDED && split_record(provisioning, request))
+        return;
+    struct provision_call *call = provision_call_new(provisioning, request);
+    char key[RP_KEY_MAX];
+    rp_key(key, RP_KEY_PROVISION, request->name);
+    request->in_flight = true;
+    if (!request->revision_known) {
+        rp_kv_get(context->store, RP_KV_BUDGET_LEADER, key, on_revision_read, call);
+        return;
+    }
+    json_t *txn = rp_wire_txn();
+    rp_election_guard(context->election, txn);
+    rp_wire_txn_if(txn, key, request->revision);
+    if (request->state == RP_PROVISION_ENDED) {
+        rp_wire_txn_delete(txn, key);
+    } else {
+        call->names = rp_alloc(MACHINES_PER_RECORD_MAX, sizeof *call->names);
+        rp_wire_txn_put(txn, key, build_record(provisioning, request, call), 0);
+    }
+    call->written_state = request->state;
+    request->is_dirty = false;
+    rp_kv_txn(context->store, RP_KV_BUDGET_LEADER, txn, on_record_written, call);
+}
+
+/* ---- the cloud ---- */
+
+static void note_refusal(struct rp_provisioning *provisioning,
+                         const struct rp_provision_request *request) {
+    const struct rp_fleet_context *context = provisioning->context;
+    const struct rp_provision_record *record = &request->record;
+    int type = rp_catalog_type_index(context->catalog, record->type);
+    int zone = rp_catalog_zone_index(context->catalog, record->zone);
+    if (rp_capacity_refusals_note(&provisioning->refusals, type, zone, record->spot,
+                                  context->settings->tuning.refused_pause_s,
+                                  rp_loop_now(context->loop)))
+        rp_debug("machine kind refused for lack of capacity: type=%s zone=%s spot=%d", record->type,
+                 record->zone, record->spot);
+}
+
+/* Gives the request the machine that the cloud has named for it. */
+static void add_named_machine(const struct rp_provisioning *provisioning,
+                              struct rp_provision_request *request, const char *name) {
+    const struct rp_fleet_context *context = provisioning->context;
+    struct rp_machine *machine = rp_machine_find(context->cluster, name);
+    if ((machine && machine->provision_request) || rp_tombstones_has(&context->tombstones, name))
+        return;
+    if (!machine)
+        machine = rp_machine_add(context->cluster, name, RP_MACHINE_BOOTING);
+    machine->provision_request = request;
+    rp_machine_describe(machine, context->catalog, request->record.type, request->record.zone,
+                        request->record.spot);
+}
+
+static void on_machines_named(struct rp_provisioning *provisioning,
+                              struct rp_provision_request *request,
+                              const struct rp_answer *answer) {
+    struct rp_provision_record *record = &request->record;
+    size_t n;
+    char(*names)[RP_TEXT_MAX] = rp_wire_rented(answer->body, answer->len, &n);
+    if (!names) {
+        rp_provision_request_retry_after(provisioning->context, request, CLOUD_RETRY_S);
+        return;
+    }
+    record->answered = true;
+    for (size_t i = 0; i < n; i++)
+        add_named_machine(provisioning, request, names[i]);
+    provisioning->n_provisioned += n;
+    rp_info(
+        "machines provisioned: request=%s type=%s zone=%s spot=%d n_requested=%u n_machines=%zu",
+        request->name, record->type, record->zone, record->spot, record->count, n);
+    if (n < record->count)
+        note_refusal(provisioning, request);
+    free(names);
+    rp_provision_request_set_state(provisioning->context, request,
+                                   n ? RP_PROVISION_RECORDING_NAMES : RP_PROVISION_ENDED);
+    rp_provisioning_step(provisioning, request);
+    rp_fleet_context_notify(provisioning->context);
+}
+
+static void end_request(struct rp_provisioning *provisioning,
+                        struct rp_provision_request *request) {
+    rp_provision_request_set_state(provisioning->context, request, RP_PROVISION_ENDED);
+    rp_provisioning_step(provisioning, request);
+}
+
+static void on_cloud_answer(void *arg, const struct rp_answer *answer) {
+    struct provision_call *call = arg;
+    struct rp_provisioning *provisioning = call->provisioning;
+    struct rp_provision_request *request = request_of_call(call);
+    provision_call_free(call);
+    if (!request || request->state != RP_PROVISION_REQUESTING)
+        return;
+    request->in_flight = false;
+    if (answer->status == 200) {
+        on_machines_named(provisioning, request, answer);
+    } else if (answer->status == 503 && rp_wire_no_capacity(answer->body, answer->len)) {
+        note_refusal(provisioning, request);
+        end_request(provisioning, request);
+        rp_fleet_context_notify(provisioning->context);
+    } else if (answer->status == 400) {
+        rp_error("provision request rejected by the cloud: request=%s answer=%.200s", request->name,
+                 answer->body);
+        end_request(provisioning, request);
+    } else {
+        /* It may have been carried out: only the same name again tells. */
+        rp_provision_request_retry_after(provisioning->context, request,
+                                         answer->status == 429 ? CLOUD_RATE_LIMITED_RETRY_S
+                                                               : CLOUD_RETRY_S);
+    }
+}
+
+static void ask_cloud(struct rp_provisioning *provisioning, struct rp_provision_request *request) {
+    const struct rp_provision_record *record = &request->record;
+    request->in_flight = true;
+    rp_cloud_call(
+        provisioning->context->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_MACHINES,
+        rp_wire_rent(request->name, record->type, record->zone, record->spot, record->count),
+        on_cloud_answer, provision_call_new(provisioning, request));
+}
+
+/* ---- steps ---- */
+
+static bool may_step(const struct rp_fleet_context *context,
+                     const struct rp_provision_request *request) {
+    struct timespec now = rp_loop_now(context->loop);
+    return !request->in_flight && rp_ts_reached(now, request->retry_at) &&
+           rp_election_is_valid(context->election, now);
+}
+
+/* Whether another request's record has to be written before. */
+static bool must_wait_for_other(const struct rp_provisioning *provisioning,
+                                const struct rp_provision_request *request) {
+    if (!*request->write_after)
+        return false;
+    const struct rp_provision_request *other =
+        rp_provision_request_find(&provisioning->requests, request->write_after);
+    return other && !other->stored;
+}
+
+void rp_provisioning_step(struct rp_provisioning *provisioning,
+                          struct rp_provision_request *request) {
+    if (!may_step(provisioning->context, request) || must_wait_for_other(provisioning, request))
+        return;
+    request->write_after[0] = '\0';
+    switch (request->state) {
+    case RP_PROVISION_RECORDING_INTENT:
+    case RP_PROVISION_RECORDING_NAMES:
+        write_record(provisioning, request);
+        break;
+    case RP_PROVISION_REQUESTING:
+        ask_cloud(provisioning, request);
+        break;
+    case RP_PROVISION_LIVE:
+        if (request->is_dirty)
+            write_record(provisioning, request);
+        break;
+    case RP_PROVISION_ENDED:
+        if (request->stored)
+            write_record(provisioning, request);
+        else
+            rp_provision_request_remove(&provisioning->requests, request);
+        break;
+    }
+}
+
+void rp_provisioning_step_all(struct rp_provisioning *provisioning) {
+    for (struct rp_provision_request *request = provisioning->requests.first, *next; request;
+         request = next) {
+        next = request->next;
+        rp_provisioning_step(provisioning, request);
+    }
+}
+
+/* ---- new requests ---- */
+
+/* As many machines as one request may ask for, and one record may name, twice each. */
+static unsigned machines_per_request(const struct rp_provisioning *provisioning) {
+    double n_fitting =
+        ((double)provisioning->record_max_bytes - RECORD_HEAD_BYTES) / (2 * RECORD_NAME_BYTES);
+    if (n_fitting < 1)
+        return 1;
+    return n_fitting < MACHINES_PER_REQUEST_MAX ? (unsigned)n_fitting : MACHINES_PER_REQUEST_MAX;
+}
+
+/* Adds a request for machines of a kind of the catalog, made now. */
+static struct rp_provision_request *add_request(struct rp_provisioning *provisioning,
+                                                const char *name, int type, int zone, bool spot) {
+    const struct rp_catalog *catalog = provisioning->context->catalog;
+    struct rp_provision_request *request = rp_provision_request_add(&provisioning->requests, name);
+    struct rp_provision_record *record = &request->record;
+    rp_string_copy(record->type, sizeof record->type, catalog->types[type].name);
+    rp_string_copy(record->zone, sizeof record->zone, catalog->zones[zone]);
+    record->spot = spot;
+    clock_gettime(CLOCK_REALTIME, &record->requested_at);
+    return request;
+}
+
+void rp_provisioning_request_machines(struct rp_provisioning *provisioning, int type, int zone,
+                                      bool spot, unsigned count) {
+    unsigned count_max = machines_per_request(provisioning);
+    char name[RP_TEXT_MAX];
+    rp_provision_request_new_name(&provisioning->requests, "r",
+                                  provisioning->context->election->fencing_token, name);
+    struct rp_provision_request *request = add_request(provisioning, name, type, zone, spot);
+    request->record.count = count < count_max ? count : count_max;
+    rp_provision_request_set_state(provisioning->context, request, RP_PROVISION_RECORDING_INTENT);
+    rp_provisioning_step(provisioning, request);
+}
+
+void rp_provisioning_adopt(struct rp_provisioning *provisioning, struct rp_machine *machine) {
+    char name[RP_TEXT_MAX + 8];
+    if (machine->provision_request || machine->type < 0 || machine->zone < 0)
+        return;
+    snprintf(name, sizeof name, "a-%s", machine->name);
+    if (strlen(name) >= RP_TEXT_MAX || rp_provision_request_find(&provisioning->requests, name))
+        return;
+    struct rp_provision_request *request =
+        add_request(provisioning, name, machine->type, machine->zone, machine->spot);
+    request->record.count = 1;
+    request->record.answered = true;
+    machine->provision_request = request;
+    rp_provision_request_set_state(provisioning->context, request, RP_PROVISION_RECORDING_NAMES);
+    rp_provisioning_step(provisioning, request);
+}
+
+/* ---- its machines ---- */
+
+void rp_provisioning_record_up(struct rp_provisioning *provisioning, struct rp_machine *machine) {
+    struct rp_provision_request *request = machine->provision_request;
+    if (machine->up_recorded || !request || request->is_dirty)
+        return;
+    request->is_dirty = true;
+    rp_provisioning_step(provisioning, request);
+}
+
+void rp_provisioning_on_machine_terminated(struct rp_provisioning *provisioning,
+                                           struct rp_provision_request *request) {
+    bool may_end =
+        request->state == RP_PROVISION_LIVE || request->state == RP_PROVISION_RECORDING_NAMES;
+    if (may_end && !rp_provision_request_has_machines(provisioning->context, request))
+        rp_provision_request_set_state(provisioning->context, request, RP_PROVISION_ENDED);
+    else
+        request->is_dirty = true;
+}
+
+static bool is_awaiting_names(const struct rp_provision_request *request) {
+    return request->state == RP_PROVISION_RECORDING_INTENT ||
+           request->state == RP_PROVISION_REQUESTING;
+}
+
+unsigned rp_provisioning_n_requested(const struct rp_provisioning *provisioning, int type, int zone,
+                                     bool spot) {
+    const struct rp_catalog *catalog = provisioning->context->catalog;
+    unsigned n = 0;
+    for (const struct rp_provision_request *request = provisioning->requests.first; request;
+         request = request->next) {
+        const struct rp_provision_record *record = &request->record;
+        if (is_awaiting_names(request) && record->spot == spot &&
+            rp_catalog_type_index(catalog, record->type) == type &&
+            rp_catalog_zone_index(catalog, record->zone) == zone)
+            n += record->count;
+    }
+    return n;
+}
--- /dev/null
+++ b/src/cluster/release.c
@@ -0,0 +1,121 @@
+#include "cluster/release.h"
+
+#include <stdlib.h>
+#include <string.h>
+#include "base/log.h"
+#include "base/memory.h"
+#include "base/string_copy.h"
+#include "protocol/wire.h"
+
+#define DELETE_MAX 100 /* machines in a call (PROTOCOL) */
+/* Standbys, which ask for changes more often than this, know of a release by then. */
+#define STANDBYS_TOLD_S 0.4
+/* What the leader before has released is released again at once, at the beginning of a term. */
+#define NEW_TERM_S 2.0
+
+/* A call that deletes machines. */
+struct delete_call {
+    struct rp_release *release;
+    unsigned long generation;
+    size_t n_names;
+    char names[][RP_TEXT_MAX];
+};
+
+void rp_release_init(struct rp_release *release, struct rp_fleet_context *context,
+                     struct rp_provisioning *provisioning) {
+    *release = (struct rp_release){.context = context, .provisioning = provisioning};
+}
+
+void rp_release_clear(struct rp_release *release) {
+    release->delete_in_flight = false;
+}
+
+/* The machine is terminated for certain: the cloud has answered 200 to its deletion. */
+static void on_terminated(struct rp_release *release, struct rp_machine *machine) {
+    struct rp_provision_request *request = machine->provision_request;
+    release->n_released++;
+    rp_capacity_refusals_forget(&release->provisioning->refusals, machine->type, machine->zone,
+                                machine->spot);
+    rp_tombstones_add(&release->context->tombstones, machine->name);
+    rp_machine_remove(release->context->cluster, machine);
+    if (request)
+        rp_provisioning_on_machine_terminated(release->provisioning, request);
+}
+
+static void on_delete_answer(void *arg, const struct rp_answer *answer) {
+    struct delete_call *call = arg;
+    struct rp_release *release = call->release;
+    bool is_deleted = answer->status == 200;
+    if (call->generation != release->context->generation)
+        goto out;
+    release->delete_in_flight = false;
+    for (size_t i = 0; i < call->n_names; i++) {
+        struct rp_machine *machine = rp_machine_find(release->context->cluster, call->names[i]);
+        if (!machine)
+            continue;
+        machine->scale_in.delete_sent = false; /* unless deleted, asked for again by the tick */
+        if (is_deleted)
+            on_terminated(release, machine);
+    }
+    if (is_deleted)
+        rp_fleet_context_notify(release->context);
+out:
+    free(call);
+}
+
+/* The standbys hear of a release before the cloud does: of a machine that is terminated without
+ * their knowing, a new leader would have to think for seconds that tasks may be there. */
+static bool is_known_to_standbys(const struct rp_fleet_context *context,
+                                 const struct rp_machine *machine, struct timespec now) {
+    return !context->settings->tuning.standby ||
+           rp_ts_since(now, machine->scale_in.since) > STANDBYS_TOLD_S ||
+           rp_ts_since(now, context->led_since) < NEW_TERM_S;
+}
+
+static bool may_delete(const struct rp_fleet_context *context, const struct rp_machine *machine,
+                       struct timespec now) {
+    return machine->state == RP_MACHINE_RELEASING && !machine->scale_in.delete_sent &&
+           is_known_to_standbys(context, machine, now);
+}
+
+static struct delete_call *delete_call_new(struct rp_release *release, const char *const *names,
+                                           size_t n_names) {
+    struct delete_call *call = rp_alloc(1, sizeof *call + n_names * sizeof *call->names);
+    call->release = release;
+    call->generation = release->context->generation;
+    call->n_names = n_names;
+    for (size_t i = 0; i < n_names; i++)
+        rp_string_copy(call->names[i], sizeof call->names[i], names[i]);
+    return call;
+}
+
+void rp_release_step(struct rp_release *release) {
+    const struct rp_fleet_context *context = release->context;
+    const char *names[DELETE_MAX];
+    struct timespec now = rp_loop_now(context->loop);
+    size_t n = 0;
+    if (release->delete_in_flight || !rp_election_is_valid(context->election, now))
+        return;
+    for (struct rp_machine *machine = context->cluster->first; machine && n < DELETE_MAX;
+         machine = machine->next)
+        if (may_delete(context, machine, now)) {
+            machine->scale_in.delete_sent = true;
+            names[n++] = machine->name;
+        }
+    if (n == 0)
+        return;
+    release->delete_in_flight = true;
+    rp_cloud_call(context->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_DELETE, rp_wire_delete(names, n),
+                  on_delete_answer, delete_call_new(release, names, n));
+}
+
+void rp_release_machine(struct rp_release *release, struct rp_machine *machine,
+                        const char *reason) {
+    const struct rp_fleet_context *context = release->context;
+    if (machine->state == RP_MACHINE_RELEASING)
+        return;
+    rp_info("machine released: machine=%s reason=%s age_s=%.0f", machine->name, reason,
+            rp_ts_since(rp_loop_now(context->loop), machine->requested_at));
+    rp_machine_set_state(context->cluster, machine, RP_MACHINE_RELEASING);
+    rp_release_step(release);
+}
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -87,8 +87,9 @@
     node->jobs.on_changed = on_room;
     node->jobs.arg = node;
     node->fleet.on_loaded = on_fleet_loaded;
-    node->fleet.on_changed = on_room;
-    node->fleet.arg = node;
+    node->fleet.on_loaded_arg = node;
+    node->fleet.context.on_changed = on_room;
+    node->fleet.context.on_changed_arg = node;
     node->workers.on_capacity_freed = on_report_news;
     node->workers.arg = node;
     node->catalog_source.on_known = on_catalog;
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -159,7 +159,7 @@
         if (age >= RP_MIN_CHARGE_S - tuning->return_margin_s &&
             into >= tuning->billing_unit_s - tuning->return_margin_s &&
             !(ready_room(scheduler, machine) && ready - part < reserve - RP_READY_SLACK_CPUS)) {
-            rp_fleet_scale_in(scheduler->fleet, machine, "idle near its unit's end");
+            rp_fleet_scale_in(scheduler->fleet, machine, "idle");
             ready -= part;
         }
     }
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -34,7 +34,7 @@
 };
 
 static inline const struct rp_catalog *rp_scheduler_catalog(const struct rp_scheduler *scheduler) {
-    return scheduler->fleet->catalog;
+    return scheduler->fleet->context.catalog;
 }
 
 #endif
--- a/src/scheduler/services.c
+++ b/src/scheduler/services.c
@@ -561,8 +561,9 @@
     bool cut = machine->zone >= 0 && (doubt >> machine->zone & 1);
     if (machine->contact.probes_failed >= PROBES && !cut &&
         !rp_fleet_is_zone_silent(services->fleet, machine->zone) &&
-        rp_ts_since(now, services->fleet->led_since) > services->settings->report_s * 1.25 + LED_S)
-        rp_fleet_scale_in(services->fleet, machine, "silent, and replicas wait for it");
+        rp_ts_since(now, services->fleet->context.led_since) >
+            services->settings->report_s * 1.25 + LED_S)
+        rp_fleet_scale_in(services->fleet, machine, "replicas_wait");
     else
         rp_workers_probe(services->workers, machine);
 }
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -426,7 +426,7 @@
             rp_machine_directory_find(&standby->directory, machine->name);
         if ((known && known->releasing) ||
             rp_tombstones_has(&standby->directory.tombstones, machine->name))
-            rp_fleet_scale_in(standby->workers->fleet, machine, "the leader before gave it back");
+            rp_fleet_scale_in(standby->workers->fleet, machine, "released_before_failover");
     }
 }
 
--- a/tests/test_sim.c
+++ b/tests/test_sim.c
@@ -90,13 +90,13 @@
         sim_submit(sim, 1, "sweep", 30, 1, 60, 0);
     sim_run(sim, 60);
     int leader = sim_leader(sim);
-    unsigned long returned = sim->nodes[leader].node->fleet.n_released;
+    unsigned long returned = sim->nodes[leader].node->fleet.release.n_released;
     assert_true(sim->nodes[leader].node->cluster.n_machines >= 4);
     sim->cut_from_workers = leader + 1;
     sim_run(sim, 11);
     assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
-    assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.n_released, 0);
-    assert_true(sim->nodes[leader].node->fleet.n_released <= returned + 1);
+    assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.release.n_released, 0);
+    assert_true(sim->nodes[leader].node->fleet.release.n_released <= returned + 1);
     assert_string_equal(sim->broken, "");
     sim_free(sim);
 }
@@ -495,7 +495,8 @@
     sim_run(sim, 60);
     assert_true(sim->jobs[gang].begun);
     struct rp_node *node = sim->nodes[sim_leader(sim)].node;
-    assert_true(node->fleet.n_refused > 0 && node->fleet.n_refused < 60);
+    assert_true(node->fleet.provisioning.refusals.n_refused > 0 &&
+                node->fleet.provisioning.refusals.n_refused < 60);
     assert_string_equal(sim->broken, "");
     sim_free(sim);
 }
@@ -928,8 +929,8 @@
     assert_true(sim_leader(sim) >= 0);
     const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
     unsigned long records = node->jobs.n_jobs;
-    for (const struct rp_provision_request *request = node->fleet.provision_requests; request;
-         request = request->next)
+    for (const struct rp_provision_request *request = node->fleet.provisioning.requests.first;
+         request; request = request->next)
         records++;
     assert_true(sim->n_state_lists - lists <= 3); /* jobs, progress, rentals: a page each */
     assert_true(sim->n_rows_read - rows <= 2 * records);
--- a/tests/test_standby.c
+++ b/tests/test_standby.c
@@ -365,13 +365,13 @@
         int leader = sim_leader(sim);
         struct rp_node *node = sim->nodes[leader].node;
         assert_non_null(node->cluster.first);
-        node->fleet.deleting = true; /* the request will go, but hasn't gone yet */
+        node->fleet.release.delete_in_flight = true; /* the request will go, but hasn't gone yet */
         rp_fleet_scale_in(&node->fleet, node->cluster.first, "for the test");
         run(sim, 0.5);
         sim_crash(sim, leader, 20);
         assert_true(until_started(sim, token, 20) <= TAKEOVER_MOST_S);
         run(sim, 1);
-        assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.n_released, 1);
+        assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.release.n_released, 1);
         rest(sim);
     }
 }
@@ -387,8 +387,8 @@
         assert_non_null(node->cluster.first);
         char name[RP_TEXT_MAX];
         strcpy(name, node->cluster.first->name);
-        for (struct rp_provision_request *request = node->fleet.provision_requests; request;
-             request = request->next)
+        for (struct rp_provision_request *request = node->fleet.provisioning.requests.first;
+             request; request = request->next)
             request->retry_at =
                 rp_ts_after(rp_loop_now(node->loop), 60); /* no record is written any more */
         rp_fleet_scale_in(&node->fleet, node->cluster.first, "for the test");
