--- a/src/cluster/provision_loading.c
+++ b/src/cluster/provision_loading.c
@@ -49,7 +49,7 @@
     machine->contact.lease_expiry = earlier_leaders_lease_expiry(context);
 }
 
-static void load_record(struct rp_provisioning *provisioning, const struct rp_item *item) {
+static void load_record(struct rp_provisioning *provisioning, const struct rp_kv_item *item) {
     const struct rp_fleet_context *context = provisioning->context;
     struct rp_provision_request *request =
         rp_provision_request_add(&provisioning->requests, item->key + strlen(RP_KEY_PROVISION));
@@ -59,7 +59,7 @@
         return;
     }
     request->stored = true;
-    request->revision = item->version;
+    request->revision = item->revision;
     request->revision_known = true;
     if (!request->record.answered) {
         rp_provision_request_set_state(context, request, RP_PROVISION_REQUESTING);
@@ -83,19 +83,18 @@
 static void on_page(void *arg, const struct rp_kv_result *result) {
     struct load_call *call = arg;
     struct rp_provisioning *provisioning = call->provisioning;
-    struct rp_item item = {0};
-    bool has_more = false;
+    struct rp_kv_item item = {0};
     if (call->generation != provisioning->context->generation)
         goto out;
     if (result->outcome != RP_KV_OK) {
         call->on_loaded(call->arg, false);
         goto out;
     }
-    size_t n = rp_wire_items(result->body, &has_more);
+    size_t n = rp_kv_result_n_items(result);
     for (size_t i = 0; i < n; i++)
-        if (rp_wire_items_at(result->body, i, &item))
+        if (rp_kv_result_item_at(result, i, &item))
             load_record(provisioning, &item);
-    if (has_more && n > 0) {
+    if (rp_kv_result_has_more(result) && n > 0) {
         load_page(call, item.key);
         return;
     }
--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -115,7 +115,7 @@
                             const struct rp_kv_result *result) {
     const struct rp_fleet_context *context = provisioning->context;
     if (result->outcome == RP_KV_CONDITION_FAILED &&
-        rp_wire_failed_key(result->body, RP_KEY_LEADER)) {
+        rp_kv_result_failed_on(result, RP_KEY_LEADER)) {
         rp_election_verify(context->election);
         rp_provision_request_retry_after(context, request, FENCED_RETRY_S);
         return;
@@ -146,7 +146,7 @@
     if (result->outcome == RP_KV_OK) {
         mark_up_recorded(call, request);
         on_record_durable(provisioning, request, call->written_state,
-                          rp_wire_revision(result->body));
+                          rp_kv_result_revision(result));
     } else {
         on_write_failed(provisioning, request, result);
     }
@@ -158,15 +158,15 @@
     struct provision_call *call = arg;
     struct rp_provisioning *provisioning = call->provisioning;
     struct rp_provision_request *request = request_of_call(call);
-    struct rp_item item;
+    struct rp_kv_item item;
     provision_call_free(call);
     if (!request)
         return;
     request->in_flight = false;
     if (result->outcome == RP_KV_NOT_FOUND) {
         request->revision = 0;
-    } else if (result->outcome == RP_KV_OK && rp_wire_item(result->body, &item)) {
-        request->revision = item.version;
+    } else if (rp_kv_result_item(result, &item)) {
+        request->revision = item.revision;
     } else {
         rp_provision_request_retry_after(provisioning->context, request, READ_RETRY_S);
         return;
@@ -244,18 +244,18 @@
         rp_kv_get(context->store, RP_KV_BUDGET_LEADER, key, on_revision_read, call);
         return;
     }
-    json_t *txn = rp_wire_txn();
+    struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(context->election, txn);
-    rp_wire_txn_if(txn, key, request->revision);
+    rp_kv_txn_if(txn, key, request->revision);
     if (request->state == RP_PROVISION_ENDED) {
-        rp_wire_txn_delete(txn, key);
+        rp_kv_txn_delete(txn, key);
     } else {
         call->names = rp_alloc(MACHINES_PER_RECORD_MAX, sizeof *call->names);
-        rp_wire_txn_put(txn, key, build_record(provisioning, request, call), 0);
+        rp_kv_txn_put(txn, key, build_record(provisioning, request, call), RP_KV_NO_LEASE);
     }
     call->written_state = request->state;
     request->is_dirty = false;
-    rp_kv_txn(context->store, RP_KV_BUDGET_LEADER, txn, on_record_written, call);
+    rp_kv_txn_submit(context->store, RP_KV_BUDGET_LEADER, txn, on_record_written, call);
 }
 
 /* ---- the cloud ---- */
--- a/src/store/kv_client.h
+++ b/src/store/kv_client.h
@@ -7,21 +7,8 @@
 #include "base/loop.h"
 #include "base/net.h"
 #include "base/token_bucket.h"
-
-enum rp_kv_outcome {
-    RP_KV_OK,
-    RP_KV_NOT_FOUND,        /* 404 */
-    RP_KV_CONDITION_FAILED, /* 409: a condition failed, nothing was changed */
-    RP_KV_COMPACTED,        /* 410: a watch from too old a revision */
-    RP_KV_BAD_REQUEST,      /* 400, also: no such lease */
-    RP_KV_REFUSED,          /* certainly not executed: 429, 503, or no budget here */
-    RP_KV_UNKNOWN           /* no answer: may have been executed, or may be later */
-};
-
-struct rp_kv_result {
-    enum rp_kv_outcome outcome;
-    json_t *body; /* borrowed; NULL when there is none */
-};
+#include "store/kv_result.h"
+#include "store/kv_txn.h"
 
 typedef void (*rp_kv_fn)(void *arg, const struct rp_kv_result *result);
 
@@ -67,9 +54,9 @@
                void *arg);
 void rp_kv_list(struct rp_kv_client *client, enum rp_kv_budget budget, const char *prefix,
                 const char *after, unsigned limit, rp_kv_fn fn, void *arg);
-/** Takes the transaction over. */
-void rp_kv_txn(struct rp_kv_client *client, enum rp_kv_budget budget, json_t *txn, rp_kv_fn fn,
-               void *arg);
+/** Sends a transaction, and takes it over. */
+void rp_kv_txn_submit(struct rp_kv_client *client, enum rp_kv_budget budget, struct rp_kv_txn *txn,
+                      rp_kv_fn fn, void *arg);
 void rp_kv_lease_grant(struct rp_kv_client *client, double ttl_s, rp_kv_fn fn, void *arg);
 void rp_kv_lease_renew(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg);
 void rp_kv_lease_revoke(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg);
