--- a/src/cluster/failure_detection.c
+++ b/src/cluster/failure_detection.c
@@ -187,8 +187,8 @@
     return zone >= 0 && (detector->silent_zones >> zone & 1);
 }
 
-static bool was_within(struct timespec at, struct timespec now, double within_s) {
-    return !rp_ts_zero(at) && rp_ts_since(now, at) < within_s;
+static bool was_within(struct timespec when, struct timespec now, double within_s) {
+    return !rp_ts_zero(when) && rp_ts_since(now, when) < within_s;
 }
 
 bool rp_failure_detector_is_behind_cut(const struct rp_failure_detector *detector,
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -37,13 +37,13 @@
 
 /* ---- a term ---- */
 
-static void on_records_loaded(void *arg, bool ok) {
+static void on_records_loaded(void *arg, bool is_loaded) {
     struct rp_fleet *fleet = arg;
-    if (ok) {
+    if (is_loaded) {
         fleet->context.led_since = rp_loop_now(fleet->context.loop);
         rp_timer_set(fleet->context.loop, &fleet->timer, 0);
     }
-    fleet->on_loaded(fleet->on_loaded_arg, ok);
+    fleet->on_loaded(fleet->on_loaded_arg, is_loaded);
 }
 
 void rp_fleet_load(struct rp_fleet *fleet) {
--- a/src/cluster/fleet.h
+++ b/src/cluster/fleet.h
@@ -22,8 +22,8 @@
     struct rp_reconciliation reconciliation;
     struct rp_failure_detector failure_detector;
     struct rp_timer timer;
-    /* The records of a new term have been read, or not. */
-    void (*on_loaded)(void *arg, bool ok);
+    /** The records of a new term have been read, or not. */
+    void (*on_loaded)(void *arg, bool is_loaded);
     void *on_loaded_arg;
 };
 
--- a/src/cluster/fleet_context.h
+++ b/src/cluster/fleet_context.h
@@ -22,7 +22,7 @@
     /* Grows whenever the fleet is cleared: answers to calls of an earlier one are dropped. */
     unsigned long generation;
     struct timespec led_since; /* when this term's records had been loaded */
-    /* Machines or capacity have changed; NULL: nobody wants to know. */
+    /** Machines or capacity have changed; NULL: nobody wants to know. */
     void (*on_changed)(void *arg);
     void *on_changed_arg;
 };
--- a/src/cluster/image_index.c
+++ b/src/cluster/image_index.c
@@ -40,7 +40,7 @@
 }
 
 static int by_use(const void *a, const void *b) {
-    return rp_ts_cmp(((const struct rp_image *)a)->used, ((const struct rp_image *)b)->used);
+    return rp_ts_cmp(((const struct rp_image *)a)->used_at, ((const struct rp_image *)b)->used_at);
 }
 
 static size_t images_told(const struct rp_cluster *cluster) {
--- /dev/null
+++ b/src/cluster/machine.c
@@ -0,0 +1,62 @@
+#include "cluster/machine.h"
+
+#include "cluster/catalog_index.h"
+
+const char *rp_machine_state_name(enum rp_machine_state state) {
+    switch (state) {
+    case RP_MACHINE_BOOTING:
+        return "booting";
+    case RP_MACHINE_UNRECONCILED:
+        return "unreconciled";
+    case RP_MACHINE_UP:
+        return "up";
+    case RP_MACHINE_LOST:
+        return "lost";
+    case RP_MACHINE_RELEASING:
+        return "releasing";
+    }
+    return "unknown";
+}
+
+static bool is_kind_known(const struct rp_machine *machine) {
+    return machine->type >= 0 && machine->zone >= 0;
+}
+
+void rp_machine_describe(struct rp_machine *machine, const struct rp_catalog *catalog,
+                         const char *type, const char *zone, bool spot) {
+    /* A zone never changes under a machine's tasks: they are counted by it. */
+    if (is_kind_known(machine) || machine->n_allocations > 0)
+        return;
+    machine->type = rp_catalog_type_index(catalog, type);
+    machine->zone = rp_catalog_zone_index(catalog, zone);
+    machine->spot = spot;
+}
+
+bool rp_machine_is_one_way_partitioned(const struct rp_machine *machine) {
+    return !rp_ts_zero(machine->contact.answers_lost_since);
+}
+
+/* Its name, and that it is up, are in a durable record: the next leader will ask it. */
+static bool is_durable(const struct rp_machine *machine) {
+    return machine->recorded && machine->up_recorded;
+}
+
+static bool is_healthy(const struct rp_machine *machine) {
+    return !machine->health.quarantined && !machine->health.suspected;
+}
+
+bool rp_machine_is_usable(const struct rp_machine *machine) {
+    bool is_known = machine->state == RP_MACHINE_UP && is_durable(machine) &&
+                    machine->contact.fencing_token_seen && is_kind_known(machine);
+    bool is_staying = !machine->spot_notice.received && is_healthy(machine);
+    return is_known && is_staying && !rp_machine_is_one_way_partitioned(machine) &&
+           machine->n_unknown_live == 0;
+}
+
+bool rp_machine_is_idle(const struct rp_machine *machine) {
+    for (size_t i = 0; i < machine->n_allocations; i++)
+        if (machine->allocations[i].state != RP_ALLOCATION_EXITED ||
+            !machine->allocations[i].started_directly)
+            return false;
+    return machine->n_unknown_tasks == 0;
+}
--- a/src/cluster/provision_loading.h
+++ b/src/cluster/provision_loading.h
@@ -6,8 +6,9 @@
 
 #include "cluster/provisioning.h"
 
-/** Outcome of the loading; false: a page couldn't be read, and the table is incomplete. */
-typedef void (*rp_provision_loaded_fn)(void *arg, bool ok);
+/** The records have been read; not `is_loaded`: a page couldn't be read, and the table is
+ * incomplete. */
+typedef void (*rp_provision_loaded_fn)(void *arg, bool is_loaded);
 
 /** Reads all records into the provisioning, which must have been cleared, and their machines into
  * the cluster state. Nothing is called once the provisioning is cleared meanwhile. */
--- a/src/cluster/release.c
+++ b/src/cluster/release.c
@@ -37,7 +37,7 @@
     rp_capacity_refusals_forget(&release->provisioning->refusals, machine->type, machine->zone,
                                 machine->spot);
     rp_tombstones_add(&release->context->tombstones, machine->name);
-    rp_machine_remove(release->context->cluster, machine);
+    rp_machine_remove(release->context->cluster, machine, RP_EVIDENCE_DELETION_CONFIRMED);
     if (request)
         rp_provisioning_on_machine_terminated(release->provisioning, request);
 }
--- a/src/cluster/release_policy.c
+++ b/src/cluster/release_policy.c
@@ -44,7 +44,7 @@
 
 /* Returns whether the machine was lost. */
 static bool check_running(const struct policy *policy, struct rp_machine *machine) {
-    if (rp_ts_reached(policy->now, machine->contact.lease_expiry)) {
+    if (rp_machine_is_lease_expired(machine, policy->now)) {
         rp_machine_set_state(policy->context->cluster, machine, RP_MACHINE_LOST);
         return true;
     }
