--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -195,7 +195,7 @@
     }
     if (call)
         call->n_names = n;
-    return rp_upgrade_mark_record(context->jobs->upgrade,
+    return rp_upgrade_mark_record(context->jobs->context.upgrade,
                                   rp_record_provision(&request->record, names, is_up, n));
 }
 
@@ -292,7 +292,7 @@
                               const struct rp_answer *answer) {
     struct rp_provision_record *record = &request->record;
     size_t n;
-    char(*names)[RP_TEXT_MAX] = rp_wire_rented(answer->body, answer->len, &n);
+    char(*names)[RP_TEXT_MAX] = rp_cloud_codec_parse_provisioned(answer->body, answer->len, &n);
     if (!names) {
         rp_provision_request_retry_after(provisioning->context, request, CLOUD_RETRY_S);
         return;
@@ -329,7 +329,7 @@
     request->in_flight = false;
     if (answer->status == 200) {
         on_machines_named(provisioning, request, answer);
-    } else if (answer->status == 503 && rp_wire_no_capacity(answer->body, answer->len)) {
+    } else if (answer->status == 503 && rp_cloud_codec_is_no_capacity(answer->body, answer->len)) {
         note_refusal(provisioning, request);
         end_request(provisioning, request);
         rp_fleet_context_notify(provisioning->context);
@@ -348,10 +348,10 @@
 static void ask_cloud(struct rp_provisioning *provisioning, struct rp_provision_request *request) {
     const struct rp_provision_record *record = &request->record;
     request->in_flight = true;
-    rp_cloud_call(
-        provisioning->context->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_MACHINES,
-        rp_wire_rent(request->name, record->type, record->zone, record->spot, record->count),
-        on_cloud_answer, provision_call_new(provisioning, request));
+    rp_cloud_call(provisioning->context->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_MACHINES,
+                  rp_cloud_codec_write_provision_request(request->name, record->type, record->zone,
+                                                         record->spot, record->count),
+                  on_cloud_answer, provision_call_new(provisioning, request));
 }
 
 /* ---- steps ---- */
--- a/src/cluster/reconciliation.c
+++ b/src/cluster/reconciliation.c
@@ -141,7 +141,8 @@
     reconciliation->list_in_flight = false;
     if (answer->status != 200)
         goto out;
-    struct rp_listed_machine *list = rp_wire_listed(answer->body, answer->len, &n, &has_more);
+    struct rp_listed_machine *list =
+        rp_cloud_codec_parse_machine_list(answer->body, answer->len, &n, &has_more);
     for (size_t i = 0; list && i < n; i++)
         reconcile_entry(reconciliation, &list[i]);
     if (list && n > 0)
@@ -205,7 +206,7 @@
     struct cloud_call *call = arg;
     struct rp_catalog *fresh = rp_alloc(1, sizeof *fresh);
     if (is_current(call) && answer->status == 200 &&
-        rp_wire_catalog(answer->body, answer->len, fresh))
+        rp_cloud_codec_parse_catalog(answer->body, answer->len, fresh))
         take_prices(call->reconciliation->context->catalog, fresh);
     free(fresh);
     free(call);
@@ -215,7 +216,7 @@
     if (!rp_ts_reached(now, reconciliation->next_prices_at))
         return;
     reconciliation->next_prices_at = rp_ts_after(now, PRICES_S);
-    rp_cloud_call(reconciliation->context->cloud, RP_CLOUD_ROUTINE, "GET", RP_PATH_TYPES, NULL,
+    rp_cloud_call(reconciliation->context->cloud, RP_CLOUD_ROUTINE, "GET", RP_PATH_CATALOG, NULL,
                   on_catalog, cloud_call_new(reconciliation));
 }
 
--- a/src/cluster/release.c
+++ b/src/cluster/release.c
@@ -105,8 +105,9 @@
     if (n == 0)
         return;
     release->delete_in_flight = true;
-    rp_cloud_call(context->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_DELETE, rp_wire_delete(names, n),
-                  on_delete_answer, delete_call_new(release, names, n));
+    rp_cloud_call(context->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_RELEASE,
+                  rp_cloud_codec_write_release(names, n), on_delete_answer,
+                  delete_call_new(release, names, n));
 }
 
 void rp_release_machine(struct rp_release *release, struct rp_machine *machine,
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -169,7 +169,7 @@
         return;
     }
     if (answer->len)
-        body = rp_wire_parse(answer->body, answer->len);
+        body = rp_codec_parse_object(answer->body, answer->len);
     if (outcome == RP_KV_OK && answer->len && !body)
         outcome = RP_KV_UNKNOWN;
     client->n_bad += outcome == RP_KV_BAD_REQUEST;
@@ -307,8 +307,8 @@
 }
 
 void rp_kv_lease_grant(struct rp_kv_client *client, double ttl_s, rp_kv_fn fn, void *arg) {
-    start(client, RP_KV_BUDGET_LEADERSHIP, "POST", format("/leases"), rp_wire_lease_request(ttl_s),
-          ANSWER_S, 0, fn, arg);
+    start(client, RP_KV_BUDGET_LEADERSHIP, "POST", format("/leases"),
+          rp_kv_codec_write_lease_request(ttl_s), ANSWER_S, 0, fn, arg);
 }
 
 void rp_kv_lease_renew(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg) {
--- a/tests/simulation/test_sim.c
+++ b/tests/simulation/test_sim.c
@@ -69,14 +69,14 @@
     sim_run(sim, 5);
     sim->nodes[1].store_refusal_until = sim->now + 8;
     sim_run(sim, 4);
-    assert_true(rp_node_healthy(sim->nodes[0].node));
-    assert_false(rp_node_healthy(sim->nodes[1].node));
+    assert_true(rp_node_is_healthy(sim->nodes[0].node));
+    assert_false(rp_node_is_healthy(sim->nodes[1].node));
     sim_run(sim, 8);
-    assert_true(rp_node_healthy(sim->nodes[1].node));
+    assert_true(rp_node_is_healthy(sim->nodes[1].node));
     sim->store_outage_until = sim->now + 10;
     sim_run(sim, 6);
     for (int i = 0; i < sim->n_nodes; i++)
-        assert_true(rp_node_healthy(sim->nodes[i].node));
+        assert_true(rp_node_is_healthy(sim->nodes[i].node));
     sim_free(sim);
 }
 
@@ -316,7 +316,7 @@
         sessions[i] = sim->workers[i].used && sim->workers[i].up ? sim->workers[i].incarnation : 0;
     sim->nodes[leader].partitioned_until = sim->now + 40;
     sim_run(sim, 6);
-    assert_false(rp_node_healthy(sim->nodes[leader].node));
+    assert_false(rp_node_is_healthy(sim->nodes[leader].node));
     sim_run(sim, 20);
     assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
     for (int i = 0; i < sim->size.workers; i++)
@@ -327,7 +327,7 @@
     assert_true(all >= 4);
     assert_int_equal(kept, all);
     sim_run(sim, 30);
-    assert_true(rp_node_healthy(sim->nodes[leader].node));
+    assert_true(rp_node_is_healthy(sim->nodes[leader].node));
     assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
@@ -806,7 +806,7 @@
     for (int i = 0; i < 20; i++) {
         sim_run(sim, 0.02);
         assert_int_equal(sim_leader(sim), leader);
-        for (const struct rp_job *job = node->jobs.first; job; job = job->next)
+        for (const struct rp_job *job = node->jobs.table.first; job; job = job->next)
             for (uint32_t t = 0; t < job->spec.n_tasks; t++)
                 assert_true(rp_job_n_task_allocations(job, t) <= 1);
     }
@@ -933,7 +933,7 @@
     sim_run(sim, 8);
     assert_true(sim_leader(sim) >= 0);
     const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
-    unsigned long records = node->jobs.n_jobs;
+    unsigned long records = node->jobs.table.n_jobs;
     for (const struct rp_provision_request *request = node->fleet.provisioning.requests.first;
          request; request = request->next)
         records++;
