--- a/src/cluster/image_index.c
+++ b/src/cluster/image_index.c
@@ -4,29 +4,28 @@
 #include <string.h>
 #include "protocol/wire.h"
 
-#define EVERY_S 8.0
-#define ANSWER_S 1.5
-#define IMAGES_TOLD                                                                                \
-    65536              /* of all machines together, the latest used of each: some 2 MB of text     \
-                        */
-#define IMAGES_LEAST 4 /* but so many of each machine */
+#define COPY_INTERVAL_S 8.0
+#define ANSWER_TIMEOUT_S 1.5
+/* Told of all machines together, the latest used of each: some 2 MB of text, */
+#define IMAGES_TOLD_MAX 65536
+/* but so many of each machine. */
+#define IMAGES_PER_MACHINE_MIN 4
 
-static void tick(void *arg);
+static void on_copy_timer(void *arg);
 
 void rp_image_index_init(struct rp_image_index *index, struct rp_loop *loop, struct rp_net net,
                          struct rp_election *election, struct rp_cluster *cluster,
                          const struct rp_settings *settings) {
-    memset(index, 0, sizeof *index);
-    index->loop = loop;
-    index->net = net;
-    index->election = election;
-    index->cluster = cluster;
-    index->settings = settings;
-    index->timer = (struct rp_timer){.fn = tick, .arg = index};
+    *index = (struct rp_image_index){.loop = loop,
+                                     .net = net,
+                                     .election = election,
+                                     .cluster = cluster,
+                                     .settings = settings,
+                                     .timer = {.fn = on_copy_timer, .arg = index}};
 }
 
 void rp_image_index_start(struct rp_image_index *index) {
-    rp_timer_set(index->loop, &index->timer, EVERY_S);
+    rp_timer_set(index->loop, &index->timer, COPY_INTERVAL_S);
 }
 
 void rp_image_index_close(struct rp_image_index *index) {
@@ -35,88 +34,104 @@
     index->known = NULL;
 }
 
-static bool leads(const struct rp_image_index *index) {
+static bool is_leading(const struct rp_image_index *index) {
     return index->election->state == RP_ELECTION_HOLDING_KEY;
 }
 
-static int by_use(const void *a, const void *b) {
+/* ---- telling ---- */
+
+static int compare_by_use(const void *a, const void *b) {
     return rp_ts_cmp(((const struct rp_image *)a)->used_at, ((const struct rp_image *)b)->used_at);
 }
 
-static size_t images_told(const struct rp_cluster *cluster) {
-    size_t each = IMAGES_TOLD / (cluster->n_machines + 1);
-    return each > IMAGES_LEAST ? each : IMAGES_LEAST;
+static size_t images_per_machine(const struct rp_cluster *cluster) {
+    size_t n = IMAGES_TOLD_MAX / (cluster->n_machines + 1);
+    return n > IMAGES_PER_MACHINE_MIN ? n : IMAGES_PER_MACHINE_MIN;
 }
 
-static json_t *images_of(struct rp_machine *machine, size_t most) {
+/* [hash, GB, ...] of the machine's `n_max` latest images. Sorts its images by their use. */
+static json_t *build_image_list(struct rp_machine *machine, size_t n_max) {
     json_t *list = json_array();
-    qsort(machine->images, machine->n_images, sizeof *machine->images, by_use);
-    for (size_t i = machine->n_images > most ? machine->n_images - most : 0; i < machine->n_images;
-         i++) {
+    qsort(machine->images, machine->n_images, sizeof *machine->images, compare_by_use);
+    size_t first = machine->n_images > n_max ? machine->n_images - n_max : 0;
+    for (size_t i = first; i < machine->n_images; i++) {
         json_array_append_new(list, json_integer((json_int_t)machine->images[i].hash));
         json_array_append_new(list, json_real(machine->images[i].gb));
     }
     return list;
 }
 
+static json_t *build_index(struct rp_cluster *cluster) {
+    json_t *images = json_object();
+    size_t n_max = images_per_machine(cluster);
+    for (struct rp_machine *machine = cluster->first; machine; machine = machine->next)
+        if (machine->n_images > 0)
+            json_object_set_new(images, machine->name, build_image_list(machine, n_max));
+    return images;
+}
+
 char *rp_image_index_json(const struct rp_image_index *index) {
     /* A leader that still reads its records knows no more than what it remembers. */
-    bool own = leads(index) && index->cluster->n_machines > 0;
-    json_t *images = own ? json_object() : json_incref(index->known);
-    for (struct rp_machine *machine = own ? index->cluster->first : NULL; machine;
-         machine = machine->next)
-        if (machine->n_images > 0)
-            json_object_set_new(images, machine->name,
-                                images_of(machine, images_told(index->cluster)));
+    bool has_own = is_leading(index) && index->cluster->n_machines > 0;
+    json_t *images = has_own ? build_index(index->cluster) : json_incref(index->known);
     json_t *value = json_pack("{s:o*}", "images", images);
     char *text = json_dumps(value, JSON_COMPACT);
     json_decref(value);
     return text;
 }
 
-/* What machines are said to hold, unless their own reports have told of it already. */
-static void take(struct rp_image_index *index, json_t *images) {
+/* ---- copying ---- */
+
+/* What a machine is said to hold, unless its own heartbeats have told of it already. */
+static void add_images(struct rp_cluster *cluster, struct rp_machine *machine, json_t *list) {
+    for (size_t i = 0; i + 1 < json_array_size(list); i += 2) {
+        uint64_t hash = (uint64_t)json_integer_value(json_array_get(list, i));
+        double gb = json_number_value(json_array_get(list, i + 1));
+        if (!rp_machine_has_image(machine, hash))
+            rp_machine_note_image(cluster, machine, hash, gb);
+    }
+}
+
+static void add_to_cluster(struct rp_cluster *cluster, json_t *images) {
     const char *name;
     json_t *list;
     json_object_foreach(images, name, list) {
-        struct rp_machine *machine = rp_machine_find(index->cluster, name);
-        for (size_t i = 0; machine && machine->type >= 0 && i + 1 < json_array_size(list); i += 2) {
-            uint64_t hash = (uint64_t)json_integer_value(json_array_get(list, i));
-            double gb = json_number_value(json_array_get(list, i + 1));
-            if (!rp_machine_has_image(machine, hash))
-                rp_machine_note_image(index->cluster, machine, hash, gb);
-        }
+        struct rp_machine *machine = rp_machine_find(cluster, name);
+        /* Without a type the size of its disk isn't known. */
+        if (machine && machine->type >= 0)
+            add_images(cluster, machine, list);
     }
 }
 
-static void came(void *arg, const struct rp_answer *answer) {
+static void on_images(void *arg, const struct rp_answer *answer) {
     struct rp_image_index *index = arg;
     json_t *value = answer->status == 200 ? rp_codec_parse_object(answer->body, answer->len) : NULL;
     json_t *images = json_object_get(value, "images");
     if (json_object_size(images) > 0) {
-        if (leads(index))
-            take(index, images);
+        if (is_leading(index))
+            add_to_cluster(index->cluster, images);
         json_decref(index->known);
         index->known = json_incref(images);
     }
     json_decref(value);
 }
 
-static void ask(struct rp_image_index *index, const struct rp_peer *peer) {
-    index->net.call(index->net.ctx, peer->addr, "GET", RP_PATH_IMAGES, NULL, ANSWER_S, came, index);
+static void request_images(struct rp_image_index *index, const struct rp_peer *peer) {
+    index->net.call(index->net.ctx, peer->addr, "GET", RP_PATH_IMAGES, NULL, ANSWER_TIMEOUT_S,
+                    on_images, index);
 }
 
-void rp_image_index_lead(struct rp_image_index *index) {
-    take(index, index->known);
+void rp_image_index_restore(struct rp_image_index *index) {
+    add_to_cluster(index->cluster, index->known);
     for (size_t i = 0; i < index->settings->n_peers; i++)
-        ask(index, &index->settings->peers[i]);
+        request_images(index, &index->settings->peers[i]);
 }
 
-static void tick(void *arg) {
+static void on_copy_timer(void *arg) {
     struct rp_image_index *index = arg;
-    rp_timer_set(index->loop, &index->timer, EVERY_S);
+    rp_timer_set(index->loop, &index->timer, COPY_INTERVAL_S);
     const char *leader = rp_election_leader(index->election, rp_loop_now(index->loop));
     for (size_t i = 0; leader && i < index->settings->n_peers; i++)
         if (strcmp(index->settings->peers[i].name, leader) == 0)
-            ask(index, &index->settings->peers[i]);
+            request_images(index, &index->settings->peers[i]);
 }
--- a/src/cluster/tombstones.c
+++ b/src/cluster/tombstones.c
@@ -2,25 +2,26 @@
 
 #include <stdlib.h>
 #include <string.h>
+#include "base/memory.h"
 #include "model/model.h"
 
+/* The head of the hash's chain of links. A link is 1 + a position in the ring; 0 ends the chain. */
 static uint32_t *head_of(const struct rp_tombstones *tombstones, uint64_t hash) {
     return &tombstones->heads[hash % RP_TOMBSTONES_MAX];
 }
 
 static void allocate(struct rp_tombstones *tombstones) {
-    tombstones->hashes = calloc(RP_TOMBSTONES_MAX, sizeof *tombstones->hashes);
-    tombstones->heads = calloc(RP_TOMBSTONES_MAX, sizeof *tombstones->heads);
-    tombstones->next = calloc(RP_TOMBSTONES_MAX, sizeof *tombstones->next);
-    if (!tombstones->hashes || !tombstones->heads || !tombstones->next)
-        abort();
+    tombstones->hashes = rp_alloc(RP_TOMBSTONES_MAX, sizeof *tombstones->hashes);
+    tombstones->heads = rp_alloc(RP_TOMBSTONES_MAX, sizeof *tombstones->heads);
+    tombstones->next = rp_alloc(RP_TOMBSTONES_MAX, sizeof *tombstones->next);
 }
 
-static void forget(struct rp_tombstones *tombstones, uint32_t position) {
-    uint32_t *at = head_of(tombstones, tombstones->hashes[position]);
-    while (*at != position + 1)
-        at = &tombstones->next[*at - 1];
-    *at = tombstones->next[position];
+/* Takes the position out of its chain. */
+static void unlink_position(struct rp_tombstones *tombstones, uint32_t position) {
+    uint32_t *link = head_of(tombstones, tombstones->hashes[position]);
+    while (*link != position + 1)
+        link = &tombstones->next[*link - 1];
+    *link = tombstones->next[position];
 }
 
 void rp_tombstones_add(struct rp_tombstones *tombstones, const char *machine) {
@@ -29,7 +30,7 @@
     if (!tombstones->hashes)
         allocate(tombstones);
     if (tombstones->n >= RP_TOMBSTONES_MAX)
-        forget(tombstones, position);
+        unlink_position(tombstones, position);
     uint32_t *head = head_of(tombstones, hash);
     tombstones->hashes[position] = hash;
     tombstones->next[position] = *head;
@@ -41,8 +42,8 @@
     uint64_t hash = rp_hash_string(machine);
     if (!tombstones->hashes)
         return false;
-    for (uint32_t at = *head_of(tombstones, hash); at; at = tombstones->next[at - 1])
-        if (tombstones->hashes[at - 1] == hash)
+    for (uint32_t link = *head_of(tombstones, hash); link; link = tombstones->next[link - 1])
+        if (tombstones->hashes[link - 1] == hash)
             return true;
     return false;
 }
