--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -86,7 +86,7 @@
 
 static void enter_leading(struct rp_node *node) {
     rp_info("leading: jobs=%zu machines=%zu", node->jobs.table.n_jobs, node->cluster.n_machines);
-    rp_image_index_lead(&node->image_index);
+    rp_image_index_restore(&node->image_index);
     rp_standby_lead(&node->standby);
     rp_catalog_source_lead(&node->catalog_source);
     rp_services_start(&node->services);
@@ -215,8 +215,9 @@
     rp_fleet_init(&node->fleet, node->loop, &node->cloud, &node->store, &node->election,
                   &node->cluster, &node->jobs, settings, &node->catalog);
     node->fleet.on_loaded = on_machines_loaded;
-    node->fleet.on_changed = on_change;
-    node->fleet.arg = node;
+    node->fleet.on_loaded_arg = node;
+    node->fleet.context.on_changed = on_change;
+    node->fleet.context.on_changed_arg = node;
     rp_image_index_init(&node->image_index, node->loop, node->net, &node->election, &node->cluster,
                         settings);
     return 0;
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -241,8 +241,7 @@
             rp_machine_directory_find(directory, machine->name);
         bool is_releasing = known && known->releasing;
         if (is_releasing || rp_tombstones_has(&directory->tombstones, machine->name))
-            rp_fleet_scale_in(standby->workers->context.fleet, machine,
-                              "the leader before gave it back");
+            rp_fleet_scale_in(standby->workers->context.fleet, machine, "released_before_failover");
     }
 }
 
--- a/src/standby/stream_server.c
+++ b/src/standby/stream_server.c
@@ -27,12 +27,12 @@
 void rp_stream_server_init(struct rp_stream_server *server, struct rp_cluster *cluster,
                            const struct rp_settings *settings) {
     *server = (struct rp_stream_server){.settings = settings, .cluster = cluster};
-    cluster->on_machine = on_machine_changed;
+    cluster->on_machine_changed = on_machine_changed;
     cluster->on_machine_arg = server;
 }
 
 void rp_stream_server_close(struct rp_stream_server *server) {
-    server->cluster->on_machine = NULL;
+    server->cluster->on_machine_changed = NULL;
     rp_change_log_free(&server->log);
 }
 
