--- a/src/main.c
+++ b/src/main.c
@@ -7,6 +7,7 @@
 #include <sys/signalfd.h>
 #include "base/log.h"
 #include "controller/node.h"
+#include "controller/node_requests.h"
 #include "http/client.h"
 #include "http/server.h"
 
