--- a/src/api/status.c
+++ b/src/api/status.c
@@ -1,7 +1,6 @@
 #include "api/status.h"
 
 #include <jansson.h>
-#include "protocol/wire.h"
 
 static json_t *class_counts(const struct rp_status_sources *sources) {
     json_t *classes = json_object();
--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -4,7 +4,10 @@
 #include <string.h>
 #include "base/log.h"
 #include "base/string_copy.h"
-#include "protocol/wire.h"
+#include "protocol/codec.h"
+#include "protocol/job_codec.h"
+#include "protocol/kv_codec.h"
+#include "protocol/user_codec.h"
 
 #define TRIES 4
 #define RETRY_AFTER_S 1
@@ -29,7 +32,7 @@
     char id[RP_ID_MAX];
     struct rp_job_spec spec;
     int refusal; /* what a submission gets if its id isn't known: 400, 422, 503 or 0 */
-    char why[128];
+    char why[RP_CODEC_ERROR_MAX];
     uint64_t version;
     unsigned tries;
     bool looked_up;    /* the answer comes from a lookup, not from a read of the job's own record */
@@ -364,10 +367,13 @@
     }
     if (op_known_final(operation))
         return;
-    if (!rp_user_codec_parse_submission(req->body, req->len, &operation->spec, operation->why))
-        operation->refusal = 400;
-    else
+    struct rp_codec_error error;
+    if (rp_user_codec_parse_submission(req->body, req->len, &operation->spec, &error)) {
         operation->refusal = judge(api, &operation->spec, operation->why);
+    } else {
+        operation->refusal = 400;
+        rp_codec_error_text(&error, operation->why);
+    }
     /* A known job is answered before anything is found wrong with the rest of the request. */
     bool service = !operation->refusal && operation->spec.kind == RP_JOB_SERVICE;
     op_next(operation, operation->refusal                               ? OP_READ_OPEN
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -2,7 +2,9 @@
 
 #include <string.h>
 #include "base/log.h"
-#include "protocol/wire.h"
+#include "protocol/cloud_codec.h"
+#include "protocol/codec.h"
+#include "protocol/kv_codec.h"
 #include "store/records.h"
 
 #define CLOUD_RETRY_S 0.5
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -8,7 +8,8 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 #include "cluster/quarantine.h"
-#include "protocol/wire.h"
+#include "protocol/cloud_codec.h"
+#include "protocol/kv_codec.h"
 
 #define TICK_S 0.5
 #define TICK_LEAST_S 0.02
--- a/src/cluster/image_index.c
+++ b/src/cluster/image_index.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 #include <string.h>
-#include "protocol/wire.h"
+#include "protocol/codec.h"
 
 #define EVERY_S 8.0
 #define ANSWER_S 1.5
--- a/src/controller/node_requests.c
+++ b/src/controller/node_requests.c
@@ -4,7 +4,10 @@
 #include <string.h>
 #include "api/status.h"
 #include "controller/node.h"
-#include "protocol/wire.h"
+#include "protocol/codec.h"
+#include "protocol/job_codec.h"
+#include "protocol/user_codec.h"
+#include "protocol/worker_codec.h"
 
 #define PATH_STATUS "/status"
 #define PATH_CANCEL "/cancel" /* after a job's path */
--- a/src/controller/peer_health.c
+++ b/src/controller/peer_health.c
@@ -1,6 +1,6 @@
 #include "controller/peer_health.h"
 
-#include "protocol/wire.h"
+#include "protocol/codec.h"
 
 /* Seconds between two checks, and for an answer to one. */
 #define CHECK_PERIOD_S 0.5
--- a/src/controller/running_counts.c
+++ b/src/controller/running_counts.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "protocol/wire.h"
+#include "protocol/codec.h"
 
 /* Seconds between two questions: users look at counts, nothing is decided by them. */
 #define ASK_PERIOD_S 2.0
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -1,4 +1,5 @@
 #include "jobs/jobs.h"
+#include "protocol/job_codec.h"
 
 #include <math.h>
 #include <stdio.h>
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -5,7 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
-#include "protocol/wire.h"
+#include "protocol/codec.h"
+#include "protocol/kv_codec.h"
 
 #define ANSWER_S 1.5      /* an answer takes milliseconds, now and then a few hundred */
 #define QUEUE_USERS_S 0.3 /* how long a request may wait here for its budget */
--- a/src/store/kv_result.c
+++ b/src/store/kv_result.c
@@ -1,4 +1,5 @@
 #include "store/kv_result.h"
+#include "protocol/kv_codec.h"
 
 const char *rp_kv_outcome_name(enum rp_kv_outcome outcome) {
     static const char *const names[] = {
--- a/src/store/kv_result.h
+++ b/src/store/kv_result.h
@@ -12,7 +12,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
-#include "protocol/wire.h"
+#include "protocol/kv_codec.h"
 
 /** What is known of a request once it has ended. Which answers can come depends on the request; all
  * of them can end as RP_KV_REFUSED or RP_KV_UNKNOWN. */
--- a/src/store/kv_txn.c
+++ b/src/store/kv_txn.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 #include "base/memory.h"
-#include "protocol/wire.h"
+#include "protocol/kv_codec.h"
 
 struct rp_kv_txn {
     json_t *body; /* of the request, as protocol/ builds it */
--- a/src/store/records.c
+++ b/src/store/records.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/string_copy.h"
-#include "protocol/wire.h"
+#include "protocol/job_codec.h"
 
 void rp_key(char out[RP_KEY_MAX], const char *prefix, const char *name) {
     snprintf(out, RP_KEY_MAX, "%s%s", prefix, name);
@@ -147,11 +147,11 @@
 }
 
 bool rp_record_open_read(json_t *value, struct rp_job_spec *spec, struct timespec *accepted) {
-    char why[128];
+    struct rp_codec_error error;
     if (rp_record_format(value) > RP_FORMAT)
         return false;
     *accepted = rp_ts(json_number_value(json_object_get(value, "at")));
-    return rp_job_codec_read_spec(json_object_get(value, "spec"), spec, why);
+    return rp_job_codec_read_spec(json_object_get(value, "spec"), spec, &error);
 }
 
 json_t *rp_record_terminal(enum rp_job_phase phase) {
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -7,7 +7,8 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 #include "cluster/quarantine.h"
-#include "protocol/wire.h"
+#include "protocol/codec.h"
+#include "protocol/worker_codec.h"
 
 /* Below the 64 KiB that a line of an answer may have, at some 90 bytes a command. */
 #define COMMANDS_MAX 400
--- a/tests/behaviour/behaviour_digest.c
+++ b/tests/behaviour/behaviour_digest.c
@@ -16,7 +16,7 @@
 #include <time.h>
 #include <unistd.h>
 #include "base/log.h"
-#include "protocol/wire.h"
+#include "protocol/user_codec.h"
 #include "simulation/sim.h"
 
 #define DAY_S 150.0                  /* troubles last for so long */
--- a/tests/simulation/sim.c
+++ b/tests/simulation/sim.c
@@ -5,7 +5,9 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "protocol/wire.h"
+#include "protocol/cloud_codec.h"
+#include "protocol/job_codec.h"
+#include "protocol/worker_codec.h"
 
 #define GANG_WAIT_S 40.0
 #define GANG_PEER_S 5.0
@@ -1404,7 +1406,8 @@
 int sim_submit(struct sim *sim, double at, const char *kind, unsigned tasks, double cpus,
                double run_s, double cancel_at) {
     struct sim_job *job = &sim->jobs[sim->n_jobs];
-    char id[32], why[128];
+    char id[32];
+    struct rp_codec_error error;
     snprintf(id, sizeof id, "j-%06d", sim->n_jobs);
     bool gang = strncmp(kind, "ensemble", strlen("ensemble")) == 0;
     bool service = strcmp(kind, "service") == 0;
@@ -1423,7 +1426,7 @@
         "image_gb", 1.0, "frames", "yard", "one_zone", gang, "spread", service, "loaners", !service,
         "run_guess_s", service ? 0.0 : run_s, "brace_every_s", service ? 0.0 : 5.0, "brace_s", 1.0,
         "due_s");
-    if (!value || !rp_job_codec_read_spec(value, &job->spec, why))
+    if (!value || !rp_job_codec_read_spec(value, &job->spec, &error))
         abort();
     job->used = true;
     job->body = json_dumps(value, JSON_COMPACT);
@@ -1435,11 +1438,11 @@
 
 void sim_set_field(struct sim *sim, int index, const char *field, json_t *value) {
     struct sim_job *job = &sim->jobs[index];
-    char why[128];
+    struct rp_codec_error error;
     json_t *v = json_loads(job->body, 0, NULL);
     json_object_set_new(v, field, value);
     rp_job_spec_free(&job->spec);
-    if (!rp_job_codec_read_spec(v, &job->spec, why))
+    if (!rp_job_codec_read_spec(v, &job->spec, &error))
         abort();
     free(job->body);
     job->body = json_dumps(v, JSON_COMPACT);
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -3,7 +3,9 @@
 
 #include <gsl/gsl_rng.h>
 #include <math.h>
-#include "protocol/wire.h"
+#include "protocol/job_codec.h"
+#include "protocol/user_codec.h"
+#include "protocol/worker_codec.h"
 #include "store/records.h"
 
 static const char good[] =
@@ -16,8 +18,8 @@
 
 static bool reads(const char *text) {
     struct rp_job_spec spec;
-    char why[128];
-    bool ok = rp_user_codec_parse_submission(text, strlen(text), &spec, why);
+    struct rp_codec_error error;
+    bool ok = rp_user_codec_parse_submission(text, strlen(text), &spec, &error);
     rp_job_spec_free(&spec);
     return ok;
 }
@@ -39,9 +41,9 @@
 
 static void submissions(void **state) {
     struct rp_job_spec spec;
-    char why[128];
+    struct rp_codec_error error;
     (void)state;
-    assert_true(rp_user_codec_parse_submission(good, strlen(good), &spec, why));
+    assert_true(rp_user_codec_parse_submission(good, strlen(good), &spec, &error));
     assert_string_equal(spec.id, "j-000412");
     assert_int_equal(spec.kind, RP_JOB_GANG);
     assert_int_equal(spec.priority, RP_PRIORITY_HIGH);
@@ -109,14 +111,15 @@
     gsl_rng_set(rng, 17);
     for (int round = 0; round < 20000; round++) {
         bool job = round % 2;
-        char text[1024], why[128];
+        char text[1024];
+        struct rp_codec_error error;
         struct rp_job_spec spec;
         struct rp_heartbeat heartbeat;
         strcpy(text, job ? good : report);
         size_t len = strlen(text);
         for (unsigned k = 0; k <= gsl_rng_uniform_int(rng, 3); k++)
             text[gsl_rng_uniform_int(rng, len)] = (char)(32 + gsl_rng_uniform_int(rng, 96));
-        if (job && rp_user_codec_parse_submission(text, len, &spec, why)) {
+        if (job && rp_user_codec_parse_submission(text, len, &spec, &error)) {
             assert_true(rp_job_codec_is_id(spec.id) && spec.n_tasks >= 1 &&
                         spec.n_tasks <= RP_TASKS_MAX && spec.each.cpus >= 0);
             rp_job_spec_free(&spec);
