--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -85,7 +85,7 @@
 }
 
 static void enter_leading(struct rp_node *node) {
-    rp_info("leading: jobs=%zu machines=%zu", node->jobs.n_jobs, node->cluster.n_machines);
+    rp_info("leading: jobs=%zu machines=%zu", node->jobs.table.n_jobs, node->cluster.n_machines);
     rp_image_index_lead(&node->image_index);
     rp_standby_lead(&node->standby);
     rp_catalog_source_lead(&node->catalog_source);
@@ -207,8 +207,8 @@
     const struct rp_settings *settings = node->settings;
     rp_jobs_init(&node->jobs, node->loop, &node->store, &node->election, &node->upgrade, settings);
     node->jobs.on_loaded = on_jobs_loaded;
-    node->jobs.on_closed = on_job_closed;
-    node->jobs.on_changed = on_change;
+    node->jobs.on_job_closed = on_job_closed;
+    node->jobs.on_open_jobs_changed = on_change;
     node->jobs.arg = node;
     if (rp_cluster_init(&node->cluster, node->loop, &node->jobs, settings, &node->catalog) < 0)
         return -1;
