--- a/src/model/model.h
+++ b/src/model/model.h
@@ -76,10 +76,10 @@
 
 /** FNV-1a. */
 static inline uint64_t rp_hash_string(const char *text) {
-    uint64_t h = 14695981039346656037u;
+    uint64_t hash = 14695981039346656037u;
     for (; *text; text++)
-        h = (h ^ (unsigned char)*text) * 1099511628211u;
-    return h;
+        hash = (hash ^ (unsigned char)*text) * 1099511628211u;
+    return hash;
 }
 
 enum rp_task_state {
