--- a/src/main.c
+++ b/src/main.c
@@ -6,6 +6,7 @@
 #include <string.h>
 #include <sys/signalfd.h>
 #include "base/log.h"
+#include "config/platform_file.h"
 #include "controller/node.h"
 #include "controller/node_requests.h"
 #include "http/client.h"
@@ -106,7 +107,7 @@
         fprintf(stderr, "%s: %s\n", options->config, strerror(errno));
         return EXIT_USAGE;
     }
-    mistakes += rp_settings_parse(settings, text, options->config, stderr);
+    mistakes += rp_platform_file_parse(settings, text, options->config, stderr);
     free(text);
     errno = 0;
     text = read_file(options->operator_file);
--- a/tests/simulation/sim.c
+++ b/tests/simulation/sim.c
@@ -5,6 +5,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "config/platform_file.h"
 #include "protocol/cloud_codec.h"
 #include "protocol/job_codec.h"
 #include "protocol/worker_codec.h"
@@ -1633,7 +1634,7 @@
         if (asprintf(&text, settings_text, i, peers, sim->n_nodes, size->heartbeat_s, size->lease_s,
                      size->cancel_s, size->rps, size->write_rps, size->write_rps * 0.75,
                      size->cloud_rps) < 0 ||
-            rp_settings_parse(&sim->settings[i], text, "settings", stderr))
+            rp_platform_file_parse(&sim->settings[i], text, "settings", stderr))
             abort();
         sim->nodes[i].settings = text;
         rp_settings_complete(&sim->settings[i]);
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -2,6 +2,7 @@
 #include "test.h"
 
 #include <gsl/gsl_rng.h>
+#include "config/platform_file.h"
 #include "config/settings.h"
 
 static char told[4096];
@@ -78,7 +79,7 @@
     FILE *errors = fmemopen(told, sizeof told, "w");
     memset(told, 0, sizeof told);
     snprintf(text, sizeof text, platform, lease, cancel, memory);
-    int mistakes = rp_settings_parse(settings, text, "p", errors);
+    int mistakes = rp_platform_file_parse(settings, text, "p", errors);
     rp_settings_complete(settings);
     if (!mistakes)
         mistakes = rp_settings_check(settings, errors);
@@ -125,7 +126,7 @@
                  at);
         FILE *errors = fmemopen(told, sizeof told, "w");
         memset(told, 0, sizeof told);
-        int mistakes = rp_settings_parse(&settings, with, "p", errors);
+        int mistakes = rp_platform_file_parse(&settings, with, "p", errors);
         fclose(errors);
         if ((mistakes > 0) != (cases[i].told != NULL) ||
             (cases[i].told && !strstr(told, cases[i].told)))
