--- a/src/api/refusal.h
+++ b/src/api/refusal.h
@@ -5,9 +5,7 @@
 #define RP_API_REFUSAL_H
 
 #include "api/response_status.h"
-
-/** The size of a codec's text about a malformed submission, with the NUL (protocol/). */
-#define RP_REFUSAL_DETAIL_SIZE 128
+#include "protocol/codec.h"
 
 /** What every user is told whose request can't be answered now, but may be later. */
 #define RP_TEXT_UNAVAILABLE "not possible just now"
@@ -28,7 +26,7 @@
 /** A reason, with the words of the codec where it has some. */
 struct rp_refusal {
     enum rp_refusal_reason reason;
-    char detail[RP_REFUSAL_DETAIL_SIZE]; /* for RP_REFUSAL_MALFORMED */
+    char detail[RP_CODEC_ERROR_MAX]; /* for RP_REFUSAL_MALFORMED */
 };
 
 /** The status of the response to a refused submission; RP_RESPONSE_OK for RP_REFUSAL_NONE. */
--- a/src/api/status.c
+++ b/src/api/status.c
@@ -1,7 +1,6 @@
 #include "api/status.h"
 
 #include <jansson.h>
-#include "protocol/wire.h"
 
 #define N_OF(array) (sizeof(array) / sizeof((array)[0]))
 
--- a/src/cluster/image_index.c
+++ b/src/cluster/image_index.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 #include <string.h>
-#include "protocol/wire.h"
+#include "protocol/codec.h"
 
 #define COPY_INTERVAL_S 8.0
 #define ANSWER_TIMEOUT_S 1.5
--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -8,7 +8,7 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 #include "cluster/catalog_index.h"
-#include "protocol/wire.h"
+#include "protocol/cloud_codec.h"
 
 #define MACHINES_PER_REQUEST_MAX 50 /* the cloud's limit (PROTOCOL) */
 #define MACHINES_PER_RECORD_MAX 64  /* at most 50 are asked for at once */
--- a/src/worker/worker_fencing.c
+++ b/src/worker/worker_fencing.c
@@ -5,7 +5,7 @@
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/string_copy.h"
-#include "protocol/wire.h"
+#include "protocol/worker_codec.h"
 #include "worker/command_batch.h"
 #include "worker/direct_call.h"
 #include "worker/heartbeat_reader.h"
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -3,7 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
-#include "protocol/wire.h"
+#include "protocol/codec.h"
+#include "protocol/worker_codec.h"
 #include "worker/command_batch.h"
 #include "worker/heartbeat_reader.h"
 
--- a/tests/simulation/cloud.c
+++ b/tests/simulation/cloud.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "protocol/wire.h"
+#include "protocol/cloud_codec.h"
 
 const struct sim_machine_type sim_types[2] = {{"small", 8, 0, 32, 0.36, 0.11, 8},
                                               {"wide", 32, 0, 128, 1.5, 0.45, 12}};
--- a/tests/simulation/workers.c
+++ b/tests/simulation/workers.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "protocol/wire.h"
+#include "protocol/worker_codec.h"
 
 #define HEARTBEAT_TIMEOUT_S                                                                        \
     4.0                    /* a worker waits so long for an answer, then asks the next node        \
