--- a/src/upgrade/format_upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -4,23 +4,28 @@
 #include "base/log.h"
 #include "store/records.h"
 
-#define TICK_S 0.5
-#define LEASE_S 10.0 /* a node that is gone counts as old so much later */
-#define TOUCH_S 2.0
+#define READ_PERIOD_S 0.5
+#define LEASE_TTL_S                                                                                \
+    10.0 /* a node that has ended counts as one that doesn't know the format after so long */
+#define RENEWAL_PERIOD_S 2.0
+#define ANNOUNCEMENTS_LIMIT                                                                        \
+    1000                    /* items that the store lists at once: more than there are nodes       \
+                             */
+#define CONDITIONS_PER_OP 4 /* the store takes so many times as many conditions as changes */
+#define OTHER_CONDITIONS 2  /* of the activation: leadership, and that it isn't active yet */
 
-static void tick(void *arg);
+static void on_timer(void *arg);
 
 void rp_upgrade_init(struct rp_upgrade *upgrade, struct rp_loop *loop, struct rp_kv_client *store,
                      struct rp_election *election, const struct rp_settings *settings,
-                     void (*on_change)(void *arg), void *arg) {
-    memset(upgrade, 0, sizeof *upgrade);
-    upgrade->loop = loop;
-    upgrade->store = store;
-    upgrade->election = election;
-    upgrade->settings = settings;
-    upgrade->on_change = on_change;
-    upgrade->arg = arg;
-    upgrade->timer = (struct rp_timer){.fn = tick, .arg = upgrade};
+                     rp_upgrade_fn on_change, void *arg) {
+    *upgrade = (struct rp_upgrade){.loop = loop,
+                                   .store = store,
+                                   .election = election,
+                                   .settings = settings,
+                                   .on_change = on_change,
+                                   .arg = arg,
+                                   .timer = {.fn = on_timer, .arg = upgrade}};
 }
 
 bool rp_upgrade_is_active(const struct rp_upgrade *upgrade) {
@@ -28,108 +33,155 @@
 }
 
 const char *rp_upgrade_state_name(const struct rp_upgrade *upgrade) {
-    static const char *const words[] = {"looking",   "leasing", "announcing",
-                                        "announced", "active",  "too old"};
-    return words[upgrade->state];
+    static const char *const names[] = {
+        [RP_UPGRADE_UNANNOUNCED] = "looking",   [RP_UPGRADE_ACQUIRING_LEASE] = "leasing",
+        [RP_UPGRADE_ANNOUNCING] = "announcing", [RP_UPGRADE_ANNOUNCED] = "announced",
+        [RP_UPGRADE_ACTIVE] = "active",         [RP_UPGRADE_TOO_OLD] = "too old",
+    };
+    return names[upgrade->state];
 }
 
-static void dropped(void *arg, const struct rp_kv_result *result) {
+json_t *rp_upgrade_mark_record(const struct rp_upgrade *upgrade, json_t *record) {
+    return rp_upgrade_is_active(upgrade) ? rp_record_mark(record) : record;
+}
+
+static void ignore_result(void *arg, const struct rp_kv_result *result) {
     (void)arg;
     (void)result;
 }
 
-/* The one place where it changes its state. What is active stays so. */
+/* Whether the activation is known; that is final. */
+static bool is_decided(const struct rp_upgrade *upgrade) {
+    return upgrade->state >= RP_UPGRADE_ACTIVE;
+}
+
+/* The announcement has served its purpose. */
+static void withdraw_announcement(struct rp_upgrade *upgrade) {
+    rp_timer_cancel(upgrade->loop, &upgrade->timer);
+    if (upgrade->lease != RP_KV_NO_LEASE)
+        rp_kv_lease_revoke(upgrade->store, upgrade->lease, ignore_result, NULL);
+    upgrade->lease = RP_KV_NO_LEASE;
+}
+
+/* The one place where the upgrade changes its state:
+ * UNANNOUNCED to ACQUIRING_LEASE: the store has answered that no format is active.
+ * ACQUIRING_LEASE to ANNOUNCING: a lease was granted; to UNANNOUNCED: none was.
+ * UNANNOUNCED to ANNOUNCING: the same with a lease from before, whose announcement wasn't answered.
+ * ANNOUNCING to ANNOUNCED: the announcement stands; to UNANNOUNCED: that isn't known.
+ * ANNOUNCED to UNANNOUNCED: its lease has ended, and with it the announcement.
+ * Any to ACTIVE or TOO_OLD: the activation was read, or written by this node as leader. It is never
+ * undone, and so is neither this. */
 static void set_state(struct rp_upgrade *upgrade, enum rp_upgrade_state state) {
-    if (upgrade->state == state || upgrade->state >= RP_UPGRADE_ACTIVE)
+    if (upgrade->state == state || is_decided(upgrade))
         return;
     upgrade->state = state;
-    if (state < RP_UPGRADE_ACTIVE)
+    if (!is_decided(upgrade))
         return;
-    rp_timer_cancel(upgrade->loop, &upgrade->timer);
-    if (upgrade->lease)
-        rp_kv_lease_revoke(upgrade->store, upgrade->lease, dropped, NULL);
-    upgrade->lease = 0;
+    withdraw_announcement(upgrade);
     if (state == RP_UPGRADE_ACTIVE)
-        rp_info("format %d is active", RP_FORMAT);
+        rp_info("record format is active: format=%d", RP_FORMAT);
     else
-        rp_error("a format later than %d is active: this version keeps away", RP_FORMAT);
+        rp_error("this version is too old, a later record format is active: format=%d", RP_FORMAT);
     upgrade->on_change(upgrade->arg);
 }
 
 void rp_upgrade_on_activation_record(struct rp_upgrade *upgrade, const json_t *record) {
-    if (record && rp_record_format(record) >= RP_FORMAT)
-        set_state(upgrade,
-                  rp_record_format(record) > RP_FORMAT ? RP_UPGRADE_TOO_OLD : RP_UPGRADE_ACTIVE);
+    if (!record || rp_record_format(record) < RP_FORMAT)
+        return;
+    bool is_later = rp_record_format(record) > RP_FORMAT;
+    set_state(upgrade, is_later ? RP_UPGRADE_TOO_OLD : RP_UPGRADE_ACTIVE);
 }
 
-/* ---- this node's record ---- */
+/* ---- this node's announcement ---- */
 
-static void announced(void *arg, const struct rp_kv_result *result) {
+static void on_announcement_written(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
     if (upgrade->state != RP_UPGRADE_ANNOUNCING)
         return;
     if (result->outcome == RP_KV_BAD_REQUEST)
-        upgrade->lease = 0; /* it has ended meanwhile */
-    set_state(upgrade, result->outcome == RP_KV_OK ? RP_UPGRADE_ANNOUNCED : RP_UPGRADE_LOOKING);
+        upgrade->lease = RP_KV_NO_LEASE; /* it has ended meanwhile */
+    set_state(upgrade, result->outcome == RP_KV_OK ? RP_UPGRADE_ANNOUNCED : RP_UPGRADE_UNANNOUNCED);
 }
 
-static void announce(struct rp_upgrade *upgrade) {
+static void write_announcement(struct rp_upgrade *upgrade) {
     char key[RP_KEY_MAX];
     struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_key(key, RP_KEY_VERSION, upgrade->settings->node);
     rp_kv_txn_put(txn, key, rp_record_version(upgrade->settings->node), upgrade->lease);
     set_state(upgrade, RP_UPGRADE_ANNOUNCING);
-    rp_kv_txn_submit(upgrade->store, RP_KV_BUDGET_LEADERSHIP, txn, announced, upgrade);
+    rp_kv_txn_submit(upgrade->store, RP_KV_BUDGET_LEADERSHIP, txn, on_announcement_written,
+                     upgrade);
 }
 
-static void leased(void *arg, const struct rp_kv_result *result) {
+static void on_lease_granted(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
-    if (upgrade->state != RP_UPGRADE_LEASING)
+    uint64_t lease = rp_kv_result_lease(result);
+    if (upgrade->state != RP_UPGRADE_ACQUIRING_LEASE)
         return;
-    set_state(upgrade, RP_UPGRADE_LOOKING);
-    if (result->outcome != RP_KV_OK || !rp_kv_result_lease(result))
+    if (result->outcome != RP_KV_OK || lease == RP_KV_NO_LEASE) {
+        set_state(upgrade, RP_UPGRADE_UNANNOUNCED);
         return;
-    upgrade->lease = rp_kv_result_lease(result);
+    }
+    upgrade->lease = lease;
     upgrade->renewed_at = rp_loop_now(upgrade->loop);
-    announce(upgrade);
+    write_announcement(upgrade);
 }
 
-static void touched(void *arg, const struct rp_kv_result *result) {
+static void on_lease_renewed(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
     if (result->outcome != RP_KV_NOT_FOUND || upgrade->state != RP_UPGRADE_ANNOUNCED)
         return;
-    upgrade->lease = 0;
-    set_state(upgrade, RP_UPGRADE_LOOKING);
+    upgrade->lease = RP_KV_NO_LEASE;
+    set_state(upgrade, RP_UPGRADE_UNANNOUNCED);
 }
 
-/* ---- the activation ---- */
+/* Brings the announcement one step further, or keeps it alive. */
+static void advance_announcement(struct rp_upgrade *upgrade, struct timespec now) {
+    if (upgrade->state == RP_UPGRADE_UNANNOUNCED && upgrade->lease != RP_KV_NO_LEASE) {
+        write_announcement(upgrade);
+    } else if (upgrade->state == RP_UPGRADE_UNANNOUNCED) {
+        set_state(upgrade, RP_UPGRADE_ACQUIRING_LEASE);
+        rp_kv_lease_grant(upgrade->store, LEASE_TTL_S, on_lease_granted, upgrade);
+    } else if (upgrade->state == RP_UPGRADE_ANNOUNCED &&
+               rp_ts_since(now, upgrade->renewed_at) >= RENEWAL_PERIOD_S) {
+        upgrade->renewed_at = now;
+        rp_kv_lease_renew(upgrade->store, upgrade->lease, on_lease_renewed, upgrade);
+    }
+}
 
-static void activated(void *arg, const struct rp_kv_result *result) {
+/* ---- the activation, by the leader ---- */
+
+static void on_activation_written(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
-    upgrade->activating = false;
+    upgrade->is_activating = false;
     if (result->outcome == RP_KV_OK) {
-        rp_info("every node knows format %d: activated", RP_FORMAT);
+        rp_info("every node knows the record format, activated: format=%d", RP_FORMAT);
         set_state(upgrade, RP_UPGRADE_ACTIVE);
     }
 }
 
-/* The version of the node's record among those listed, or 0: the node counts as old. */
-static uint64_t known_as(const struct rp_kv_result *result, const char *node) {
+/* The revision of the node's announcement among those listed, or RP_KV_ABSENT: the node counts as
+ * one that doesn't know the format. */
+static uint64_t announcement_revision(const struct rp_kv_result *announcements, const char *node) {
     char key[RP_KEY_MAX];
     struct rp_kv_item item;
     rp_key(key, RP_KEY_VERSION, node);
-    for (size_t i = 0; i < rp_kv_result_n_items(result); i++)
-        if (rp_kv_result_item_at(result, i, &item) && strcmp(item.key, key) == 0 &&
-            rp_record_format(item.value) >= RP_FORMAT)
+    for (size_t i = 0; i < rp_kv_result_n_items(announcements); i++) {
+        if (!rp_kv_result_item_at(announcements, i, &item) || strcmp(item.key, key) != 0)
+            continue;
+        if (rp_record_format(item.value) >= RP_FORMAT)
             return item.revision;
-    return 0;
+    }
+    return RP_KV_ABSENT;
 }
 
-/* The transaction that activates, or NULL while some node counts as old. Where the service takes
- * fewer conditions than there are nodes, the rest of them is known from the list just read. */
-static struct rp_kv_txn *activation(struct rp_upgrade *upgrade, const struct rp_kv_result *result) {
+/* The transaction that activates, on the condition that every node's announcement still stands, or
+ * NULL while one doesn't. Where the store takes fewer conditions than there are nodes, the rest of
+ * them is known from the list just read. */
+static struct rp_kv_txn *build_activation(struct rp_upgrade *upgrade,
+                                          const struct rp_kv_result *announcements) {
     const struct rp_settings *settings = upgrade->settings;
-    size_t room = 4 * settings->state_fit.txn_ops - 2;
+    size_t n_conditions_left = CONDITIONS_PER_OP * settings->state_fit.txn_ops - OTHER_CONDITIONS;
     char key[RP_KEY_MAX];
     struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(upgrade->election, txn);
@@ -137,11 +189,13 @@
     upgrade->n_known = 0;
     for (size_t i = 0; i <= settings->n_peers; i++) {
         const char *node = i < settings->n_peers ? settings->peers[i].name : settings->node;
-        uint64_t version = known_as(result, node);
-        upgrade->n_known += version > 0;
-        rp_key(key, RP_KEY_VERSION, node);
-        if (room > 0 && room-- > 0)
-            rp_kv_txn_if(txn, key, version);
+        uint64_t revision = announcement_revision(announcements, node);
+        upgrade->n_known += revision != RP_KV_ABSENT;
+        if (n_conditions_left > 0) {
+            rp_key(key, RP_KEY_VERSION, node);
+            rp_kv_txn_if(txn, key, revision);
+            n_conditions_left--;
+        }
     }
     rp_kv_txn_put(txn, RP_KEY_FORMAT, rp_record_activation(), RP_KV_NO_LEASE);
     if (upgrade->n_known == settings->n_peers + 1)
@@ -150,58 +204,58 @@
     return NULL;
 }
 
-static void listed(void *arg, const struct rp_kv_result *result) {
+/* Whether this node announces the format, and leads. */
+static bool can_activate(const struct rp_upgrade *upgrade) {
+    return upgrade->state == RP_UPGRADE_ANNOUNCED &&
+           rp_election_is_valid(upgrade->election, rp_loop_now(upgrade->loop));
+}
+
+static void on_announcements_listed(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
-    upgrade->activating = false;
-    if (result->outcome != RP_KV_OK || upgrade->state != RP_UPGRADE_ANNOUNCED ||
-        !rp_election_is_valid(upgrade->election, rp_loop_now(upgrade->loop)))
+    upgrade->is_activating = false;
+    if (result->outcome != RP_KV_OK || !can_activate(upgrade))
         return;
-    struct rp_kv_txn *txn = activation(upgrade, result);
+    struct rp_kv_txn *txn = build_activation(upgrade, result);
     if (!txn)
         return;
-    upgrade->activating = true;
-    rp_kv_txn_submit(upgrade->store, RP_KV_BUDGET_LEADERSHIP, txn, activated, upgrade);
+    upgrade->is_activating = true;
+    rp_kv_txn_submit(upgrade->store, RP_KV_BUDGET_LEADERSHIP, txn, on_activation_written, upgrade);
 }
 
-static void looked(void *arg, const struct rp_kv_result *result) {
+static void list_announcements(struct rp_upgrade *upgrade) {
+    upgrade->is_activating = true;
+    rp_kv_list(upgrade->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_VERSION, NULL, ANNOUNCEMENTS_LIMIT,
+               on_announcements_listed, upgrade);
+}
+
+/* ---- reading the activation ---- */
+
+static void on_activation_read(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
     struct rp_kv_item item;
-    bool first = !upgrade->activation_read;
-    if (upgrade->state >= RP_UPGRADE_ACTIVE)
+    bool was_read = upgrade->activation_read;
+    if (is_decided(upgrade))
         return;
     upgrade->activation_read |= result->outcome == RP_KV_OK || result->outcome == RP_KV_NOT_FOUND;
     if (rp_kv_result_item(result, &item)) {
         rp_upgrade_on_activation_record(upgrade, item.value);
         return;
     }
-    if (first && upgrade->activation_read)
+    if (upgrade->activation_read && !was_read)
         upgrade->on_change(upgrade->arg);
-    /* A node that keeps to the old forms says nothing, and so counts as old. */
+    /* A node that keeps to the old forms announces nothing, and so counts as one that doesn't know
+     * the format. */
     if (result->outcome != RP_KV_NOT_FOUND || upgrade->settings->tuning.keep_old_forms)
         return;
-    struct timespec now = rp_loop_now(upgrade->loop);
-    if (upgrade->state == RP_UPGRADE_LOOKING && upgrade->lease) {
-        announce(upgrade);
-    } else if (upgrade->state == RP_UPGRADE_LOOKING) {
-        set_state(upgrade, RP_UPGRADE_LEASING);
-        rp_kv_lease_grant(upgrade->store, LEASE_S, leased, upgrade);
-    } else if (upgrade->state == RP_UPGRADE_ANNOUNCED &&
-               rp_ts_since(now, upgrade->renewed_at) >= TOUCH_S) {
-        upgrade->renewed_at = now;
-        rp_kv_lease_renew(upgrade->store, upgrade->lease, touched, upgrade);
-    }
-    if (upgrade->state == RP_UPGRADE_ANNOUNCED && !upgrade->activating &&
-        rp_election_is_valid(upgrade->election, now)) {
-        upgrade->activating = true;
-        rp_kv_list(upgrade->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_VERSION, NULL, 1000, listed,
-                   upgrade);
-    }
+    advance_announcement(upgrade, rp_loop_now(upgrade->loop));
+    if (!upgrade->is_activating && can_activate(upgrade))
+        list_announcements(upgrade);
 }
 
-static void tick(void *arg) {
+static void on_timer(void *arg) {
     struct rp_upgrade *upgrade = arg;
-    rp_timer_set(upgrade->loop, &upgrade->timer, TICK_S);
-    rp_kv_get(upgrade->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_FORMAT, looked, upgrade);
+    rp_timer_set(upgrade->loop, &upgrade->timer, READ_PERIOD_S);
+    rp_kv_get(upgrade->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_FORMAT, on_activation_read, upgrade);
 }
 
 void rp_upgrade_start(struct rp_upgrade *upgrade) {
@@ -211,7 +265,3 @@
 void rp_upgrade_stop(struct rp_upgrade *upgrade) {
     rp_timer_cancel(upgrade->loop, &upgrade->timer);
 }
-
-json_t *rp_upgrade_mark_record(const struct rp_upgrade *upgrade, json_t *record) {
-    return rp_upgrade_is_active(upgrade) ? rp_record_mark(record) : record;
-}
