--- a/src/scheduler/services.c
+++ b/src/scheduler/services.c
@@ -86,9 +86,9 @@
 
 static void free_allocation(struct rp_released_resources *freed,
                             const struct rp_allocation *allocation, const struct rp_job *job) {
-    rp_resources_add(&freed->room, &allocation->job->spec.each);
+    rp_resources_add(&freed->capacity, &allocation->job->spec.each);
     if (allocation->job->team == job->team)
-        rp_resources_add(&freed->team, &allocation->job->spec.each);
+        rp_resources_add(&freed->quota, &allocation->job->spec.each);
 }
 
 /* What stops under way on the machine give back before anything that is started there now. */
@@ -108,10 +108,10 @@
                          const struct rp_job *job, const struct rp_released_resources *freed) {
     struct rp_resources room = rp_machine_free_resources(services->cluster, machine);
     struct rp_resources over = rp_cluster_over_quota(services->cluster, job);
-    rp_resources_add(&room, &freed->room);
+    rp_resources_add(&room, &freed->capacity);
     if (!rp_resources_fit(&job->spec.each, &room))
         return LACK_ROOM;
-    bool quota = over.cpus <= freed->team.cpus && over.gpus <= freed->team.gpus;
+    bool quota = over.cpus <= freed->quota.cpus && over.gpus <= freed->quota.gpus;
     return quota ? LACK_NOTHING : LACK_QUOTA;
 }
 
@@ -563,8 +563,9 @@
     bool cut = machine->zone >= 0 && (doubt >> machine->zone & 1);
     if (machine->contact.probes_failed >= PROBES && !cut &&
         !rp_fleet_is_zone_silent(services->fleet, machine->zone) &&
-        rp_ts_since(now, services->fleet->led_since) > services->settings->report_s * 1.25 + LED_S)
-        rp_fleet_scale_in(services->fleet, machine, "silent, and replicas wait for it");
+        rp_ts_since(now, services->fleet->context.led_since) >
+            services->settings->report_s * 1.25 + LED_S)
+        rp_fleet_scale_in(services->fleet, machine, "replicas_wait");
     else
         rp_probe_send(&services->workers->context, machine);
 }
