--- a/src/cluster/capacity_refusal.h
+++ b/src/cluster/capacity_refusal.h
@@ -10,7 +10,7 @@
 
 #include <stdbool.h>
 #include "base/timeutil.h"
-#include "model/model.h"
+#include "model/catalog.h"
 
 /** A kind's refusal. */
 struct rp_capacity_refusal {
--- a/src/cluster/catalog_index.h
+++ b/src/cluster/catalog_index.h
@@ -3,7 +3,7 @@
 #ifndef RP_CLUSTER_CATALOG_INDEX_H
 #define RP_CLUSTER_CATALOG_INDEX_H
 
-#include "model/model.h"
+#include "model/catalog.h"
 
 /** The index of a machine type in the catalog; RP_CATALOG_NONE if it has none of this name. */
 int rp_catalog_type_index(const struct rp_catalog *catalog, const char *name);
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -6,7 +6,9 @@
 #define RP_CLUSTER_MACHINE_H
 
 #include "jobs/jobs.h"
-#include "model/model.h"
+#include "model/catalog.h"
+#include "model/heartbeat.h"
+#include "model/job_spec.h"
 
 /** Where a machine is in its life; rp_machine_set_state (machine_lifecycle.h) has the edges. */
 enum rp_machine_state {
--- a/src/cluster/provision_loading.c
+++ b/src/cluster/provision_loading.c
@@ -30,7 +30,8 @@
 static struct timespec earlier_leaders_lease_expiry(const struct rp_fleet_context *context) {
     struct timespec now = rp_loop_now(context->loop);
     struct timespec fenced_leader_expiry = context->election->fenced_leader_expiry;
-    struct timespec last_answer = rp_ts_cmp(fenced_leader_expiry, now) > 0 ? fenced_leader_expiry : now;
+    struct timespec last_answer =
+        rp_ts_cmp(fenced_leader_expiry, now) > 0 ? fenced_leader_expiry : now;
     return rp_ts_after(last_answer, rp_settings_worker_lease_s(context->settings));
 }
 
--- a/src/cluster/tombstones.c
+++ b/src/cluster/tombstones.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/memory.h"
-#include "model/model.h"
+#include "model/names.h"
 
 /* The head of the hash's chain of links. A link is 1 + a position in the ring; 0 ends the chain. */
 static uint32_t *head_of(const struct rp_tombstones *tombstones, uint64_t hash) {
