--- a/src/cluster/catalog_index.h
+++ b/src/cluster/catalog_index.h
@@ -4,8 +4,6 @@
 #define RP_CLUSTER_CATALOG_INDEX_H
 
 #include "model/catalog.h"
-#include "model/heartbeat.h"
-#include "model/job_spec.h"
 
 /** The index of a machine type in the catalog; RP_CATALOG_NONE if it has none of this name. */
 int rp_catalog_type_index(const struct rp_catalog *catalog, const char *name);
