--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -226,10 +226,17 @@
     const struct rp_settings *settings = node->settings;
     if (rp_metrics_init(&node->metrics) < 0)
         return -1;
-    rp_workers_init(&node->workers, node->loop, &node->election, &node->cluster, &node->jobs,
-                    &node->fleet, settings, &node->metrics, node->net);
-    node->workers.context.on_capacity_freed = on_capacity_freed;
-    node->workers.context.arg = node;
+    const struct rp_worker_context context = {.loop = node->loop,
+                                              .election = &node->election,
+                                              .cluster = &node->cluster,
+                                              .jobs = &node->jobs,
+                                              .fleet = &node->fleet,
+                                              .settings = settings,
+                                              .metrics = &node->metrics,
+                                              .net = node->net,
+                                              .on_capacity_freed = on_capacity_freed,
+                                              .arg = node};
+    rp_workers_init(&node->workers, &context);
     return rp_standby_init(&node->standby, node->loop, node->net, &node->election, &node->cluster,
                            &node->workers, settings);
 }
--- a/src/worker/worker_context.h
+++ b/src/worker/worker_context.h
@@ -1,7 +1,7 @@
 /** @file
  * What all modules of this directory share: the parts of the node that they use, their counters,
- * and the call-back that asks for a scheduling cycle. Owned by struct rp_workers (workers.h), set
- * up by rp_workers_init, alive as long as the node. */
+ * and the call-back that asks for a scheduling cycle. Filled by the controller, owned by struct
+ * rp_workers (workers.h), alive as long as the node. */
 #ifndef RP_WORKER_WORKER_CONTEXT_H
 #define RP_WORKER_WORKER_CONTEXT_H
 
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -159,8 +159,8 @@
 
 /* ---- heartbeats ---- */
 
-static void handle(struct rp_workers *workers, struct rp_request *req,
-                   const struct rp_heartbeat *heartbeat) {
+static void read_and_answer(struct rp_workers *workers, struct rp_request *req,
+                            const struct rp_heartbeat *heartbeat) {
     struct rp_worker_context *context = &workers->context;
     struct rp_machine *machine = find_or_adopt_machine(workers, heartbeat);
     struct timespec received_at = rp_loop_now(context->loop);
@@ -227,7 +227,7 @@
         rp_election_verify(context->election);
         refuse(req, "a newer token is known");
     } else {
-        handle(workers, req, &heartbeat);
+        read_and_answer(workers, req, &heartbeat);
     }
     rp_heartbeat_free(&heartbeat);
 }
@@ -261,21 +261,11 @@
 
 /* ---- life ---- */
 
-void rp_workers_init(struct rp_workers *workers, struct rp_loop *loop, struct rp_election *election,
-                     struct rp_cluster *cluster, struct rp_jobs *jobs, struct rp_fleet *fleet,
-                     const struct rp_settings *settings, struct rp_metrics *metrics,
-                     struct rp_net net) {
+void rp_workers_init(struct rp_workers *workers, const struct rp_worker_context *context) {
     memset(workers, 0, sizeof *workers);
-    workers->context = (struct rp_worker_context){.loop = loop,
-                                                  .election = election,
-                                                  .cluster = cluster,
-                                                  .jobs = jobs,
-                                                  .fleet = fleet,
-                                                  .settings = settings,
-                                                  .metrics = metrics,
-                                                  .net = net};
+    workers->context = *context;
     rp_heartbeat_queue_init(
-        &workers->awaiting_leader, loop,
+        &workers->awaiting_leader, context->loop,
         (struct rp_heartbeat_queue_owner){.can_wait = can_wait_for_leader,
                                           .on_released = on_wait_for_leader_over,
                                           .arg = workers});
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -20,11 +20,9 @@
     struct rp_answer_queue awaiting_cycle;
 };
 
-/** Sets the context up; all pointers must outlive `workers`, which must stay where it is. */
-void rp_workers_init(struct rp_workers *workers, struct rp_loop *loop, struct rp_election *election,
-                     struct rp_cluster *cluster, struct rp_jobs *jobs, struct rp_fleet *fleet,
-                     const struct rp_settings *settings, struct rp_metrics *metrics,
-                     struct rp_net net);
+/** Begins without counts and queues; `context` is copied. `workers` must stay where it is until
+ * rp_workers_close. */
+void rp_workers_init(struct rp_workers *workers, const struct rp_worker_context *context);
 /** A worker's heartbeat has come (POST /checkin). It is answered now or within four seconds. */
 void rp_workers_on_heartbeat(struct rp_workers *workers, struct rp_request *req);
 /** Answers the heartbeats that waited for a scheduling cycle: one has been run, or none will be. */
