--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -237,8 +237,9 @@
                                               .on_capacity_freed = on_capacity_freed,
                                               .arg = node};
     rp_workers_init(&node->workers, &context);
-    return rp_standby_init(&node->standby, node->loop, node->net, &node->election, &node->cluster,
-                           &node->workers, settings);
+    rp_standby_init(&node->standby, node->loop, node->net, &node->election, &node->cluster,
+                    &node->workers, settings);
+    return 0;
 }
 
 static void init_scheduling(struct rp_node *node) {
--- a/src/worker/heartbeat_reader.c
+++ b/src/worker/heartbeat_reader.c
@@ -37,7 +37,7 @@
 /* Behind a one-way partition a machine looks like a good one: now and then a heartbeat comes, with
  * capacity and a newer incarnation, and what is started on it vanishes. Such a worker is at another
  * node when its next heartbeat is due here. Until a heartbeat shows that answers arrive, the
- * machine gets no work, and in the end it is scaled in (cluster/fleet.c). */
+ * machine gets no work, and in the end it is scaled in (cluster/). */
 static void detect_one_way_partition(const struct rp_worker_context *context,
                                      struct rp_machine *machine,
                                      const struct rp_heartbeat *heartbeat) {
