--- a/src/jobs/terminal_states.h
+++ b/src/jobs/terminal_states.h
@@ -6,7 +6,8 @@
 #ifndef RP_JOBS_TERMINAL_STATES_H
 #define RP_JOBS_TERMINAL_STATES_H
 
-#include "model/model.h"
+#include <stdbool.h>
+#include "model/job_status.h"
 
 /** Entries of the cache; a later job takes the entry of one with the same hash. */
 #define RP_TERMINAL_STATES_MAX 4096
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -115,7 +115,7 @@
     if (answer->status == 0 || standby->state > RP_STANDBY_SUSPECTING)
         return;
     rp_leader_suspicion_note_answer(&standby->suspicion);
-    rp_election_note_answer(standby->election, true);
+    rp_election_note_leader_answer(standby->election, true);
     if (standby->state == RP_STANDBY_SUSPECTING)
         set_state(standby, RP_STANDBY_FOLLOWING);
     if (rp_stream_client_read(&standby->client, answer, &message)) {
@@ -139,9 +139,9 @@
 
 static bool may_fail_over(const struct rp_standby *standby, struct timespec now) {
     const struct rp_election *election = standby->election;
-    bool has_directory = standby->directory.term == election->seen_version;
+    bool has_directory = standby->directory.term == election->leader_key_revision;
     bool is_store_answering = rp_kv_failing_s(election->store) <= 0;
-    bool is_key_fresh = rp_ts_since(now, election->leader_seen_at) < KEY_FRESH_S;
+    bool is_key_fresh = rp_ts_since(now, election->leader_key_read_at) < KEY_FRESH_S;
     double handicap_s = has_directory ? 0 : NO_DIRECTORY_HANDICAP_S;
     return is_store_answering && is_key_fresh &&
            rp_leader_suspicion_is_confirmed(&standby->suspicion, now, handicap_s);
@@ -166,7 +166,7 @@
         rp_leader_suspicion_begin(suspicion);
         set_state(standby, RP_STANDBY_SUSPECTING);
         /* Heartbeats wait here from now on rather than being sent to the leader. */
-        rp_election_note_answer(standby->election, false);
+        rp_election_note_leader_answer(standby->election, false);
     }
     rp_leader_suspicion_ask_peers(suspicion, now);
     if (may_fail_over(standby, now))
@@ -211,7 +211,7 @@
     struct rp_standby *standby = arg;
     struct timespec now = rp_loop_now(standby->loop);
     rp_timer_set(standby->loop, &standby->timer, TICK_S);
-    if (standby->state == RP_STANDBY_OFF && standby->election->fenced_terms)
+    if (standby->state == RP_STANDBY_OFF && standby->election->failover_enabled)
         set_state(standby, RP_STANDBY_FOLLOWING);
     switch (standby->state) {
     case RP_STANDBY_FOLLOWING:
--- a/src/standby/stream_message.h
+++ b/src/standby/stream_message.h
@@ -12,7 +12,7 @@
 #include <stdbool.h>
 #include <stddef.h>
 #include <stdint.h>
-#include "model/model.h"
+#include "model/names.h"
 
 /** The path of the stream on the peers' port. */
 #define RP_PATH_STREAM "/peer/stream"
