--- a/src/api/status.c
+++ b/src/api/status.c
@@ -2,6 +2,7 @@
 
 #include <jansson.h>
 #include "protocol/wire.h"
+#include "scheduler/service_headroom.h"
 
 static json_t *class_counts(const struct rp_status_sources *sources) {
     json_t *classes = json_object();
@@ -46,9 +47,9 @@
     return json_pack("{s:I,s:I,s:I,s:I,s:f,s:f,s:I,s:I}", "jobs",
                      (json_int_t)sources->jobs->table.n_services, "placed",
                      (json_int_t)services->n_placed, "tasks_stopped_for_them",
-                     (json_int_t)services->n_made_room, "moved", (json_int_t)services->n_moved,
-                     "reserve_cpus", rp_services_reserve_cpus(services), "ready_cpus",
-                     sources->leading ? rp_services_ready_cpus(services) : 0.0, "direct",
+                     (json_int_t)services->n_preempted, "moved", (json_int_t)services->n_moved,
+                     "reserve_cpus", rp_service_headroom_wanted_cpus(services), "ready_cpus",
+                     sources->leading ? rp_service_headroom_ready_cpus(services) : 0.0, "direct",
                      (json_int_t)sources->workers->n_direct, "direct_unanswered",
                      (json_int_t)sources->workers->n_direct_lost);
 }
--- a/src/controller/cycle_trigger.c
+++ b/src/controller/cycle_trigger.c
@@ -1,6 +1,7 @@
 #include "controller/cycle_trigger.h"
 
 #include "scheduler/cycle.h"
+#include "scheduler/service_controller.h"
 
 /* The share of this node's processor time that triggered cycles may use. */
 #define CYCLE_CPU_SHARE 0.35
@@ -53,7 +54,7 @@
     if (*trigger->node_state != RP_NODE_LEADING)
         return true;
     /* Services don't wait for a cycle: which machines have capacity for them is known now. */
-    rp_services_run(trigger->services);
+    rp_service_controller_run(trigger->services);
     double wait_s = until_next_cycle_s(trigger);
     if (wait_s <= 0) {
         run_cycle(trigger);
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -62,7 +62,7 @@
 
 static void stop_scheduling(struct rp_node *node) {
     rp_scheduler_stop(&node->scheduler);
-    rp_services_stop(&node->services);
+    rp_service_controller_stop(&node->services);
 }
 
 /* Empties the cluster state. Nothing of an earlier term may be left when the records are read. */
@@ -89,7 +89,7 @@
     rp_image_index_lead(&node->image_index);
     rp_standby_lead(&node->standby);
     rp_catalog_source_lead(&node->catalog_source);
-    rp_services_start(&node->services);
+    rp_service_controller_start(&node->services);
     rp_scheduler_start(&node->scheduler);
 }
 
@@ -236,8 +236,8 @@
 
 static void init_scheduling(struct rp_node *node) {
     const struct rp_settings *settings = node->settings;
-    rp_services_init(&node->services, node->loop, &node->cluster, &node->jobs, &node->workers,
-                     &node->fleet, settings, &node->catalog);
+    rp_service_controller_init(&node->services, node->loop, &node->cluster, &node->jobs,
+                               &node->workers, &node->fleet, settings, &node->catalog);
     rp_scheduler_init(&node->scheduler, node->loop, &node->election, &node->cluster, &node->jobs,
                       &node->fleet, &node->services, settings, &node->metrics);
     rp_cycle_trigger_init(&node->cycle_trigger, node->loop, settings, &node->state,
--- a/src/controller/node.h
+++ b/src/controller/node.h
@@ -29,7 +29,7 @@
 #include "jobs/jobs.h"
 #include "jobs/terminal_states.h"
 #include "scheduler/cycle.h"
-#include "scheduler/services.h"
+#include "scheduler/service_controller.h"
 #include "standby/standby.h"
 #include "store/kv_client.h"
 #include "upgrade/format_upgrade.h"
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -13,6 +13,8 @@
 #include "scheduler/preemption.h"
 #include "scheduler/quota.h"
 #include "scheduler/reservation.h"
+#include "scheduler/service_controller.h"
+#include "scheduler/service_headroom.h"
 
 static void tick(void *arg);
 
@@ -120,8 +122,8 @@
 static void hold_ready(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                        const struct rp_plan *plan) {
     const struct rp_plan_offering *best = NULL;
-    if (plan->n_new_machines > 0 || rp_services_ready_cpus(scheduler->services) >=
-                                        rp_services_reserve_cpus(scheduler->services))
+    if (plan->n_new_machines > 0 || rp_service_headroom_ready_cpus(scheduler->services) >=
+                                        rp_service_headroom_wanted_cpus(scheduler->services))
         return;
     for (size_t k = 0; k < input->plan_input.n_offerings; k++) {
         const struct rp_plan_offering *offering = &input->offerings[k];
@@ -142,9 +144,9 @@
 static void apply_returns(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                           const struct rp_plan *plan, struct timespec now) {
     const struct rp_tuning *tuning = &scheduler->settings->tuning;
-    double reserve = rp_services_reserve_cpus(scheduler->services);
+    double reserve = rp_service_headroom_wanted_cpus(scheduler->services);
     /* Summed up once: for each idle machine anew, thousands of them cost a round seconds. */
-    double ready = rp_services_ready_cpus(scheduler->services);
+    double ready = rp_service_headroom_ready_cpus(scheduler->services);
     bool *wanted = calloc(input->plan_input.n_machines + 1, sizeof *wanted);
     if (!wanted)
         return;
@@ -161,11 +163,12 @@
             continue;
         double age = rp_ts_since(now, machine->requested_at);
         double into = fmod(age, tuning->billing_unit_s);
-        double part = rp_services_ready_cpus_of(scheduler->services, machine);
+        double part = rp_service_headroom_ready_cpus_of(scheduler->services, machine);
         /* The first minute is paid for in any case (PROTOCOL, price). */
         if (age >= RP_MIN_CHARGE_S - tuning->return_margin_s &&
             into >= tuning->billing_unit_s - tuning->return_margin_s &&
-            !(ready_room(scheduler, machine) && ready - part < reserve - RP_READY_SLACK_CPUS)) {
+            !(ready_room(scheduler, machine) &&
+              ready - part < reserve - RP_SERVICE_HEADROOM_SLACK_CPUS)) {
             rp_fleet_scale_in(scheduler->fleet, machine, "idle near its unit's end");
             ready -= part;
         }
@@ -215,7 +218,7 @@
         return;
     scheduler->last_cycle_at = now;
     scheduler->n_cycles++;
-    rp_services_run(scheduler->services);
+    rp_service_controller_run(scheduler->services);
     rp_gang_repair_run(scheduler, now);
     if (!rp_cycle_input_build(scheduler, &input, now))
         goto out;
@@ -235,7 +238,7 @@
         log_use(scheduler);
     rp_preemption_prefer_image_holders(scheduler, &input, &plan, now);
     apply_starts(scheduler, &input, &plan);
-    rp_services_send(scheduler->services);
+    rp_service_controller_send(scheduler->services);
     /* While machines from before the takeover are unknown, what they run is, too: renting for
      * tasks that may be running already would be waste. */
     if (rp_cluster_is_reconciled(scheduler->cluster)) {
--- a/src/scheduler/cycle_input.c
+++ b/src/scheduler/cycle_input.c
@@ -103,7 +103,7 @@
                                       const struct rp_machine *machine) {
     const struct rp_resources *capacity =
         &rp_scheduler_catalog(scheduler)->types[machine->type].capacity;
-    const struct rp_resources *own = &scheduler->whole[machine->type];
+    const struct rp_resources *own = &scheduler->full_gpu_work[machine->type];
     struct rp_resources spare = {0};
     if (capacity->gpus <= 0 || own->gpus <= 0 || !rp_machine_is_usable(machine))
         return spare;
@@ -189,10 +189,10 @@
         }
         largest.gpus = all->gpus;
     }
-    scheduler->whole[type] = largest;
+    scheduler->full_gpu_work[type] = largest;
     if (n_sum > 0) {
-        scheduler->whole[type].cpus = fmax(largest.cpus, sum.cpus / n_sum);
-        scheduler->whole[type].memory_gb = fmax(largest.memory_gb, sum.memory_gb / n_sum);
+        scheduler->full_gpu_work[type].cpus = fmax(largest.cpus, sum.cpus / n_sum);
+        scheduler->full_gpu_work[type].memory_gb = fmax(largest.memory_gb, sum.memory_gb / n_sum);
     }
 }
 
--- a/src/scheduler/machine_draining.c
+++ b/src/scheduler/machine_draining.c
@@ -5,6 +5,7 @@
 #include "scheduler/plan_resources.h"
 #include "scheduler/preemption.h"
 #include "scheduler/reservation.h"
+#include "scheduler/service_headroom.h"
 #include "scheduler/task_moves.h"
 
 #define MACHINES_PER_DRAINING                                                                      \
@@ -63,8 +64,9 @@
                         const struct rp_machine *machine, const struct rp_resources *capacity) {
     if (capacity->gpus > 0 || machine->spot)
         return false;
-    return draining->ready_cpus - rp_services_ready_cpus_of(scheduler->services, machine) <
-           rp_services_reserve_cpus(scheduler->services) + capacity->cpus - RP_READY_SLACK_CPUS;
+    return draining->ready_cpus - rp_service_headroom_ready_cpus_of(scheduler->services, machine) <
+           rp_service_headroom_wanted_cpus(scheduler->services) + capacity->cpus -
+               RP_SERVICE_HEADROOM_SLACK_CPUS;
 }
 
 /* What is saved, in money, if the machine's tasks go elsewhere; negative when they can't, or
@@ -138,7 +140,7 @@
             machine->n_allocations);
     (void)rp_task_moves_take(scheduler, &draining->moves, machine, now);
     draining->moves.is_source[choice.index] = true;
-    draining->ready_cpus -= rp_services_ready_cpus_of(scheduler->services, machine);
+    draining->ready_cpus -= rp_service_headroom_ready_cpus_of(scheduler->services, machine);
     machine->scale_in.draining = true;
     for (size_t i = 0; i < machine->n_allocations; i++) {
         const struct rp_job_spec *spec = &machine->allocations[i].job->spec;
@@ -154,7 +156,7 @@
 
 void rp_machine_draining_run(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                              struct timespec now) {
-    struct draining draining = {.ready_cpus = rp_services_ready_cpus(scheduler->services)};
+    struct draining draining = {.ready_cpus = rp_service_headroom_ready_cpus(scheduler->services)};
     if (!rp_task_moves_init(&draining.moves, scheduler))
         goto out;
     size_t n_max = 1 + draining.moves.n / MACHINES_PER_DRAINING;
--- a/src/scheduler/packing.c
+++ b/src/scheduler/packing.c
@@ -87,17 +87,6 @@
     memcpy(current->zone_used, current->group->zone_used, sizeof current->zone_used);
 }
 
-uint32_t rp_packing_zone_limit(const struct rp_group_packing *current, int zone) {
-    if (current->group->one_zone && current->zone >= 0 && current->zone != zone)
-        return 0;
-    if (!current->group->spread)
-        return current->n_left;
-    uint32_t used = current->zone_used[zone];
-    uint32_t n_left_in_zone =
-        current->group->spread_max > used ? current->group->spread_max - used : 0;
-    return n_left_in_zone < current->n_left ? n_left_in_zone : current->n_left;
-}
-
 static bool append_placement(struct rp_packing *packing, size_t group, size_t machine,
                              uint32_t count, bool starts_now) {
     struct rp_plan *plan = packing->plan;
--- a/src/scheduler/packing.h
+++ b/src/scheduler/packing.h
@@ -29,7 +29,17 @@
  * first `n_new_before`. */
 void rp_packing_roll_back(struct rp_packing *packing, struct rp_group_packing *current,
                           size_t n_new_before);
-/** How many more tasks of the group one_zone and spread allow in the zone, at most those left. */
-uint32_t rp_packing_zone_limit(const struct rp_group_packing *current, int zone);
+/** How many more tasks of the group one_zone and spread allow in the zone, at most those left.
+ * Inline, since it is asked for every machine that is tried. */
+static inline uint32_t rp_packing_zone_limit(const struct rp_group_packing *current, int zone) {
+    if (current->group->one_zone && current->zone >= 0 && current->zone != zone)
+        return 0;
+    if (!current->group->spread)
+        return current->n_left;
+    uint32_t used = current->zone_used[zone];
+    uint32_t n_left_in_zone =
+        current->group->spread_max > used ? current->group->spread_max - used : 0;
+    return n_left_in_zone < current->n_left ? n_left_in_zone : current->n_left;
+}
 
 #endif
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -25,10 +25,11 @@
     unsigned long n_over_bounds; /* rounds that left jobs out */
     unsigned long n_probes;      /* machines looked at by plans */
     struct timespec last_cycle_at;
-    struct timespec replicas_moved_at;       /* when a machine with replicas was last drained */
-    struct rp_resources whole[RP_TYPES_MAX]; /* what its GPU work takes of a type when full */
-    bool short_of_capacity[2];               /* as the last plan said */
-    double last_cycle_s;                     /* the last round's own time */
+    struct timespec replicas_moved_at; /* when a machine with replicas was last drained */
+    struct rp_resources
+        full_gpu_work[RP_TYPES_MAX]; /* what its GPU work takes of a type when full */
+    bool short_of_capacity[2];       /* as the last plan said */
+    double last_cycle_s;             /* the last round's own time */
     struct rp_timer timer;
     bool active;
 };
--- /dev/null
+++ b/src/scheduler/service_controller.c
@@ -0,0 +1,119 @@
+#include "scheduler/service_controller.h"
+
+#include <string.h>
+#include "base/log.h"
+#include "scheduler/replica_moves.h"
+#include "scheduler/replica_placement.h"
+#include "scheduler/replica_preemption.h"
+#include "scheduler/service_headroom.h"
+#include "scheduler/silent_machines.h"
+
+#define WATCH_S 0.25   /* between two looks at silent machines and missing replicas */
+#define KEPT_LEAST 300 /* ended attempts that are kept known, in all, */
+#define KEPT_EACH 24   /* and for each machine */
+
+static void on_watch_timer(void *arg);
+
+void rp_service_controller_init(struct rp_services *services, struct rp_loop *loop,
+                                struct rp_cluster *cluster, struct rp_jobs *jobs,
+                                struct rp_workers *workers, struct rp_fleet *fleet,
+                                const struct rp_settings *settings,
+                                const struct rp_catalog *catalog) {
+    memset(services, 0, sizeof *services);
+    services->fleet = fleet;
+    services->watch_timer = (struct rp_timer){.fn = on_watch_timer, .arg = services};
+    services->loop = loop;
+    services->cluster = cluster;
+    services->jobs = jobs;
+    services->workers = workers;
+    services->settings = settings;
+    services->catalog = catalog;
+}
+
+void rp_service_controller_start(struct rp_services *services) {
+    services->arrivals = (struct rp_service_arrivals){0};
+    services->counted_until_revision = 0;
+    rp_timer_set(services->loop, &services->watch_timer, WATCH_S);
+}
+
+void rp_service_controller_stop(struct rp_services *services) {
+    rp_timer_cancel(services->loop, &services->watch_timer);
+}
+
+/* A replica to be started, or one to be stopped, so that it starts elsewhere, that wasn't told yet.
+ */
+static bool is_to_send(const struct rp_allocation *allocation) {
+    return allocation->job->spec.kind == RP_JOB_SERVICE &&
+           (allocation->state == RP_ALLOCATION_PLANNED ||
+            (rp_replica_preemption_is_ending(allocation) && rp_ts_zero(allocation->stop_sent_at)));
+}
+
+void rp_service_controller_send(struct rp_services *services) {
+    for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next)
+        for (size_t i = 0; i < machine->n_allocations; i++)
+            if (is_to_send(&machine->allocations[i])) {
+                rp_workers_send_direct(services->workers, machine);
+                break;
+            }
+}
+
+static void place_job(struct rp_services *services, struct rp_job *job, struct timespec now) {
+    if (!rp_cluster_is_job_reconciled(services->cluster, job))
+        return;
+    for (uint32_t task = 0; task < job->spec.n_tasks; task++)
+        if (rp_job_n_task_allocations(job, task) == 0 &&
+            !rp_replica_placement_place(services, job, task, now)) {
+            if (services->settings->tuning.preemption)
+                rp_replica_preemption_free_quota(services, job, now);
+            return;
+        }
+}
+
+void rp_service_controller_run(struct rp_services *services) {
+    struct timespec now = rp_loop_now(services->loop);
+    uint64_t newest_revision = services->counted_until_revision;
+    if (services->jobs->table.n_services == 0 || !rp_jobs_may_start_tasks(services->jobs))
+        return;
+    for (struct rp_job *job = services->jobs->table.first; job; job = job->next) {
+        if (job->spec.kind != RP_JOB_SERVICE || job->state != RP_JOB_OPEN)
+            continue;
+        if (job->accepted_revision > services->counted_until_revision)
+            rp_service_headroom_note_arrival(services, job, now);
+        newest_revision =
+            job->accepted_revision > newest_revision ? job->accepted_revision : newest_revision;
+        if (job->n_allocated < job->spec.n_tasks && rp_ts_reached(now, job->start_backoff_until))
+            place_job(services, job, now);
+    }
+    services->counted_until_revision = newest_revision;
+    rp_service_controller_send(services);
+}
+
+/* Ended attempts that were started directly stay in their machines' heartbeats for as long as the
+ * fencing token is ours (workers.h). Over days of services that come and go they would fill these:
+ * once there are many, another term begins, under which workers may forget them. */
+static bool has_much_to_forget(const struct rp_services *services) {
+    size_t n_kept = 0;
+    for (const struct rp_machine *machine = services->cluster->first; machine;
+         machine = machine->next)
+        for (size_t i = 0; i < machine->n_allocations; i++)
+            n_kept += machine->allocations[i].state == RP_ALLOCATION_EXITED &&
+                      machine->allocations[i].started_directly;
+    return n_kept > KEPT_LEAST && n_kept > KEPT_EACH * services->cluster->n_machines;
+}
+
+static void on_watch_timer(void *arg) {
+    struct rp_services *services = arg;
+    struct timespec now = rp_loop_now(services->loop);
+    rp_timer_set(services->loop, &services->watch_timer, WATCH_S);
+    if (services->jobs->table.n_services == 0 ||
+        !rp_election_is_valid(services->workers->election, now))
+        return;
+    if (has_much_to_forget(services)) {
+        rp_info("resigning: reason=many ended attempts are kept known");
+        rp_election_resign(services->workers->election, 0);
+        return;
+    }
+    rp_silent_machines_step(services, now);
+    rp_replica_moves_step(services, now);
+    rp_service_controller_run(services);
+}
--- a/src/scheduler/task_moves.c
+++ b/src/scheduler/task_moves.c
@@ -52,9 +52,8 @@
                : rp_allocation_remaining_s(scheduler, machine, allocation, now);
 }
 
-/* What one_zone and spread say of the task in another zone, once it has left its own. */
-static bool may_move_to_zone(const struct rp_machine *from, const struct rp_machine *target,
-                             const struct rp_job *job) {
+bool rp_task_moves_may_change_zone(const struct rp_machine *from, const struct rp_machine *target,
+                                   const struct rp_job *job) {
     if (from->zone == target->zone || (!job->spec.one_zone && !job->spec.spread))
         return true;
     return !job->spec.one_zone && job->zone_count[target->zone] + 1 <= (job->spec.n_tasks + 1) / 2;
@@ -69,7 +68,8 @@
         return false;
     return rp_cluster_is_allowed(scheduler->cluster, &job->spec, target->type, target->zone,
                                  target->spot) &&
-           may_move_to_zone(from, target, job) && rp_resources_fit(&job->spec.each, available) &&
+           rp_task_moves_may_change_zone(from, target, job) &&
+           rp_resources_fit(&job->spec.each, available) &&
            rp_machine_has_image(target, job->image_hash);
 }
 
--- a/src/scheduler/task_moves.h
+++ b/src/scheduler/task_moves.h
@@ -26,6 +26,9 @@
 /** Whether the task may be moved: it keeps its progress when stopped, or is a replica, which has
  * none, and its start counts already. */
 bool rp_task_moves_is_movable(const struct rp_allocation *allocation, struct timespec now);
+/** What one_zone and spread say of a task on the target machine, once it has left its own. */
+bool rp_task_moves_may_change_zone(const struct rp_machine *from, const struct rp_machine *target,
+                                   const struct rp_job *job);
 /** Seconds until the allocation is free by itself. */
 double rp_task_moves_occupied_s(const struct rp_scheduler *scheduler,
                                 const struct rp_machine *machine,
