--- a/src/jobs/progress_writer.c
+++ b/src/jobs/progress_writer.c
@@ -13,8 +13,6 @@
  * allowed, this share of them. */
 #define FINISH_RESERVE_CHANGES 3.0
 #define FINISH_RESERVE_SHARE 0.1
-/* After the store has refused a single record as too large. */
-#define REFUSED_BACKOFF_S 5.0
 /* Bytes of a stored progress record besides its digits. */
 #define PROGRESS_FRAME_BYTES 16
 
@@ -48,9 +46,9 @@
         .context = context, .table = table, .collector = collector, .max_records = TXN_RECORDS_MAX};
 }
 
-/* The job as long as it has not ended; NULL afterwards. */
-static struct rp_job *find_unended_job(const struct rp_progress_writer *writer,
-                                       const char *job_id) {
+/* The job as long as it is not closed; NULL afterwards. */
+static struct rp_job *find_unclosed_job(const struct rp_progress_writer *writer,
+                                        const char *job_id) {
     struct rp_job *job = rp_job_table_find(writer->table, job_id);
     return job && job->state != RP_JOB_CLOSED ? job : NULL;
 }
@@ -68,12 +66,12 @@
     struct rp_kv_item item;
     if (!rp_jobs_context_is_current(writer->context, read->generation))
         goto out;
-    struct rp_job *job = find_unended_job(writer, read->job_id);
+    struct rp_job *job = find_unclosed_job(writer, read->job_id);
     if (!job)
         goto out;
     rp_job_progress_apply(&job->progress, read->record, RP_PROGRESS_READ_RETURNED);
     if (result->outcome == RP_KV_NOT_FOUND)
-        rp_job_progress_set_revision(&job->progress, read->record, 0);
+        rp_job_progress_set_revision(&job->progress, read->record, RP_KV_ABSENT);
     else if (rp_kv_result_item(result, &item))
         rp_job_progress_set_revision(&job->progress, read->record, item.revision);
     note_stored(job, read->record);
@@ -107,8 +105,7 @@
     }
     struct rp_job *job = rp_job_table_find(writer->table, write->records[0].job_id);
     if (job)
-        job->progress.write_back_backoff_until =
-            rp_ts_after(rp_loop_now(writer->context->loop), REFUSED_BACKOFF_S);
+        rp_job_progress_back_off(&job->progress, rp_loop_now(writer->context->loop));
 }
 
 /* The job ended while the write was under way: the record may stand although nobody needs it. */
@@ -151,7 +148,7 @@
         goto out;
     for (size_t i = 0; i < write->n_records; i++) {
         const struct written_record *written = &write->records[i];
-        struct rp_job *job = find_unended_job(writer, written->job_id);
+        struct rp_job *job = find_unclosed_job(writer, written->job_id);
         if (!job)
             note_late_write(writer, written, result->outcome);
         else if (result->outcome == RP_KV_OK)
@@ -219,7 +216,7 @@
 static bool is_due(const struct rp_job *job, struct timespec now) {
     const struct rp_job_progress *progress = &job->progress;
     bool has_changes = job->state == RP_JOB_OPEN && progress->dirty_units;
-    return has_changes && rp_ts_reached(now, progress->write_back_backoff_until) &&
+    return has_changes && rp_job_progress_may_write(progress, now) &&
            rp_ts_since(now, progress->dirty_since) >= WRITE_BACK_DELAY_S;
 }
 
--- a/src/scheduler/plan_input.h
+++ b/src/scheduler/plan_input.h
@@ -6,8 +6,9 @@
 #ifndef RP_SCHEDULER_PLAN_INPUT_H
 #define RP_SCHEDULER_PLAN_INPUT_H
 
+#include "model/catalog.h"
 #include "model/heuristic.h"
-#include "model/model.h"
+#include "model/job_spec.h"
 
 /** Slack, in seconds, of jobs whose class has no service-level objective. */
 #define RP_NO_OBJECTIVE_S 1e6
--- a/src/scheduler/service_controller.c
+++ b/src/scheduler/service_controller.c
@@ -7,6 +7,7 @@
 #include "scheduler/replica_preemption.h"
 #include "scheduler/service_headroom.h"
 #include "scheduler/silent_machines.h"
+#include "worker/direct_commands.h"
 
 #define WATCH_S 0.25   /* between two looks at silent machines and missing replicas */
 #define KEPT_LEAST 300 /* ended attempts that are kept known, in all, */
@@ -52,7 +53,7 @@
     for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next)
         for (size_t i = 0; i < machine->n_allocations; i++)
             if (is_to_send(&machine->allocations[i])) {
-                rp_workers_send_direct(services->workers, machine);
+                rp_direct_commands_send(&services->workers->context, machine);
                 break;
             }
 }
@@ -89,8 +90,8 @@
 }
 
 /* Ended attempts that were started directly stay in their machines' heartbeats for as long as the
- * fencing token is ours (workers.h). Over days of services that come and go they would fill these:
- * once there are many, another term begins, under which workers may forget them. */
+ * fencing token is ours (worker/command_batch.h). Over days of services that come and go they would
+ * fill these: once there are many, another term begins, under which workers may forget them. */
 static bool has_much_to_forget(const struct rp_services *services) {
     size_t n_kept = 0;
     for (const struct rp_machine *machine = services->cluster->first; machine;
@@ -106,11 +107,11 @@
     struct timespec now = rp_loop_now(services->loop);
     rp_timer_set(services->loop, &services->watch_timer, WATCH_S);
     if (services->jobs->table.n_services == 0 ||
-        !rp_election_is_valid(services->workers->election, now))
+        !rp_election_is_valid(services->workers->context.election, now))
         return;
     if (has_much_to_forget(services)) {
         rp_info("resigning: reason=many ended attempts are kept known");
-        rp_election_resign(services->workers->election, 0);
+        rp_election_resign(services->workers->context.election, 0);
         return;
     }
     rp_silent_machines_step(services, now);
--- a/src/scheduler/silent_machines.c
+++ b/src/scheduler/silent_machines.c
@@ -2,6 +2,7 @@
 
 #include <math.h>
 #include "cluster/fleet.h"
+#include "worker/probes.h"
 
 #define REPORT_FACTOR 1.25 /* times a heartbeat's period until it is late */
 #define SILENT_SLACK_S 0.6
@@ -62,7 +63,7 @@
             services->settings->report_s * REPORT_FACTOR + LED_S)
         rp_fleet_scale_in(services->fleet, machine, "silent, and replicas wait for it");
     else
-        rp_workers_probe(services->workers, machine);
+        rp_probe_send(&services->workers->context, machine);
 }
 
 void rp_silent_machines_step(struct rp_services *services, struct timespec now) {
--- /dev/null
+++ b/tests/simulation/tasks.c
@@ -0,0 +1,233 @@
+/* Tasks on workers: start, image fetch, gang start, run, checkpoint, stop and exit. */
+#include "internal.h"
+
+#include <stdlib.h>
+#include <string.h>
+
+#define GANG_WAIT_S 40.0  /* a gang's task waits so long for the others, as in the settings */
+#define GANG_PEER_S 5.0   /* and goes on so long after one of them is lost */
+#define FAILS_AFTER_S 0.5 /* a task on a machine that fails tasks */
+#define ROUNDING 1e-6     /* of sums of resources */
+
+static int find_job(const struct sim *sim, const char *id) {
+    for (int i = 0; i < sim->n_jobs; i++)
+        if (strcmp(sim->jobs[i].spec.id, id) == 0)
+            return i;
+    return -1;
+}
+
+bool sim_task_is_placed(const struct sim_task *task) {
+    return task->state == RP_TASK_WAITING || task->state == RP_TASK_RUNNING ||
+           task->state == RP_TASK_SAVING;
+}
+
+static void exit_task(struct sim_worker *worker, struct sim_task *task, const char *reason,
+                      double now) {
+    task->state = RP_TASK_EXITED;
+    task->exit_reason = reason;
+    worker->changed = true;
+    worker->exited_at = now;
+}
+
+/* ---- start and stop ---- */
+
+/* Whether the tasks that haven't exited leave enough for one more. */
+static bool has_capacity(const struct sim *sim, const struct sim_worker *worker,
+                         const struct rp_job_spec *spec) {
+    const struct sim_machine_type *type = &sim_types[worker->type];
+    double cpus = 0;
+    double memory_gb = 0;
+    for (int i = 0; i < worker->n_tasks; i++) {
+        const struct sim_task *task = &worker->tasks[i];
+        if (task->state == RP_TASK_EXITED)
+            continue;
+        cpus += sim->jobs[task->job_index].spec.each.cpus;
+        memory_gb += sim->jobs[task->job_index].spec.each.memory_gb;
+    }
+    return cpus + spec->each.cpus <= type->cpus + ROUNDING &&
+           memory_gb + spec->each.memory_gb <= type->memory + ROUNDING;
+}
+
+/* What tests want to know of a start command that is carried out. */
+static void count_start(struct sim *sim, struct sim_worker *worker, uint64_t attempt) {
+    uint64_t token = attempt >> 32;
+    if (worker->exited_at > 0) {
+        sim->idle_s += sim->now - worker->exited_at;
+        sim->n_idle++;
+        worker->exited_at = 0;
+    }
+    if (token > sim->started_token) {
+        sim->started_token = token;
+        sim->started_at = sim->now;
+    }
+}
+
+void sim_task_start(struct sim *sim, struct sim_worker *worker, const char *job_id, uint32_t index,
+                    uint64_t attempt) {
+    int job_index = find_job(sim, job_id);
+    bool is_in_use = false;
+    for (int i = 0; i < worker->n_tasks; i++) {
+        const struct sim_task *other = &worker->tasks[i];
+        if (strcmp(other->job, job_id) != 0 || other->index != index)
+            continue;
+        if (other->attempt == attempt)
+            return;
+        is_in_use |= other->state != RP_TASK_EXITED;
+    }
+    if (worker->n_tasks == SIM_TASKS || job_index < 0)
+        return;
+    const struct sim_job *job = &sim->jobs[job_index];
+    bool fits = has_capacity(sim, worker, &job->spec);
+    count_start(sim, worker, attempt);
+    sim_check_command(sim, job);
+    struct sim_task *task = &worker->tasks[worker->n_tasks++];
+    *task = (struct sim_task){.index = index, .attempt = attempt, .job_index = job_index};
+    strcpy(task->job, job_id);
+    worker->changed = true;
+    if (is_in_use)
+        exit_task(worker, task, "in_use", sim->now);
+    else if (!fits)
+        exit_task(worker, task, "no_room", sim->now);
+    else
+        task->ready_at = sim->now + 0.5 + sim_uniform(sim);
+    if (sim->breakage == SIM_REPLICAS_NEVER_START && job->spec.kind == RP_JOB_SERVICE)
+        task->ready_at = SIM_NEVER;
+    if (sim->breakage == SIM_LARGE_NEVER_BEGIN && job->spec.n_tasks >= SIM_LARGE)
+        task->ready_at = SIM_NEVER;
+}
+
+void sim_task_stop(struct sim *sim, struct sim_worker *worker, struct sim_task *task,
+                   double grace_s) {
+    const struct rp_job_spec *spec = &sim->jobs[task->job_index].spec;
+    bool is_ignored =
+        sim->breakage == SIM_WORKERS_IGNORE_STOPS || sim->breakage == SIM_RENEWED_WITHOUT_STOPS;
+    if (is_ignored || task->state == RP_TASK_EXITED)
+        return;
+    if (task->state == RP_TASK_RUNNING && spec->checkpoint_s > 0 && grace_s >= spec->save_s) {
+        task->state = RP_TASK_SAVING;
+        task->stopped_at = sim->now;
+        task->ready_at = sim->now + spec->save_s;
+        worker->changed = true;
+    } else if (task->state != RP_TASK_SAVING || grace_s == 0) {
+        exit_task(worker, task, "halted", sim->now);
+    }
+}
+
+/* ---- steps ---- */
+
+/* Members of the gang attempt that are on a machine or done; unless `ready_only`, also those that
+ * still fetch their image. */
+static int count_gang_members(const struct sim *sim, const struct sim_task *task, bool ready_only) {
+    int n = 0;
+    for (int i = 0; i < sim->size.workers; i++) {
+        const struct sim_worker *worker = &sim->workers[i];
+        for (int k = 0; worker->used && worker->alive && k < worker->n_tasks; k++) {
+            const struct sim_task *other = &worker->tasks[k];
+            if (other->job_index != task->job_index || other->attempt != task->attempt)
+                continue;
+            n += sim_task_is_placed(other) || (!ready_only && other->state == RP_TASK_FETCHING) ||
+                 (other->exit_reason && strcmp(other->exit_reason, "done") == 0);
+        }
+    }
+    return n;
+}
+
+/* Users who call a job off at the very moment at which its last task ends. */
+static void cancel_at_last_exit(struct sim *sim, struct sim_job *job) {
+    for (uint32_t i = 0; i < job->spec.n_tasks; i++)
+        if (!job->done[i])
+            return;
+    if (!job->cancel_at_end || job->cancel_asked)
+        return;
+    job->cancel_at = sim->now;
+    sim->n_cancelled_at_end++;
+}
+
+static void end_fetch(struct sim *sim, struct sim_worker *worker, struct sim_task *task) {
+    const struct sim_job *job = &sim->jobs[task->job_index];
+    if (sim->now < task->ready_at)
+        return;
+    task->state = job->spec.kind == RP_JOB_GANG ? RP_TASK_WAITING : RP_TASK_RUNNING;
+    task->ready_at = sim->now;
+    /* What was saved isn't done again. */
+    task->began_at = sim->now - job->checkpointed_s[task->index];
+    worker->changed = true;
+    sim_check_start(sim, worker, task);
+}
+
+static void wait_for_gang(struct sim *sim, struct sim_worker *worker, struct sim_task *task) {
+    if (count_gang_members(sim, task, true) == (int)sim->jobs[task->job_index].spec.n_tasks) {
+        task->state = RP_TASK_RUNNING;
+        task->began_at = sim->now;
+        worker->changed = true;
+    } else if (sim->now > task->ready_at + GANG_WAIT_S) {
+        exit_task(worker, task, "alone", sim->now);
+    }
+}
+
+/* A replica ends by itself, now and then. */
+static void run_replica(struct sim *sim, struct sim_worker *worker, struct sim_task *task) {
+    double exit_s = sim->faults.replica_exit_s;
+    if (sim_chance(sim, exit_s > 0 ? SIM_STEP_S / exit_s : 0) ||
+        sim->jobs[task->job_index].fails_always)
+        exit_task(worker, task, sim_chance(sim, 0.5) ? "done" : "error", sim->now);
+}
+
+static void finish_task(struct sim *sim, struct sim_worker *worker, struct sim_task *task) {
+    struct sim_job *job = &sim->jobs[task->job_index];
+    if (job->fails_always || (!job->done[task->index] && sim_chance(sim, sim->faults.task_error))) {
+        sim->n_task_errors++;
+        exit_task(worker, task, "error", sim->now);
+        return;
+    }
+    job->done[task->index] = sim->breakage != SIM_DONE_TOO_EARLY;
+    for (uint32_t i = 0; job->spec.kind == RP_JOB_GANG && i < job->spec.n_tasks; i++)
+        job->done[i] = true;
+    exit_task(worker, task, "done", sim->now);
+    cancel_at_last_exit(sim, job);
+}
+
+static void run_task(struct sim *sim, struct sim_worker *worker, struct sim_task *task) {
+    const struct sim_job *job = &sim->jobs[task->job_index];
+    double due_at = task->began_at + job->spec.estimate_s + task->index * job->stagger_s;
+    if (job->spec.kind == RP_JOB_GANG && sim->now > task->began_at + GANG_PEER_S &&
+        count_gang_members(sim, task, false) < (int)job->spec.n_tasks) {
+        exit_task(worker, task, "peers", sim->now);
+    } else if (worker->fails_tasks && sim->now > task->began_at + FAILS_AFTER_S) {
+        sim->n_task_errors++;
+        exit_task(worker, task, "error", sim->now);
+    } else if (job->spec.kind == RP_JOB_SERVICE) {
+        run_replica(sim, worker, task);
+    } else if (job->done[task->index] || sim->now > due_at) {
+        finish_task(sim, worker, task);
+    }
+}
+
+static void end_checkpoint(struct sim *sim, struct sim_worker *worker, struct sim_task *task) {
+    struct sim_job *job = &sim->jobs[task->job_index];
+    if (sim->now < task->ready_at)
+        return;
+    task->checkpointed = true;
+    if (job->spec.kind != RP_JOB_GANG)
+        job->checkpointed_s[task->index] = task->stopped_at - task->began_at;
+    exit_task(worker, task, "halted", sim->now);
+}
+
+void sim_task_step(struct sim *sim, struct sim_worker *worker, struct sim_task *task) {
+    switch (task->state) {
+    case RP_TASK_FETCHING:
+        end_fetch(sim, worker, task);
+        break;
+    case RP_TASK_WAITING:
+        wait_for_gang(sim, worker, task);
+        break;
+    case RP_TASK_RUNNING:
+        run_task(sim, worker, task);
+        break;
+    case RP_TASK_SAVING:
+        end_checkpoint(sim, worker, task);
+        break;
+    default:
+        break;
+    }
+}
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -54,8 +54,8 @@
     world->loop.virtual_now = rp_ts(100);
     rp_kv_client_init(&world->state, &world->loop, net, "state", RPS, 10, 1, 0.6);
     rp_job_lookup_init(&world->lookup, &world->loop, &world->state, &world->settings);
-    while (!rp_job_lookup_pays(&world->lookup))
-        rp_token_bucket_take(&world->state.requests[RP_KV_BUDGET_QUERIES], 1);
+    while (!rp_job_lookup_must_batch(&world->lookup))
+        rp_token_bucket_take(&world->state.budgets.requests[RP_KV_BUDGET_QUERIES], 1);
 }
 
 static void world_close(struct world *world) {
@@ -92,7 +92,8 @@
  * than the question. */
 static void answers_are_never_older(void **state) {
     struct world world;
-    int early = -1, late = -1;
+    int early = -1;
+    int late = -1;
     (void)state;
     world_open(&world);
     rp_job_lookup_add(&world.lookup, "j-000001", keep_result, &early);
