--- a/src/base/log.c
+++ b/src/base/log.c
@@ -5,8 +5,13 @@
 #include <string.h>
 #include <time.h>
 
+#define NODE_NAME_MAX 64 /* RP_NAME_MAX of config/settings.h, which is above this layer */
+#define TEXT_MAX 1024
+#define STAMP_MAX 32
+#define NS_PER_MS 1000000
+
 static struct {
-    char node[64];
+    char node[NODE_NAME_MAX];
     uint64_t term;
     enum rp_log_level level;
 } g_log = {.level = RP_LOG_INFO};
@@ -24,29 +29,30 @@
     g_log.level = level;
 }
 
-void rp_log_term(uint64_t term) {
+void rp_log_set_term(uint64_t term) {
     g_log.term = term;
 }
 
-enum rp_log_level rp_log_current(void) {
+enum rp_log_level rp_log_current_level(void) {
     return g_log.level;
 }
 
-void rp_log(enum rp_log_level level, const char *fmt, ...) {
-    static const char *const names[] = {"error", "info", "debug"};
+void rp_log(enum rp_log_level level, const char *format, ...) {
+    static const char *const level_names[] = {
+        [RP_LOG_ERROR] = "error", [RP_LOG_INFO] = "info", [RP_LOG_DEBUG] = "debug"};
+    char text[TEXT_MAX];
+    char stamp[STAMP_MAX];
+    struct timespec now;
+    struct tm utc;
+    va_list ap;
     if (level > g_log.level)
         return;
-    char text[1024];
-    va_list ap;
-    va_start(ap, fmt);
-    vsnprintf(text, sizeof text, fmt, ap);
+    va_start(ap, format);
+    vsnprintf(text, sizeof text, format, ap);
     va_end(ap);
-    struct timespec now;
-    struct tm tm;
     clock_gettime(CLOCK_REALTIME, &now);
-    gmtime_r(&now.tv_sec, &tm);
-    char stamp[32];
-    strftime(stamp, sizeof stamp, "%Y-%m-%dT%H:%M:%S", &tm);
-    fprintf(stderr, "%s.%03ldZ %s node=%s term=%llu %s\n", stamp, now.tv_nsec / 1000000,
-            names[level], g_log.node, (unsigned long long)g_log.term, text);
+    gmtime_r(&now.tv_sec, &utc);
+    strftime(stamp, sizeof stamp, "%Y-%m-%dT%H:%M:%S", &utc);
+    fprintf(stderr, "%s.%03ldZ %s node=%s term=%llu %s\n", stamp, now.tv_nsec / NS_PER_MS,
+            level_names[level], g_log.node, (unsigned long long)g_log.term, text);
 }
--- a/src/base/metrics.c
+++ b/src/base/metrics.c
@@ -9,9 +9,15 @@
 #define PER_DECADE 10
 #define BINS (DECADES * PER_DECADE)
 
-static const char *const names[RP_METRICS] = {"submit_s", "query_s", "round_s", "start_wait_s"};
+/* Their names in /status. */
+static const char *const names[RP_METRICS] = {
+    [RP_METRIC_SUBMIT] = "submit_s",
+    [RP_METRIC_QUERY] = "query_s",
+    [RP_METRIC_CYCLE] = "round_s",
+    [RP_METRIC_START] = "start_wait_s",
+};
 
-int rp_metrics_init(struct rp_metrics *metrics) {
+bool rp_metrics_init(struct rp_metrics *metrics) {
     double ranges[BINS + 1];
     memset(metrics, 0, sizeof *metrics);
     ranges[0] = 0;
@@ -22,10 +28,10 @@
         if (!metrics->histograms[i] ||
             gsl_histogram_set_ranges(metrics->histograms[i], ranges, BINS + 1) != 0) {
             rp_metrics_free(metrics);
-            return -1;
+            return false;
         }
     }
-    return 0;
+    return true;
 }
 
 void rp_metrics_free(struct rp_metrics *metrics) {
@@ -36,30 +42,36 @@
 }
 
 void rp_metrics_add(struct rp_metrics *metrics, enum rp_metric metric, double seconds) {
-    double most = gsl_histogram_max(metrics->histograms[metric]) * (1 - 1e-9);
-    gsl_histogram_increment(metrics->histograms[metric], fmin(fmax(seconds, 0), most));
+    /* The last bin's upper bound is no longer in it. */
+    double most_s = gsl_histogram_max(metrics->histograms[metric]) * (1 - 1e-9);
+    gsl_histogram_increment(metrics->histograms[metric], fmin(fmax(seconds, 0), most_s));
 }
 
 double rp_metrics_quantile(const struct rp_metrics *metrics, enum rp_metric metric, double share) {
-    const gsl_histogram *h = metrics->histograms[metric];
-    double total = gsl_histogram_sum(h), seen = 0, low, high = 0;
-    for (size_t i = 0; i < gsl_histogram_bins(h) && total > 0; i++) {
-        seen += gsl_histogram_get(h, i);
-        gsl_histogram_get_range(h, i, &low, &high);
+    const gsl_histogram *histogram = metrics->histograms[metric];
+    double total = gsl_histogram_sum(histogram);
+    double seen = 0;
+    double low;
+    double high = 0;
+    for (size_t i = 0; i < gsl_histogram_bins(histogram) && total > 0; i++) {
+        seen += gsl_histogram_get(histogram, i);
+        gsl_histogram_get_range(histogram, i, &low, &high);
         if (seen >= share * total)
             return high;
     }
     return high;
 }
 
+static json_t *metric_json(const struct rp_metrics *metrics, enum rp_metric metric) {
+    return json_pack("{s:f,s:f,s:f,s:f}", "count", gsl_histogram_sum(metrics->histograms[metric]),
+                     "p50", rp_metrics_quantile(metrics, metric, 0.5), "p95",
+                     rp_metrics_quantile(metrics, metric, 0.95), "p99",
+                     rp_metrics_quantile(metrics, metric, 0.99));
+}
+
 json_t *rp_metrics_json(const struct rp_metrics *metrics) {
     json_t *value = json_object();
     for (int i = 0; i < RP_METRICS; i++)
-        json_object_set_new(value, names[i],
-                            json_pack("{s:f,s:f,s:f,s:f}", "count",
-                                      gsl_histogram_sum(metrics->histograms[i]), "p50",
-                                      rp_metrics_quantile(metrics, (enum rp_metric)i, 0.5), "p95",
-                                      rp_metrics_quantile(metrics, (enum rp_metric)i, 0.95), "p99",
-                                      rp_metrics_quantile(metrics, (enum rp_metric)i, 0.99)));
+        json_object_set_new(value, names[i], metric_json(metrics, (enum rp_metric)i));
     return value;
 }
--- a/src/base/timeutil.h
+++ b/src/base/timeutil.h
@@ -1,5 +1,7 @@
 /** @file
- * Arithmetic on the standard library's time types. Instants are CLOCK_MONOTONIC unless said. */
+ * Arithmetic on the standard library's struct timespec, as instants and as spans. Instants are of
+ * CLOCK_MONOTONIC (rp_loop_now) unless said otherwise; they are normalised: nanoseconds from 0 to
+ * 999,999,999. */
 #ifndef RP_BASE_TIMEUTIL_H
 #define RP_BASE_TIMEUTIL_H
 
@@ -7,8 +9,10 @@
 #include <stdbool.h>
 #include <time.h>
 
+/** Nanoseconds in a second. */
 #define RP_NSEC 1000000000L
 
+/** A span, or an instant given as seconds since the clock's zero. */
 static inline struct timespec rp_ts(double seconds) {
     double whole = floor(seconds);
     struct timespec time = {.tv_sec = (time_t)whole, .tv_nsec = (long)((seconds - whole) * 1e9)};
@@ -19,10 +23,12 @@
     return time;
 }
 
+/** The same in seconds. */
 static inline double rp_ts_s(struct timespec time) {
     return (double)time.tv_sec + (double)time.tv_nsec * 1e-9;
 }
 
+/** The sum of an instant and a span, or of two spans. */
 static inline struct timespec rp_ts_add(struct timespec a, struct timespec b) {
     struct timespec time = {.tv_sec = a.tv_sec + b.tv_sec, .tv_nsec = a.tv_nsec + b.tv_nsec};
     if (time.tv_nsec >= RP_NSEC) {
@@ -32,6 +38,7 @@
     return time;
 }
 
+/** The span from `b` to `a`; negative when `b` is later. */
 static inline struct timespec rp_ts_sub(struct timespec a, struct timespec b) {
     struct timespec time = {.tv_sec = a.tv_sec - b.tv_sec, .tv_nsec = a.tv_nsec - b.tv_nsec};
     if (time.tv_nsec < 0) {
@@ -41,10 +48,12 @@
     return time;
 }
 
+/** The instant `seconds` after `time`; before it when they are negative. */
 static inline struct timespec rp_ts_after(struct timespec time, double seconds) {
     return rp_ts_add(time, rp_ts(seconds));
 }
 
+/** Below, equal to or above 0 as `a` is before, at or after `b`. */
 static inline int rp_ts_cmp(struct timespec a, struct timespec b) {
     if (a.tv_sec != b.tv_sec)
         return a.tv_sec < b.tv_sec ? -1 : 1;
@@ -53,11 +62,12 @@
     return 0;
 }
 
-/** Unset: no such instant. */
+/** Whether an instant is unset: all zero stands for "not yet" or "never". */
 static inline bool rp_ts_zero(struct timespec time) {
     return time.tv_sec == 0 && time.tv_nsec == 0;
 }
 
+/** Whether `due` has come. */
 static inline bool rp_ts_reached(struct timespec now, struct timespec due) {
     return rp_ts_cmp(now, due) >= 0;
 }
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -224,7 +224,7 @@
 
 static int init_workers(struct rp_node *node) {
     const struct rp_settings *settings = node->settings;
-    if (rp_metrics_init(&node->metrics) < 0)
+    if (!rp_metrics_init(&node->metrics))
         return -1;
     rp_workers_init(&node->workers, node->loop, &node->election, &node->cluster, &node->jobs,
                     &node->fleet, settings, &node->metrics, node->net);
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -83,12 +83,12 @@
     if (was == RP_ELECTION_HOLDING_KEY && state != RP_ELECTION_HOLDING_KEY) {
         rp_info("leadership lost, token=%llu", (unsigned long long)election->fencing_token);
         election->fencing_token = 0;
-        rp_log_term(0);
+        rp_log_set_term(0);
         election->on_lost(election->arg);
     }
     if (state == RP_ELECTION_HOLDING_KEY && was != RP_ELECTION_HOLDING_KEY) {
         snprintf(election->leader, sizeof election->leader, "%s", election->node);
-        rp_log_term(election->fencing_token);
+        rp_log_set_term(election->fencing_token);
         rp_info("leadership taken, token=%llu lease=%llu",
                 (unsigned long long)election->fencing_token, (unsigned long long)election->lease);
         election->on_elected(election->arg);
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -231,7 +231,7 @@
              scheduler->n_cycles, input.plan_input.n_groups, input.plan_input.n_machines,
              plan.n_starting, plan.n_waiting, plan.n_new_machines, plan.unplaced_work, plan.cost,
              scheduler->settings->tuning.heuristics[winner]);
-    if (rp_log_current() >= RP_LOG_DEBUG && scheduler->n_cycles % 10 == 0)
+    if (rp_log_current_level() >= RP_LOG_DEBUG && scheduler->n_cycles % 10 == 0)
         log_use(scheduler);
     rp_preemption_prefer_image_holders(scheduler, &input, &plan, now);
     apply_starts(scheduler, &input, &plan);
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -223,7 +223,7 @@
                                 double timeout_s) {
     struct outcome outcome = {.loop = loop};
     net.call_once(net.ctx, addr, "POST", "/do", "{}", timeout_s, note_outcome, &outcome);
-    loop->stopping = false;
+    loop->is_stopping = false;
     assert_int_equal(rp_loop_run(loop), 0);
     return outcome;
 }
