--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -1,6 +1,6 @@
 /* Ends the leading controller again and again, on loopback: real processes of the program, with the
  * simulated world's state service, cloud, workers and users as stand-ins around them, and its rules
- * checked after each step (tests/simulation/sim_check.c). Prints a line for each end of a leader.
+ * checked after each step (tests/simulation/rules.c). Prints a line for each end of a leader.
  * Not a test of CI: it takes minutes, and its times are the machine's. tests/loopback/run starts
  * several. */
 #include <errno.h>
--- /dev/null
+++ b/tests/simulation/test_services.c
@@ -0,0 +1,172 @@
+/* Services: their replicas run, are replaced at once where they end, and cost little where they
+ * can't run. */
+#include "test.h"
+
+#include "base/log.h"
+#include "day.h"
+#include "store/records.h"
+
+#define DAY_S 150
+#define REST_S 200
+
+static double up_share(const struct sim *sim) {
+    double up = 0;
+    double down = 0;
+    for (int i = 0; i < sim->n_jobs; i++) {
+        up += sim->jobs[i].up_s;
+        down += sim->jobs[i].down_s;
+    }
+    return up / (up + down);
+}
+
+/* On a fleet full of low work, replicas run within the time of a fetch, and again where one ends by
+ * itself, whatever it says; no array's work is stopped for longer than that takes. */
+static void replicas_stand(void **state) {
+    static const struct sim_faults ends = {.replica_exit_s = 100};
+    struct sim *sim = sim_new(40, &ends, SIM_SOUND, 3);
+    (void)state;
+    day_lift_team_limit(sim);
+    day_submit_arrays(sim, 40, 1, 2, 40, 2, 20);
+    day_submit_services(sim, 30);
+    sim_run(sim, 300);
+    day_expect_sound(sim, 40);
+    /* Of each 100 s, an end costs the simulated fetch of 0.5 to 1.5 s, and up to half a second
+     * until it is reported. */
+    if (up_share(sim) < 0.97)
+        fail_msg("up share %.4f", up_share(sim));
+    assert_more_than(sim->n_direct, 15);
+    sim_end_faults(sim);
+    sim_run(sim, 150);
+    day_expect_sound(sim, 40);
+    assert_true(sim_all_terminal(sim));
+    sim_free(sim);
+}
+
+/* A machine that hangs is given back as soon as it neither reports nor answers: its replicas don't
+ * wait for its lease. */
+static void hung_machine_frees_replicas(void **state) {
+    struct sim *sim = day_new(41, 3);
+    (void)state;
+    day_submit_arrays(sim, 12, 1, 1, 40, 2, 30);
+    day_lift_team_limit(sim);
+    int job = sim_submit(sim, 40, "service", 6, 1, 0, 300);
+    sim_run(sim, 60);
+    struct sim_worker *worker = NULL;
+    for (int i = 0; i < sim->size.workers && !worker; i++)
+        for (int k = 0; sim->workers[i].used && k < sim->workers[i].n_tasks; k++)
+            if (sim->workers[i].tasks[k].job_index == job &&
+                sim->workers[i].tasks[k].state == RP_TASK_RUNNING)
+                worker = &sim->workers[i];
+    assert_non_null(worker);
+    worker->paused_until = sim->now + 60;
+    sim_run(sim, 10);
+    for (uint32_t t = 0; t < 6; t++)
+        assert_at_most(sim->jobs[job].down_since[t], 0);
+    day_expect_sound(sim, 41);
+    sim_free(sim);
+}
+
+/* A service whose replicas end at once: other machines, growing pauses, few starts. */
+static void bad_image_costs_little(void **state) {
+    struct sim *sim = day_new(42, 3);
+    (void)state;
+    day_submit_array_stream(sim, 0);
+    sim_run(sim, 60);
+    int job = sim_submit(sim, sim->now + 100, "service", 4, 1, 0, 0);
+    sim->jobs[job].fails_always = true;
+    sim_run(sim, 100);
+    unsigned long starts = sim->n_starts;
+    sim_run(sim, 120);
+    assert_true(sim->jobs[job].begun);
+    assert_less_than(sim->n_starts - starts, 80);
+    day_expect_sound(sim, 42);
+    sim_free(sim);
+}
+
+/* What is kept known of direct starts doesn't grow for ever: another term lets workers forget it.
+ */
+static void ended_attempts_are_forgotten(void **state) {
+    struct sim *sim = day_new(54, 3);
+    size_t listed = 0;
+    (void)state;
+    day_lift_team_limit(sim);
+    for (int i = 0; i < 12; i++)
+        sim_submit(sim, 1 + i * 14, "service", 40, 1, 0, 30 + i * 14);
+    sim_run(sim, 60);
+    uint64_t token = sim->nodes[sim_leader(sim)].node->election.fencing_token;
+    sim_run(sim, 160);
+    assert_at_least(sim_leader(sim), 0);
+    assert_more_than(sim->nodes[sim_leader(sim)].node->election.fencing_token, token);
+    sim_run(sim, 10);
+    for (int i = 0; i < sim->size.workers; i++)
+        for (int k = 0; sim->workers[i].used && k < sim->workers[i].n_tasks; k++)
+            listed += sim->workers[i].tasks[k].state == RP_TASK_EXITED;
+    assert_less_than(listed, 300);
+    sim_run(sim, 60);
+    day_expect_sound(sim, 54);
+    assert_true(sim_all_terminal(sim));
+    sim_free(sim);
+}
+
+static void service_days(int nodes, const struct sim_faults *faults, unsigned long first,
+                         int days) {
+    for (unsigned long seed = first; seed < first + (unsigned long)days; seed++) {
+        struct sim *sim = sim_new(seed, faults, SIM_SOUND, nodes);
+        day_submit_services(sim, 3);
+        day_submit_array_stream(sim, 0);
+        sim_run(sim, DAY_S);
+        sim_end_faults(sim);
+        sim_run(sim, REST_S);
+        sim_check_served(sim);
+        day_expect_sound(sim, seed);
+        if (!sim_all_terminal(sim))
+            fail_msg("seed %lu: work left undone", seed);
+        sim_free(sim);
+    }
+}
+
+/* Direct commands lost, late and repeated, across sessions, leaders and machines that go. */
+static void services_in_trouble(void **state) {
+    static const struct sim_faults faults = {.drop = 0.02,
+                                             .delay = 0.03,
+                                             .duplicate = 0.08,
+                                             .late_duplicate = 0.03,
+                                             .crash_s = 40,
+                                             .pause_s = 20,
+                                             .machine_crash_s = 40,
+                                             .one_way_partition_s = 40,
+                                             .replica_exit_s = 15,
+                                             .spot_notice_s = 30};
+    (void)state;
+    service_days(3, &faults, 1000, 16);
+}
+
+static void services_in_everything(void **state) {
+    static const struct sim_faults faults = {.drop = 0.01,
+                                             .delay = 0.01,
+                                             .duplicate = 0.05,
+                                             .late_duplicate = 0.03,
+                                             .crash_s = 40,
+                                             .store_outage_s = 90,
+                                             .store_refusal_s = 60,
+                                             .partitioned_node_s = 60,
+                                             .one_way_partition_s = 50,
+                                             .fast_restart_s = 15,
+                                             .pause_s = 25,
+                                             .machine_crash_s = 50,
+                                             .node_pause_s = 40,
+                                             .replica_exit_s = 20,
+                                             .task_error = 0.01};
+    (void)state;
+    service_days(5, &faults, 1100, 12);
+}
+
+int main(int argc, char **argv) {
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(replicas_stand),         cmocka_unit_test(hung_machine_frees_replicas),
+        cmocka_unit_test(bad_image_costs_little), cmocka_unit_test(ended_attempts_are_forgotten),
+        cmocka_unit_test(services_in_trouble),    cmocka_unit_test(services_in_everything)};
+    rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
+    choose_test(argc, argv);
+    return cmocka_run_group_tests(tests, NULL, NULL);
+}
--- a/tests/simulation/test_standby.c
+++ b/tests/simulation/test_standby.c
@@ -1,45 +1,25 @@
 /* Takeovers by a standby, in the simulated world. The rules are checked after each step
- * (sim_check.c); each test shows besides that its trouble came about. */
+ * (rules.c); each test shows besides that its trouble came about. */
 #include "test.h"
 
 #include "base/log.h"
-#include "sim.h"
+#include "day.h"
 
-#define REST_S 250
 #define TAKEOVER_MOST_S                                                                            \
     5.0 /* from a leader's end to the first start under the next one's token                       \
          */
 
-static const struct sim_faults none = {0};
-
-static void run(struct sim *sim, double seconds) {
-    sim_run(sim, seconds);
-    if (sim->violation[0])
-        fail_msg("%s", sim->violation);
-}
-
-/* Ends all troubles, and lets everything that was accepted come to its end. */
-static void rest(struct sim *sim) {
-    sim_end_faults(sim);
-    sim_run(sim, REST_S);
-    sim_check_served(sim);
-    if (sim->violation[0])
-        fail_msg("%s", sim->violation);
-    assert_true(sim_all_terminal(sim));
-    sim_free(sim);
-}
-
 /* A world in the middle of work of every kind, with more of it coming every second. */
 static struct sim *busy_world(unsigned long seed, int n_nodes) {
-    struct sim *sim = sim_new(seed, &none, SIM_SOUND, n_nodes);
+    struct sim *sim = day_new(seed, n_nodes);
     sim_submit(sim, 1, "sweep", 30, 1, 25, 0);
     sim_submit(sim, 1, "sweep", 40, 1, 8, 0);
     sim_submit(sim, 2, "ensemble", 3, 4, 20, 0);
     sim_submit(sim, 3, "ensemble", 2, 6, 12, 0);
     for (int i = 0; i < 60; i++)
         sim_submit(sim, 10 + i, "sweep", 3, 1, 2, i % 5 == 4 ? 12 + i : 0);
-    run(sim, 30 + (double)(seed % 7));
-    assert_true(sim_leader(sim) >= 0);
+    day_run(sim, 30 + (double)(seed % 7));
+    assert_at_least(sim_leader(sim), 0);
     return sim;
 }
 
@@ -58,7 +38,7 @@
 static double until_started(struct sim *sim, uint64_t token, double most_s) {
     double since = sim->now;
     while (sim->started_token <= token && sim->now < since + most_s)
-        run(sim, 0.1);
+        day_run(sim, 0.1);
     return sim->started_token > token ? sim->started_at - since : most_s;
 }
 
@@ -71,8 +51,8 @@
         double took_s = until_started(sim, token, 20);
         if (took_s > TAKEOVER_MOST_S)
             fail_msg("seed %lu: first start after %.2f s", seed, took_s);
-        assert_true(takeovers(sim) >= 1);
-        rest(sim);
+        assert_at_least(takeovers(sim), 1);
+        day_end(sim);
     }
 }
 
@@ -83,10 +63,10 @@
     struct sim *sim = busy_world(1, 3);
     uint64_t token = token_of(sim);
     sim_crash(sim, sim_leader(sim), 20);
-    assert_true(until_started(sim, token, 20) > 7);
+    assert_more_than(until_started(sim, token, 20), 7);
     assert_int_equal(takeovers(sim), 0);
     assert_null(sim_find_record(sim, RP_KEY_FENCE));
-    rest(sim);
+    day_end(sim);
 }
 
 static void short_stalls_cost_no_term(void **state) {
@@ -96,14 +76,14 @@
         uint64_t token = token_of(sim);
         for (int i = 0; i < 4; i++) {
             sim->nodes[sim_leader(sim)].paused_until = sim->now + 2;
-            run(sim, 12.0 + 0.3 * i);
+            day_run(sim, 12.0 + 0.3 * i);
         }
         assert_int_equal(token_of(sim), token);
         unsigned long withdrawn = 0;
         for (int i = 0; i < sim->n_nodes; i++)
             withdrawn += sim->nodes[i].node->standby.n_withdrawn;
-        assert_true(withdrawn >= 4); /* it was suspected, each time */
-        rest(sim);
+        assert_at_least(withdrawn, 4); /* it was suspected, each time */
+        day_end(sim);
     }
 }
 
@@ -118,43 +98,43 @@
         uint64_t token = token_of(sim);
         for (int i = 0; i < 10; i++)
             sim_submit(sim, sim->now + 0.1, "sweep", 12, 1, 3, 0);
-        run(sim, 0.3 + 0.07 * (double)(seed % 5));
+        day_run(sim, 0.3 + 0.07 * (double)(seed % 5));
         sim->nodes[leader].paused_until = sim->now + pause_s;
-        run(sim, 4.5);
+        day_run(sim, 4.5);
         assert_true(pause_s > 2 ? takeovers(sim) == 1 : token_of(sim) == token);
-        run(sim, pause_s);
+        day_run(sim, pause_s);
         assert_true(pause_s < 2 || sim->nodes[leader].node->state == RP_NODE_FOLLOWING);
-        rest(sim);
+        day_end(sim);
     }
 }
 
 /* A leader that keeps its workers, and loses the state service and the others, while jobs are
  * cancelled through the next one. */
-static void lonely_leader_is_deposed(void **state) {
+static void partitioned_leader_is_fenced(void **state) {
     (void)state;
     for (unsigned long seed = 40; seed < 46; seed++) {
         struct sim *sim = busy_world(seed, seed % 2 ? 3 : 5);
         int leader = sim_leader(sim);
         sim->nodes[leader].partitioned_until = sim->now + 15 + 5 * (double)(seed % 4);
-        run(sim, 2);
+        day_run(sim, 2);
         for (int i = 0; i < 30; i += 3)
             sim->jobs[i].cancel_at = sim->now + 0.2 * i;
-        run(sim, 10);
+        day_run(sim, 10);
         assert_true(takeovers(sim) >= 1 && sim_leader(sim) >= 0);
-        rest(sim);
+        day_end(sim);
     }
 }
 
 /* Nodes that hear nobody are rather cut off themselves: nobody is deposed for it. */
-static void nodes_apart_keep_their_leader(void **state) {
+static void peer_partition_keeps_the_leader(void **state) {
     (void)state;
     struct sim *sim = busy_world(50, 3);
     uint64_t token = token_of(sim);
     sim->peer_partition_until = sim->now + 25;
-    run(sim, 27);
+    day_run(sim, 27);
     assert_int_equal(token_of(sim), token);
     assert_int_equal(takeovers(sim), 0);
-    rest(sim);
+    day_end(sim);
 }
 
 /* Without the state service nobody takes over, and the leader goes on for as long as its lease
@@ -166,12 +146,12 @@
     int leader = sim_leader(sim);
     sim->store_outage_until = sim->now + 7;
     sim->nodes[leader].paused_until = sim->now + 4.5;
-    run(sim, 6.5);
+    day_run(sim, 6.5);
     assert_int_equal(takeovers(sim), 0);
     assert_int_equal(sim->nodes[leader].node->election.fencing_token, token);
     assert_true(rp_election_is_valid(&sim->nodes[leader].node->election,
                                      rp_loop_now(&sim->nodes[leader].loop)));
-    rest(sim);
+    day_end(sim);
 }
 
 /* All who follow claim at the same instant, from a leader that is well. */
@@ -184,13 +164,13 @@
         int holders = 0;
         for (int i = 0; i < sim->n_nodes; i++)
             claims += i != leader && rp_election_fence_leader(&sim->nodes[i].node->election);
-        assert_true(claims >= 2);
-        run(sim, 3);
+        assert_at_least(claims, 2);
+        day_run(sim, 3);
         for (int i = 0; i < sim->n_nodes; i++)
             holders += sim->nodes[i].node->election.state == RP_ELECTION_HOLDING_KEY;
         assert_int_equal(holders, 1);
         assert_true(sim_leader(sim) != leader);
-        rest(sim);
+        day_end(sim);
     }
 }
 
@@ -208,16 +188,16 @@
         int ended = -1;
         sim->nodes[leader].paused_until = sim->now + 4 + (double)(seed % 3) * 3;
         for (int i = 0; i < 400 && ended < 0; i++) {
-            run(sim, 0.02);
+            day_run(sim, 0.02);
             for (int k = 0; k < sim->n_nodes; k++)
                 if (sim->nodes[k].alive && sim->nodes[k].node->election.state == stage)
                     ended = k;
         }
-        assert_true(ended >= 0);
+        assert_at_least(ended, 0);
         sim_crash(sim, ended, seed < 74 ? 0.1 : 30);
-        run(sim, 20);
-        assert_true(sim_leader(sim) >= 0);
-        rest(sim);
+        day_run(sim, 20);
+        assert_at_least(sim_leader(sim), 0);
+        day_end(sim);
     }
 }
 
@@ -229,8 +209,8 @@
         int leader = sim_leader(sim);
         sim_crash(sim, leader, 20);
         sim_crash(sim, leader ? 0 : 1, 20); /* the first in rank */
-        assert_true(until_started(sim, token, 20) <= TAKEOVER_MOST_S);
-        rest(sim);
+        assert_at_most(until_started(sim, token, 20), TAKEOVER_MOST_S);
+        day_end(sim);
     }
 }
 
@@ -244,10 +224,10 @@
 static void unreachable_machines_delay_only_their_work(void **state) {
     (void)state;
     for (unsigned long seed = 90; seed < 96; seed++) {
-        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = day_new(seed, 3);
         for (int i = 0; i < 30; i++)
             submit_for_guests(sim, 1 + i, 6, 6);
-        run(sim, 31);
+        day_run(sim, 31);
         uint64_t token = token_of(sim);
         int hung = 0;
         for (int i = 0; i < sim->size.workers && hung < 3; i++)
@@ -259,9 +239,9 @@
         sim_crash(sim, sim_leader(sim), 20);
         for (int i = 0; i < 10; i++)
             submit_for_guests(sim, sim->now + 3 + 0.2 * i, 3, 4);
-        assert_true(until_started(sim, token, 30) <= TAKEOVER_MOST_S);
+        assert_at_most(until_started(sim, token, 30), TAKEOVER_MOST_S);
         assert_false(rp_cluster_is_reconciled(&sim->nodes[sim_leader(sim)].node->cluster));
-        rest(sim);
+        day_end(sim);
     }
 }
 
@@ -270,16 +250,16 @@
 /* A zone is cut off with the leader in it, which has lost the state service and the other nodes,
  * and goes on answering the zone's workers for as long as it trusts its lease. */
 static struct sim *world_with_leader_behind_cut(unsigned long seed) {
-    struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
+    struct sim *sim = day_new(seed, 3);
     sim_submit(sim, 1, "sweep", 40, 1, 70, 0);
     sim_submit(sim, 1, "sweep", 20, 1, 70, 0);
-    run(sim, 25 + 0.37 * (double)(seed % 8));
+    day_run(sim, 25 + 0.37 * (double)(seed % 8));
     int leader = sim_leader(sim);
     int behind = 0;
-    assert_true(leader >= 0);
+    assert_at_least(leader, 0);
     for (int i = 0; i < sim->size.workers; i++)
         behind += sim->workers[i].used && sim->workers[i].zone == 0 && sim->workers[i].n_tasks > 0;
-    assert_true(behind > 0);
+    assert_more_than(behind, 0);
     sim->partitioned_zone = 1;
     sim->node_in_partition = leader + 1;
     sim->nodes[leader].partitioned_until = sim->now + 50;
@@ -289,7 +269,7 @@
 /* The node that has taken over, once it has. */
 static int taken_over(struct sim *sim, int from) {
     for (int i = 0; i < 60; i++) {
-        run(sim, 0.1);
+        day_run(sim, 0.1);
         for (int k = 0; k < sim->n_nodes; k++)
             if (k != from && sim->nodes[k].alive && sim->nodes[k].node->state == RP_NODE_LEADING)
                 return k;
@@ -299,9 +279,9 @@
 }
 
 static void end_cut(struct sim *sim) {
-    run(sim, 50);
+    day_run(sim, 50);
     sim->partitioned_zone = sim->node_in_partition = 0;
-    rest(sim);
+    day_end(sim);
 }
 
 /* What may run behind the cut is started elsewhere only when no answer of the earlier leader can
@@ -328,7 +308,7 @@
 }
 
 /* And where the next leader's process ends and is back at once, and claims over its own name. */
-static void returning_standby_remembers_whom_it_deposed(void **state) {
+static void restarted_standby_remembers_whom_it_fenced(void **state) {
     (void)state;
     for (unsigned long seed = 220; seed < 226; seed++) {
         struct sim *sim = world_with_leader_behind_cut(seed);
@@ -342,10 +322,10 @@
 static void young_jobs_belong_to_the_next_leader(void **state) {
     (void)state;
     for (unsigned long seed = 230; seed < 246; seed++) {
-        struct sim *sim = sim_new(seed, &none, SIM_SOUND, 3);
+        struct sim *sim = day_new(seed, 3);
         for (int i = 0; i < 30; i++)
             submit_for_guests(sim, 1 + i, 6, 5);
-        run(sim, 31 + 0.1 * (double)(seed % 10));
+        day_run(sim, 31 + 0.1 * (double)(seed % 10));
         int leader = sim_leader(sim);
         sim->partitioned_zone = 1;
         sim->node_in_partition = leader + 1;
@@ -353,9 +333,9 @@
             submit_for_guests(sim, sim->now + 0.02 * i, 2, 8);
         assert_true(rp_election_fence_leader(&sim->nodes[leader ? 0 : 1].node->election));
         taken_over(sim, leader);
-        run(sim, 20);
+        day_run(sim, 20);
         sim->partitioned_zone = sim->node_in_partition = 0;
-        rest(sim);
+        day_end(sim);
     }
 }
 
@@ -371,12 +351,12 @@
         assert_non_null(node->cluster.first);
         node->fleet.deleting = true; /* the request will go, but hasn't gone yet */
         rp_fleet_scale_in(&node->fleet, node->cluster.first, "for the test");
-        run(sim, 0.5);
+        day_run(sim, 0.5);
         sim_crash(sim, leader, 20);
-        assert_true(until_started(sim, token, 20) <= TAKEOVER_MOST_S);
-        run(sim, 1);
+        assert_at_most(until_started(sim, token, 20), TAKEOVER_MOST_S);
+        day_run(sim, 1);
         assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.n_released, 1);
-        rest(sim);
+        day_end(sim);
     }
 }
 
@@ -396,21 +376,21 @@
             request->retry =
                 rp_ts_after(rp_loop_now(node->loop), 60); /* no record is written any more */
         rp_fleet_scale_in(&node->fleet, node->cluster.first, "for the test");
-        run(sim, 1);
+        day_run(sim, 1);
         assert_null(rp_machine_find(&node->cluster, name));
         /* Standbys that have begun since then hear of it by their first snapshot. */
         for (int i = 0; i < sim->n_nodes && seed % 2; i++)
             if (i != leader)
                 sim_crash(sim, i, 0.1);
-        run(sim, 3);
+        day_run(sim, 3);
         sim_crash(sim, leader, 20);
-        assert_true(until_started(sim, token, 20) <= TAKEOVER_MOST_S);
-        rest(sim);
+        assert_at_most(until_started(sim, token, 20), TAKEOVER_MOST_S);
+        day_end(sim);
     }
 }
 
 /* A takeover whose transactions and answers get lost or come late, in every kind of trouble. */
-static void takeovers_in_bad_weather(void **state) {
+static void failovers_under_all_faults(void **state) {
     static const struct sim_faults bad = {.drop = 0.02,
                                           .delay = 0.02,
                                           .duplicate = 0.03,
@@ -433,34 +413,33 @@
             sim_submit(sim, 5 + 2 * i, i % 9 ? "sweep" : "ensemble", 3, 1, 4,
                        i % 5 ? 0 : 8 + 2 * i);
         for (int i = 0; i < 24; i++) {
-            run(sim, 5);
+            day_run(sim, 5);
             n += takeovers(sim);
         }
-        rest(sim);
+        day_end(sim);
     }
-    assert_true(n > 0);
+    assert_more_than(n, 0);
 }
 
 int main(int argc, char **argv) {
-    const struct CMUnitTest tests[] = {
-        cmocka_unit_test(killed_leader_is_replaced),
-        cmocka_unit_test(short_stalls_cost_no_term),
-        cmocka_unit_test(paused_leader_is_harmless),
-        cmocka_unit_test(lonely_leader_is_deposed),
-        cmocka_unit_test(nodes_apart_keep_their_leader),
-        cmocka_unit_test(outage_lets_nobody_take_over),
-        cmocka_unit_test(claims_at_once_leave_one_leader),
-        cmocka_unit_test(standby_ends_while_claiming),
-        cmocka_unit_test(leader_and_standby_end_together),
-        cmocka_unit_test(unreachable_machines_delay_only_their_work),
-        cmocka_unit_test(tasks_behind_cut_run_once),
-        cmocka_unit_test(resigning_early_frees_no_key),
-        cmocka_unit_test(returning_standby_remembers_whom_it_deposed),
-        cmocka_unit_test(young_jobs_belong_to_the_next_leader),
-        cmocka_unit_test(returns_go_on),
-        cmocka_unit_test(returned_machines_delay_nothing),
-        cmocka_unit_test(takeovers_in_bad_weather),
-        cmocka_unit_test(disabled_means_none)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(killed_leader_is_replaced),
+                                       cmocka_unit_test(short_stalls_cost_no_term),
+                                       cmocka_unit_test(paused_leader_is_harmless),
+                                       cmocka_unit_test(partitioned_leader_is_fenced),
+                                       cmocka_unit_test(peer_partition_keeps_the_leader),
+                                       cmocka_unit_test(outage_lets_nobody_take_over),
+                                       cmocka_unit_test(claims_at_once_leave_one_leader),
+                                       cmocka_unit_test(standby_ends_while_claiming),
+                                       cmocka_unit_test(leader_and_standby_end_together),
+                                       cmocka_unit_test(unreachable_machines_delay_only_their_work),
+                                       cmocka_unit_test(tasks_behind_cut_run_once),
+                                       cmocka_unit_test(resigning_early_frees_no_key),
+                                       cmocka_unit_test(restarted_standby_remembers_whom_it_fenced),
+                                       cmocka_unit_test(young_jobs_belong_to_the_next_leader),
+                                       cmocka_unit_test(returns_go_on),
+                                       cmocka_unit_test(returned_machines_delay_nothing),
+                                       cmocka_unit_test(failovers_under_all_faults),
+                                       cmocka_unit_test(disabled_means_none)};
     rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
     sim_standby = true;
     choose_test(argc, argv);
--- a/tests/test.h
+++ b/tests/test.h
@@ -13,6 +13,18 @@
 /* Needs the headers above. */
 #include <cmocka.h>
 
+/* Comparisons that tell both values when they fail. */
+#define assert_compared(value, relation, bound, words)                                             \
+    do {                                                                                           \
+        if (!((value)relation(bound)))                                                             \
+            fail_msg("%s is %g, expected " words " %g (%s)", #value, (double)(value),              \
+                     (double)(bound), #bound);                                                     \
+    } while (0)
+#define assert_at_least(value, bound) assert_compared(value, >=, bound, "at least")
+#define assert_at_most(value, bound) assert_compared(value, <=, bound, "at most")
+#define assert_more_than(value, bound) assert_compared(value, >, bound, "more than")
+#define assert_less_than(value, bound) assert_compared(value, <, bound, "less than")
+
 /* Each test has a name of its own for ctest: the first argument chooses one. */
 static inline void choose_test(int argc, char **argv) {
     if (argc > 1)
--- a/tests/unit/test_election.c
+++ b/tests/unit/test_election.c
@@ -11,8 +11,8 @@
         /* The node's clock may run 0.05% fast, the service's at its own pace: what the node
          * measures as the lease's time must be less than the service grants. */
         double trusted = rp_ts_since(rp_election_trusted_until(sent, ttl), sent);
-        assert_true(trusted * 1.0005 < ttl * 0.9995);
-        assert_true(trusted > ttl * 0.8);
+        assert_less_than(trusted * 1.0005, ttl * 0.9995);
+        assert_more_than(trusted, ttl * 0.8);
     }
 }
 
@@ -109,7 +109,7 @@
                       const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
     struct asked *asked = ctx;
     (void)addr, (void)target, (void)body, (void)timeout_s;
-    assert_true(asked->reads + asked->writes < 64);
+    assert_less_than(asked->reads + asked->writes, 64);
     asked->fn[asked->reads + asked->writes] = fn;
     asked->arg[asked->reads + asked->writes] = arg;
     if (strcmp(method, "POST") == 0)
@@ -142,7 +142,7 @@
     rp_kv_client_init(&client, &loop, net, "state", 200, 20, 5, 0.6);
     for (int i = 0; i < 200; i++)
         rp_kv_get(&client, RP_KV_BUDGET_QUERIES, "a/b", count_refusal, &refused);
-    assert_true(asked.reads < 40);
+    assert_less_than(asked.reads, 40);
     for (int i = 0; i < 5; i++)
         rp_kv_txn_submit(&client, RP_KV_BUDGET_SUBMISSIONS, one_write(), count_refusal, &refused);
     assert_int_equal(asked.writes, 5);
@@ -152,7 +152,7 @@
     assert_int_equal(refused, 0);
     for (int i = 0; i < 50; i++)
         rp_loop_advance(&loop, rp_ts(100 + i * 0.02));
-    assert_true(refused > 150);
+    assert_more_than(refused, 150);
     assert_int_equal(client.n_shed, refused);
     for (int i = 0; i < asked.reads + asked.writes; i++)
         asked.fn[i](asked.arg[i], &(struct rp_answer){.status = 404, .body = ""});
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -162,7 +162,7 @@
     struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
     sa.sin_port = htons((uint16_t)atoi(strchr(addr, ':') + 1));
     int fd = socket(AF_INET, SOCK_STREAM, 0);
-    assert_true(fd >= 0);
+    assert_at_least(fd, 0);
     assert_int_equal(connect(fd, (struct sockaddr *)&sa, sizeof sa), 0);
     return fd;
 }
@@ -309,11 +309,11 @@
             net.call(net.ctx, addr, "GET", "/show", NULL, 60, count_answer, &tally);
         else
             net.call_once(net.ctx, addr, "POST", "/do", "{}", 60, count_answer, &tally);
-        assert_true(client.n_connections <= 8);
+        assert_at_most(client.n_connections, 8);
     }
     assert_int_equal(rp_loop_run(&loop), 0);
     assert_int_equal(tally.good, HOSTS);
-    assert_true(client.hosts.n_hosts <= 8); /* only those with a connection are remembered */
+    assert_at_most(client.hosts.n_hosts, 8); /* only those with a connection are remembered */
     rp_http_client_close(&client);
     rp_http_server_close(&server);
     rp_loop_close(&loop);
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -22,7 +22,7 @@
                       const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
     struct service *service = ctx;
     (void)addr, (void)method, (void)target, (void)timeout_s;
-    assert_true(service->n < CALLS_MAX);
+    assert_less_than(service->n, CALLS_MAX);
     service->calls[service->n].body = body ? json_loads(body, 0, NULL) : NULL;
     service->calls[service->n].fn = fn;
     service->calls[service->n++].arg = arg;
--- a/tests/unit/test_plan.c
+++ b/tests/unit/test_plan.c
@@ -254,18 +254,18 @@
         for (size_t i = 0; i < nm + plan.n_new_machines; i++) {
             double later = i < nm ? machines[i].free_later.cpus
                                   : kinds[plan.new_machines[i - nm]].capacity.cpus;
-            assert_true(used[i] <= later + 1e-6);
+            assert_at_most(used[i], later + 1e-6);
             assert_true(i >= nm || now_used[i] <= machines[i].free_now.cpus + 1e-6);
         }
         for (size_t i = 0; i < ng; i++) {
-            assert_true(placed[i] <= groups[i].n_tasks);
+            assert_at_most(placed[i], groups[i].n_tasks);
             assert_true(groups[i].kind != RP_JOB_GANG || placed[i] == 0 ||
                         placed[i] == groups[i].n_tasks);
             assert_true(!groups[i].one_zone || !zone_used[i][0] || !zone_used[i][1]);
             for (int z = 0; z < 2; z++)
                 assert_true(!groups[i].spread || zone_used[i][z] <= groups[i].spread_max);
         }
-        assert_true(team_used <= team[0].cpus_left + 1e-6);
+        assert_at_most(team_used, team[0].cpus_left + 1e-6);
         rp_plan_free(&plan);
     }
     gsl_rng_free(rng);
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -19,7 +19,7 @@
     struct rp_tuning tuning;
     (void)state;
     assert_int_equal(tune("", &tuning), 0);
-    assert_true(tuning.round_period_s > 0);
+    assert_more_than(tuning.round_period_s, 0);
     assert_int_equal(tune("# a comment\nround_period_s: 4.5\npreemption: false;\n"
                           "heuristic: \"FCFS-SM\"\nheuristic: 'LTJF-CFH'\nfaulty_after: 3\n",
                           &tuning),
@@ -163,14 +163,14 @@
             if (read_platform(lease, lease + more, "56", &settings) == 0) {
                 double news = rp_settings_max_staleness_s(&settings);
                 sound++;
-                assert_true(news > settings.tuning.leader_ttl_s);
-                assert_true((news + lease) * 1.001 + 3 < lease + more);
+                assert_more_than(news, settings.tuning.leader_ttl_s);
+                assert_less_than((news + lease) * 1.001 + 3, lease + more);
             } else {
                 assert_non_null(strstr(told, "cancel_s"));
             }
             rp_settings_free(&settings);
         }
-    assert_true(sound >= 100);
+    assert_at_least(sound, 100);
     assert_int_equal(read_platform(14, 39, "56", &settings), 0);
     assert_true(rp_settings_max_staleness_s(&settings) == settings.tuning.leader_ttl_s + 4.5);
     rp_settings_free(&settings);
--- a/tests/unit/test_stream.c
+++ b/tests/unit/test_stream.c
@@ -43,7 +43,7 @@
         char *text = rp_stream_encode(&sent);
         assert_non_null(text);
         if (machines == 5000) /* compressed: far below its 50 bytes a machine */
-            assert_true(strlen(text) < 30 * (size_t)machines);
+            assert_less_than(strlen(text), 30 * (size_t)machines);
         read_back(text, &got);
         assert_true(got.snapshot && got.term == sent.term && got.index == sent.index);
         assert_int_equal(got.n_changes, machines);
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -142,7 +142,7 @@
         strcpy(command[i].job, "j-12345678901234567890");
     }
     char *text = rp_worker_codec_write_heartbeat_response(UINT64_MAX >> 1, command, 400);
-    assert_true(strlen(text) < 65536);
+    assert_less_than(strlen(text), 65536);
     free(text);
     free(command);
 }
@@ -162,7 +162,7 @@
         bits[i] = (uint8_t)gsl_rng_uniform_int(rng, 256);
     json_t *value = rp_record_progress(bits, sizeof bits);
     char *text = json_dumps(value, 0);
-    assert_true(strlen(text) < 4096);
+    assert_less_than(strlen(text), 4096);
     assert_true(rp_record_progress_read(value, back, sizeof back));
     assert_memory_equal(bits, back, sizeof bits);
     assert_false(rp_record_progress_read(value, back, 3));
