--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -86,7 +86,7 @@
 
 static void enter_leading(struct rp_node *node) {
     rp_info("leading: jobs=%zu machines=%zu", node->jobs.table.n_jobs, node->cluster.n_machines);
-    rp_image_index_lead(&node->image_index);
+    rp_image_index_restore(&node->image_index);
     rp_standby_lead(&node->standby);
     rp_catalog_source_lead(&node->catalog_source);
     rp_services_start(&node->services);
@@ -215,8 +215,9 @@
     rp_fleet_init(&node->fleet, node->loop, &node->cloud, &node->store, &node->election,
                   &node->cluster, &node->jobs, settings, &node->catalog);
     node->fleet.on_loaded = on_machines_loaded;
-    node->fleet.on_changed = on_change;
-    node->fleet.arg = node;
+    node->fleet.on_loaded_arg = node;
+    node->fleet.context.on_changed = on_change;
+    node->fleet.context.on_changed_arg = node;
     rp_image_index_init(&node->image_index, node->loop, node->net, &node->election, &node->cluster,
                         settings);
     return 0;
@@ -230,8 +231,9 @@
                     &node->fleet, settings, &node->metrics, node->net);
     node->workers.context.on_capacity_freed = on_capacity_freed;
     node->workers.context.arg = node;
-    return rp_standby_init(&node->standby, node->loop, node->net, &node->election, &node->cluster,
-                           &node->workers, settings);
+    rp_standby_init(&node->standby, node->loop, node->net, &node->election, &node->cluster,
+                    &node->workers, settings);
+    return 0;
 }
 
 static void init_scheduling(struct rp_node *node) {
--- a/src/jobs/job_lookup.h
+++ b/src/jobs/job_lookup.h
@@ -7,7 +7,6 @@
 #define RP_JOBS_JOB_LOOKUP_H
 
 #include "config/settings.h"
-#include "model/model.h"
 #include "store/kv_client.h"
 
 /** What a lookup has found. */
--- a/src/store/keys.c
+++ b/src/store/keys.c
@@ -5,8 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define UNIT_MARK 'u' /* before a unit's number: a node of format 1 takes no such key for its own  \
-                       */
+#define UNIT_MARK                                                                                  \
+    'u' /* before a unit's number: a node of format 1 takes no such key for its own                \
+         */
 
 void rp_key(char out[RP_KEY_MAX], const char *prefix, const char *name) {
     snprintf(out, RP_KEY_MAX, "%s%s", prefix, name);
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -10,7 +10,9 @@
 #define RP_STORE_RECORDS_H
 
 #include <jansson.h>
-#include "model/model.h"
+#include "base/timeutil.h"
+#include "model/job_spec.h"
+#include "model/job_status.h"
 #include "store/keys.h"
 
 /** The format of what is stored. 1: version 0.1.0, whose records don't name it. 2: since 0.2.0,
--- a/src/worker/worker_context.h
+++ b/src/worker/worker_context.h
@@ -16,7 +16,7 @@
     unsigned long n_stale_heartbeats;    /* heartbeats older than what is known */
     unsigned long n_direct_commands;     /* messages to POST /do, without those that fence */
     unsigned long n_direct_unanswered;   /* of them those without a readable response */
-    unsigned long n_unknown_tasks_above; /* tasks beyond RP_UNKNOWN_TASKS_KEPT on a machine */
+    unsigned long n_unknown_tasks_above; /* tasks beyond RP_UNKNOWN_TASKS_MAX on a machine */
 };
 
 /** Passed to every function of this directory. The pointers are borrowed and never NULL. */
--- a/tests/simulation/test_failover.c
+++ b/tests/simulation/test_failover.c
@@ -32,13 +32,13 @@
     day_submit_arrays(sim, 6, 1, 0, 30, 1, 60);
     sim_run(sim, 60);
     int leader = sim_leader(sim);
-    unsigned long returned = sim->nodes[leader].node->fleet.n_released;
+    unsigned long returned = sim->nodes[leader].node->fleet.release.n_released;
     assert_at_least(sim->nodes[leader].node->cluster.n_machines, 4);
     sim->node_without_heartbeats = leader + 1;
     sim_run(sim, 11);
     assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
-    assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.n_released, 0);
-    assert_at_most(sim->nodes[leader].node->fleet.n_released, returned + 1);
+    assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.release.n_released, 0);
+    assert_at_most(sim->nodes[leader].node->fleet.release.n_released, returned + 1);
     assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
--- a/tests/simulation/test_large_fleet.c
+++ b/tests/simulation/test_large_fleet.c
@@ -76,8 +76,8 @@
     assert_at_least(sim_leader(sim), 0);
     const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
     unsigned long records = node->jobs.table.n_jobs;
-    for (const struct rp_provision_request *request = node->fleet.provision_requests; request;
-         request = request->next)
+    for (const struct rp_provision_request *request = node->fleet.provisioning.requests.first;
+         request; request = request->next)
         records++;
     assert_at_most(sim->n_state_lists - lists, 3); /* jobs, progress, rentals: a page each */
     assert_at_most(sim->n_rows_read - rows, 2 * records);
--- a/tests/simulation/test_placement.c
+++ b/tests/simulation/test_placement.c
@@ -46,7 +46,8 @@
     sim_run(sim, 60);
     assert_true(sim->jobs[gang].begun);
     struct rp_node *node = sim->nodes[sim_leader(sim)].node;
-    assert_true(node->fleet.n_refused > 0 && node->fleet.n_refused < 60);
+    assert_true(node->fleet.provisioning.refusals.n_refused > 0 &&
+                node->fleet.provisioning.refusals.n_refused < 60);
     assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
--- a/tests/test.h
+++ b/tests/test.h
@@ -16,8 +16,9 @@
 /* Comparisons that tell both values when they fail. */
 #define assert_compared(value, relation, bound, words)                                             \
     do {                                                                                           \
-        if (!((value)relation(bound)))                                                             \
-            fail_msg("%s is %g, expected " words " %g (%s)", #value, (double)(value),              \
+        const __typeof__(value) compared = (value);                                                \
+        if (!(compared relation(bound)))                                                           \
+            fail_msg("%s is %g, expected " words " %g (%s)", #value, (double)compared,             \
                      (double)(bound), #bound);                                                     \
     } while (0)
 #define assert_at_least(value, bound) assert_compared(value, >=, bound, "at least")
