--- a/src/api/status.c
+++ b/src/api/status.c
@@ -125,7 +125,8 @@
     double ready_cpus = sources->leading ? rp_service_headroom_ready_cpus(services) : 0.0;
     json_t *object = json_object();
     set_counters(object, placements, N_OF(placements));
-    json_object_set_new(object, "reserve_cpus", json_real(rp_service_headroom_wanted_cpus(services)));
+    json_object_set_new(object, "reserve_cpus",
+                        json_real(rp_service_headroom_wanted_cpus(services)));
     json_object_set_new(object, "ready_cpus", json_real(ready_cpus));
     set_counters(object, commands, N_OF(commands));
     return object;
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/log.h"
-#include "scheduler/cycle_input.h"
+#include "scheduler/cycle_input_build.h"
 #include "scheduler/gang_repair.h"
 #include "scheduler/gang_reservation.h"
 #include "scheduler/machine_draining.h"
--- a/src/scheduler/cycle_input.h
+++ b/src/scheduler/cycle_input.h
@@ -21,9 +21,6 @@
     size_t n_releases;
 };
 
-/** False when memory is short; to be freed in either case. */
-bool rp_cycle_input_build(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
-                          struct timespec now);
 /** Frees the arrays. */
 void rp_cycle_input_free(struct rp_cycle_input *input);
 
