--- a/src/cloud/catalog_source.h
+++ b/src/cloud/catalog_source.h
@@ -1,6 +1,8 @@
 /** @file
- * Where a node has the machine types from: the cloud, or, while the cloud doesn't answer, what a
- * leader has stored of them. Without the types a node can't judge submissions, nor lead. */
+ * Where a node has the machine catalog from: the cloud, or, while the cloud doesn't answer, what a
+ * leader has stored of it. Without the machine types a node can neither judge submissions nor lead.
+ * The controller owns it, sets `on_known` and `arg` before it starts it, and tells it when this
+ * node leads. */
 #ifndef RP_CLOUD_CATALOG_SOURCE_H
 #define RP_CLOUD_CATALOG_SOURCE_H
 
@@ -11,6 +13,10 @@
 #include "store/kv_client.h"
 #include "upgrade/format_upgrade.h"
 
+/** Told that the machine types are known. */
+typedef void (*rp_catalog_fn)(void *arg);
+
+/** A node's source of the machine catalog. Others read `known` only. */
 struct rp_catalog_source {
     struct rp_loop *loop;
     struct rp_cloud_client *cloud;
@@ -18,11 +24,11 @@
     struct rp_election *election;
     const struct rp_upgrade *upgrade;
     const struct rp_settings *settings;
-    struct rp_catalog *catalog;
+    struct rp_catalog *catalog; /* filled in once `known` */
     bool known;
     json_t *from_cloud; /* the cloud's own answer; NULL: this process has had none */
     struct rp_timer cloud_timer, stored_timer;
-    void (*on_known)(void *arg);
+    rp_catalog_fn on_known;
     void *arg;
 };
 
@@ -31,7 +37,9 @@
                             struct rp_cloud_client *cloud, struct rp_kv_client *store,
                             struct rp_election *election, const struct rp_upgrade *upgrade,
                             const struct rp_settings *settings, struct rp_catalog *catalog);
+/** Asks the cloud until it answers, and after a moment the store as well. */
 void rp_catalog_source_start(struct rp_catalog_source *source);
+/** Asks no more, and frees what it holds. */
 void rp_catalog_source_close(struct rp_catalog_source *source);
 /** This node leads: what it has from the cloud is stored for the next process that finds none. */
 void rp_catalog_source_lead(struct rp_catalog_source *source);
--- a/src/cloud/cloud_client.c
+++ b/src/cloud/cloud_client.c
@@ -5,26 +5,30 @@
 #include "base/memory.h"
 
 #define ANSWER_S 5.0
+/* The rate is the cloud's for all nodes; all but the leader only read the catalog. */
+#define RATE_SHARE 0.8
+#define BURST_S 1.0 /* the cloud allows two seconds' worth at once */
+#define RATE_LIMIT_PAUSE_S 0.5
+#define QUEUE_CHECK_S 0.05 /* between looks whether a waiting request may go */
+#define STATUS_TOO_MANY_REQUESTS 429
 
 struct rp_cloud_call {
     struct rp_cloud_client *client;
-    struct rp_cloud_call *next;
+    struct rp_cloud_call *next; /* in its queue */
     char *method, *target, *body;
     rp_answer_fn fn;
     void *arg;
 };
 
-static void pump_due(void *arg);
+static void on_queue_timer(void *arg);
 
 void rp_cloud_client_init(struct rp_cloud_client *client, struct rp_loop *loop, struct rp_net net,
                           const char *addr, double rps) {
-    memset(client, 0, sizeof *client);
-    client->loop = loop;
-    client->net = net;
-    client->addr = addr;
-    client->pump = (struct rp_timer){.fn = pump_due, .arg = client};
-    /* The rate is the cloud's for all nodes; all but the leader only read the catalog. */
-    rp_token_bucket_init(&client->requests, rps * 0.8, rps, rp_loop_now(loop));
+    *client = (struct rp_cloud_client){.loop = loop,
+                                       .net = net,
+                                       .addr = addr,
+                                       .queue_timer = {.fn = on_queue_timer, .arg = client}};
+    rp_token_bucket_init(&client->requests, rps * RATE_SHARE, rps * BURST_S, rp_loop_now(loop));
 }
 
 static void call_free(struct rp_cloud_call *call) {
@@ -34,47 +38,70 @@
     free(call);
 }
 
+/* ---- queues ---- */
+
+static void queue_push(struct rp_cloud_queue *queue, struct rp_cloud_call *call) {
+    if (queue->last)
+        queue->last->next = call;
+    else
+        queue->first = call;
+    queue->last = call;
+}
+
+static struct rp_cloud_call *queue_pop(struct rp_cloud_queue *queue) {
+    struct rp_cloud_call *call = queue->first;
+    queue->first = call->next;
+    if (!queue->first)
+        queue->last = NULL;
+    return call;
+}
+
 void rp_cloud_client_close(struct rp_cloud_client *client) {
-    rp_timer_cancel(client->loop, &client->pump);
-    for (int u = 0; u < RP_CLOUD_URGENCIES; u++)
-        while (client->first[u]) {
-            struct rp_cloud_call *call = client->first[u];
-            client->first[u] = call->next;
-            call_free(call);
-        }
+    rp_timer_cancel(client->loop, &client->queue_timer);
+    for (int i = 0; i < RP_CLOUD_URGENCIES; i++)
+        while (client->queues[i].first)
+            call_free(queue_pop(&client->queues[i]));
 }
 
-static void answered(void *arg, const struct rp_answer *answer) {
+/* ---- requests ---- */
+
+static void on_answer(void *arg, const struct rp_answer *answer) {
     struct rp_cloud_call *call = arg;
     struct rp_cloud_client *client = call->client;
-    rp_answer_fn fn = call->fn;
-    void *fn_arg = call->arg;
-    if (answer->status == 429)
-        client->quiet_until = rp_ts_after(rp_loop_now(client->loop), 0.5);
+    rp_answer_fn callback = call->fn;
+    void *callback_arg = call->arg;
+    if (answer->status == STATUS_TOO_MANY_REQUESTS)
+        client->backoff_until = rp_ts_after(rp_loop_now(client->loop), RATE_LIMIT_PAUSE_S);
     call_free(call);
-    fn(fn_arg, answer);
+    callback(callback_arg, answer);
+}
+
+static void send_call(struct rp_cloud_call *call) {
+    struct rp_cloud_client *client = call->client;
+    rp_token_bucket_take(&client->requests, 1);
+    client->net.call(client->net.ctx, client->addr, call->method, call->target, call->body,
+                     ANSWER_S, on_answer, call);
 }
 
-static void pump_due(void *arg) {
-    struct rp_cloud_client *client = arg;
+/* Sends what the rate lets through, the urgent first. */
+static void drain_queues(struct rp_cloud_client *client) {
     struct timespec now = rp_loop_now(client->loop);
-    for (int u = 0; u < RP_CLOUD_URGENCIES; u++)
-        while (client->first[u]) {
-            struct rp_cloud_call *call = client->first[u];
-            if (!rp_ts_reached(now, client->quiet_until) ||
-                !rp_token_bucket_has(&client->requests, 1, now)) {
-                rp_timer_set(client->loop, &client->pump, 0.05);
+    for (int i = 0; i < RP_CLOUD_URGENCIES; i++)
+        while (client->queues[i].first) {
+            bool can_send = rp_ts_reached(now, client->backoff_until) &&
+                            rp_token_bucket_has(&client->requests, 1, now);
+            if (!can_send) {
+                rp_timer_set(client->loop, &client->queue_timer, QUEUE_CHECK_S);
                 return;
             }
-            client->first[u] = call->next;
-            if (!call->next)
-                client->last[u] = NULL;
-            rp_token_bucket_take(&client->requests, 1);
-            client->net.call(client->net.ctx, client->addr, call->method, call->target, call->body,
-                             ANSWER_S, answered, call);
+            send_call(queue_pop(&client->queues[i]));
         }
 }
 
+static void on_queue_timer(void *arg) {
+    drain_queues(arg);
+}
+
 void rp_cloud_call(struct rp_cloud_client *client, enum rp_cloud_urgency urgency,
                    const char *method, const char *target, char *body, rp_answer_fn fn, void *arg) {
     struct rp_cloud_call *call = rp_alloc(1, sizeof *call);
@@ -84,10 +111,6 @@
                                    .body = body,
                                    .fn = fn,
                                    .arg = arg};
-    if (client->last[urgency])
-        client->last[urgency]->next = call;
-    else
-        client->first[urgency] = call;
-    client->last[urgency] = call;
-    pump_due(client);
+    queue_push(&client->queues[urgency], call);
+    drain_queues(client);
 }
