--- a/src/cluster/reconciliation.c
+++ b/src/cluster/reconciliation.c
@@ -8,7 +8,7 @@
 #include "base/string_copy.h"
 #include "cluster/catalog_index.h"
 #include "cluster/failure_detection.h"
-#include "protocol/wire.h"
+#include "protocol/cloud_codec.h"
 
 #define MACHINES_PER_PAGE 500
 #define LIST_S 4.0          /* between lists, */
--- a/src/worker/direct_call.c
+++ b/src/worker/direct_call.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 #include "base/string_copy.h"
-#include "protocol/wire.h"
+#include "protocol/worker_codec.h"
 
 struct rp_direct_call rp_direct_call_to(struct rp_worker_context *context,
                                         const struct rp_machine *machine) {
--- a/src/worker/probes.c
+++ b/src/worker/probes.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 #include "base/memory.h"
-#include "protocol/wire.h"
+#include "protocol/worker_codec.h"
 #include "worker/direct_call.h"
 #include "worker/heartbeat_reader.h"
 
