--- a/src/controller/peer_health.c
+++ b/src/controller/peer_health.c
@@ -1,5 +1,6 @@
 #include "controller/peer_health.h"
 
+#include "api/response_status.h"
 #include "protocol/wire.h"
 
 /* Seconds between two checks, and for an answer to one. */
@@ -21,7 +22,7 @@
 
 static void on_health_response(void *arg, const struct rp_answer *answer) {
     struct rp_peer_health *health = arg;
-    if (answer->status != 200)
+    if (answer->status != RP_RESPONSE_OK)
         return;
     health->peer_answered_at = rp_loop_now(health->loop);
     json_t *body = rp_codec_parse_object(answer->body, answer->len);
--- a/src/controller/running_counts.c
+++ b/src/controller/running_counts.c
@@ -3,6 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "api/response_status.h"
 #include "protocol/wire.h"
 
 /* Seconds between two questions: users look at counts, nothing is decided by them. */
@@ -41,7 +42,8 @@
         !is_answered && rp_ts_since(rp_loop_now(counts->loop), counts->asked_at) > UNANSWERED_S;
     if (is_answered || is_silent)
         rp_election_note_leader_answer(counts->election, is_answered);
-    json_t *body = answer->status == 200 ? rp_codec_parse_object(answer->body, answer->len) : NULL;
+    json_t *body =
+        answer->status == RP_RESPONSE_OK ? rp_codec_parse_object(answer->body, answer->len) : NULL;
     json_t *jobs = json_object_get(body, "jobs");
     if (json_is_object(jobs))
         read_counts(counts, jobs);
--- a/src/standby/stream_message.c
+++ b/src/standby/stream_message.c
@@ -50,7 +50,8 @@
 
 #define RETURNING "returning" /* on the wire, in place of an address */
 
-/* An array of one to three members: [machine], [machine, "returning"], [machine, addr, session]. */
+/* An array of one to three members: [machine], [machine, "returning"], [machine, addr,
+ * incarnation]. */
 static json_t *change_json(const struct rp_change *change) {
     switch (change->kind) {
     case RP_CHANGE_MACHINE_UP:
@@ -159,10 +160,10 @@
     }
     if (!read_text(json_array_get(object, 1), out->addr, sizeof out->addr) || !*out->addr)
         return refuse(error, RP_STREAM_BAD_FIELD, "addr");
-    const json_t *session = json_array_get(object, 2);
-    if (!json_is_integer(session) || json_integer_value(session) < 1)
+    const json_t *incarnation = json_array_get(object, 2);
+    if (!json_is_integer(incarnation) || json_integer_value(incarnation) < 1)
         return refuse(error, RP_STREAM_BAD_FIELD, "session");
-    out->incarnation = (uint64_t)json_integer_value(session);
+    out->incarnation = (uint64_t)json_integer_value(incarnation);
     return true;
 }
 
