--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -5,6 +5,7 @@
 #include "base/log.h"
 #include "cluster/provision_loading.h"
 #include "cluster/release_policy.h"
+#include "cluster/scale_out.h"
 
 #define TICK_S 0.5
 #define TICK_LEAST_S 0.02
@@ -107,7 +108,7 @@
 /* ---- what other directories call ---- */
 
 void rp_fleet_scale_out(struct rp_fleet *fleet, int type, int zone, bool spot, unsigned count) {
-    rp_provisioning_request_machines(&fleet->provisioning, type, zone, spot, count);
+    rp_scale_out(&fleet->provisioning, type, zone, spot, count);
 }
 
 void rp_fleet_scale_in(struct rp_fleet *fleet, struct rp_machine *machine, const char *reason) {
@@ -115,7 +116,7 @@
 }
 
 unsigned rp_fleet_n_requested(const struct rp_fleet *fleet, int type, int zone, bool spot) {
-    return rp_provisioning_n_requested(&fleet->provisioning, type, zone, spot);
+    return rp_scale_out_n_requested(&fleet->provisioning, type, zone, spot);
 }
 
 bool rp_fleet_is_refused(const struct rp_fleet *fleet, int type, int zone, bool spot) {
@@ -136,7 +137,7 @@
 }
 
 void rp_fleet_adopt(struct rp_fleet *fleet, struct rp_machine *machine) {
-    rp_provisioning_adopt(&fleet->provisioning, machine);
+    rp_scale_out_adopt(&fleet->provisioning, machine);
 }
 
 void rp_fleet_describe_machine(struct rp_fleet *fleet, struct rp_machine *machine, const char *type,
--- a/src/cluster/fleet.h
+++ b/src/cluster/fleet.h
@@ -1,8 +1,8 @@
 /** @file
  * The fleet: the machines that this service has from the cloud, as the leader manages them. Each
- * part has a module: provisioning (scale out), release (scale in), reconciliation with the cloud's
- * list, failure detection, and the policy of what is released when. This one owns them, runs them
- * in a tick, and is what other directories call.
+ * part has a module: scale out and provisioning, release (scale in), reconciliation with the
+ * cloud's list, failure detection, and the policy of what is released when. This one owns them,
+ * runs them in a tick, and is what other directories call.
  *
  * Only a leader uses it, from rp_fleet_load until rp_fleet_clear. */
 #ifndef RP_CLUSTER_FLEET_H
--- a/src/cluster/provision_request.c
+++ b/src/cluster/provision_request.c
@@ -43,7 +43,7 @@
 }
 
 /* The edges:
- * (new) -> RECORDING_INTENT         machines are wanted (rp_provisioning_request_machines)
+ * (new) -> RECORDING_INTENT         machines are wanted (rp_scale_out)
  * RECORDING_INTENT -> REQUESTING    the record is durable: whoever leads next asks again by its
  * name (new) -> REQUESTING               a record without names was loaded: it may have been
  * carried out REQUESTING -> RECORDING_NAMES     the cloud has told the machines' names REQUESTING
--- a/src/cluster/provisioning.h
+++ b/src/cluster/provisioning.h
@@ -25,13 +25,6 @@
 void rp_provisioning_init(struct rp_provisioning *provisioning, struct rp_fleet_context *context);
 /** Forgets all requests and refusals; answers under way are dropped by the context's generation. */
 void rp_provisioning_clear(struct rp_provisioning *provisioning);
-/** Asks for at most `count` machines of a kind of the catalog; fewer than wanted when one request,
- * or its record, can't take as many. */
-void rp_provisioning_request_machines(struct rp_provisioning *provisioning, int type, int zone,
-                                      bool spot, unsigned count);
-/** Gives a machine that no record names a request of its own, so that the next leader knows of it.
- * Nothing is done for one that has a request, or is of no type and zone of the catalog. */
-void rp_provisioning_adopt(struct rp_provisioning *provisioning, struct rp_machine *machine);
 /** The machine has sent its first heartbeat: records that it is up. */
 void rp_provisioning_record_up(struct rp_provisioning *provisioning, struct rp_machine *machine);
 /** A machine of the request has been terminated and removed. The request may be freed later. */
@@ -43,8 +36,5 @@
                           struct rp_provision_request *request);
 /** The same for all requests; called in every tick. */
 void rp_provisioning_step_all(struct rp_provisioning *provisioning);
-/** Machines asked for whose names aren't known yet. */
-unsigned rp_provisioning_n_requested(const struct rp_provisioning *provisioning, int type, int zone,
-                                     bool spot);
 
 #endif
--- a/src/cluster/reconciliation.c
+++ b/src/cluster/reconciliation.c
@@ -8,6 +8,7 @@
 #include "base/string_copy.h"
 #include "cluster/catalog_index.h"
 #include "cluster/failure_detection.h"
+#include "cluster/scale_out.h"
 #include "protocol/wire.h"
 
 #define MACHINES_PER_PAGE 500
@@ -73,7 +74,7 @@
         rp_machine_add(context->cluster, listed->machine, RP_MACHINE_BOOTING);
     rp_machine_describe(machine, context->catalog, listed->type, listed->zone, listed->spot);
     machine->requested_at = rp_ts_sub(now, rp_ts(listed->age_s));
-    rp_provisioning_adopt(reconciliation->provisioning, machine);
+    rp_scale_out_adopt(reconciliation->provisioning, machine);
 }
 
 /* The age at the list's time bounds the time of the request from below. */
