--- a/src/protocol/cloud_codec.h
+++ b/src/protocol/cloud_codec.h
@@ -5,7 +5,8 @@
 #ifndef RP_PROTOCOL_CLOUD_CODEC_H
 #define RP_PROTOCOL_CLOUD_CODEC_H
 
-#include "model/model.h"
+#include "model/catalog.h"
+#include "model/listed_machine.h"
 #include "protocol/codec.h"
 
 /** Path of the catalog of machine types. */
--- a/src/protocol/job_codec.h
+++ b/src/protocol/job_codec.h
@@ -5,7 +5,7 @@
 #define RP_PROTOCOL_JOB_CODEC_H
 
 #include <jansson.h>
-#include "model/model.h"
+#include "model/job_spec.h"
 #include "protocol/codec.h"
 
 /** Whether a text is a job id: "j-" and one to twenty digits. NULL is none. */
--- a/src/protocol/user_codec.h
+++ b/src/protocol/user_codec.h
@@ -4,7 +4,8 @@
 #ifndef RP_PROTOCOL_USER_CODEC_H
 #define RP_PROTOCOL_USER_CODEC_H
 
-#include "model/model.h"
+#include "model/job_spec.h"
+#include "model/job_status.h"
 #include "protocol/codec.h"
 #include "protocol/job_codec.h"
 
--- a/src/protocol/worker_codec.c
+++ b/src/protocol/worker_codec.c
@@ -5,6 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include "base/memory.h"
+#include "model/job_spec.h"
 
 /* Bytes of "JOB/TASK" with its NUL. */
 #define TASK_NAME_MAX (RP_ID_MAX + 16)
--- a/src/protocol/worker_codec.h
+++ b/src/protocol/worker_codec.h
@@ -4,7 +4,8 @@
 #ifndef RP_PROTOCOL_WORKER_CODEC_H
 #define RP_PROTOCOL_WORKER_CODEC_H
 
-#include "model/model.h"
+#include "model/command.h"
+#include "model/heartbeat.h"
 #include "protocol/codec.h"
 
 /** Path of a node to which workers send heartbeats. */
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -6,7 +6,7 @@
 #define RP_STORE_KEYS_H
 
 #include <stdbool.h>
-#include "model/model.h"
+#include "model/job_spec.h"
 
 /** All keys lie below one tenant's prefix; a hosted service would have one for each tenant. */
 #define RP_KEY_ROOT "rp/main/"
--- a/src/worker/heartbeat_reader.c
+++ b/src/worker/heartbeat_reader.c
@@ -37,7 +37,7 @@
 /* Behind a one-way partition a machine looks like a good one: now and then a heartbeat comes, with
  * capacity and a newer incarnation, and what is started on it vanishes. Such a worker is at another
  * node when its next heartbeat is due here. Until a heartbeat shows that answers arrive, the
- * machine gets no work, and in the end it is scaled in (cluster/fleet.c). */
+ * machine gets no work, and in the end it is scaled in (cluster/release_policy.c). */
 static void detect_one_way_partition(const struct rp_worker_context *context,
                                      struct rp_machine *machine,
                                      const struct rp_heartbeat *heartbeat) {
@@ -63,7 +63,7 @@
  * command, or being listed, tells what became of it (docs/safety.md, "Direct commands"); and what a
  * newer response to a direct command has listed is there, whatever an older heartbeat says. */
 static bool may_be_there(const struct rp_allocation *allocation, uint64_t heartbeat_seq) {
-    if (allocation->marked || allocation->state == RP_ALLOCATION_PLANNED ||
+    if (allocation->listed || allocation->state == RP_ALLOCATION_PLANNED ||
         allocation->seen_seq >= heartbeat_seq)
         return true;
     return allocation->state == RP_ALLOCATION_SENT &&
@@ -85,7 +85,7 @@
         struct rp_allocation *allocation =
             rp_task_reader_find(context, machine, &heartbeat->tasks[i]);
         if (allocation)
-            allocation->marked = true;
+            allocation->listed = true;
     }
 }
 
@@ -119,7 +119,7 @@
                      heartbeat->seq < machine->contact.seq;
     note_heartbeat(context, machine, heartbeat);
     for (size_t i = 0; i < machine->n_allocations; i++)
-        machine->allocations[i].marked = false;
+        machine->allocations[i].listed = false;
     if (overtaken)
         mark_listed(context, machine, heartbeat);
     else
--- a/tests/simulation/sim.h
+++ b/tests/simulation/sim.h
@@ -276,19 +276,19 @@
 /* Lets the world go on; stops early when a rule breaks. */
 void sim_run(struct sim *sim, double seconds);
 /* Submits a job at a time; returns its index. Gangs are urgent, but for "ensemble:low". */
-int sim_submit(struct sim *sim, double at, const char *kind, unsigned tasks, double cpus,
+int sim_submit(struct sim *sim, double submit_at, const char *kind, unsigned tasks, double cpus,
                double run_s, double cancel_at);
 /* Another value for a field of a job that is still to be submitted. */
 void sim_set_field(struct sim *sim, int index, const char *field, json_t *value);
 /* An array whose description is longer than the lowered limits let one value be. */
-int sim_submit_long(struct sim *sim, double at, unsigned tasks, double run_s);
+int sim_submit_long(struct sim *sim, double submit_at, unsigned tasks, double run_s);
 /* Users call off so many jobs that run, at once; with `hang_s`, some of their machines hang. */
 void sim_cancel_running(struct sim *sim, int count, double hang_s);
 bool sim_all_terminal(const struct sim *sim);
 /* Kills a node's process; it comes back `back_s` later. */
-void sim_crash(struct sim *sim, int node, double back_s);
+void sim_crash(struct sim *sim, int index, double back_s);
 /* The same, and from then on it is of this version. */
-void sim_upgrade(struct sim *sim, int node, double back_s);
+void sim_upgrade(struct sim *sim, int index, double back_s);
 /* Makes all nodes of the version before, at the beginning of a day. */
 void sim_start_as_old_version(struct sim *sim);
 /* The state service takes less from now on: what the settings announce. */
