--- a/src/api/status.c
+++ b/src/api/status.c
@@ -1,6 +1,7 @@
 #include "api/status.h"
 
 #include <jansson.h>
+#include "scheduler/service_headroom.h"
 
 #define N_OF(array) (sizeof(array) / sizeof((array)[0]))
 
@@ -116,14 +117,15 @@
     const struct rp_worker_counters *worker_counters = &sources->workers->context.counters;
     const struct counter placements[] = {{"jobs", sources->jobs->table.n_services},
                                          {"placed", services->n_placed},
-                                         {"tasks_stopped_for_them", services->n_made_room},
+                                         {"tasks_stopped_for_them", services->n_preempted},
                                          {"moved", services->n_moved}};
     const struct counter commands[] = {{"direct", worker_counters->n_direct_commands},
                                        {"direct_unanswered", worker_counters->n_direct_unanswered}};
-    double ready_cpus = sources->leading ? rp_services_ready_cpus(services) : 0.0;
+    double ready_cpus = sources->leading ? rp_service_headroom_ready_cpus(services) : 0.0;
     json_t *object = json_object();
     set_counters(object, placements, N_OF(placements));
-    json_object_set_new(object, "reserve_cpus", json_real(rp_services_reserve_cpus(services)));
+    json_object_set_new(object, "reserve_cpus",
+                        json_real(rp_service_headroom_wanted_cpus(services)));
     json_object_set_new(object, "ready_cpus", json_real(ready_cpus));
     set_counters(object, commands, N_OF(commands));
     return object;
--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -345,13 +345,13 @@
     struct rp_refusal *refusal = &request->refusal;
     const struct rp_request *req = request->req;
     struct rp_codec_error error;
-    if (rp_user_codec_parse_submission(req->body, req->len, &request->spec, &error)) {
-        refusal->reason =
-            rp_submission_check(api->settings, api->catalog_source, api->cluster, &request->spec);
-    } else {
+    if (!rp_user_codec_parse_submission(req->body, req->len, &request->spec, &error)) {
         refusal->reason = RP_REFUSAL_MALFORMED;
         rp_codec_error_text(&error, refusal->detail);
+        return;
     }
+    refusal->reason =
+        rp_submission_check(api->settings, api->catalog_source, api->cluster, &request->spec);
 }
 
 void rp_user_api_submit(struct rp_user_api *api, struct rp_request *req) {
--- a/src/cluster/provision_loading.c
+++ b/src/cluster/provision_loading.c
@@ -4,7 +4,6 @@
 #include <string.h>
 #include "base/log.h"
 #include "base/memory.h"
-#include "protocol/kv_codec.h"
 
 #define RECORDS_PER_PAGE 1000
 
--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -9,7 +9,6 @@
 #include "base/string_copy.h"
 #include "cluster/catalog_index.h"
 #include "protocol/cloud_codec.h"
-#include "protocol/kv_codec.h"
 
 #define MACHINES_PER_REQUEST_MAX 50 /* the cloud's limit (PROTOCOL) */
 #define MACHINES_PER_RECORD_MAX 64  /* at most 50 are asked for at once */
