--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -3,6 +3,7 @@
 
 #include <gsl/gsl_rng.h>
 #include <math.h>
+#include "protocol/codec.h"
 #include "protocol/job_codec.h"
 #include "protocol/user_codec.h"
 #include "protocol/worker_codec.h"
