--- a/src/election/election.c
+++ b/src/election/election.c
@@ -146,7 +146,9 @@
 /* The one place where the election changes its state. */
 static void set_state(struct rp_election *election, enum rp_election_state state) {
     bool was_holding = election->state == RP_ELECTION_HOLDING_KEY;
-    assert(is_transition(election->state, state));
+    bool is_expected = is_transition(election->state, state);
+    assert(is_expected);
+    (void)is_expected;
     election->state = state;
     if (was_holding) {
         rp_info("leadership lost: term=%" PRIu64, election->fencing_token);
