--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -6,7 +6,7 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 #include "cluster/catalog_index.h"
-#include "protocol/wire.h"
+#include "protocol/cloud_codec.h"
 
 #define MACHINES_PER_RECORD_MAX 64 /* at most 50 are asked for at once */
 #define RECORD_MAX_LEAST_BYTES 256 /* of a record that no limit is expected to refuse */
--- a/src/cluster/reconciliation.c
+++ b/src/cluster/reconciliation.c
@@ -9,7 +9,7 @@
 #include "cluster/catalog_index.h"
 #include "cluster/failure_detection.h"
 #include "cluster/scale_out.h"
-#include "protocol/wire.h"
+#include "protocol/cloud_codec.h"
 
 #define MACHINES_PER_PAGE 500
 #define LIST_S 4.0          /* between lists, */
--- a/src/cluster/release.c
+++ b/src/cluster/release.c
@@ -5,7 +5,7 @@
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/string_copy.h"
-#include "protocol/wire.h"
+#include "protocol/cloud_codec.h"
 
 #define DELETE_MAX 100 /* machines in a call (PROTOCOL) */
 /* Standbys, which ask for changes more often than this, know of a release by then. */
--- a/src/store/records.c
+++ b/src/store/records.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include "base/memory.h"
 #include "base/string_copy.h"
-#include "protocol/wire.h"
+#include "protocol/job_codec.h"
 
 #define PIECE_FRAME_BYTES 64 /* of a piece: the names and numbers around its text, rounded up */
 
@@ -102,11 +102,11 @@
 }
 
 bool rp_record_open_read(json_t *value, struct rp_job_spec *spec, struct timespec *accepted) {
-    char reason[128]; /* not told: the record was checked before it was written */
+    struct rp_codec_error error; /* not told: the record was checked before it was written */
     if (rp_record_format(value) > RP_FORMAT)
         return false;
     *accepted = rp_ts(json_number_value(json_object_get(value, "at")));
-    return rp_job_codec_read_spec(json_object_get(value, "spec"), spec, reason);
+    return rp_job_codec_read_spec(json_object_get(value, "spec"), spec, &error);
 }
 
 json_t *rp_record_terminal(enum rp_job_phase phase) {
