--- a/src/api/status.c
+++ b/src/api/status.c
@@ -1,7 +1,7 @@
 #include "api/status.h"
 
 #include <jansson.h>
-#include "protocol/wire.h"
+#include "scheduler/service_headroom.h"
 
 #define N_OF(array) (sizeof(array) / sizeof((array)[0]))
 
@@ -51,9 +51,9 @@
                                        {"rounds", sources->scheduler->n_cycles},
                                        {"starts", worker_counters->n_starts},
                                        {"preempted", sources->scheduler->n_preempted},
-                                       {"rented", sources->fleet->n_provisioned},
-                                       {"refused", sources->fleet->n_refused},
-                                       {"returned", sources->fleet->n_released},
+                                       {"rented", sources->fleet->provisioning.n_provisioned},
+                                       {"refused", sources->fleet->provisioning.refusals.n_refused},
+                                       {"returned", sources->fleet->release.n_released},
                                        {"accepted", sources->api->n_accepted},
                                        {"stale_reports", worker_counters->n_stale_heartbeats},
                                        {"over_bounds", n_over_bounds(sources)}};
@@ -117,14 +117,15 @@
     const struct rp_worker_counters *worker_counters = &sources->workers->context.counters;
     const struct counter placements[] = {{"jobs", sources->jobs->table.n_services},
                                          {"placed", services->n_placed},
-                                         {"tasks_stopped_for_them", services->n_made_room},
+                                         {"tasks_stopped_for_them", services->n_preempted},
                                          {"moved", services->n_moved}};
     const struct counter commands[] = {{"direct", worker_counters->n_direct_commands},
                                        {"direct_unanswered", worker_counters->n_direct_unanswered}};
-    double ready_cpus = sources->leading ? rp_services_ready_cpus(services) : 0.0;
+    double ready_cpus = sources->leading ? rp_service_headroom_ready_cpus(services) : 0.0;
     json_t *object = json_object();
     set_counters(object, placements, N_OF(placements));
-    json_object_set_new(object, "reserve_cpus", json_real(rp_services_reserve_cpus(services)));
+    json_object_set_new(object, "reserve_cpus",
+                        json_real(rp_service_headroom_wanted_cpus(services)));
     json_object_set_new(object, "ready_cpus", json_real(ready_cpus));
     set_counters(object, commands, N_OF(commands));
     return object;
--- a/src/api/submission_record.h
+++ b/src/api/submission_record.h
@@ -5,6 +5,7 @@
 #ifndef RP_API_SUBMISSION_RECORD_H
 #define RP_API_SUBMISSION_RECORD_H
 
+#include "model/catalog.h"
 #include "store/records.h"
 #include "upgrade/format_upgrade.h"
 
--- a/src/controller/running_counts.c
+++ b/src/controller/running_counts.c
@@ -4,7 +4,7 @@
 #include <stdlib.h>
 #include <string.h>
 #include "api/response_status.h"
-#include "protocol/wire.h"
+#include "protocol/codec.h"
 
 /* Seconds between two questions: users look at counts, nothing is decided by them. */
 #define ASK_PERIOD_S 2.0
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -2,7 +2,7 @@
 
 #include <stdlib.h>
 #include "base/memory.h"
-#include "protocol/wire.h"
+#include "protocol/job_codec.h"
 
 /* The accepting node's clock and ours may differ: a job is never younger than nothing. */
 static double age_at_first_seen_s(const struct rp_jobs_context *context, const struct rp_job *job) {
--- a/src/main.c
+++ b/src/main.c
@@ -10,6 +10,7 @@
 #include <sys/signalfd.h>
 #include "base/log.h"
 #include "base/memory.h"
+#include "config/platform_file.h"
 #include "controller/node.h"
 #include "controller/node_requests.h"
 #include "http/client.h"
@@ -173,7 +174,7 @@
         print_file_error(options->config);
         return EXIT_CODE_USAGE;
     }
-    int n_mistakes = rp_settings_parse(settings, text, options->config, stderr);
+    int n_mistakes = rp_platform_file_parse(settings, text, options->config, stderr);
     free(text);
     n_mistakes += load_tuning(options, settings);
     rp_settings_complete(settings);
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -6,7 +6,8 @@
 #include <string.h>
 #include "base/log.h"
 #include "base/memory.h"
-#include "protocol/wire.h"
+#include "protocol/codec.h"
+#include "protocol/kv_codec.h"
 
 #define ANSWER_S 1.5      /* an answer takes milliseconds, now and then a few hundred */
 #define LIST_ANSWER_S 3.0 /* up to 512 KiB have to come */
--- a/src/worker/command_batch.h
+++ b/src/worker/command_batch.h
@@ -7,6 +7,7 @@
 #ifndef RP_WORKER_COMMAND_BATCH_H
 #define RP_WORKER_COMMAND_BATCH_H
 
+#include "model/command.h"
 #include "worker/worker_context.h"
 
 /** Commands of one message, in the order in which they are executed. */
--- a/src/worker/task_reader.c
+++ b/src/worker/task_reader.c
@@ -40,7 +40,7 @@
     /* The machine gets no work while it has any, so the rest is stopped from a later heartbeat. */
     if (context->counters.n_unknown_tasks_above++ == 0)
         rp_error("too many tasks of unknown jobs: machine=%s n_max=%d", machine->name,
-                 RP_UNKNOWN_TASKS_KEPT);
+                 RP_UNKNOWN_TASKS_MAX);
 }
 
 static struct rp_allocation *add_allocation(struct rp_worker_context *context,
@@ -97,7 +97,7 @@
     struct rp_allocation *allocation = find_allocation(machine, job, status);
     if (!allocation)
         allocation = add_allocation(context, machine, job, status);
-    allocation->marked = true;
+    allocation->listed = true;
     allocation->seen_seq = machine->contact.seq;
     if (allocation->state == RP_ALLOCATION_EXITED)
         return;
