--- a/src/jobs/job_progress.c
+++ b/src/jobs/job_progress.c
@@ -70,14 +70,6 @@
     return n_bytes - offset < span ? n_bytes - offset : span;
 }
 
-bool rp_job_progress_is_done(const struct rp_job_progress *progress, uint32_t task) {
-    return progress->done[task / 8] >> (task % 8) & 1;
-}
-
-bool rp_job_progress_is_durable(const struct rp_job_progress *progress, uint32_t task) {
-    return progress->durable[task / 8] >> (task % 8) & 1;
-}
-
 bool rp_job_progress_mark_done(struct rp_job_progress *progress, uint32_t task,
                                struct timespec now) {
     if (rp_job_progress_is_done(progress, task))
--- a/src/jobs/job_progress.h
+++ b/src/jobs/job_progress.h
@@ -67,9 +67,14 @@
 size_t rp_job_progress_record_bytes(const struct rp_job_progress *progress,
                                     struct rp_progress_record record);
 /** Whether the task is done. */
-bool rp_job_progress_is_done(const struct rp_job_progress *progress, uint32_t task);
+static inline bool rp_job_progress_is_done(const struct rp_job_progress *progress, uint32_t task) {
+    return progress->done[task / 8] >> (task % 8) & 1;
+}
 /** Whether a stored record says that the task is done. */
-bool rp_job_progress_is_durable(const struct rp_job_progress *progress, uint32_t task);
+static inline bool rp_job_progress_is_durable(const struct rp_job_progress *progress,
+                                              uint32_t task) {
+    return progress->durable[task / 8] >> (task % 8) & 1;
+}
 /** Marks a task done; false when it was before. */
 bool rp_job_progress_mark_done(struct rp_job_progress *progress, uint32_t task,
                                struct timespec now);
