--- a/src/election/election.c
+++ b/src/election/election.c
@@ -151,11 +151,11 @@
     if (was_holding) {
         rp_info("leadership lost: term=%" PRIu64, election->fencing_token);
         election->fencing_token = 0;
-        rp_log_term(0);
+        rp_log_set_term(0);
         election->on_lost(election->arg);
     } else if (state == RP_ELECTION_HOLDING_KEY) {
         rp_string_copy(election->leader, sizeof election->leader, election->node);
-        rp_log_term(election->fencing_token);
+        rp_log_set_term(election->fencing_token);
         rp_info("leadership taken: term=%" PRIu64 " lease=%" PRIu64, election->fencing_token,
                 election->lease);
         election->on_elected(election->arg);
--- a/tests/simulation/users.c
+++ b/tests/simulation/users.c
@@ -4,6 +4,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
+#include "protocol/codec.h"
 #include "protocol/job_codec.h"
 
 void sim_send_for_user(struct sim *sim, int job, enum sim_user_op operation, int node) {
