--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -16,7 +16,10 @@
 #include "scheduler/service_controller.h"
 #include "scheduler/service_headroom.h"
 
-static void tick(void *arg);
+#define LOG_USE_EVERY_CYCLES 10 /* for the debug log */
+#define FIRST_CYCLE_S 0.2       /* from the start of leading */
+
+static void on_cycle_timer(void *arg);
 
 void rp_scheduler_init(struct rp_scheduler *scheduler, struct rp_loop *loop,
                        struct rp_election *election, struct rp_cluster *cluster,
@@ -31,7 +34,7 @@
     scheduler->jobs = jobs;
     scheduler->fleet = fleet;
     scheduler->settings = settings;
-    scheduler->timer = (struct rp_timer){.fn = tick, .arg = scheduler};
+    scheduler->timer = (struct rp_timer){.fn = on_cycle_timer, .arg = scheduler};
     for (size_t i = 0; i < settings->tuning.n_heuristics; i++)
         if (rp_heuristic_named(settings->tuning.heuristics[i],
                                &scheduler->heuristics[scheduler->n_heuristics]))
@@ -40,7 +43,7 @@
 
 void rp_scheduler_start(struct rp_scheduler *scheduler) {
     scheduler->active = true;
-    rp_timer_set(scheduler->loop, &scheduler->timer, 0.2);
+    rp_timer_set(scheduler->loop, &scheduler->timer, FIRST_CYCLE_S);
 }
 
 void rp_scheduler_stop(struct rp_scheduler *scheduler) {
@@ -48,7 +51,7 @@
     rp_timer_cancel(scheduler->loop, &scheduler->timer);
 }
 
-static void tick(void *arg) {
+static void on_cycle_timer(void *arg) {
     struct rp_scheduler *scheduler = arg;
     rp_timer_set(scheduler->loop, &scheduler->timer, scheduler->settings->tuning.round_period_s);
     rp_scheduler_run_cycle(scheduler);
@@ -98,8 +101,8 @@
     }
 }
 
-static void apply_rentals(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
-                          const struct rp_plan *plan) {
+static void scale_out(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
+                      const struct rp_plan *plan) {
     for (size_t k = 0; k < input->plan_input.n_offerings; k++) {
         const struct rp_plan_offering *offering = &input->offerings[k];
         unsigned n = 0;
@@ -111,7 +114,8 @@
 }
 
 /* Whether services could go to the machine. */
-static bool ready_room(const struct rp_scheduler *scheduler, const struct rp_machine *machine) {
+static bool may_hold_services(const struct rp_scheduler *scheduler,
+                              const struct rp_machine *machine) {
     return !machine->spot &&
            rp_scheduler_catalog(scheduler)->types[machine->type].capacity.gpus <= 0;
 }
@@ -119,8 +123,8 @@
 /* Services come at any moment and are to run within seconds, while a machine takes half a minute
  * and more to boot: where room for what comes in that time isn't there, free or held by work that
  * can be stopped at once, one machine more is rented, of the kind with most capacity per price. */
-static void hold_ready(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
-                       const struct rp_plan *plan) {
+static void provision_headroom(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
+                               const struct rp_plan *plan) {
     const struct rp_plan_offering *best = NULL;
     if (plan->n_new_machines > 0 || rp_service_headroom_ready_cpus(scheduler->services) >=
                                         rp_service_headroom_wanted_cpus(scheduler->services))
@@ -141,7 +145,7 @@
         rp_fleet_scale_out(scheduler->fleet, best->type, best->zone, false, 1);
 }
 
-static void apply_returns(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
+static void scale_in_idle(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                           const struct rp_plan *plan, struct timespec now) {
     const struct rp_tuning *tuning = &scheduler->settings->tuning;
     double reserve = rp_service_headroom_wanted_cpus(scheduler->services);
@@ -167,7 +171,7 @@
         /* The first minute is paid for in any case (PROTOCOL, price). */
         if (age >= RP_MIN_CHARGE_S - tuning->return_margin_s &&
             into >= tuning->billing_unit_s - tuning->return_margin_s &&
-            !(ready_room(scheduler, machine) &&
+            !(may_hold_services(scheduler, machine) &&
               ready - part < reserve - RP_SERVICE_HEADROOM_SLACK_CPUS)) {
             rp_fleet_scale_in(scheduler->fleet, machine, "idle near its unit's end");
             ready -= part;
@@ -176,37 +180,78 @@
     free(wanted);
 }
 
-static double main_of(const struct rp_resources *capacity) {
-    return capacity->gpus > 0 ? capacity->gpus : capacity->cpus;
+/* CPUs, or GPUs where the type has them. */
+static double main_resource(const struct rp_resources *capacity,
+                            const struct rp_resources *amount) {
+    return capacity->gpus > 0 ? amount->gpus : amount->cpus;
+}
+
+/* Where the capacity of a machine type goes, in its main resource. */
+struct type_use {
+    unsigned n_up, n_booting, n_idle;
+    double capacity;
+    double by_task_state[RP_TASK_EXITED + 1];
+};
+
+static void add_use(struct type_use *use, const struct rp_machine *machine,
+                    const struct rp_resources *capacity) {
+    bool is_up = machine->state == RP_MACHINE_UP;
+    use->n_up += is_up;
+    use->n_booting += machine->state == RP_MACHINE_BOOTING;
+    use->n_idle += is_up && machine->n_allocations == 0;
+    use->capacity += is_up ? main_resource(capacity, capacity) : 0;
+    for (size_t i = 0; i < machine->n_allocations; i++) {
+        const struct rp_allocation *allocation = &machine->allocations[i];
+        if (allocation->state != RP_ALLOCATION_EXITED)
+            use->by_task_state[allocation->task_state] +=
+                main_resource(capacity, &allocation->job->spec.each);
+    }
 }
 
-/* For the log: where the capacity of each type goes. */
 static void log_use(const struct rp_scheduler *scheduler) {
     const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
     for (size_t t = 0; t < catalog->n_types; t++) {
-        double total = 0, by[RP_TASK_EXITED + 1] = {0};
-        unsigned up = 0, booting = 0, idle = 0;
+        struct type_use use = {0};
         for (const struct rp_machine *machine = scheduler->cluster->first; machine;
-             machine = machine->next) {
-            if (machine->type != (int)t)
-                continue;
-            up += machine->state == RP_MACHINE_UP;
-            booting += machine->state == RP_MACHINE_BOOTING;
-            idle += machine->state == RP_MACHINE_UP && machine->n_allocations == 0;
-            total += machine->state == RP_MACHINE_UP ? main_of(&catalog->types[t].capacity) : 0;
-            for (size_t i = 0; i < machine->n_allocations; i++)
-                if (machine->allocations[i].state != RP_ALLOCATION_EXITED)
-                    by[machine->allocations[i].task_state] +=
-                        catalog->types[t].capacity.gpus > 0
-                            ? machine->allocations[i].job->spec.each.gpus
-                            : machine->allocations[i].job->spec.each.cpus;
-        }
-        rp_debug("use %s: up=%u idle=%u booting=%u capacity=%.0f fetching=%.1f waiting=%.1f "
-                 "running=%.1f "
-                 "saving=%.1f",
-                 catalog->types[t].name, up, idle, booting, total, by[RP_TASK_FETCHING],
-                 by[RP_TASK_WAITING], by[RP_TASK_RUNNING], by[RP_TASK_SAVING]);
+             machine = machine->next)
+            if (machine->type == (int)t)
+                add_use(&use, machine, &catalog->types[t].capacity);
+        rp_debug("use of capacity: type=%s n_up=%u n_idle=%u n_booting=%u capacity=%.0f "
+                 "fetching=%.1f waiting=%.1f running=%.1f saving=%.1f",
+                 catalog->types[t].name, use.n_up, use.n_idle, use.n_booting, use.capacity,
+                 use.by_task_state[RP_TASK_FETCHING], use.by_task_state[RP_TASK_WAITING],
+                 use.by_task_state[RP_TASK_RUNNING], use.by_task_state[RP_TASK_SAVING]);
+    }
+}
+
+static void log_plan(const struct rp_scheduler *scheduler, const struct rp_plan_input *input,
+                     const struct rp_plan *plan, size_t winner) {
+    rp_debug("cycle planned: cycle=%lu n_groups=%zu n_machines=%zu n_starting=%u n_waiting=%u "
+             "n_new_machines=%zu unplaced=%.0f cost=%.3f heuristic=%s",
+             scheduler->n_cycles, input->n_groups, input->n_machines, plan->n_starting,
+             plan->n_waiting, plan->n_new_machines, plan->unplaced_work, plan->cost,
+             scheduler->settings->tuning.heuristics[winner]);
+    if (rp_log_current() >= RP_LOG_DEBUG && scheduler->n_cycles % LOG_USE_EVERY_CYCLES == 0)
+        log_use(scheduler);
+}
+
+/* Starts what the plan places now, provisions what it asks for, and does what no plan does. */
+static void apply_plan(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
+                       struct rp_plan *plan, struct timespec now) {
+    rp_preemption_prefer_image_holders(scheduler, input, plan, now);
+    apply_starts(scheduler, input, plan);
+    rp_service_controller_send(scheduler->services);
+    /* While machines from before the failover are unreconciled, what they run is unknown:
+     * provisioning for tasks that may be running already would be waste. */
+    if (rp_cluster_is_reconciled(scheduler->cluster)) {
+        scale_out(scheduler, input, plan);
+        provision_headroom(scheduler, input, plan);
+        rp_quota_enforce_guarantees(scheduler, input, plan, now);
+        rp_preemption_run(scheduler, input, plan, now);
+        rp_gang_reservation_run(scheduler, input, plan, now);
+        rp_machine_draining_run(scheduler, input, now);
     }
+    scale_in_idle(scheduler, input, plan, now);
 }
 
 void rp_scheduler_run_cycle(struct rp_scheduler *scheduler) {
@@ -230,26 +275,8 @@
     scheduler->n_probes += plan.n_machines_examined;
     memcpy(scheduler->short_of_capacity, plan.short_of_capacity,
            sizeof scheduler->short_of_capacity);
-    rp_debug("round %lu: jobs=%zu machines=%zu now=%u wait=%u new=%zu left=%.0f cost=%.3f by %s",
-             scheduler->n_cycles, input.plan_input.n_groups, input.plan_input.n_machines,
-             plan.n_starting, plan.n_waiting, plan.n_new_machines, plan.unplaced_work, plan.cost,
-             scheduler->settings->tuning.heuristics[winner]);
-    if (rp_log_current() >= RP_LOG_DEBUG && scheduler->n_cycles % 10 == 0)
-        log_use(scheduler);
-    rp_preemption_prefer_image_holders(scheduler, &input, &plan, now);
-    apply_starts(scheduler, &input, &plan);
-    rp_service_controller_send(scheduler->services);
-    /* While machines from before the takeover are unknown, what they run is, too: renting for
-     * tasks that may be running already would be waste. */
-    if (rp_cluster_is_reconciled(scheduler->cluster)) {
-        apply_rentals(scheduler, &input, &plan);
-        hold_ready(scheduler, &input, &plan);
-        rp_quota_enforce_guarantees(scheduler, &input, &plan, now);
-        rp_preemption_run(scheduler, &input, &plan, now);
-        rp_gang_reservation_run(scheduler, &input, &plan, now);
-        rp_machine_draining_run(scheduler, &input, now);
-    }
-    apply_returns(scheduler, &input, &plan, now);
+    log_plan(scheduler, &input.plan_input, &plan, winner);
+    apply_plan(scheduler, &input, &plan, now);
     scheduler->last_cycle_s = rp_ts_since(rp_loop_now(scheduler->loop), now);
     rp_metrics_add(scheduler->metrics, RP_METRIC_CYCLE, scheduler->last_cycle_s);
 out:
--- a/src/scheduler/group_input.c
+++ b/src/scheduler/group_input.c
@@ -25,7 +25,8 @@
 static void allowed_types(const struct rp_scheduler *scheduler, const struct rp_job_spec *spec,
                           struct rp_plan_group *group) {
     const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
-    uint32_t types = 0, plain = 0;
+    uint32_t types = 0;
+    uint32_t plain = 0;
     for (size_t t = 0; t < catalog->n_types; t++)
         for (size_t z = 0; z < catalog->n_zones; z++)
             if ((catalog->types[t].zones >> z & 1) &&
@@ -45,7 +46,8 @@
 static double slack_s(const struct rp_scheduler *scheduler, const struct rp_job *job,
                       struct rp_plan_group *group) {
     const struct rp_settings *settings = scheduler->settings;
-    double best = RP_NO_OBJECTIVE_S, latest = 0;
+    double best = RP_NO_OBJECTIVE_S;
+    double latest = 0;
     for (size_t i = 0; i < settings->n_objectives; i++) {
         const struct rp_objective *aim = &settings->objectives[i];
         if (strcmp(aim->class_name, job->spec.class_name) != 0)
@@ -138,7 +140,8 @@
     const struct rp_resources *each = &job->spec.each;
     if (left->cpus <= 0 && left->gpus <= 0)
         return 0;
-    uint32_t most = job->spec.kind == RP_JOB_GANG ? 1 : n, tasks = 0;
+    uint32_t most = job->spec.kind == RP_JOB_GANG ? 1 : n;
+    uint32_t tasks = 0;
     double needed = job->spec.kind == RP_JOB_GANG ? n : 1;
     while (tasks < most && needed * each->cpus <= left->cpus + 1e-9 &&
            needed * each->gpus <= left->gpus + 1e-9) {
--- a/src/scheduler/machine_input.c
+++ b/src/scheduler/machine_input.c
@@ -125,7 +125,8 @@
  * says, smaller ones, of which several sizes come together, their mean. */
 static void note_full_gpu_work(struct rp_scheduler *scheduler, size_t type) {
     const struct rp_resources *all = &rp_scheduler_catalog(scheduler)->types[type].capacity;
-    struct rp_resources largest = {0}, sum = {0};
+    struct rp_resources largest = {0};
+    struct rp_resources sum = {0};
     double n_sum = 0;
     for (const struct rp_job *job = scheduler->jobs->table.first; job; job = job->next) {
         const struct rp_resources *each = &job->spec.each;
