--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,6 +1,6 @@
 /** @file
  * Latencies as histograms, for the status page. Owned by the node; filled by src/api, src/scheduler
- * and src/jobs. */
+ * and src/worker. */
 #ifndef RP_BASE_METRICS_H
 #define RP_BASE_METRICS_H
 
