--- a/src/cluster/capacity_refusal.h
+++ b/src/cluster/capacity_refusal.h
@@ -11,8 +11,6 @@
 #include <stdbool.h>
 #include "base/timeutil.h"
 #include "model/catalog.h"
-#include "model/heartbeat.h"
-#include "model/job_spec.h"
 
 /** A kind's refusal. */
 struct rp_capacity_refusal {
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -62,7 +62,7 @@
 
 static void stop_scheduling(struct rp_node *node) {
     rp_scheduler_stop(&node->scheduler);
-    rp_services_stop(&node->services);
+    rp_service_controller_stop(&node->services);
 }
 
 /* Empties the cluster state. Nothing of an earlier term may be left when the records are read. */
@@ -89,7 +89,7 @@
     rp_image_index_restore(&node->image_index);
     rp_standby_lead(&node->standby);
     rp_catalog_source_lead(&node->catalog_source);
-    rp_services_start(&node->services);
+    rp_service_controller_start(&node->services);
     rp_scheduler_start(&node->scheduler);
 }
 
@@ -225,12 +225,19 @@
 
 static int init_workers(struct rp_node *node) {
     const struct rp_settings *settings = node->settings;
-    if (rp_metrics_init(&node->metrics) < 0)
+    if (!rp_metrics_init(&node->metrics))
         return -1;
-    rp_workers_init(&node->workers, node->loop, &node->election, &node->cluster, &node->jobs,
-                    &node->fleet, settings, &node->metrics, node->net);
-    node->workers.context.on_capacity_freed = on_capacity_freed;
-    node->workers.context.arg = node;
+    const struct rp_worker_context context = {.loop = node->loop,
+                                              .election = &node->election,
+                                              .cluster = &node->cluster,
+                                              .jobs = &node->jobs,
+                                              .fleet = &node->fleet,
+                                              .settings = settings,
+                                              .metrics = &node->metrics,
+                                              .net = node->net,
+                                              .on_capacity_freed = on_capacity_freed,
+                                              .arg = node};
+    rp_workers_init(&node->workers, &context);
     rp_standby_init(&node->standby, node->loop, node->net, &node->election, &node->cluster,
                     &node->workers, settings);
     return 0;
@@ -238,8 +245,8 @@
 
 static void init_scheduling(struct rp_node *node) {
     const struct rp_settings *settings = node->settings;
-    rp_services_init(&node->services, node->loop, &node->cluster, &node->jobs, &node->workers,
-                     &node->fleet, settings, &node->catalog);
+    rp_service_controller_init(&node->services, node->loop, &node->cluster, &node->jobs,
+                               &node->workers, &node->fleet, settings, &node->catalog);
     rp_scheduler_init(&node->scheduler, node->loop, &node->election, &node->cluster, &node->jobs,
                       &node->fleet, &node->services, settings, &node->metrics);
     rp_cycle_trigger_init(&node->cycle_trigger, node->loop, settings, &node->state,
