--- a/src/api/status.c
+++ b/src/api/status.c
@@ -1,7 +1,6 @@
 #include "api/status.h"
 
 #include <jansson.h>
-#include "protocol/wire.h"
 #include "scheduler/service_headroom.h"
 
 #define N_OF(array) (sizeof(array) / sizeof((array)[0]))
@@ -52,9 +51,9 @@
                                        {"rounds", sources->scheduler->n_cycles},
                                        {"starts", worker_counters->n_starts},
                                        {"preempted", sources->scheduler->n_preempted},
-                                       {"rented", sources->fleet->n_provisioned},
-                                       {"refused", sources->fleet->n_refused},
-                                       {"returned", sources->fleet->n_released},
+                                       {"rented", sources->fleet->provisioning.n_provisioned},
+                                       {"refused", sources->fleet->provisioning.refusals.n_refused},
+                                       {"returned", sources->fleet->release.n_released},
                                        {"accepted", sources->api->n_accepted},
                                        {"stale_reports", worker_counters->n_stale_heartbeats},
                                        {"over_bounds", n_over_bounds(sources)}};
--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -7,7 +7,10 @@
 #include "base/log.h"
 #include "base/memory.h"
 #include "base/string_copy.h"
-#include "protocol/wire.h"
+#include "protocol/codec.h"
+#include "protocol/job_codec.h"
+#include "protocol/kv_codec.h"
+#include "protocol/user_codec.h"
 
 /* Writes of one request before its user is told to come again: a conflict or a lost answer mostly
  * happens once. */
@@ -341,11 +344,14 @@
     const struct rp_user_api *api = request->api;
     struct rp_refusal *refusal = &request->refusal;
     const struct rp_request *req = request->req;
-    if (!rp_user_codec_parse_submission(req->body, req->len, &request->spec, refusal->detail))
+    struct rp_codec_error error;
+    if (!rp_user_codec_parse_submission(req->body, req->len, &request->spec, &error)) {
         refusal->reason = RP_REFUSAL_MALFORMED;
-    else
-        refusal->reason =
-            rp_submission_check(api->settings, api->catalog_source, api->cluster, &request->spec);
+        rp_codec_error_text(&error, refusal->detail);
+        return;
+    }
+    refusal->reason =
+        rp_submission_check(api->settings, api->catalog_source, api->cluster, &request->spec);
 }
 
 void rp_user_api_submit(struct rp_user_api *api, struct rp_request *req) {
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -173,7 +173,7 @@
             into >= tuning->billing_unit_s - tuning->return_margin_s &&
             !(may_hold_services(scheduler, machine) &&
               ready - part < reserve - RP_SERVICE_HEADROOM_SLACK_CPUS)) {
-            rp_fleet_scale_in(scheduler->fleet, machine, "idle near its unit's end");
+            rp_fleet_scale_in(scheduler->fleet, machine, "idle");
             ready -= part;
         }
     }
@@ -231,7 +231,7 @@
              scheduler->n_cycles, input->n_groups, input->n_machines, plan->n_starting,
              plan->n_waiting, plan->n_new_machines, plan->unplaced_work, plan->cost,
              scheduler->settings->tuning.heuristics[winner]);
-    if (rp_log_current() >= RP_LOG_DEBUG && scheduler->n_cycles % LOG_USE_EVERY_CYCLES == 0)
+    if (rp_log_current_level() >= RP_LOG_DEBUG && scheduler->n_cycles % LOG_USE_EVERY_CYCLES == 0)
         log_use(scheduler);
 }
 
--- a/src/scheduler/replica_preemption.c
+++ b/src/scheduler/replica_preemption.c
@@ -34,9 +34,9 @@
 
 static void note_release(struct rp_released_resources *freed,
                          const struct rp_allocation *allocation, const struct rp_job *job) {
-    rp_resources_add(&freed->room, &allocation->job->spec.each);
+    rp_resources_add(&freed->capacity, &allocation->job->spec.each);
     if (allocation->job->team == job->team)
-        rp_resources_add(&freed->team, &allocation->job->spec.each);
+        rp_resources_add(&freed->quota, &allocation->job->spec.each);
 }
 
 /* What stops under way on the machine give back before anything that is started there now. */
@@ -57,10 +57,10 @@
                                      const struct rp_released_resources *freed) {
     struct rp_resources available = rp_machine_free_resources(services->cluster, machine);
     struct rp_resources over_limit = rp_cluster_over_quota(services->cluster, job);
-    rp_resources_add(&available, &freed->room);
+    rp_resources_add(&available, &freed->capacity);
     if (!rp_resources_fit(&job->spec.each, &available))
         return LACKS_CAPACITY;
-    bool fits_quota = over_limit.cpus <= freed->team.cpus && over_limit.gpus <= freed->team.gpus;
+    bool fits_quota = over_limit.cpus <= freed->quota.cpus && over_limit.gpus <= freed->quota.gpus;
     return fits_quota ? LACKS_NOTHING : LACKS_QUOTA;
 }
 
--- a/src/scheduler/silent_machines.c
+++ b/src/scheduler/silent_machines.c
@@ -59,9 +59,9 @@
     bool is_cut_off = machine->zone >= 0 && (cut_zones >> machine->zone & 1);
     if (machine->contact.probes_failed >= PROBES && !is_cut_off &&
         !rp_fleet_is_zone_silent(services->fleet, machine->zone) &&
-        rp_ts_since(now, services->fleet->led_since) >
+        rp_ts_since(now, services->fleet->context.led_since) >
             services->settings->report_s * REPORT_FACTOR + LED_S)
-        rp_fleet_scale_in(services->fleet, machine, "silent, and replicas wait for it");
+        rp_fleet_scale_in(services->fleet, machine, "replicas_wait");
     else
         rp_probe_send(&services->workers->context, machine);
 }
--- a/src/worker/worker_context.h
+++ b/src/worker/worker_context.h
@@ -1,7 +1,7 @@
 /** @file
  * What all modules of this directory share: the parts of the node that they use, their counters,
- * and the call-back that asks for a scheduling cycle. Owned by struct rp_workers (workers.h), set
- * up by rp_workers_init, alive as long as the node. */
+ * and the call-back that asks for a scheduling cycle. Filled by the controller, owned by struct
+ * rp_workers (workers.h), alive as long as the node. */
 #ifndef RP_WORKER_WORKER_CONTEXT_H
 #define RP_WORKER_WORKER_CONTEXT_H
 
@@ -16,7 +16,7 @@
     unsigned long n_stale_heartbeats;    /* heartbeats older than what is known */
     unsigned long n_direct_commands;     /* messages to POST /do, without those that fence */
     unsigned long n_direct_unanswered;   /* of them those without a readable response */
-    unsigned long n_unknown_tasks_above; /* tasks beyond RP_UNKNOWN_TASKS_KEPT on a machine */
+    unsigned long n_unknown_tasks_above; /* tasks beyond RP_UNKNOWN_TASKS_MAX on a machine */
 };
 
 /** Passed to every function of this directory. The pointers are borrowed and never NULL. */
--- a/tests/simulation/network.c
+++ b/tests/simulation/network.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "protocol/wire.h"
+#include "protocol/worker_codec.h"
 
 #define WATCH_MARGIN_S 1.5 /* a watch without changes is answered so long before its time-out */
 #define RETRY_S 0.1        /* what can't be delivered is tried again after so long */
--- a/tests/simulation/store.c
+++ b/tests/simulation/store.c
@@ -4,7 +4,6 @@
 #include <math.h>
 #include <stdlib.h>
 #include <string.h>
-#include "protocol/wire.h"
 #include "store/records.h"
 
 #define SETTLING_S 1.5 /* after the format activation, writes under way may still be larger */
--- a/tests/simulation/users.c
+++ b/tests/simulation/users.c
@@ -4,7 +4,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "protocol/wire.h"
+#include "protocol/codec.h"
+#include "protocol/job_codec.h"
 
 void sim_send_for_user(struct sim *sim, int job, enum sim_user_op operation, int node) {
     static const char *const ends[] = {"", "", "/cancel"};
@@ -151,10 +152,10 @@
                double run_s, double cancel_at) {
     struct sim_job *job = &sim->jobs[sim->n_jobs];
     char id[32];
-    char why[128];
+    struct rp_codec_error error;
     snprintf(id, sizeof id, "j-%06d", sim->n_jobs);
     json_t *body = job_body(id, kind, tasks, cpus, run_s);
-    if (!body || !rp_job_codec_read_spec(body, &job->spec, why))
+    if (!body || !rp_job_codec_read_spec(body, &job->spec, &error))
         abort();
     job->used = true;
     job->body = json_dumps(body, JSON_COMPACT);
@@ -166,11 +167,11 @@
 
 void sim_set_field(struct sim *sim, int index, const char *field, json_t *value) {
     struct sim_job *job = &sim->jobs[index];
-    char why[128];
+    struct rp_codec_error error;
     json_t *spec = json_loads(job->body, 0, NULL);
     json_object_set_new(spec, field, value);
     rp_job_spec_free(&job->spec);
-    if (!rp_job_codec_read_spec(spec, &job->spec, why))
+    if (!rp_job_codec_read_spec(spec, &job->spec, &error))
         abort();
     free(job->body);
     job->body = json_dumps(spec, JSON_COMPACT);
--- a/tests/simulation/world.c
+++ b/tests/simulation/world.c
@@ -4,7 +4,8 @@
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
-#include "protocol/wire.h"
+#include "config/platform_file.h"
+#include "protocol/job_codec.h"
 
 bool sim_standby;
 
@@ -67,7 +68,7 @@
     if (asprintf(&text, settings_text, index, peers, sim->n_nodes, size->heartbeat_s, size->lease_s,
                  size->cancel_s, size->rps, size->write_rps, sim->announced_limits.write_rps,
                  size->cloud_rps) < 0 ||
-        rp_settings_parse(settings, text, "settings", stderr))
+        rp_platform_file_parse(settings, text, "settings", stderr))
         abort();
     sim->nodes[index].settings = text;
     rp_settings_complete(settings);
