--- a/src/jobs/job_progress.c
+++ b/src/jobs/job_progress.c
@@ -37,9 +37,13 @@
 }
 
 struct rp_stored_records rp_progress_record_as_set(struct rp_progress_record record) {
+    struct rp_stored_records records = {0};
     uint64_t set = UINT64_C(1) << record.index;
-    return record.is_unit ? (struct rp_stored_records){.units = set}
-                          : (struct rp_stored_records){.chunks = set};
+    if (record.is_unit)
+        records.units = set;
+    else
+        records.chunks = (uint32_t)set;
+    return records;
 }
 
 size_t rp_progress_record_offset(struct rp_progress_record record) {
--- a/src/scheduler/array_packing.c
+++ b/src/scheduler/array_packing.c
@@ -1,8 +1,8 @@
 #include "scheduler/array_packing.h"
 
+#include "scheduler/new_machine_packing.h"
 #include "scheduler/packing.h"
 #include "scheduler/plan_resources.h"
-#include "scheduler/provisioning.h"
 
 #define HOLDER_SHARE 1.0 /* of a fetch's time that capacity with the image is waited for */
 #define SPARE_SHARE 0.7  /* of a task's time that a machine must be in use for anyway */
@@ -107,9 +107,9 @@
     rp_array_packing_place_at_hand(packing, current, false);
     place_on_spare_capacity(packing, current);
     rp_array_packing_place_at_hand(packing, current, true);
-    rp_provisioning_place(packing, current);
+    rp_new_machine_packing_place(packing, current);
     if (current->n_left > 0 && !current->group->is_guaranteed &&
-        rp_provisioning_can_wait(packing, current))
+        rp_new_machine_packing_can_wait(packing, current))
         return;
-    rp_provisioning_place_rest(packing, current);
+    rp_new_machine_packing_place_rest(packing, current);
 }
--- a/src/scheduler/provisioning.c
+++ b/src/scheduler/new_machine_packing.c
@@ -1,4 +1,4 @@
-#include "scheduler/provisioning.h"
+#include "scheduler/new_machine_packing.h"
 
 #include <stdlib.h>
 #include "scheduler/packing.h"
@@ -7,7 +7,7 @@
 #define WAIT_SHARE 0.4        /* of a job's time to spare that may pass in waiting */
 #define NEW_MACHINES_FIRST 16 /* memory for so many in a plan at first; doubled as needed */
 
-void rp_provisioning_place(struct rp_packing *packing, struct rp_group_packing *current) {
+void rp_new_machine_packing_place(struct rp_packing *packing, struct rp_group_packing *current) {
     for (size_t i = 0; i < packing->plan->n_new_machines && current->n_left > 0; i++) {
         const struct rp_plan_offering *offering =
             &packing->input->offerings[packing->plan->new_machines[i]];
@@ -82,13 +82,14 @@
     return true;
 }
 
-void rp_provisioning_place_rest(struct rp_packing *packing, struct rp_group_packing *current) {
+void rp_new_machine_packing_place_rest(struct rp_packing *packing,
+                                       struct rp_group_packing *current) {
     while (current->n_left > 0 && !packing->plan->failed) {
         int offering = best_offering(packing, current);
         uint32_t before = current->n_left;
         if (offering < 0 || !provision_machine(packing, (size_t)offering))
             return;
-        rp_provisioning_place(packing, current);
+        rp_new_machine_packing_place(packing, current);
         if (current->n_left == before)
             return;
     }
@@ -128,7 +129,8 @@
     return usable;
 }
 
-bool rp_provisioning_can_wait(struct rp_packing *packing, const struct rp_group_packing *current) {
+bool rp_new_machine_packing_can_wait(struct rp_packing *packing,
+                                     const struct rp_group_packing *current) {
     const struct rp_plan_group *group = current->group;
     if (group->slack_s >= RP_NO_OBJECTIVE_S || WAIT_SHARE <= 0)
         return false;
