--- a/src/jobs/job_progress.c
+++ b/src/jobs/job_progress.c
@@ -42,7 +42,7 @@
     if (record.is_unit)
         records.units = set;
     else
-        records.chunks = (uint32_t)set;
+        records.chunks = set;
     return records;
 }
 
