--- a/tests/unit/test_election.c
+++ b/tests/unit/test_election.c
@@ -39,16 +39,16 @@
 static void timers_in_order(void **state) {
     struct rp_loop loop;
     struct fired fired = {.loop = &loop};
-    struct rp_timer t[5];
+    struct rp_timer timers[5];
     static const double due[] = {3, 1, 2, 5, 4};
     (void)state;
     assert_int_equal(rp_loop_init(&loop, true), 0);
     for (int i = 0; i < 5; i++) {
-        t[i] = (struct rp_timer){.fn = fire, .arg = &fired};
-        assert_int_equal(rp_timer_set(&loop, &t[i], due[i]), 0);
+        timers[i] = (struct rp_timer){.fn = fire, .arg = &fired};
+        assert_int_equal(rp_timer_set(&loop, &timers[i], due[i]), 0);
     }
-    rp_timer_cancel(&loop, &t[3]);
-    assert_int_equal(rp_timer_set(&loop, &t[1], 2.5), 0);
+    rp_timer_cancel(&loop, &timers[3]);
+    assert_int_equal(rp_timer_set(&loop, &timers[1], 2.5), 0);
     rp_loop_advance(&loop, rp_ts(10));
     assert_int_equal(fired.n, 4);
     assert_true(fired.at[0] == 2 && fired.at[1] == 2.5 && fired.at[2] == 3 && fired.at[3] == 4);
@@ -73,7 +73,7 @@
     assert_true(rp_token_bucket_has(&bucket, 1, rp_ts(105)));
 }
 
-/* Knowledge of a leader goes stale: a node cut from the state service sent workers round in
+/* Knowledge of a leader goes stale: a node cut from the key-value store sent workers round in
  * circles. */
 static void stale_leader_is_not_named(void **state) {
     struct rp_election election = {.state = RP_ELECTION_FOLLOWING,
@@ -97,7 +97,7 @@
     assert_null(rp_election_leader(&election, rp_ts(62)));
 }
 
-/* A state service that keeps what it is asked. */
+/* A key-value store that keeps what it is asked. */
 struct asked {
     int reads, writes;
     rp_answer_fn fn[64];
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -14,11 +14,11 @@
 static int parse(const char *text, size_t step, enum rp_http_role role,
                  struct rp_http_parser *parser) {
     size_t len = strlen(text);
-    size_t at = 0;
+    size_t used = 0;
     rp_http_parser_init(parser, role, 1000);
-    while (at < len && parser->state != RP_HTTP_DONE && parser->state != RP_HTTP_FAILED) {
-        size_t n = len - at < step ? len - at : step;
-        at += rp_http_parser_feed(parser, text + at, n);
+    while (used < len && parser->state != RP_HTTP_DONE && parser->state != RP_HTTP_FAILED) {
+        size_t n = len - used < step ? len - used : step;
+        used += rp_http_parser_feed(parser, text + used, n);
     }
     return parser->state == RP_HTTP_FAILED ? parser->error : parser->state == RP_HTTP_DONE ? 0 : -1;
 }
@@ -137,18 +137,18 @@
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     (void)state;
     gsl_rng_set(rng, 7);
-    for (int round = 0; round < 3000; round++) {
+    for (int trial = 0; trial < 3000; trial++) {
         char text[512] = "";
-        struct rp_http_parser a;
-        struct rp_http_parser b;
+        struct rp_http_parser whole;
+        struct rp_http_parser split;
         for (int k = 0; k < 12; k++)
             strcat(text, pieces[gsl_rng_uniform_int(rng, sizeof pieces / sizeof pieces[0])]);
         size_t step = 1 + gsl_rng_uniform_int(rng, 9);
-        assert_int_equal(parse(text, sizeof text, RP_HTTP_REQUEST, &a),
-                         parse(text, step, RP_HTTP_REQUEST, &b));
-        assert_int_equal(a.body_len, b.body_len);
-        rp_http_parser_free(&a);
-        rp_http_parser_free(&b);
+        assert_int_equal(parse(text, sizeof text, RP_HTTP_REQUEST, &whole),
+                         parse(text, step, RP_HTTP_REQUEST, &split));
+        assert_int_equal(whole.body_len, split.body_len);
+        rp_http_parser_free(&whole);
+        rp_http_parser_free(&split);
     }
     gsl_rng_free(rng);
 }
@@ -159,16 +159,16 @@
 }
 
 static int connect_to(const char *addr) {
-    struct sockaddr_in sa = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
-    sa.sin_port = htons((uint16_t)atoi(strchr(addr, ':') + 1));
+    struct sockaddr_in address = {.sin_family = AF_INET, .sin_addr.s_addr = htonl(INADDR_LOOPBACK)};
+    address.sin_port = htons((uint16_t)strtol(strchr(addr, ':') + 1, NULL, 10));
     int fd = socket(AF_INET, SOCK_STREAM, 0);
     assert_at_least(fd, 0);
-    assert_int_equal(connect(fd, (struct sockaddr *)&sa, sizeof sa), 0);
+    assert_int_equal(connect(fd, (struct sockaddr *)&address, sizeof address), 0);
     return fd;
 }
 
 /* Connections that workers and users have left open kept a node that is full from taking others,
- * health checks among them: the one idle for longest makes room. */
+ * health checks among them: the one idle for longest is closed for them. */
 static void idle_connections_make_room(void **state) {
     struct rp_loop loop;
     struct rp_http_server server;
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -1,4 +1,4 @@
-/* Questions that share a request to the state service, and final states that need none. */
+/* Questions that share a request to the key-value store, and final states that need none. */
 #include "test.h"
 
 #include <jansson.h>
@@ -8,7 +8,7 @@
 #define CALLS_MAX 16
 #define RPS 10.0 /* on one node: 5.4 questions a second, the first 4 at once */
 
-/* A state service that keeps what it is asked, and answers when told. */
+/* A key-value store that keeps what it is asked, and answers when told. */
 struct service {
     size_t n;
     struct {
--- a/tests/unit/test_plan.c
+++ b/tests/unit/test_plan.c
@@ -14,12 +14,12 @@
         .type = type, .spot = spot, .price = price, .boot_s = 30, .capacity = {cpus, 0, cpus * 4}};
 }
 
-static struct rp_plan_machine machine(int type, double cpus, double room) {
+static struct rp_plan_machine machine(int type, double cpus, double free_cpus) {
     return (struct rp_plan_machine){.type = type,
                                     .price = 1,
                                     .capacity = {cpus, 0, cpus * 4},
-                                    .free_now = {room, 0, cpus * 4},
-                                    .free_later = {room, 0, cpus * 4},
+                                    .free_now = {free_cpus, 0, cpus * 4},
+                                    .free_later = {free_cpus, 0, cpus * 4},
                                     .free_later_after_s = 30};
 }
 
@@ -314,8 +314,8 @@
     gsl_rng_free(rng);
 }
 
-/* Under a load that lasts, those about to be late took the room of those that could be in time: the
- * largest is given up instead, and its first task begins all the same. */
+/* Under a load that lasts, those about to be late took the capacity of those that could be in time:
+ * the largest is given up instead, and its first task begins all the same. */
 static void gives_up_the_largest(void **state) {
     enum { MACHINES = 40 };
     struct rp_plan_machine machines[MACHINES];
@@ -348,7 +348,8 @@
     rp_plan_free(&plan);
 }
 
-/* A machine kept for a gang is for nobody else; the gang itself starts once all of them have room.
+/* A machine kept for a gang is for nobody else; the gang itself starts once all of them have
+ * capacity.
  */
 static void kept_machines(void **state) {
     struct rp_plan_machine machines[] = {machine(0, 8, 8), machine(0, 8, 0), machine(0, 8, 8)};
@@ -399,27 +400,27 @@
     rp_plan_free(&plan);
 }
 
-/* Under overload a round of hundreds of groups on a fleet without room looks at each machine a few
- * times, not once for every group. */
+/* Under overload a cycle with hundreds of groups on a fleet without capacity looks at each machine
+ * a few times, not once for every group. */
 static void full_machines_are_not_looked_at(void **state) {
     enum { MACHINES = 1300, GROUPS = 600 };
-    struct rp_plan_machine *m = calloc(MACHINES, sizeof *m);
-    struct rp_plan_group *g = calloc(GROUPS, sizeof *g);
+    struct rp_plan_machine *machines = calloc(MACHINES, sizeof *machines);
+    struct rp_plan_group *groups = calloc(GROUPS, sizeof *groups);
     struct rp_plan plan;
     (void)state;
     for (int i = 0; i < MACHINES; i++) {
-        m[i] = machine(0, 8, 8);
-        m[i].free_now.cpus = m[i].free_later.cpus = i < 40 ? 8 : 0.5;
+        machines[i] = machine(0, 8, 8);
+        machines[i].free_now.cpus = machines[i].free_later.cpus = i < 40 ? 8 : 0.5;
     }
     for (int i = 0; i < GROUPS; i++)
-        g[i] = group(100, 1, 30);
-    struct rp_plan_input planned = input(NULL, 0, m, MACHINES, g, GROUPS);
+        groups[i] = group(100, 1, 30);
+    struct rp_plan_input planned = input(NULL, 0, machines, MACHINES, groups, GROUPS);
     rp_plan_build(&planned, fcfs_sm, &plan);
     assert_int_equal(plan.n_starting, 320);
     assert_true(plan.n_machines_examined > 0 && plan.n_machines_examined < 1000);
     rp_plan_free(&plan);
-    free(m);
-    free(g);
+    free(machines);
+    free(groups);
 }
 
 /* However many gangs there are, the only class of arrays has its small jobs first while there is
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -103,7 +103,7 @@
     rp_settings_free(&settings);
 }
 
-/* Limits of the state service that are to come: what fits both is used; a bad one is named. */
+/* Limits of the key-value store that are to come: what fits both is used; a bad one is named. */
 static void limits_to_come(void **state) {
     static const struct {
         const char *next, *told;
@@ -122,9 +122,9 @@
         char text[2048];
         char with[2400];
         snprintf(text, sizeof text, platform, 14.0, 39.0, "56");
-        char *at = strstr(text, "\"txn_ops\":8") + strlen("\"txn_ops\":8");
-        snprintf(with, sizeof with, "%.*s,\"next\":%s%s", (int)(at - text), text, cases[i].next,
-                 at);
+        char *insertion = strstr(text, "\"txn_ops\":8") + strlen("\"txn_ops\":8");
+        snprintf(with, sizeof with, "%.*s,\"next\":%s%s", (int)(insertion - text), text,
+                 cases[i].next, insertion);
         FILE *errors = fmemopen(told, sizeof told, "w");
         memset(told, 0, sizeof told);
         int mistakes = rp_platform_file_parse(&settings, with, "p", errors);
@@ -153,24 +153,31 @@
     rp_settings_free(&settings);
 }
 
+/* Whether these settings are accepted; if so, their staleness bound keeps cancel_s, and if not, the
+ * mistake names it. */
+static bool staleness_fits(double lease_s, double cancel_s) {
+    struct rp_settings settings;
+    bool accepted = read_platform(lease_s, cancel_s, "56", &settings) == 0;
+    if (accepted) {
+        double max_staleness_s = rp_settings_max_staleness_s(&settings);
+        assert_more_than(max_staleness_s, settings.tuning.leader_ttl_s);
+        assert_less_than((max_staleness_s + lease_s) * 1.001 + 3, cancel_s);
+    } else {
+        assert_non_null(strstr(told, "cancel_s"));
+    }
+    rp_settings_free(&settings);
+    return accepted;
+}
+
 /* What a leader that hears of no cancellation renews last is over within cancel_s of any that it
- * can't know of; and news that come as they should are never too old. */
+ * can't know of; and changes that come as they should are never too old. */
 static void news_bound_keeps_cancellations(void **state) {
     struct rp_settings settings;
     int sound = 0;
     (void)state;
     for (double lease = 4; lease < 60; lease *= 1.3)
-        for (double more = 1; more < 60; more *= 1.2) {
-            if (read_platform(lease, lease + more, "56", &settings) == 0) {
-                double news = rp_settings_max_staleness_s(&settings);
-                sound++;
-                assert_more_than(news, settings.tuning.leader_ttl_s);
-                assert_less_than((news + lease) * 1.001 + 3, lease + more);
-            } else {
-                assert_non_null(strstr(told, "cancel_s"));
-            }
-            rp_settings_free(&settings);
-        }
+        for (double more = 1; more < 60; more *= 1.2)
+            sound += staleness_fits(lease, lease + more);
     assert_at_least(sound, 100);
     assert_int_equal(read_platform(14, 39, "56", &settings), 0);
     assert_true(rp_settings_max_staleness_s(&settings) == settings.tuning.leader_ttl_s + 4.5);
@@ -202,7 +209,7 @@
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     (void)state;
     gsl_rng_set(rng, 13);
-    for (int round = 0; round < 5000; round++) {
+    for (int trial = 0; trial < 5000; trial++) {
         char text[256] = "";
         struct rp_tuning tuning;
         for (int k = 0; k < 8; k++)
--- a/tests/unit/test_stream.c
+++ b/tests/unit/test_stream.c
@@ -64,46 +64,50 @@
     free(text);
 }
 
+/* Messages, each with the fault and the field that a reader names. */
+static const struct {
+    const char *text;
+    enum rp_stream_fault fault;
+    const char *field;
+} faulty_messages[] = {
+    {"", RP_STREAM_NOT_JSON, ""},
+    {"[1]", RP_STREAM_NOT_JSON, ""},
+    {"{\"term\":1}", RP_STREAM_BAD_FIELD, "v"},
+    {"{\"v\":2}", RP_STREAM_OTHER_VERSION, "v"},
+    {"{\"v\":1,\"term\":-1}", RP_STREAM_BAD_FIELD, "term"},
+    {"{\"v\":1,\"term\":1,\"index\":\"x\"}", RP_STREAM_BAD_FIELD, "index"},
+    {"{\"v\":1,\"term\":1,\"index\":0,\"leader\":3}", RP_STREAM_BAD_FIELD, "leader"},
+    {"{\"v\":1,\"term\":1,\"index\":0,\"leader\":\"\",\"silent_s\":-1}", RP_STREAM_BAD_FIELD,
+     "silent_s"},
+    {"{\"v\":1,\"term\":1,\"index\":0,\"leader\":\"\",\"silent_s\":0}", RP_STREAM_BAD_FIELD,
+     "changes"},
+    {"{\"v\":1,\"term\":1,\"index\":9,\"leader\":\"\",\"silent_s\":0,\"changes\":[[1]]}",
+     RP_STREAM_BAD_FIELD, "machine"},
+    {"{\"v\":1,\"term\":1,\"index\":9,\"leader\":\"\",\"silent_s\":0,\"changes\":[[\"m\",\"\","
+     "1]]}",
+     RP_STREAM_BAD_FIELD, "addr"},
+    {"{\"v\":1,\"term\":1,\"index\":9,\"leader\":\"\",\"silent_s\":0,\"changes\":[[\"m\",\"a\","
+     "0]]}",
+     RP_STREAM_BAD_FIELD, "session"},
+    {"{\"v\":1,\"term\":1,\"index\":0,\"leader\":\"\",\"silent_s\":0,\"changes\":[[\"m\"]]}",
+     RP_STREAM_BAD_FIELD, "index"},
+    {"{\"v\":1,\"term\":1,\"index\":0,\"leader\":\"\",\"silent_s\":0,\"snapshot\":\"00ff\"}",
+     RP_STREAM_BAD_COMPRESSION, "snapshot"},
+    {"{\"v\":1,\"term\":1,\"index\":9,\"leader\":\"\",\"silent_s\":0,\"changes\":[[\"m\",\"x\"]"
+     "]}",
+     RP_STREAM_BAD_FIELD, "returning"},
+};
+
 static void faults_are_named(void **state) {
-    static const struct {
-        const char *text;
-        enum rp_stream_fault fault;
-        const char *field;
-    } cases[] = {
-        {"", RP_STREAM_NOT_JSON, ""},
-        {"[1]", RP_STREAM_NOT_JSON, ""},
-        {"{\"term\":1}", RP_STREAM_BAD_FIELD, "v"},
-        {"{\"v\":2}", RP_STREAM_OTHER_VERSION, "v"},
-        {"{\"v\":1,\"term\":-1}", RP_STREAM_BAD_FIELD, "term"},
-        {"{\"v\":1,\"term\":1,\"index\":\"x\"}", RP_STREAM_BAD_FIELD, "index"},
-        {"{\"v\":1,\"term\":1,\"index\":0,\"leader\":3}", RP_STREAM_BAD_FIELD, "leader"},
-        {"{\"v\":1,\"term\":1,\"index\":0,\"leader\":\"\",\"silent_s\":-1}", RP_STREAM_BAD_FIELD,
-         "silent_s"},
-        {"{\"v\":1,\"term\":1,\"index\":0,\"leader\":\"\",\"silent_s\":0}", RP_STREAM_BAD_FIELD,
-         "changes"},
-        {"{\"v\":1,\"term\":1,\"index\":9,\"leader\":\"\",\"silent_s\":0,\"changes\":[[1]]}",
-         RP_STREAM_BAD_FIELD, "machine"},
-        {"{\"v\":1,\"term\":1,\"index\":9,\"leader\":\"\",\"silent_s\":0,\"changes\":[[\"m\",\"\","
-         "1]]}",
-         RP_STREAM_BAD_FIELD, "addr"},
-        {"{\"v\":1,\"term\":1,\"index\":9,\"leader\":\"\",\"silent_s\":0,\"changes\":[[\"m\",\"a\","
-         "0]]}",
-         RP_STREAM_BAD_FIELD, "session"},
-        {"{\"v\":1,\"term\":1,\"index\":0,\"leader\":\"\",\"silent_s\":0,\"changes\":[[\"m\"]]}",
-         RP_STREAM_BAD_FIELD, "index"},
-        {"{\"v\":1,\"term\":1,\"index\":0,\"leader\":\"\",\"silent_s\":0,\"snapshot\":\"00ff\"}",
-         RP_STREAM_BAD_COMPRESSION, "snapshot"},
-        {"{\"v\":1,\"term\":1,\"index\":9,\"leader\":\"\",\"silent_s\":0,\"changes\":[[\"m\",\"x\"]"
-         "]}",
-         RP_STREAM_BAD_FIELD, "returning"},
-    };
     (void)state;
-    for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++) {
+    for (size_t i = 0; i < sizeof faulty_messages / sizeof faulty_messages[0]; i++) {
         struct rp_stream_message message;
         struct rp_stream_error error;
-        assert_false(rp_stream_decode(cases[i].text, strlen(cases[i].text), &message, &error));
-        if (error.fault != cases[i].fault || strcmp(error.field, cases[i].field) != 0)
-            fail_msg("%s: %s, field=%s", cases[i].text, rp_stream_fault_name(error.fault),
+        assert_false(rp_stream_decode(faulty_messages[i].text, strlen(faulty_messages[i].text),
+                                      &message, &error));
+        if (error.fault != faulty_messages[i].fault ||
+            strcmp(error.field, faulty_messages[i].field) != 0)
+            fail_msg("%s: %s, field=%s", faulty_messages[i].text, rp_stream_fault_name(error.fault),
                      error.field);
     }
 }
@@ -164,7 +168,7 @@
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     struct rp_change_log log = {0};
     struct rp_machine_directory *directory = calloc(1, sizeof *directory);
-    bool up[200] = {false};
+    bool is_up[200] = {false};
     size_t n_up = 0;
     (void)state;
     assert_non_null(directory);
@@ -173,11 +177,11 @@
     directory->term = 3;
     for (int i = 0; i < 30000; i++) {
         unsigned machine = (unsigned)gsl_rng_uniform_int(rng, 200);
-        struct rp_change change = change_of(machine, up[machine]);
+        struct rp_change change = change_of(machine, is_up[machine]);
         struct rp_stream_message message = {0};
         rp_change_log_add(&log, &change);
-        up[machine] = !up[machine];
-        n_up += up[machine] ? 1 : (size_t)-1;
+        is_up[machine] = !is_up[machine];
+        n_up += is_up[machine] ? 1 : (size_t)-1;
         if (i % 40 || !rp_change_log_since(&log, directory->index, &message))
             continue;
         if (gsl_rng_uniform_int(rng, 3) > 0)
@@ -191,7 +195,7 @@
     assert_int_equal(directory->index, log.index);
     assert_int_equal(directory->n_machines, n_up);
     for (unsigned m = 0; m < 200; m++)
-        assert_true(up[m] ==
+        assert_true(is_up[m] ==
                     (rp_machine_directory_find(directory, change_of(m, true).machine) != NULL));
     rp_machine_directory_free(directory);
     rp_change_log_free(&log);
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -20,24 +20,24 @@
 static bool reads(const char *text) {
     struct rp_job_spec spec;
     struct rp_codec_error error;
-    bool ok = rp_user_codec_parse_submission(text, strlen(text), &spec, &error);
+    bool is_read = rp_user_codec_parse_submission(text, strlen(text), &spec, &error);
     rp_job_spec_free(&spec);
-    return ok;
+    return is_read;
 }
 
 /* `good` with the value of a field replaced. */
 static bool reads_with(const char *field, const char *value) {
-    json_t *v = json_loads(good, 0, NULL);
-    json_t *x = value ? json_loads(value, JSON_DECODE_ANY, NULL) : NULL;
+    json_t *submission = json_loads(good, 0, NULL);
+    json_t *replacement = value ? json_loads(value, JSON_DECODE_ANY, NULL) : NULL;
     if (value)
-        json_object_set_new(v, field, x);
+        json_object_set_new(submission, field, replacement);
     else
-        json_object_del(v, field);
-    char *text = json_dumps(v, 0);
-    bool ok = reads(text);
+        json_object_del(submission, field);
+    char *text = json_dumps(submission, 0);
+    bool is_read = reads(text);
     free(text);
-    json_decref(v);
-    return ok;
+    json_decref(submission);
+    return is_read;
 }
 
 static void submissions(void **state) {
@@ -54,9 +54,9 @@
     /* The stored form reads back the same. */
     json_t *stored = rp_record_open(&spec, rp_ts(12.5));
     struct rp_job_spec again;
-    struct timespec at;
-    assert_true(rp_record_open_read(stored, &again, &at));
-    assert_true(rp_ts_s(at) == 12.5 && again.each.cpus == 8 && again.n_types == 1);
+    struct timespec submitted_at;
+    assert_true(rp_record_open_read(stored, &again, &submitted_at));
+    assert_true(rp_ts_s(submitted_at) == 12.5 && again.each.cpus == 8 && again.n_types == 1);
     assert_string_equal(again.types[0], "g8");
     rp_job_spec_free(&again);
     rp_job_spec_free(&spec);
@@ -103,20 +103,20 @@
 /* Bytes changed at random in good messages: read or refused, never a crash or a leak; what is read
  * stays within its limits. */
 static void mutated_messages(void **state) {
-    static const char report[] =
+    static const char heartbeat_text[] =
         "{\"sheave\":\"vm-1\",\"address\":\"a:1\",\"frame\":\"g8\",\"yard\":\"a\",\"loaners\":true,"
         "\"stint\":1,\"tick\":88,\"warrant\":41,\"recall_s\":null,\"lifts\":[{\"lift\":"
         "\"j-000412/3\",\"pull\":2,\"tension\":\"exited\",\"slack_reason\":\"done\"}]}";
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     (void)state;
     gsl_rng_set(rng, 17);
-    for (int round = 0; round < 20000; round++) {
-        bool job = round % 2;
+    for (int trial = 0; trial < 20000; trial++) {
+        bool job = trial % 2;
         char text[1024];
         struct rp_codec_error error;
         struct rp_job_spec spec;
         struct rp_heartbeat heartbeat;
-        strcpy(text, job ? good : report);
+        strcpy(text, job ? good : heartbeat_text);
         size_t len = strlen(text);
         for (unsigned k = 0; k <= gsl_rng_uniform_int(rng, 3); k++)
             text[gsl_rng_uniform_int(rng, len)] = (char)(32 + gsl_rng_uniform_int(rng, 96));
@@ -185,9 +185,9 @@
 
 /* ---- the version in production ---- */
 
-/* Records as version 0.1.0 (commit f31ac04) wrote them: taken from the state service of a simulated
- * day of its nodes. Until the activation this version writes the same, to the letter of their
- * meaning; it reads them always. */
+/* Records as version 0.1.0 (commit f31ac04) wrote them: taken from the key-value store of a
+ * simulated day of its nodes. Until the activation this version writes the same, to the letter of
+ * their meaning; it reads them always. */
 static const char *const production_job =
     "{\"spec\":{\"ref\":\"j-000001\",\"rig\":\"g\",\"crew\":\"t\",\"haul\":\"ensemble\","
     "\"precedence\":\"urgent\",\"lifts\":2,\"vcpus\":8.0,\"cards\":0.0,\"memory_gb\":2.0,"
@@ -206,41 +206,49 @@
     json_decref(written);
 }
 
-static void records_of_production(void **state) {
+static void job_of_production(void) {
     struct rp_job_spec spec;
-    struct timespec at;
-    struct rp_provision_record record;
-    const char *names[] = {"vm-000006", "vm-000007"};
-    const bool up[] = {true, false};
-    uint8_t bits[RP_CHUNK_BYTES] = {0x0f, 0xa0, 1};
-    uint8_t back[RP_CHUNK_BYTES] = {0};
-    enum rp_job_phase phase;
-    (void)state;
+    struct timespec submitted_at;
     json_t *value = json_loads(production_job, 0, NULL);
-    assert_true(rp_record_open_read(value, &spec, &at));
+    assert_true(rp_record_open_read(value, &spec, &submitted_at));
     assert_true(spec.kind == RP_JOB_GANG && spec.n_tasks == 2 && spec.one_zone && spec.spot);
     json_decref(value);
-    value = rp_record_open(&spec, at);
+    value = rp_record_open(&spec, submitted_at);
     assert_int_equal(rp_record_format(value), 1);
     /* The time of day goes through a struct timespec: the same within a microsecond. */
     assert_true(fabs(json_number_value(json_object_get(value, "at")) - 1796179601.6135132) < 1e-6);
     json_object_set_new(value, "at", json_real(1796179601.6135132));
     same(value, production_job);
     rp_job_spec_free(&spec);
-    value = json_loads(production_rental, 0, NULL);
+}
+
+static void provision_request_of_production(void) {
+    struct rp_provision_record record;
+    const char *names[] = {"vm-000006", "vm-000007"};
+    const bool is_up[] = {true, false};
+    json_t *value = json_loads(production_rental, 0, NULL);
     assert_true(rp_record_provision_read(value, &record) && record.answered && record.count == 2);
     assert_true(rp_record_provision_is_up(value, names[0]) &&
                 !rp_record_provision_is_up(value, names[1]));
     json_decref(value);
-    value = rp_record_provision(&record, names, up, 2);
+    value = rp_record_provision(&record, names, is_up, 2);
     json_object_set_new(value, "asked", json_real(1796179601.61427));
     same(value, production_rental);
+}
+
+static void records_of_production(void **state) {
+    uint8_t bits[RP_CHUNK_BYTES] = {0x0f, 0xa0, 1};
+    uint8_t back[RP_CHUNK_BYTES] = {0};
+    enum rp_job_phase phase;
+    (void)state;
+    job_of_production();
+    provision_request_of_production();
     same(rp_record_terminal(RP_JOB_DONE), "{\"end\":\"done\"}");
     same(rp_record_terminal(RP_JOB_CANCELLED), "{\"end\":\"cancelled\"}");
     const struct rp_leader_record leader = {.node = "n0"};
     same(rp_record_leader(&leader), "{\"node\":\"n0\"}");
     same(rp_record_progress(bits, sizeof bits), "{\"done\":\"0fa001\"}");
-    value = json_loads("{\"done\":\"0fa001\"}", 0, NULL);
+    json_t *value = json_loads("{\"done\":\"0fa001\"}", 0, NULL);
     assert_true(rp_record_progress_read(value, back, sizeof back) && memcmp(bits, back, 3) == 0);
     json_decref(value);
     value = json_loads("{\"end\":\"cancelled\"}", 0, NULL);
@@ -254,7 +262,7 @@
 /* What nodes of format 1 read of marked records, and that they pass new keys over. */
 static void records_of_today(void **state) {
     struct rp_job_spec spec;
-    struct timespec at;
+    struct timespec submitted_at;
     json_t *pieces[RP_PARTS_MAX];
     char job[RP_ID_MAX];
     unsigned part;
@@ -262,7 +270,7 @@
     json_t *value = json_loads(production_job, 0, NULL);
     rp_record_mark(value);
     assert_int_equal(rp_record_format(value), RP_FORMAT);
-    assert_true(rp_record_open_read(value, &spec, &at));
+    assert_true(rp_record_open_read(value, &spec, &submitted_at));
     rp_job_spec_free(&spec);
     for (size_t most = 160; most < 1000; most += 37) {
         size_t n = rp_record_cut(value, most, pieces, RP_PARTS_MAX);
@@ -277,7 +285,7 @@
     }
     assert_int_equal(rp_record_cut(value, 160, pieces, 2), 0);
     json_object_set_new(value, "f", json_integer(RP_FORMAT + 1));
-    assert_false(rp_record_open_read(value, &spec, &at));
+    assert_false(rp_record_open_read(value, &spec, &submitted_at));
     json_decref(value);
     assert_true(rp_key_part_read(RP_KEY_PART "j-1/03", job, &part) && part == 3);
     assert_false(rp_key_part_read(RP_KEY_PART "j-1/64", job, &part));
