--- a/tests/simulation/rules.c
+++ b/tests/simulation/rules.c
@@ -14,7 +14,7 @@
 #define ANSWERED_WITHIN_S                                                                          \
     75.0                     /* a job that no question about is answered for so long is forgotten */
 #define BEGUN_WITHIN_S 240.0 /* every job begins by then */
-#define PLACED_WITHIN_S 90.0 /* no job waits longer while there is room for it */
+#define PLACED_WITHIN_S 90.0 /* no job waits longer while there is capacity for it */
 #define REPLICA_DOWN_S 90.0  /* and no replica of a service is missing for longer */
 
 /* Its machine is the cluster's, and hasn't crashed. */
@@ -249,7 +249,7 @@
     }
 }
 
-/* How many of the job's tasks there is room for, in one zone if it must be. */
+/* How many of the job's tasks there is capacity for, in one zone if it must be. */
 static unsigned tasks_that_fit(const struct sim *sim, const struct capacity_survey *survey,
                                const struct rp_job_spec *spec) {
     unsigned in_zone[2] = {0};
--- a/tests/simulation/sim.h
+++ b/tests/simulation/sim.h
@@ -1,6 +1,6 @@
-/* A small world for whole nodes: stand-ins of the state service, the cloud, workers and users that
- * speak the published protocol, a network that loses, delays, repeats and reorders, and the rules,
- * checked after each step. Everything follows from the seed. */
+/* A small world for whole nodes: stand-ins of the key-value store, the cloud, workers and users
+ * that speak the published protocol, a network that loses, delays, repeats and reorders, and the
+ * rules, checked after each step. Everything follows from the seed. */
 #ifndef RP_SIM_H
 #define RP_SIM_H
 
@@ -25,17 +25,18 @@
     double delay;           /* the request is carried out seconds later, its answer is lost */
     double duplicate;       /* a copy of the request is carried out once more, later */
     double crash_s;         /* mean time between crashes of some node, 0: none */
-    double store_outage_s;  /* mean time between outages of the state service */
-    double store_refusal_s; /* mean time between single nodes' cuts from the state service */
+    double store_outage_s;  /* mean time between outages of the key-value store */
+    double store_refusal_s; /* mean time between single nodes' cuts from the key-value store */
     double pause_s;         /* mean time between hangs of some worker */
     double machine_crash_s; /* mean time between deaths of some worker */
     double node_pause_s;    /* mean time between stalls of some node */
     double spot_notice_s;   /* mean time between takings of some spot machine, most with notice */
     double task_error;      /* chance that a task fails */
-    double late_duplicate;  /* chance that a report's copy comes, seconds to several leases late */
+    double
+        late_duplicate; /* chance that a heartbeat's copy comes, seconds to several leases late */
     double one_way_partition_s; /* mean time until some machine's answers stop coming, though its
-                                   reports go */
-    double partitioned_node_s;  /* mean time until a node loses state service and nodes, not the
+                                   heartbeats go */
+    double partitioned_node_s;  /* mean time until a node loses key-value store and nodes, not the
                                    workers */
     double
         fast_restart_s; /* mean time between ends of processes and machines that are back at once */
@@ -43,12 +44,13 @@
         unreachable_s; /* mean time until some machine reaches no node; direct commands reach it */
     double peer_partition_s;  /* mean time until nodes can't connect to one another for a while */
     double invalid_request_s; /* mean time between requests that are wrong in some way */
-    double slow_store;        /* share of the state service's answers that take up to 1.4 s */
+    double slow_store;        /* share of the key-value store's answers that take up to 1.4 s */
     double delayed_write;     /* a transaction gets no answer, and is carried out 2 to 12 s later */
     double dropped_answer;    /* a transaction is carried out at once, only its answer is lost */
-    double held_duplicate; /* a report's copy comes to every node just as the next leader begins */
-    double boot_failure;   /* a machine stays booting, and charged, until it is given back */
-    double fast_boot;      /* a machine is up within two seconds */
+    double
+        held_duplicate;  /* a heartbeat's copy comes to every node just as the next leader begins */
+    double boot_failure; /* a machine stays booting, and charged, until it is given back */
+    double fast_boot;    /* a machine is up within two seconds */
     double replica_exit_s; /* mean time until some replica of a service ends by itself */
 };
 
@@ -66,7 +68,7 @@
     SIM_WORKERS_KEEP_TASKS, /* a lease's end kills nothing */
     SIM_STORE_IGNORES_CONDITIONS,
     SIM_WORKERS_IGNORE_STOPS,  /* cancelled tasks go on */
-    SIM_DUPLICATES_LOOK_NEW,   /* copies of reports carry a number above all others */
+    SIM_DUPLICATES_LOOK_NEW,   /* copies of heartbeats carry a number above all others */
     SIM_POLLS_ARE_DROPPED,     /* no question about the first job is answered */
     SIM_LARGE_NEVER_BEGIN,     /* tasks of the largest jobs fetch their image for ever */
     SIM_REPLICAS_NEVER_START,  /* services' tasks fetch their image for ever */
@@ -103,7 +105,7 @@
  * What happens in the world doesn't depend on it. */
 extern void (*sim_observer)(const struct sim_message *message);
 
-/* What the state service takes; 0: as its settings say. */
+/* What the key-value store takes; 0: as its settings say. */
 struct sim_limits {
     double value_bytes, txn_ops, write_rps;
 };
@@ -128,17 +130,17 @@
     bool spot;
     bool fails_tasks; /* fails whatever starts on it */
     double provisioned_at, boots_at, paused_until;
-    double one_way_partition_until; /* its reports arrive, answers and direct commands don't */
+    double one_way_partition_until; /* its heartbeats arrive, answers and direct commands don't */
     double unreachable_until;       /* it reaches no node, direct commands reach it */
     double reclaimed_at;            /* 0: not to be taken */
     uint64_t incarnation, sequence_number, fencing_token;
-    double renewed_at; /* when the last answered report was sent */
+    double renewed_at; /* when the last answered heartbeat was sent */
     struct sim_task tasks[SIM_TASKS];
     int n_tasks;
-    int node; /* reports to */
+    int node; /* gets its heartbeats */
     bool heartbeat_in_flight;
     double sent_at, next_heartbeat_at;
-    uint64_t heartbeat_number; /* number of the report in flight */
+    uint64_t heartbeat_number; /* number of the heartbeat in flight */
     bool changed;
     double exited_at; /* when a task last exited with nothing started since; 0: none */
 };
@@ -156,7 +158,7 @@
     double stagger_s;                     /* each task runs so much longer than the one before it */
     bool cancel_at_end, cancel_on_acceptance;
     bool cancel_again;                /* when it is over already */
-    double placeable_since;           /* it waits though there is room; 0: it doesn't */
+    double placeable_since;           /* it waits though there is capacity; 0: it doesn't */
     double down_since[SIM_JOB_TASKS]; /* of a replica; 0: it runs */
     double down_s, up_s;              /* replicas' time, summed up, from 10 s after acceptance on */
 };
@@ -171,7 +173,7 @@
     bool restarts_as_old; /* once it has ended */
     char *settings;       /* its settings file */
     double clock_drift, clock_offset_s, restarts_at, paused_until, store_refusal_until;
-    double partitioned_until; /* cut from the state service and the other nodes */
+    double partitioned_until; /* cut from the key-value store and the other nodes */
 };
 
 struct sim_key {
@@ -210,7 +212,7 @@
     double format_active_at;            /* 0: not yet */
     double write_tokens, write_tokens_at;
     unsigned long n_oversized_writes, n_rate_limited_writes, n_direct;
-    double faults_ended_at; /* all troubles are over, 0: they aren't */
+    double faults_ended_at; /* all faults are over, 0: they aren't */
     enum sim_breakage breakage;
     struct rp_settings settings[SIM_NODES_MAX];
     struct sim_node nodes[SIM_NODES_MAX];
@@ -224,11 +226,11 @@
     json_t *change_log; /* changes, for watches */
     double store_outage_until;
     double cloud_outage_until;
-    int delayed_worker;          /* 1 + the worker whose reports are held back, 0: none */
+    int delayed_worker;          /* 1 + the worker whose heartbeats are held back, 0: none */
     double delayed_until;        /* and arrive then */
     int partitioned_zone;        /* 1 + the zone whose machines reach no node, 0: none */
     int node_in_partition;       /* 1 + the node that is cut off with that zone, 0: none */
-    int node_without_heartbeats; /* 1 + the node that no report reaches, 0: none */
+    int node_without_heartbeats; /* 1 + the node that no heartbeat reaches, 0: none */
     double peer_partition_until; /* no node can connect to another */
     bool has_eager_users;        /* users ask twenty times as often */
     bool has_concurrent_reads;   /* users look at all nodes after each change of a job */
@@ -241,7 +243,7 @@
     unsigned long n_starts, n_done_jobs, n_task_errors;
     uint64_t started_token; /* the highest token under which a worker has accepted a start, */
     double started_at;      /* and when it accepted the first one */
-    /* Counted, so that tests can tell that a trouble came about. */
+    /* Counted, so that tests can tell that a fault came about. */
     unsigned long n_delayed_writes, n_dropped_answers, n_held_duplicates, n_held_delivered,
         n_leaders, n_concurrent_reads;
     unsigned long n_invalid_requests, n_invalid_refused, n_cancelled_at_end,
@@ -261,13 +263,13 @@
 struct sim *sim_new_sized(unsigned long seed, const struct sim_faults *faults,
                           enum sim_breakage breakage, int n_nodes, const struct sim_size *size);
 /* A world whose nodes are processes of their own: it goes on by sim_step alone, and is told of what
- * they ask the state service ("state"), the cloud ("cloud") or a worker (by its name). */
+ * they ask the key-value store ("state"), the cloud ("cloud") or a worker (by its name). */
 struct sim *sim_new_remote(unsigned long seed, int n_nodes, const struct sim_size *size,
                            const struct sim_remote *remote);
 void sim_step(struct sim *sim, double now);
 void sim_remote_request(struct sim *sim, const char *addr, const char *method, const char *target,
                         const char *body, rp_answer_fn fn, void *arg);
-/* Ends all troubles: from now on every accepted job must be known and begin in time. */
+/* Ends all faults: from now on every accepted job must be known and begin in time. */
 void sim_end_faults(struct sim *sim);
 /* At the end of a day: notes a broken rule if under half of a class or of its largest jobs has been
  * served. */
@@ -291,9 +293,9 @@
 void sim_upgrade(struct sim *sim, int index, double back_s);
 /* Makes all nodes of the version before, at the beginning of a day. */
 void sim_start_as_old_version(struct sim *sim);
-/* The state service takes less from now on: what the settings announce. */
+/* The key-value store takes less from now on: what the settings announce. */
 void sim_lower_limits(struct sim *sim);
-/* A record that stands in the state service from before. */
+/* A record that stands in the key-value store from before. */
 void sim_put_record(struct sim *sim, const char *key, const char *text);
 const json_t *sim_find_record(struct sim *sim, const char *key);
 /* Whether some record of progress holds the task's result. */
--- a/tests/simulation/test_combined_leaders.c
+++ b/tests/simulation/test_combined_leaders.c
@@ -33,8 +33,8 @@
 
 /* The first answers of a new leader came without stops, and renewed the leases of cancelled tasks:
  * a machine that hung right then ran them for one more lease. Here the old leader is refused by the
- * state service, an outage gives its key another 10 s, and its workers still hold their leases when
- * the new one begins, more than cancel_s - lease_s after the cancellations. */
+ * key-value store, an outage gives its key another 10 s, and its workers still hold their leases
+ * when the new one begins, more than cancel_s - lease_s after the cancellations. */
 static void first_answers_carry_stops(void **state) {
     int hung = 0;
     (void)state;
@@ -178,7 +178,7 @@
     assert_at_least(late, 100);
 }
 
-/* A node loses the state service and the other nodes, not its workers and users, and jobs are
+/* A node loses the key-value store and the other nodes, not its workers and users, and jobs are
  * cancelled through the new leader. */
 static void partitioned_leader_and_cancellations(void **state) {
     (void)state;
--- a/tests/simulation/test_combined_store.c
+++ b/tests/simulation/test_combined_store.c
@@ -32,7 +32,7 @@
 }
 
 /* Refused alone for a moment, then an outage for longer than cancel_s; the refusal ends before the
- * outage, in it and after it. The workers report to the old leader all along. */
+ * outage, in it and after it. The workers send their heartbeats to the old leader all along. */
 static void leader_refused_then_outage(void **state) {
     static const struct sim_size small = {64, 6, 2, 14, 39, 200, 20, 5};
     const struct sim_size *sizes[] = {&small, &day_large_limits};
@@ -48,7 +48,7 @@
 }
 
 /* An outage that the leader's lease outlives again and again: leases have their full time after
- * each, and the leader is refused whenever there is none. Nobody can take over, and it hears of
+ * each, and the leader is refused whenever there is none. Nobody else can lead, and it hears of
  * nothing. */
 static void leader_refused_between_outages(void **state) {
     (void)state;
@@ -61,7 +61,7 @@
         sim->nodes[leader].store_refusal_until = sim->now + 5 * 9;
         for (int i = 0; i < 5; i++)
             sim->jobs[i].cancel_at = sim->now;
-        for (int round = 0; round < 5; round++) {
+        for (int outage = 0; outage < 5; outage++) {
             day_run(sim, 3);
             for (int i = 0; i < 5; i++)
                 confirmed += sim->jobs[i].told_cancelled;
@@ -146,6 +146,13 @@
     assert_at_least(late, 100);
 }
 
+static size_t n_stored_results(struct sim *sim, const char *job, uint32_t n_tasks) {
+    size_t stored = 0;
+    for (uint32_t task = 0; task < n_tasks; task++)
+        stored += sim_has_stored_result(sim, job, task);
+    return stored;
+}
+
 /* A write of progress that comes late took results away that a newer one held: their workers had
  * forgotten them, and after a change of leader the tasks ran again. */
 static void delayed_progress_takes_nothing_away(void **state) {
@@ -159,14 +166,12 @@
         day_run(sim, 12);
         sim->faults.delayed_write = 0.4;
         for (int i = 0; i < 300 && !sim->jobs[j].told_done; i++) {
-            size_t bits = 0;
             day_run(sim, 0.1);
-            for (uint32_t t = 0; t < 40; t++)
-                bits += sim_has_stored_result(sim, sim->jobs[j].spec.id, t);
+            size_t stored = n_stored_results(sim, sim->jobs[j].spec.id, 40);
             /* (The record goes when the job is over.) */
-            if (bits > 0 || sim_count_stored(sim, RP_KEY_OPEN) > 0)
-                assert_at_least(bits, most);
-            most = bits > most ? bits : most;
+            if (stored > 0 || sim_count_stored(sim, RP_KEY_OPEN) > 0)
+                assert_at_least(stored, most);
+            most = stored > most ? stored : most;
         }
         assert_at_least(most, 5);
         late += sim->n_delayed_writes;
@@ -194,7 +199,7 @@
     assert_at_least(lost, 150);
 }
 
-/* More work than room, urgent and not, over slow links to the state service. */
+/* More work than capacity, urgent and not, over slow links to the key-value store. */
 static void more_work_than_room(void **state) {
     static const struct sim_faults faults = {.slow_store = 0.3, .drop = 0.02};
     (void)state;
--- a/tests/simulation/test_combined_users.c
+++ b/tests/simulation/test_combined_users.c
@@ -75,8 +75,8 @@
     }
 }
 
-/* What can't run, or lacks a field, is refused by every node, in trouble too, and never accepted;
- * a job that nobody submitted stays unknown. */
+/* What can't run, or lacks a field, is refused by every node, during faults too, and never
+ * accepted; a job that nobody submitted stays unknown. */
 static void invalid_requests(void **state) {
     static const struct sim_faults faults = {.invalid_request_s = 0.5,
                                              .crash_s = 30,
--- a/tests/simulation/test_failover.c
+++ b/tests/simulation/test_failover.c
@@ -5,8 +5,8 @@
 #include "base/log.h"
 #include "day.h"
 
-/* A node that alone gets no answer from the state service leaves the load balancer, and comes back;
- * in an outage, when all of them get none, all stay. */
+/* A node that alone gets no answer from the key-value store leaves the load balancer, and comes
+ * back; in an outage, when all of them get none, all stay. */
 static void refused_node_steps_aside(void **state) {
     struct sim *sim = day_new(5, 3);
     (void)state;
@@ -43,8 +43,8 @@
     sim_free(sim);
 }
 
-/* The leader loses the state service and the other nodes, but not its workers: it lets them go well
- * within their lease, and no task dies. */
+/* The leader loses the key-value store and the other nodes, but not its workers: it lets them go
+ * well within their lease, and no task dies. */
 static void partitioned_leader_lets_workers_go(void **state) {
     struct sim *sim = day_new(10, 5);
     uint64_t sessions[SIM_WORKERS] = {0};
@@ -74,9 +74,9 @@
     sim_free(sim);
 }
 
-/* How many of the machines that are up 24 s after the trouble have kept their lease through it. */
+/* How many of the machines that are up 24 s after the fault have kept their lease through it. */
 static void leases_outlive(int nodes, unsigned long first, int days,
-                           void (*trouble)(struct sim *sim)) {
+                           void (*begin_fault)(struct sim *sim)) {
     int kept = 0;
     int all = 0;
     for (unsigned long seed = first; seed < first + (unsigned long)days; seed++) {
@@ -84,7 +84,7 @@
         day_lift_team_limit(sim);
         day_submit_arrays(sim, 12, 1, 0, 40, 1, 120);
         sim_run(sim, 40);
-        trouble(sim);
+        begin_fault(sim);
         sim_run(sim, 24);
         assert_at_least(sim_leader(sim), 0);
         for (int i = 0; i < sim->size.workers; i++)
@@ -157,7 +157,7 @@
     leases_outlive(5, 26, 4, end_leader_apart);
 }
 
-/* Every takeover stopped every gang of several tasks, since not all of them had been heard of yet.
+/* Every failover stopped every gang of several tasks, since not all of them had been heard of yet.
  */
 static void failover_keeps_gangs(void **state) {
     struct sim *sim = day_new(11, 3);
--- a/tests/simulation/test_large_fleet.c
+++ b/tests/simulation/test_large_fleet.c
@@ -32,7 +32,7 @@
     return n;
 }
 
-/* Reports 4 s apart made every second machine pass for one that gets no answers, and what a report
+/* Heartbeats 4 s apart made every second machine pass for one that gets no answers, and what one
  * freed was started with the next one, 4 s later: here both show as time without work. And what
  * users' questions cost: one read a question about a job that is open. */
 static void large_fleet_is_used(void **state) {
@@ -41,8 +41,8 @@
     const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
     unsigned long reads = sim->n_state_reads;
     unsigned long polls = sim->n_polls;
-    unsigned long looks = node->scheduler.n_probes;
-    unsigned long rounds = node->scheduler.n_cycles;
+    unsigned long probes = node->scheduler.n_probes;
+    unsigned long cycles = node->scheduler.n_cycles;
     sim_run(sim, 8);
     for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
         assert_false(rp_machine_is_one_way_partitioned(machine));
@@ -53,9 +53,9 @@
     /* Two for a job that is over; and each node's look at the leader's key, twice a second. */
     assert_at_most(sim->n_state_reads - reads, 2 * (sim->n_polls - polls) + 5 * 2 * 8 + 10);
     /* Each heuristic may look at each machine a few times, not once for every group. */
-    rounds = node->scheduler.n_cycles - rounds;
-    assert_more_than(rounds, 0);
-    assert_less_than(node->scheduler.n_probes - looks, 6 * 1304 * rounds);
+    cycles = node->scheduler.n_cycles - cycles;
+    assert_more_than(cycles, 0);
+    assert_less_than(node->scheduler.n_probes - probes, 6 * 1304 * cycles);
     assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
@@ -91,7 +91,7 @@
 }
 
 /* The leader stands still for longer than its lease while its clocks run on, then goes on with
- * hundreds of reports waiting: another leads by then, and answers them all. */
+ * hundreds of heartbeats waiting: another leads by then, and answers them all. */
 static void large_fleet_frozen_leader(void **state) {
     (void)state;
     struct sim *sim = large_fleet(33, 150);
--- a/tests/simulation/test_machines.c
+++ b/tests/simulation/test_machines.c
@@ -17,8 +17,8 @@
     return best;
 }
 
-/* A machine that reports but gets no answers looked like a good one for ever: starts went to it
- * again and again. It gets no more work, and goes back. */
+/* A machine whose heartbeats arrive but that gets no answers looked like a good one for ever:
+ * starts went to it again and again. It gets no more work, and goes back. */
 static void one_way_partitioned_machine_is_released(void **state) {
     struct sim *sim = day_new(7, 3);
     char name[RP_TEXT_MAX];
@@ -41,8 +41,8 @@
     sim_free(sim);
 }
 
-/* After a takeover such a machine shows no token: it kept all work of before from being started,
- * for as long as its reports were answered. */
+/* After a failover such a machine shows no token: it kept all work of before from being started,
+ * for as long as its heartbeats were answered. */
 static void one_way_partition_at_failover(void **state) {
     struct sim *sim = day_new(8, 3);
     (void)state;
@@ -59,7 +59,7 @@
     sim_free(sim);
 }
 
-/* A late copy of a report by a machine that is gone, read by a leader who never knew it, made a
+/* A late copy of a heartbeat by a terminated machine, read by a leader who never knew it, made a
  * machine that plans counted on. */
 static void ghost_is_no_machine(void **state) {
     static const char text[] =
@@ -69,13 +69,13 @@
     (void)state;
     sim_run(sim, 10);
     struct rp_node *node = sim->nodes[sim_leader(sim)].node;
-    struct day_answer a = {.req = {.method = "POST",
-                                   .target = "/checkin",
-                                   .body = text,
-                                   .len = strlen(text),
-                                   .respond = day_keep_answer}};
-    rp_node_client_request(node, &a.req);
-    assert_int_equal(a.status, 200); /* if it is there, it learns the token and comes again */
+    struct day_answer answer = {.req = {.method = "POST",
+                                        .target = "/checkin",
+                                        .body = text,
+                                        .len = strlen(text),
+                                        .respond = day_keep_answer}};
+    rp_node_client_request(node, &answer.req);
+    assert_int_equal(answer.status, 200); /* if it is there, it learns the token and comes again */
     assert_null(rp_machine_find(&node->cluster, "vm-ghost"));
     sim_free(sim);
 }
@@ -139,8 +139,8 @@
     assert_at_least(never, 8);
 }
 
-/* A machine that fails everything has room all the time, and draws work: it is found, also when
- * there are jobs about that fail everywhere. */
+/* A machine that fails everything has free capacity all the time, and draws work: it is found, also
+ * when there are jobs about that fail everywhere. */
 static void bad_machines_are_found(void **state) {
     struct sim *sim = day_new(19, 3);
     int bad = 0;
@@ -167,8 +167,8 @@
     sim_free(sim);
 }
 
-/* A cut that held packets back delivered reports of sessions that had ended: their tasks, which ran
- * elsewhere by then, were taken to be on the old machines as well. */
+/* A cut that held packets back delivered heartbeats of incarnations that had ended: their tasks,
+ * which ran elsewhere by then, were taken to be on the old machines as well. */
 static void delayed_heartbeats_bring_nothing_back(void **state) {
     struct sim *sim = day_new(13, 3);
     (void)state;
@@ -197,9 +197,9 @@
 
 /* Incident 592a: the machines of a zone that was cut off for 35 s were all given back, the last of
  * them when the first had come back, and rented anew, with a boot and every image to fetch. And if
- * the leader changed meanwhile, their reports were taken for those of the lost session, and refused
- * until they had gone back. */
-static void cut_zone(bool takeover) {
+ * the leader changed meanwhile, their heartbeats were taken for those of the lost incarnation, and
+ * refused until they had gone back. */
+static void cut_zone(bool has_failover) {
     struct sim *sim = day_new(14, 3);
     int in_zone = 0;
     int before = 0;
@@ -211,7 +211,7 @@
     assert_at_least(before, 4);
     sim->partitioned_zone = 1;
     sim_run(sim, 5);
-    if (takeover)
+    if (has_failover)
         sim_crash(sim, sim_leader(sim), 3);
     sim_run(sim, 30);
     const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
--- a/tests/simulation/test_placement.c
+++ b/tests/simulation/test_placement.c
@@ -87,7 +87,7 @@
 }
 
 /* Incident f8f1: gangs of one task that takes a whole machine waited for seven minutes behind small
- * work of their own priority, which took all room that fell free. */
+ * work of their own priority, which took all capacity that fell free. */
 static void whole_machine_task_begins_on_a_full_fleet(void **state) {
     struct sim *sim = day_new(15, 3);
     int gangs[3];
@@ -147,9 +147,21 @@
     }
 }
 
-/* A team without a guarantee, with a batch for idle times, a huge array and a swarm of single
- * tasks, among another team's work for more than all machines: its jobs begin within four minutes,
- * half of them at least are served (rules.c), and no job waits while there is room. */
+/* Another team's work for more than all machines, and the guests' jobs among it. */
+static void submit_with_guests(struct sim *sim) {
+    for (int i = 0; i < 30; i++)
+        sim_submit(sim, 1 + i * 4, i % 6 ? "sweep" : "ensemble", i % 6 ? 20 : 3, i % 6 ? 1 : 4, 12,
+                   0);
+    for (int i = 0; i < 80; i++) {
+        int j = i < 4 ? sim_submit(sim, 20, "sweep", 40, 2, 60, 0)
+                      : sim_submit(sim, 30 + i, "sweep", 1, 1, 5, 0);
+        sim_set_field(sim, j, "crew", json_string("guests"));
+    }
+}
+
+/* A team without a guaranteed quota, with a batch for idle times, a huge array and a swarm of
+ * single tasks, among another team's work for more than all machines: its jobs begin within four
+ * minutes, half of them at least are served (rules.c), and no job waits while there is capacity. */
 static void guests_are_served(void **state) {
     static const struct sim_faults faults = {.crash_s = 80, .spot_notice_s = 30};
     (void)state;
@@ -157,14 +169,7 @@
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
         int begun = 0;
         int swarm = 0;
-        for (int i = 0; i < 30; i++)
-            sim_submit(sim, 1 + i * 4, i % 6 ? "sweep" : "ensemble", i % 6 ? 20 : 3, i % 6 ? 1 : 4,
-                       12, 0);
-        for (int i = 0; i < 80; i++) {
-            int j = i < 4 ? sim_submit(sim, 20, "sweep", 40, 2, 60, 0)
-                          : sim_submit(sim, 30 + i, "sweep", 1, 1, 5, 0);
-            sim_set_field(sim, j, "crew", json_string("guests"));
-        }
+        submit_with_guests(sim);
         sim_run(sim, 150);
         for (int i = 0; i < sim->n_jobs; i++) {
             bool guest = strcmp(sim->jobs[i].spec.team, "guests") == 0;
--- a/tests/simulation/test_questions.c
+++ b/tests/simulation/test_questions.c
@@ -4,7 +4,7 @@
 #include "base/log.h"
 #include "day.h"
 
-/* Users who ask twenty times as often, far beyond what the state service takes: submissions and
+/* Users who ask twenty times as often, far beyond what the key-value store takes: submissions and
  * cancellations pass all the same, and what is too much is refused at once. */
 static void questions_starve_nothing(void **state) {
     struct sim *sim = day_new(60, 3);
--- a/tests/simulation/test_random_faults.c
+++ b/tests/simulation/test_random_faults.c
@@ -9,11 +9,11 @@
 #define REST_S 250
 
 static void check_status_page(struct sim *sim) {
-    struct day_answer a = {
+    struct day_answer answer = {
         .req = {.method = "GET", .target = "/status", .body = "", .respond = day_keep_answer}};
-    rp_node_peer_request(sim->nodes[sim_leader(sim)].node, &a.req);
-    json_t *value = json_loads(a.body, 0, NULL);
-    assert_int_equal(a.status, 200);
+    rp_node_peer_request(sim->nodes[sim_leader(sim)].node, &answer.req);
+    json_t *value = json_loads(answer.body, 0, NULL);
+    assert_int_equal(answer.status, 200);
     assert_string_equal(json_string_value(json_object_get(value, "state")), "leading");
     assert_true(json_integer_value(json_object_get(value, "starts")) >= 100);
     assert_true(json_is_object(json_object_get(json_object_get(value, "latencies"), "submit_s")));
@@ -33,10 +33,10 @@
     sim_free(sim);
 }
 
-/* Days with one kind of trouble, then all together; afterwards the world is left in peace, and all
+/* Days with one kind of fault, then all together; afterwards the world is left in peace, and all
  * that was accepted must come to its end. */
-static void days_of_trouble_on(int nodes, const struct sim_faults *faults, unsigned long first,
-                               int days) {
+static void days_of_faults_on(int nodes, const struct sim_faults *faults, unsigned long first,
+                              int days) {
     for (unsigned long seed = first; seed < first + (unsigned long)days; seed++) {
         struct sim *sim = sim_new(seed, faults, SIM_SOUND, nodes);
         day_submit_mixed_work(sim, seed);
@@ -52,34 +52,34 @@
     }
 }
 
-static void days_of_trouble(const struct sim_faults *faults, unsigned long first, int days) {
-    days_of_trouble_on(3, faults, first, days);
+static void days_of_faults(const struct sim_faults *faults, unsigned long first, int days) {
+    days_of_faults_on(3, faults, first, days);
 }
 
 static void bad_network(void **state) {
     static const struct sim_faults faults = {.drop = 0.02, .delay = 0.02, .duplicate = 0.05};
     (void)state;
-    days_of_trouble(&faults, 100, 8);
+    days_of_faults(&faults, 100, 8);
 }
 
 static void crashes(void **state) {
     static const struct sim_faults faults = {.crash_s = 12, .duplicate = 0.02};
     (void)state;
-    days_of_trouble(&faults, 200, 8);
+    days_of_faults(&faults, 200, 8);
 }
 
 static void state_troubles(void **state) {
     static const struct sim_faults faults = {
         .store_outage_s = 40, .store_refusal_s = 25, .delay = 0.01};
     (void)state;
-    days_of_trouble(&faults, 300, 8);
+    days_of_faults(&faults, 300, 8);
 }
 
 static void machine_troubles(void **state) {
     static const struct sim_faults faults = {
         .pause_s = 15, .machine_crash_s = 20, .spot_notice_s = 10, .task_error = 0.02};
     (void)state;
-    days_of_trouble(&faults, 400, 8);
+    days_of_faults(&faults, 400, 8);
 }
 
 static void everything(void **state) {
@@ -94,18 +94,18 @@
                                              .node_pause_s = 30,
                                              .task_error = 0.01};
     (void)state;
-    days_of_trouble(&faults, 500, 24);
+    days_of_faults(&faults, 500, 24);
 }
 
-/* Machines whose reports arrive while answers don't, with takeovers among it. */
+/* Machines whose heartbeats arrive while answers don't, with failovers among it. */
 static void one_way_partitions(void **state) {
     static const struct sim_faults faults = {.one_way_partition_s = 12, .crash_s = 50};
     (void)state;
-    days_of_trouble(&faults, 600, 8);
+    days_of_faults(&faults, 600, 8);
 }
 
-/* Copies of reports seconds to five leases late, across sessions, leaders, and machines that are
- * gone. */
+/* Copies of heartbeats seconds to five leases late, across incarnations, leaders, and machines that
+ * are gone. */
 static void late_duplicates(void **state) {
     static const struct sim_faults faults = {.late_duplicate = 0.1,
                                              .pause_s = 20,
@@ -113,26 +113,26 @@
                                              .crash_s = 30,
                                              .spot_notice_s = 20};
     (void)state;
-    days_of_trouble(&faults, 620, 8);
+    days_of_faults(&faults, 620, 8);
 }
 
-/* Nodes that lose the state service and the other nodes, but not the workers. */
+/* Nodes that lose the key-value store and the other nodes, but not the workers. */
 static void partitioned_nodes(void **state) {
     static const struct sim_faults faults = {
         .partitioned_node_s = 20, .duplicate = 0.02, .delay = 0.01};
     (void)state;
-    days_of_trouble(&faults, 640, 4);
-    days_of_trouble_on(5, &faults, 650, 4);
+    days_of_faults(&faults, 640, 4);
+    days_of_faults_on(5, &faults, 650, 4);
 }
 
 /* Processes and machines back within 50 to 500 ms, at any moment: between the write of a key and
- * its answer, during an election, during a takeover; their old requests arrive late, and again. */
+ * its answer, during an election, during a failover; their old requests arrive late, and again. */
 static void fast_restarts(void **state) {
     static const struct sim_faults faults = {
         .fast_restart_s = 4, .duplicate = 0.1, .delay = 0.03, .drop = 0.01, .late_duplicate = 0.05};
     (void)state;
-    days_of_trouble(&faults, 660, 6);
-    days_of_trouble_on(5, &faults, 670, 6);
+    days_of_faults(&faults, 660, 6);
+    days_of_faults_on(5, &faults, 670, 6);
 }
 
 static void everything_on_five(void **state) {
@@ -152,7 +152,7 @@
                                              .spot_notice_s = 30,
                                              .task_error = 0.01};
     (void)state;
-    days_of_trouble_on(5, &faults, 700, 16);
+    days_of_faults_on(5, &faults, 700, 16);
 }
 
 /* The checks can fail: each broken world must be caught on some day. */
--- a/tests/simulation/test_services.c
+++ b/tests/simulation/test_services.c
@@ -10,13 +10,13 @@
 #define REST_S 200
 
 static double up_share(const struct sim *sim) {
-    double up = 0;
-    double down = 0;
+    double up_s = 0;
+    double down_s = 0;
     for (int i = 0; i < sim->n_jobs; i++) {
-        up += sim->jobs[i].up_s;
-        down += sim->jobs[i].down_s;
+        up_s += sim->jobs[i].up_s;
+        down_s += sim->jobs[i].down_s;
     }
-    return up / (up + down);
+    return up_s / (up_s + down_s);
 }
 
 /* On a fleet full of low work, replicas run within the time of a fetch, and again where one ends by
@@ -42,8 +42,8 @@
     sim_free(sim);
 }
 
-/* A machine that hangs is given back as soon as it neither reports nor answers: its replicas don't
- * wait for its lease. */
+/* A machine that hangs is given back as soon as it neither sends heartbeats nor answers: its
+ * replicas don't wait for its lease. */
 static void hung_machine_frees_replicas(void **state) {
     struct sim *sim = day_new(41, 3);
     (void)state;
--- a/tests/simulation/test_standby.c
+++ b/tests/simulation/test_standby.c
@@ -1,5 +1,5 @@
 /* Takeovers by a standby, in the simulated world. The rules are checked after each step
- * (rules.c); each test shows besides that its trouble came about. */
+ * (rules.c); each test shows besides that its fault came about. */
 #include "test.h"
 
 #include "base/log.h"
@@ -108,7 +108,7 @@
     }
 }
 
-/* A leader that keeps its workers, and loses the state service and the others, while jobs are
+/* A leader that keeps its workers, and loses the key-value store and the others, while jobs are
  * cancelled through the next one. */
 static void partitioned_leader_is_fenced(void **state) {
     (void)state;
@@ -137,7 +137,7 @@
     day_end(sim);
 }
 
-/* Without the state service nobody takes over, and the leader goes on for as long as its lease
+/* Without the key-value store nobody else leads, and the leader goes on for as long as its lease
  * allows; here the others miss it, too. */
 static void outage_lets_nobody_take_over(void **state) {
     (void)state;
@@ -247,7 +247,7 @@
 
 /* ---- the earlier leader goes on behind a cut ---- */
 
-/* A zone is cut off with the leader in it, which has lost the state service and the other nodes,
+/* A zone is cut off with the leader in it, which has lost the key-value store and the other nodes,
  * and goes on answering the zone's workers for as long as it trusts its lease. */
 static struct sim *world_with_leader_behind_cut(unsigned long seed) {
     struct sim *sim = day_new(seed, 3);
@@ -318,7 +318,7 @@
 }
 
 /* A leader that still hears what users submit, and reaches machines that the next one doesn't: it
- * must hear of the takeover before it hears of any job that the next one takes for its own. */
+ * must hear of the failover before it hears of any job that the next one takes for its own. */
 static void young_jobs_belong_to_the_next_leader(void **state) {
     (void)state;
     for (unsigned long seed = 230; seed < 246; seed++) {
@@ -389,7 +389,7 @@
     }
 }
 
-/* A takeover whose transactions and answers get lost or come late, in every kind of trouble. */
+/* A failover whose transactions and answers get lost or come late, in every kind of fault. */
 static void failovers_under_all_faults(void **state) {
     static const struct sim_faults bad = {.drop = 0.02,
                                           .delay = 0.02,
--- a/tests/simulation/test_upgrade.c
+++ b/tests/simulation/test_upgrade.c
@@ -9,20 +9,20 @@
 #define DAY_S 150
 #define REST_S 200
 
-/* Every node is replaced, with troubles all the while: nodes end before their turn and come back
+/* Every node is replaced, with faults all the while: nodes end before their turn and come back
  * old. The limits come down right after the last one is back, and then services come. */
-static unsigned old_after_new, new_after_old; /* takeovers */
+static unsigned old_after_new, new_after_old; /* failovers */
 
 /* Lets the world go on, and counts who takes over from whom. */
 static void run_counted(struct sim *sim, double seconds) {
-    static int was = -1; /* -1 nobody, 0 new, 1 old */
+    static int was_old = -1; /* -1 nobody, 0 new, 1 old */
     for (double end = sim->now + seconds; sim->now < end && !sim->violation[0];) {
         sim_run(sim, 0.1);
         int leader = sim_leader(sim);
-        int is = leader < 0 ? -1 : sim->nodes[leader].is_old_version;
-        old_after_new += was == 0 && is == 1;
-        new_after_old += was == 1 && is == 0;
-        was = is < 0 ? was : is;
+        int now_old = leader < 0 ? -1 : sim->nodes[leader].is_old_version;
+        old_after_new += was_old == 0 && now_old == 1;
+        new_after_old += was_old == 1 && now_old == 0;
+        was_old = now_old < 0 ? was_old : now_old;
     }
 }
 
@@ -73,7 +73,7 @@
     assert_true(old_after_new >= 5 && new_after_old >= 5);
 }
 
-/* Without troubles the format is active within two seconds of the last node's return, and nothing
+/* Without faults the format is active within two seconds of the last node's return, and nothing
  * is lost: no lease ends, and after it a service is accepted and runs at once. */
 static void quiet_roll(void **state) {
     struct sim *sim = day_new(43, 5);
@@ -199,10 +199,10 @@
 
 /* Outside CI: nodes of the really built version in production (tests/mixed/run). */
 static void load_old(const char *library) {
-    void *so = library ? dlopen(library, RTLD_NOW | RTLD_LOCAL) : NULL;
-    if (library && !so)
+    void *handle = library ? dlopen(library, RTLD_NOW | RTLD_LOCAL) : NULL;
+    if (library && !handle)
         fprintf(stderr, "%s\n", dlerror());
-    sim_old_engine = so ? dlsym(so, SIM_ENGINE_SYMBOL) : NULL;
+    sim_old_engine = handle ? dlsym(handle, SIM_ENGINE_SYMBOL) : NULL;
     if (library && !sim_old_engine)
         exit(2);
 }
--- a/tests/simulation/workers.c
+++ b/tests/simulation/workers.c
@@ -264,7 +264,8 @@
         }
     } else {
         const char *leader = json_string_value(json_object_get(body, "foreman"));
-        int node = leader && event->status == 421 ? atoi(leader + strlen("n")) : -1;
+        int node =
+            leader && event->status == 421 ? (int)strtol(leader + strlen("n"), NULL, 10) : -1;
         worker->node = node >= 0 && node != worker->node ? node : (worker->node + 1) % sim->n_nodes;
         if (node >= 0)
             worker->next_heartbeat_at = sim->now + NAMED_LEADER_S;
