--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -282,20 +282,22 @@
     rp_kv_get(request->api->store, budget, key, on_read, request);
 }
 
-/* The only function that changes a request's state; it begins what the state waits for. Edges:
- *   a query         begins looking up while a read of its own had to wait, else reading open
- *   a cancellation  begins reading open
- *   a submission    begins writing; reading format if it is a service before the activation;
- * reading open if something is wrong with it, since a known job is answered first looking up ->
- * reading terminal  the job isn't open reading open      -> reading terminal  the job isn't open
- *   reading open      -> writing           the job is open and is to be cancelled
- *   reading terminal  -> reading open      the job isn't known, but only by a lookup's word
- *   reading terminal  -> writing           the job isn't known, and is to be accepted
- *   reading format    -> writing           every node knows services
- *   reading format    -> reading open      not yet: only a known job is answered
- *   writing           -> writing           the store refused the size: in smaller pieces
- *   writing           -> reading open      a conflict, or no answer, or it can't be stored
- *   any               -> answered          the response has been sent, and the request is freed */
+/* The one place where a request changes its state. The first state depends on the request:
+ * - a submission is written, or reads the format if it is of a service, or reads the open record if
+ *   something is wrong with it, since a known job is answered first;
+ * - a query is looked up together with others, or reads the open record;
+ * - a cancellation reads the open record.
+ * The changes after that:
+ * - looking up -> reading terminal: the job isn't open;
+ * - reading open -> reading terminal: the job isn't open;
+ * - reading open -> writing: the job is open and is to be cancelled;
+ * - reading terminal -> reading open: the job isn't known, but only by a lookup's word;
+ * - reading terminal -> writing: the job isn't known, and is to be accepted;
+ * - reading format -> writing: every node knows services;
+ * - reading format -> reading open: not yet, only a known job is answered;
+ * - writing -> writing: the store refused the size, in smaller pieces;
+ * - writing -> reading open: a conflict, or no answer, or it can't be stored;
+ * - any -> answered: the response has been sent, and the request is freed. */
 static void set_state(struct user_request *request, enum request_state state) {
     char key[RP_KEY_MAX];
     request->state = state;
--- a/src/cluster/task_evidence.h
+++ b/src/cluster/task_evidence.h
@@ -1,7 +1,7 @@
 /** @file
  * The evidence that no task of a machine can run any more, in one place. Allocations are dropped
  * all at once only with a piece of it; a single one goes by what its machine lists (worker/ reads
- * heartbeats). The argument is in docs/safety.md, "Who may be where". */
+ * heartbeats). The argument is in docs/safety.md, "Where a task may run". */
 #ifndef RP_CLUSTER_TASK_EVIDENCE_H
 #define RP_CLUSTER_TASK_EVIDENCE_H
 
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -90,56 +90,52 @@
 
 /* ---- the state ---- */
 
+struct transition {
+    enum rp_election_state from, to;
+};
+
 /* The changes of state that there are, and what is known when each is made. docs/safety.md,
- * "Takeovers", has the argument why that is enough. */
+ * "Failovers", has the argument why that is enough. */
+static const struct transition transitions[] = {
+    /* The key was read, names another node, and names the lease by which that node, or one that it
+     * fenced, may act. Nothing is known of whether it still does. */
+    {RP_ELECTION_FOLLOWING, RP_ELECTION_OVERWRITING_KEY},
+    /* The key was read and names this node, which doesn't hold it: an earlier process of this node
+     * wrote it when it had fenced a leader, whose lease it names. That leader may still act. */
+    {RP_ELECTION_FOLLOWING, RP_ELECTION_REVOKING_LEASE},
+    /* The key was read. Either it is free: the lease of whoever held it has ended. Or it names this
+     * node, and no leader that it had fenced: an earlier process, which has ended, or a claim whose
+     * answer was lost. Nobody acts on that claim, so there is no need to wait for its lease. */
+    {RP_ELECTION_FOLLOWING, RP_ELECTION_ACQUIRING_LEASE},
+    /* The key was written over at a known revision. Every guarded write of the earlier leader fails
+     * from now on, but it may still answer workers. */
+    {RP_ELECTION_OVERWRITING_KEY, RP_ELECTION_REVOKING_LEASE},
+    /* A conflict, a refusal, or no answer. If the write was carried out all the same, the next read
+     * shows this node's name with the lease that is to be ended. */
+    {RP_ELECTION_OVERWRITING_KEY, RP_ELECTION_FOLLOWING},
+    /* No confirmation came: the end of the lease is asked for again. */
+    {RP_ELECTION_REVOKING_LEASE, RP_ELECTION_REVOKING_LEASE},
+    /* The store has confirmed that the lease has ended. The earlier leader can renew nothing more,
+     * and what it renewed before ends by fenced_leader_expiry. */
+    {RP_ELECTION_REVOKING_LEASE, RP_ELECTION_ACQUIRING_LEASE},
+    /* A lease of this node's own was granted. */
+    {RP_ELECTION_ACQUIRING_LEASE, RP_ELECTION_CLAIMING_KEY},
+    /* None was, or no answer came; such a lease has no key. */
+    {RP_ELECTION_ACQUIRING_LEASE, RP_ELECTION_FOLLOWING},
+    /* The key was written with the lease, on the condition of the revision that the claim began
+     * with: nobody else has held it since. Its revision is the fencing token. */
+    {RP_ELECTION_CLAIMING_KEY, RP_ELECTION_HOLDING_KEY},
+    /* Another node was faster, or no answer came. */
+    {RP_ELECTION_CLAIMING_KEY, RP_ELECTION_FOLLOWING},
+    /* The lease has ended, the key was read and is another's or free, a fence of a later revision
+     * was seen, or this node gives the key up. That its leadership could not be proven for a while
+     * is no reason: rp_election_is_valid stops it from acting meanwhile. */
+    {RP_ELECTION_HOLDING_KEY, RP_ELECTION_FOLLOWING}};
+
 static bool is_transition(enum rp_election_state from, enum rp_election_state to) {
-    switch (from) {
-    case RP_ELECTION_FOLLOWING:
-        switch (to) {
-        case RP_ELECTION_OVERWRITING_KEY:
-            /* The key was read, names another node, and names the lease by which that node, or one
-             * that it fenced, may act. Nothing is known of whether it still does. */
-            return true;
-        case RP_ELECTION_REVOKING_LEASE:
-            /* The key was read and names this node, which doesn't hold it: an earlier process of
-             * this node wrote it when it had fenced a leader, whose lease it names. That leader may
-             * still act. */
-            return true;
-        case RP_ELECTION_ACQUIRING_LEASE:
-            /* The key was read. Either it is free: the lease of whoever held it has ended. Or it
-             * names this node, and no leader that it had fenced: an earlier process, which has
-             * ended, or a claim whose answer was lost. Nobody acts on that claim, so there is no
-             * need to wait for its lease. */
+    for (size_t i = 0; i < sizeof transitions / sizeof transitions[0]; i++)
+        if (transitions[i].from == from && transitions[i].to == to)
             return true;
-        default:
-            return false;
-        }
-    case RP_ELECTION_OVERWRITING_KEY:
-        /* To REVOKING_LEASE: the key was written over at a known revision. Every guarded write of
-         * the earlier leader fails from now on, but it may still answer workers.
-         * To FOLLOWING: a conflict, a refusal, or no answer. If it was carried out all the same,
-         * the next read shows this node's name with the lease that is to be ended. */
-        return to == RP_ELECTION_REVOKING_LEASE || to == RP_ELECTION_FOLLOWING;
-    case RP_ELECTION_REVOKING_LEASE:
-        /* To itself: no confirmation came, the end of the lease is asked for again.
-         * To ACQUIRING_LEASE: the store has confirmed that the lease has ended. The earlier leader
-         * can renew nothing more, and what it renewed before ends by fenced_leader_expiry. */
-        return to == RP_ELECTION_REVOKING_LEASE || to == RP_ELECTION_ACQUIRING_LEASE;
-    case RP_ELECTION_ACQUIRING_LEASE:
-        /* To CLAIMING_KEY: a lease of this node's own was granted.
-         * To FOLLOWING: none was, or no answer came; such a lease has no key. */
-        return to == RP_ELECTION_CLAIMING_KEY || to == RP_ELECTION_FOLLOWING;
-    case RP_ELECTION_CLAIMING_KEY:
-        /* To HOLDING_KEY: the key was written with the lease, on the condition of the revision that
-         * the claim began with: nobody else has held it since. Its revision is the fencing token.
-         * To FOLLOWING: another node was faster, or no answer came. */
-        return to == RP_ELECTION_HOLDING_KEY || to == RP_ELECTION_FOLLOWING;
-    case RP_ELECTION_HOLDING_KEY:
-        /* The lease has ended, the key was read and is another's or free, a fence of a later
-         * revision was seen, or this node gives the key up. That its leadership could not be proven
-         * for a while is no reason: rp_election_is_valid stops it from acting meanwhile. */
-        return to == RP_ELECTION_FOLLOWING;
-    }
     return false;
 }
 
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -12,7 +12,7 @@
  *
  * Invariants: a node acts as leader only while rp_election_is_valid, which ends before its lease
  * can end; at most one node does so, but for a fenced leader as said. docs/safety.md, "Leadership"
- * and "Takeovers", has the argument.
+ * and "Failovers", has the argument.
  *
  * Every part of a node that answers workers, calls the cloud or writes as leader asks here. The
  * controller starts it, and begins and ends a term in the call-backs. */
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -149,7 +149,7 @@
                           const struct rp_plan *plan, struct timespec now) {
     const struct rp_tuning *tuning = &scheduler->settings->tuning;
     double reserve = rp_service_headroom_wanted_cpus(scheduler->services);
-    /* Summed up once: for each idle machine anew, thousands of them cost a round seconds. */
+    /* Summed up once: for each idle machine anew, thousands of them cost a cycle seconds. */
     double ready = rp_service_headroom_ready_cpus(scheduler->services);
     bool *wanted = calloc(input->plan_input.n_machines + 1, sizeof *wanted);
     if (!wanted)
--- a/src/scheduler/machine_input.c
+++ b/src/scheduler/machine_input.c
@@ -150,6 +150,27 @@
     }
 }
 
+/* Adds the machines that the cloud was asked for and hasn't named yet: they hold their planned
+ * tasks, too. */
+static void add_requested_machines(struct rp_scheduler *scheduler, struct rp_cycle_input *input) {
+    const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
+    for (size_t i = 0; i < input->plan_input.n_offerings; i++) {
+        const struct rp_plan_offering *offering = &input->offerings[i];
+        unsigned n =
+            rp_fleet_n_requested(scheduler->fleet, offering->type, offering->zone, offering->spot);
+        for (; n > 0; n--)
+            input->machines[input->plan_input.n_machines++] = (struct rp_plan_machine){
+                .type = offering->type,
+                .zone = offering->zone,
+                .spot = offering->spot,
+                .price = offering->price,
+                .fetch_gb_per_s = offering->fetch_gb_per_s,
+                .capacity = offering->capacity,
+                .free_later = offering->capacity,
+                .free_later_after_s = catalog->types[offering->type].boot_s};
+    }
+}
+
 void rp_machine_input_build(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                             struct timespec now) {
     const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
@@ -174,21 +195,6 @@
                              &input->releases[input->n_releases], now);
             input->n_releases += machine->n_allocations;
         }
-    /* What has been asked for and not answered yet holds its tasks, too. */
-    for (size_t i = 0; i < input->plan_input.n_offerings; i++) {
-        const struct rp_plan_offering *offering = &input->offerings[i];
-        unsigned n =
-            rp_fleet_n_requested(scheduler->fleet, offering->type, offering->zone, offering->spot);
-        for (; n > 0; n--)
-            input->machines[input->plan_input.n_machines++] = (struct rp_plan_machine){
-                .type = offering->type,
-                .zone = offering->zone,
-                .spot = offering->spot,
-                .price = offering->price,
-                .fetch_gb_per_s = offering->fetch_gb_per_s,
-                .capacity = offering->capacity,
-                .free_later = offering->capacity,
-                .free_later_after_s = catalog->types[offering->type].boot_s};
-    }
+    add_requested_machines(scheduler, input);
     input->plan_input.machines = input->machines;
 }
