--- /dev/null
+++ b/tests/behaviour/digest_hash.c
@@ -0,0 +1,119 @@
+#include "digest_hash.h"
+
+#define XXH_INLINE_ALL
+#include <xxhash.h>
+
+#include <stdio.h>
+#include <stdlib.h>
+#include <string.h>
+#include <time.h>
+
+#define WALL_CLOCK_BEGINS 1700000000 /* of the simulated world, seconds since 1970 */
+
+/* What is known of the run so far. */
+static struct {
+    const struct sim *world; /* NULL while it is being made */
+    XXH3_state_t *messages;
+    unsigned long n_messages;
+    bool dump;
+} current;
+
+/* The wall clock of the simulated world, in place of the C library's: records carry such times. The
+ * simulated nodes ask for no other clock. */
+int clock_gettime(clockid_t clock, struct timespec *out) {
+    double now = current.world ? current.world->now : 0;
+    (void)clock;
+    out->tv_sec = WALL_CLOCK_BEGINS + (time_t)now;
+    out->tv_nsec = (long)((now - (double)(time_t)now) * 1e9);
+    return 0;
+}
+
+/* Prints a body so that it takes one line. */
+static void print_body(const char *body) {
+    for (const unsigned char *byte = (const unsigned char *)body; *byte; byte++)
+        if (*byte < ' ')
+            printf("\\x%02x", *byte);
+        else
+            putchar(*byte);
+    putchar('\n');
+}
+
+void digest_add_message(const struct sim_message *message) {
+    char head[1024];
+    int length = snprintf(head, sizeof head, "%.6f n%d %s %s %s %d %d %zu ", message->time,
+                          message->from, message->to, *message->method ? message->method : "-",
+                          *message->target ? message->target : "-", message->status,
+                          message->retry_after, strlen(message->body));
+    if (length < 0 || (size_t)length >= sizeof head)
+        abort(); /* a part of the message would be left out */
+    XXH3_128bits_update(current.messages, head, (size_t)length);
+    XXH3_128bits_update(current.messages, message->body, strlen(message->body));
+    current.n_messages++;
+    if (current.dump) {
+        fputs(head, stdout);
+        print_body(message->body);
+    }
+}
+
+static int compare_keys(const void *a, const void *b) {
+    const struct sim_key *first = a;
+    const struct sim_key *second = b;
+    return strcmp(first->key, second->key);
+}
+
+static void hash_record(XXH3_state_t *state, const struct sim_key *key) {
+    char *value = json_dumps(key->value, JSON_COMPACT | JSON_ENCODE_ANY);
+    char revision[64];
+    if (!value)
+        abort();
+    snprintf(revision, sizeof revision, " %llu %llu ", (unsigned long long)key->revision,
+             (unsigned long long)key->lease);
+    XXH3_128bits_update(state, key->key, strlen(key->key));
+    XXH3_128bits_update(state, revision, strlen(revision));
+    XXH3_128bits_update(state, value, strlen(value) + 1);
+    if (current.dump) {
+        printf("store %s%s", key->key, revision);
+        print_body(value);
+    }
+    free(value);
+}
+
+/* Hashes the records that the key-value store holds, in the order of their keys. */
+static XXH128_hash_t hash_store(struct sim *world) {
+    XXH3_state_t *state = XXH3_createState();
+    XXH3_128bits_reset(state);
+    qsort(world->keys, (size_t)world->n_keys, sizeof world->keys[0], compare_keys);
+    for (int i = 0; i < world->n_keys; i++)
+        hash_record(state, &world->keys[i]);
+    XXH128_hash_t hash = XXH3_128bits_digest(state);
+    XXH3_freeState(state);
+    return hash;
+}
+
+static void write_hash(XXH128_hash_t hash, char out[DIGEST_HASH_TEXT]) {
+    snprintf(out, DIGEST_HASH_TEXT, "%016llx%016llx", (unsigned long long)hash.high64,
+             (unsigned long long)hash.low64);
+}
+
+void digest_begin(bool dump) {
+    current.messages = XXH3_createState();
+    XXH3_128bits_reset(current.messages);
+    current.n_messages = 0;
+    current.dump = dump;
+    sim_observer = digest_add_message;
+}
+
+void digest_set_world(const struct sim *world) {
+    current.world = world;
+}
+
+struct digest digest_end(struct sim *world) {
+    struct digest digest = {.n_messages = current.n_messages};
+    write_hash(XXH3_128bits_digest(current.messages), digest.messages);
+    write_hash(hash_store(world), digest.store);
+    sim_observer = NULL;
+    current.world = NULL;
+    XXH3_freeState(current.messages);
+    current.messages = NULL;
+    return digest;
+}
