--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -85,7 +85,8 @@
 }
 
 static void enter_leading(struct rp_node *node) {
-    rp_info("leading: jobs=%zu machines=%zu", node->jobs.table.n_jobs, node->cluster.n_machines);
+    rp_info("records read, node leads: n_jobs=%zu n_machines=%zu", node->jobs.table.n_jobs,
+            node->cluster.n_machines);
     rp_image_index_restore(&node->image_index);
     rp_standby_lead(&node->standby);
     rp_catalog_source_lead(&node->catalog_source);
--- a/src/scheduler/service_controller.c
+++ b/src/scheduler/service_controller.c
@@ -110,7 +110,7 @@
         !rp_election_is_valid(services->workers->context.election, now))
         return;
     if (has_much_to_forget(services)) {
-        rp_info("resigning: reason=many ended attempts are kept known");
+        rp_info("too many ended attempts kept by workers, resigning");
         rp_election_resign(services->workers->context.election, 0);
         return;
     }
