--- a/tests/simulation/test_combined_machines.c
+++ b/tests/simulation/test_combined_machines.c
@@ -172,8 +172,8 @@
     }
 }
 
-/* Copies come after newer ones, from earlier sessions and attempts too, beyond a lease; others are
- * kept until the next leader acts, and come to every node just then. */
+/* Copies come after newer ones, from earlier incarnations and attempts too, beyond a lease; others
+ * are kept until the next leader acts, and come to every node just then. */
 static void old_heartbeats(void **state) {
     static const struct sim_faults faults = {.late_duplicate = 0.1,
                                              .held_duplicate = 0.1,
--- a/tests/simulation/test_failover.c
+++ b/tests/simulation/test_failover.c
@@ -24,7 +24,7 @@
     sim_free(sim);
 }
 
-/* Incident c8a9: a leader that reached the state service but no worker kept the key for 50 s, and
+/* Incident c8a9: a leader that reached the key-value store but no worker kept the key for 50 s, and
  * returned every machine. */
 static void isolated_leader_gives_way(void **state) {
     struct sim *sim = day_new(6, 3);
@@ -47,7 +47,7 @@
  * well within their lease, and no task dies. */
 static void partitioned_leader_lets_workers_go(void **state) {
     struct sim *sim = day_new(10, 5);
-    uint64_t sessions[SIM_WORKERS] = {0};
+    uint64_t incarnations[SIM_WORKERS] = {0};
     int kept = 0;
     int all = 0;
     (void)state;
@@ -55,16 +55,17 @@
     sim_run(sim, 40);
     int leader = sim_leader(sim);
     for (int i = 0; i < sim->size.workers; i++)
-        sessions[i] = sim->workers[i].used && sim->workers[i].up ? sim->workers[i].incarnation : 0;
+        incarnations[i] =
+            sim->workers[i].used && sim->workers[i].up ? sim->workers[i].incarnation : 0;
     sim->nodes[leader].partitioned_until = sim->now + 40;
     sim_run(sim, 6);
     assert_false(rp_node_is_healthy(sim->nodes[leader].node));
     sim_run(sim, 20);
     assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
     for (int i = 0; i < sim->size.workers; i++)
-        if (sessions[i] && sim->workers[i].used) {
+        if (incarnations[i] && sim->workers[i].used) {
             all++;
-            kept += sim->workers[i].incarnation == sessions[i];
+            kept += sim->workers[i].incarnation == incarnations[i];
         }
     assert_at_least(all, 4);
     assert_int_equal(kept, all);
--- a/tests/simulation/test_large_fleet.c
+++ b/tests/simulation/test_large_fleet.c
@@ -25,7 +25,7 @@
     return sim;
 }
 
-static int kept_sessions(const struct sim *sim) {
+static int n_first_incarnations(const struct sim *sim) {
     int n = 0;
     for (int i = 0; i < sim->size.workers; i++)
         n += sim->workers[i].used && sim->workers[i].up && sim->workers[i].incarnation == 1;
@@ -66,7 +66,7 @@
     (void)state;
     struct sim *sim = large_fleet(32, 150);
     int leader = sim_leader(sim);
-    int sessions = kept_sessions(sim);
+    int first_incarnations = n_first_incarnations(sim);
     int rented = sim->next_machine;
     int before = machines_in(sim, RP_MACHINE_UP);
     unsigned long lists = sim->n_state_lists;
@@ -83,7 +83,7 @@
     assert_at_most(sim->n_rows_read - rows, 2 * records);
     sim_run(sim, 6);
     assert_true(rp_cluster_is_reconciled(&sim->nodes[sim_leader(sim)].node->cluster));
-    assert_int_equal(kept_sessions(sim), sessions);
+    assert_int_equal(n_first_incarnations(sim), first_incarnations);
     assert_at_least(machines_in(sim, RP_MACHINE_UP), before - 5);
     assert_at_most(sim->next_machine, rented + 20);
     assert_string_equal(sim->violation, "");
@@ -96,14 +96,14 @@
     (void)state;
     struct sim *sim = large_fleet(33, 150);
     int leader = sim_leader(sim);
-    int sessions = kept_sessions(sim);
+    int first_incarnations = n_first_incarnations(sim);
     int rented = sim->next_machine;
     sim->nodes[leader].paused_until = sim->now + 24;
     sim_run(sim, 23);
     assert_at_least(sim_leader(sim), 0);
     sim_run(sim, 9);
     assert_int_equal(sim->nodes[leader].node->state, RP_NODE_FOLLOWING);
-    assert_at_least(kept_sessions(sim), sessions - sessions / 20);
+    assert_at_least(n_first_incarnations(sim), first_incarnations - first_incarnations / 20);
     assert_at_most(sim->next_machine, rented + 20);
     assert_string_equal(sim->violation, "");
     sim_free(sim);
@@ -152,7 +152,7 @@
     assert_string_equal(sim->violation, "");
     assert_at_least(machines_in(sim, RP_MACHINE_UP), 3950);
     int leader = sim_leader(sim);
-    int sessions = kept_sessions(sim);
+    int first_incarnations = n_first_incarnations(sim);
     int rented = sim->next_machine;
     assert_int_equal(sim->nodes[leader].node->scheduler.n_over_bounds, 0);
     sim_crash(sim, leader, 60);
@@ -162,7 +162,7 @@
     struct rp_node *node = sim->nodes[sim_leader(sim)].node;
     assert_true(rp_cluster_is_reconciled(&node->cluster));
     assert_at_least(node->cluster.n_machines, 3950);
-    assert_at_least(kept_sessions(sim), sessions - sessions / 100);
+    assert_at_least(n_first_incarnations(sim), first_incarnations - first_incarnations / 100);
     assert_at_most(sim->next_machine, rented + 40);
     assert_more_than(node->workers.context.counters.n_starts, 2000);
     unsigned long done = sim->n_done_jobs;
--- a/tests/simulation/test_services.c
+++ b/tests/simulation/test_services.c
@@ -127,7 +127,7 @@
     }
 }
 
-/* Direct commands lost, late and repeated, across sessions, leaders and machines that go. */
+/* Direct commands lost, late and repeated, across incarnations, leaders and machines that go. */
 static void services_in_trouble(void **state) {
     static const struct sim_faults faults = {.drop = 0.02,
                                              .delay = 0.03,
--- a/tests/simulation/test_upgrade.c
+++ b/tests/simulation/test_upgrade.c
@@ -13,7 +13,7 @@
  * old. The limits come down right after the last one is back, and then services come. */
 static unsigned old_after_new, new_after_old; /* failovers */
 
-/* Lets the world go on, and counts who takes over from whom. */
+/* Lets the world go on, and counts who leads after whom. */
 static void run_counted(struct sim *sim, double seconds) {
     static int was_old = -1; /* -1 nobody, 0 new, 1 old */
     for (double end = sim->now + seconds; sim->now < end && !sim->violation[0];) {
