--- a/src/cluster/start_permission.h
+++ b/src/cluster/start_permission.h
@@ -1,8 +1,8 @@
 /** @file
  * The start permission. A task is started only with rp_cluster_may_start's leave, which counts
  * everything that MAY be on a machine: in flight, fetching, stopping, on machines that can't be
- * reached. The argument is in docs/safety.md, "Where a task may run". Callers plan as they like; they
- * ask here before they add the allocation, in the same turn of the event loop. */
+ * reached. The argument is in docs/safety.md, "Where a task may run". Callers plan as they like;
+ * they ask here before they add the allocation, in the same turn of the event loop. */
 #ifndef RP_CLUSTER_START_PERMISSION_H
 #define RP_CLUSTER_START_PERMISSION_H
 
