--- a/tests/tools/test_check_docs.sh
+++ b/tests/tools/test_check_docs.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# .ci/check-docs refuses a public function without a comment. Usage: test_check_docs.sh CHECK CASE
+# .ci/check-docs refuses a public function without a comment, and runs without graphviz. Usage: test_check_docs.sh CHECK CASE
 set -euo pipefail
 check=$1 case=$2
 work=$(mktemp -d)
@@ -28,6 +28,20 @@
     fi
     grep -qF "rp_sound" <<<"$output" || { printf 'another text:\n%s\n' "$output"; exit 1; }
     ;;
+graphviz_is_not_needed)
+    # Only what the check itself uses is on the PATH. A dot that is there all the same isn't run.
+    printf '/** @file\n * Includes another header, which doxygen could draw. */\n#include "sound.h"\n' \
+        >"$work/including.h"
+    mkdir "$work/bin"
+    for tool in bash cat dirname doxygen grep mktemp rm; do
+        ln -s "$(command -v "$tool")" "$work/bin/$tool"
+    done
+    PATH=$work/bin "$check" "$work"
+    printf '#!%s\n: >"%s/dot-was-run"\n' "$(command -v bash)" "$work" >"$work/bin/dot"
+    chmod +x "$work/bin/dot"
+    PATH=$work/bin "$check" "$work"
+    [ ! -e "$work/dot-was-run" ] || { echo "dot was run"; exit 1; }
+    ;;
 *)
     echo "there is no case '$case'"
     exit 1
