--- a/src/api/submission_check.c
+++ b/src/api/submission_check.c
@@ -13,7 +13,8 @@
     for (size_t type = 0; type < catalog->n_types; type++)
         for (size_t zone = 0; zone < catalog->n_zones; zone++) {
             bool is_offered = (catalog->types[type].zones >> zone & 1) != 0;
-            if (is_offered && rp_cluster_is_allowed(cluster, spec, (int)type, (int)zone, false))
+            if (is_offered &&
+                rp_cluster_is_kind_allowed(cluster, spec, (int)type, (int)zone, false))
                 return true;
         }
     return false;
--- a/src/cluster/cluster_state.h
+++ b/src/cluster/cluster_state.h
@@ -26,14 +26,14 @@
     struct rp_machine **unreconciled;
     size_t n_unreconciled, cap_unreconciled;
     bool unreconciled_stale;
-    size_t n_with_unknown_live;    /* machines that hold tasks of unknown jobs, not exited */
-    double *team_cpus, *team_gpus; /* what each team's tasks may use now */
+    size_t n_machines_with_unknown_tasks; /* machines that hold tasks of unknown jobs, not exited */
+    double *team_cpus, *team_gpus;        /* what each team's tasks may use now */
     uint64_t fencing_token;
     uint64_t attempt_base, attempt_next;
     /** A machine's address or incarnation is known anew, it is being released, or it is terminated;
      * NULL: nobody wants to know. */
     void (*on_machine_changed)(void *arg, const struct rp_machine *machine, bool terminated);
-    void *on_machine_arg;
+    void *on_machine_changed_arg;
 };
 
 /** The machine of this name; NULL: there is none. */
--- a/src/cluster/failure_detection.c
+++ b/src/cluster/failure_detection.c
@@ -59,7 +59,7 @@
     double limit_s =
         SUSPECT_HEARTBEAT_SPREAD * context->settings->report_s + SUSPECT_HEARTBEAT_MARGIN_S;
     return machine->state != RP_MACHINE_BOOTING &&
-           rp_ts_since(now, machine->contact.last_heartbeat) > limit_s;
+           rp_ts_since(now, machine->contact.last_heartbeat_at) > limit_s;
 }
 
 double rp_failure_answers_lost_s(const struct rp_machine *machine, struct timespec now) {
@@ -105,7 +105,7 @@
     struct timespec newest = {0};
     for (const struct rp_machine *machine = detector->context->cluster->first; machine;
          machine = machine->next) {
-        struct timespec last = machine->contact.last_heartbeat;
+        struct timespec last = machine->contact.last_heartbeat_at;
         if (machine->contact.incarnation == 0 || !is_expected_to_stay(machine))
             continue;
         silence.n_machines++;
@@ -150,7 +150,7 @@
             continue;
         zones[machine->zone].n_machines++;
         zones[machine->zone].n_silent +=
-            rp_ts_since(now, machine->contact.last_heartbeat) > limit_s;
+            rp_ts_since(now, machine->contact.last_heartbeat_at) > limit_s;
     }
     for (int i = 0; i < RP_ZONES_MAX; i++)
         if (has_silent_share(&zones[i], COMMON_CAUSE_SHARE)) {
@@ -191,8 +191,8 @@
     return !rp_ts_zero(when) && rp_ts_since(now, when) < within_s;
 }
 
-bool rp_failure_detector_is_behind_cut(const struct rp_failure_detector *detector,
-                                       const struct rp_machine *machine, struct timespec now) {
+bool rp_failure_detector_was_partitioned(const struct rp_failure_detector *detector,
+                                         const struct rp_machine *machine, struct timespec now) {
     bool is_zone_cut = machine->zone >= 0 &&
                        was_within(detector->zone_silent_at[machine->zone], now, CUT_RECOVERY_S);
     return is_zone_cut || was_within(detector->mass_loss_at, now, CUT_RECOVERY_S);
--- a/src/cluster/failure_detection.h
+++ b/src/cluster/failure_detection.h
@@ -38,8 +38,8 @@
 bool rp_failure_detector_is_zone_silent(const struct rp_failure_detector *detector, int zone);
 /** Whether the machine was lost with most of its zone, or many others, a moment ago: such a cut
  * ends, and its machines come back one by one. */
-bool rp_failure_detector_is_behind_cut(const struct rp_failure_detector *detector,
-                                       const struct rp_machine *machine, struct timespec now);
+bool rp_failure_detector_was_partitioned(const struct rp_failure_detector *detector,
+                                         const struct rp_machine *machine, struct timespec now);
 /** Whether the machine, which has been up, has missed a heartbeat. */
 bool rp_failure_is_machine_silent(const struct rp_fleet_context *context,
                                   const struct rp_machine *machine, struct timespec now);
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -140,9 +140,9 @@
     rp_scale_out_adopt(&fleet->provisioning, machine);
 }
 
-void rp_fleet_describe_machine(struct rp_fleet *fleet, struct rp_machine *machine, const char *type,
+void rp_fleet_set_machine_kind(struct rp_fleet *fleet, struct rp_machine *machine, const char *type,
                                const char *zone, bool spot) {
-    rp_machine_describe(machine, fleet->context.catalog, type, zone, spot);
+    rp_machine_set_kind(machine, fleet->context.catalog, type, zone, spot);
 }
 
 double rp_fleet_hourly_price(const struct rp_catalog *catalog, int type, bool spot) {
--- a/src/cluster/fleet.h
+++ b/src/cluster/fleet.h
@@ -60,7 +60,7 @@
 /** Gives a machine that no record names a record of its own. */
 void rp_fleet_adopt(struct rp_fleet *fleet, struct rp_machine *machine);
 /** What a worker says of its machine, which the record may not know. */
-void rp_fleet_describe_machine(struct rp_fleet *fleet, struct rp_machine *machine, const char *type,
+void rp_fleet_set_machine_kind(struct rp_fleet *fleet, struct rp_machine *machine, const char *type,
                                const char *zone, bool spot);
 /** Price of a machine in the cloud's currency, for an hour. */
 double rp_fleet_hourly_price(const struct rp_catalog *catalog, int type, bool spot);
--- a/src/cluster/machine.c
+++ b/src/cluster/machine.c
@@ -22,7 +22,7 @@
     return machine->type >= 0 && machine->zone >= 0;
 }
 
-void rp_machine_describe(struct rp_machine *machine, const struct rp_catalog *catalog,
+void rp_machine_set_kind(struct rp_machine *machine, const struct rp_catalog *catalog,
                          const char *type, const char *zone, bool spot) {
     /* A zone never changes under a machine's tasks: they are counted by it. */
     if (is_kind_known(machine) || machine->n_allocations > 0)
@@ -50,7 +50,7 @@
                     machine->contact.fencing_token_seen && is_kind_known(machine);
     bool is_staying = !machine->spot_notice.received && is_healthy(machine);
     return is_known && is_staying && !rp_machine_is_one_way_partitioned(machine) &&
-           machine->n_unknown_live == 0;
+           machine->n_unknown_not_exited == 0;
 }
 
 bool rp_machine_is_idle(const struct rp_machine *machine) {
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -73,20 +73,20 @@
 
 /** The exchange with a machine's worker, and what it proves. A time of zero: never. */
 struct rp_machine_contact {
-    uint64_t incarnation;   /* of the worker; it grows each time the worker's lease expires */
-    uint64_t seq;           /* of the newest message: a heartbeat or a direct command's answer */
-    uint64_t heartbeat_seq; /* of the newest heartbeat */
-    unsigned n_direct;      /* direct commands and probes sent since that heartbeat */
-    bool unreachable;       /* a direct command found no way there, and nothing has come since */
-    bool probing;           /* a probe is under way */
-    unsigned probes_failed; /* in a row */
+    uint64_t incarnation;     /* of the worker; it grows each time the worker's lease expires */
+    uint64_t seq;             /* of the newest message: a heartbeat or a direct command's answer */
+    uint64_t heartbeat_seq;   /* of the newest heartbeat */
+    unsigned n_direct;        /* direct commands and probes sent since that heartbeat */
+    bool unreachable;         /* a direct command found no way there, and nothing has come since */
+    bool probing;             /* a probe is under way */
+    unsigned n_probes_failed; /* in a row */
     struct timespec probed_at;
     bool fencing_token_seen;    /* the newest heartbeat shows this leader's token */
     bool known_by_fencing_only; /* it answered a new leader's token, but sent no heartbeat yet */
-    struct timespec last_heartbeat;
-    struct timespec last_heard;   /* the newest message of any kind */
-    struct timespec lease_expiry; /* its tasks are gone by then unless it is answered again */
-    struct timespec first_answer, last_answer; /* sent by this leader */
+    struct timespec last_heartbeat_at;
+    struct timespec last_message_at; /* the newest message of any kind */
+    struct timespec lease_expiry;    /* its tasks are gone by then unless it is answered again */
+    struct timespec first_answer_at, last_answer_at; /* sent by this leader */
     uint64_t lost_incarnation;          /* in which it was lost; 0: none that this leader knows */
     struct timespec answers_lost_since; /* heartbeats arrive, but answers don't get there */
 };
@@ -99,10 +99,10 @@
 
 /** Errors of tasks, as evidence against the machine (quarantine.h). */
 struct rp_machine_health {
-    unsigned consecutive_errors; /* since the last task that ended well */
-    unsigned n_error_jobs;       /* jobs that these errors were of */
-    uint64_t last_error_job;     /* the last of them, as a hash of its id */
-    bool suspected;              /* either the machine or that job is at fault */
+    unsigned n_consecutive_errors; /* since the last task that ended well */
+    unsigned n_error_jobs;         /* jobs that these errors were of */
+    uint64_t last_error_job;       /* the last of them, as a hash of its id */
+    bool suspected;                /* either the machine or that job is at fault */
     struct timespec suspected_until;
     bool quarantined;
 };
@@ -146,7 +146,7 @@
     size_t n_allocations, cap_allocations;
     struct rp_unknown_task *unknown_tasks;
     size_t n_unknown_tasks;
-    size_t n_unknown_live; /* of them those that haven't exited, and those beyond the bound */
+    size_t n_unknown_not_exited; /* of them those that haven't exited, and those beyond the bound */
     struct rp_image *images;
     size_t n_images, cap_images;
     struct rp_machine *prev, *next; /* all machines, in the order in which they were added */
@@ -158,7 +158,7 @@
 /** What kind of machine it is, by names that a record, the cloud or its worker told. Nothing
  * changes once type and zone are known, or while it holds allocations: they are counted by its
  * zone. */
-void rp_machine_describe(struct rp_machine *machine, const struct rp_catalog *catalog,
+void rp_machine_set_kind(struct rp_machine *machine, const struct rp_catalog *catalog,
                          const char *type, const char *zone, bool spot);
 /** Whether tasks may be started on it, as far as the machine alone is concerned. */
 bool rp_machine_is_usable(const struct rp_machine *machine);
--- a/src/cluster/machine_lifecycle.c
+++ b/src/cluster/machine_lifecycle.c
@@ -10,7 +10,7 @@
 static void notify(const struct rp_cluster *cluster, const struct rp_machine *machine,
                    bool is_terminated) {
     if (cluster->on_machine_changed)
-        cluster->on_machine_changed(cluster->on_machine_arg, machine, is_terminated);
+        cluster->on_machine_changed(cluster->on_machine_changed_arg, machine, is_terminated);
 }
 
 struct rp_machine *rp_machine_add(struct rp_cluster *cluster, const char *name,
--- a/src/cluster/provision_loading.c
+++ b/src/cluster/provision_loading.c
@@ -29,9 +29,9 @@
 static struct timespec earlier_leaders_lease_expiry(const struct rp_fleet_context *context) {
     struct timespec now = rp_loop_now(context->loop);
     struct timespec fenced_leader_expiry = context->election->fenced_leader_expiry;
-    struct timespec last_answer =
+    struct timespec last_answer_at =
         rp_ts_cmp(fenced_leader_expiry, now) > 0 ? fenced_leader_expiry : now;
-    return rp_ts_after(last_answer, rp_settings_worker_lease_s(context->settings));
+    return rp_ts_after(last_answer_at, rp_settings_worker_lease_s(context->settings));
 }
 
 /* A machine of a record. No leader starts anything on a machine before its record says that it is
@@ -44,7 +44,7 @@
         context->cluster, name, is_up ? RP_MACHINE_UNRECONCILED : RP_MACHINE_BOOTING);
     machine->up_recorded = is_up;
     machine->provision_request = request;
-    rp_machine_describe(machine, context->catalog, record->type, record->zone, record->spot);
+    rp_machine_set_kind(machine, context->catalog, record->type, record->zone, record->spot);
     machine->requested_at = rp_ts_sub(rp_loop_now(context->loop), rp_ts(age_s));
     machine->contact.lease_expiry = earlier_leaders_lease_expiry(context);
 }
--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -278,7 +278,7 @@
     if (!machine)
         machine = rp_machine_add(context->cluster, name, RP_MACHINE_BOOTING);
     machine->provision_request = request;
-    rp_machine_describe(machine, context->catalog, request->record.type, request->record.zone,
+    rp_machine_set_kind(machine, context->catalog, request->record.type, request->record.zone,
                         request->record.spot);
 }
 
--- a/src/cluster/quarantine.c
+++ b/src/cluster/quarantine.c
@@ -60,7 +60,7 @@
 /* ---- machines ---- */
 
 static void clear_errors(struct rp_machine *machine) {
-    machine->health.consecutive_errors = machine->health.n_error_jobs = 0;
+    machine->health.n_consecutive_errors = machine->health.n_error_jobs = 0;
     machine->health.last_error_job = 0;
     machine->health.suspected = false;
 }
@@ -70,7 +70,7 @@
     if (machine->health.quarantined)
         return;
     rp_info("machine quarantined: machine=%s n_errors=%u job=%s", machine->name,
-            machine->health.consecutive_errors, job->spec.id);
+            machine->health.n_consecutive_errors, job->spec.id);
     machine->health.quarantined = true;
     for (struct rp_job *other = cluster->jobs->table.first; other; other = other->next)
         remove_failed_machine(other, machine);
@@ -78,7 +78,7 @@
 
 static bool has_too_many_errors(const struct rp_cluster *cluster,
                                 const struct rp_machine *machine) {
-    return machine->health.consecutive_errors >= cluster->settings->tuning.faulty_after;
+    return machine->health.n_consecutive_errors >= cluster->settings->tuning.faulty_after;
 }
 
 /* One job's errors are no proof: jobs with a mistake had every third good machine they met given
@@ -87,7 +87,7 @@
                                        struct rp_machine *machine, struct timespec now) {
     struct rp_machine_health *health = &machine->health;
     uint64_t job_hash = rp_hash_string(job->spec.id);
-    health->consecutive_errors++;
+    health->n_consecutive_errors++;
     if (health->last_error_job != job_hash) {
         health->last_error_job = job_hash;
         health->n_error_jobs++;
--- a/src/cluster/reconciliation.c
+++ b/src/cluster/reconciliation.c
@@ -72,7 +72,7 @@
     const struct rp_fleet_context *context = reconciliation->context;
     struct rp_machine *machine =
         rp_machine_add(context->cluster, listed->machine, RP_MACHINE_BOOTING);
-    rp_machine_describe(machine, context->catalog, listed->type, listed->zone, listed->spot);
+    rp_machine_set_kind(machine, context->catalog, listed->type, listed->zone, listed->spot);
     machine->requested_at = rp_ts_sub(now, rp_ts(listed->age_s));
     rp_scale_out_adopt(reconciliation->provisioning, machine);
 }
@@ -102,7 +102,7 @@
     }
     machine->scale_in.n_lists_missing = 0;
     machine->scale_in.listed_failed = listed->state == RP_LISTED_FAILED;
-    rp_machine_describe(machine, context->catalog, listed->type, listed->zone, listed->spot);
+    rp_machine_set_kind(machine, context->catalog, listed->type, listed->zone, listed->spot);
     correct_request_time(context, machine, listed, now);
 }
 
--- a/src/cluster/release_policy.c
+++ b/src/cluster/release_policy.c
@@ -66,7 +66,7 @@
 static void check_lost(const struct policy *policy, struct rp_machine *machine) {
     /* After a cut its machines come back one by one: the first of them are no reason to release the
      * rest. */
-    bool is_cut = rp_failure_detector_is_behind_cut(policy->detector, machine, policy->now);
+    bool is_cut = rp_failure_detector_was_partitioned(policy->detector, machine, policy->now);
     double grace_s = is_cut ? CUT_GRACE_S : LOST_GRACE_S;
     bool is_grace_over = !policy->detector->is_node_suspected &&
                          rp_ts_since(policy->now, machine->lost_since) > grace_s;
--- a/src/cluster/start_permission.c
+++ b/src/cluster/start_permission.c
@@ -23,7 +23,7 @@
         cluster->unreconciled = rp_alloc(cluster->cap_unreconciled, sizeof(struct rp_machine *));
     }
     for (struct rp_machine *machine = cluster->first; machine; machine = machine->next)
-        if (!rp_machine_has_told_all(machine))
+        if (!rp_machine_has_complete_task_list(machine))
             cluster->unreconciled[cluster->n_unreconciled++] = machine;
     cluster->unreconciled_stale = false;
 }
@@ -49,7 +49,8 @@
 static bool is_kind_excluded(const struct rp_cluster *cluster, const struct rp_job *job,
                              const struct rp_machine *machine) {
     return machine->type >= 0 && machine->zone >= 0 &&
-           !rp_cluster_is_allowed(cluster, &job->spec, machine->type, machine->zone, machine->spot);
+           !rp_cluster_is_kind_allowed(cluster, &job->spec, machine->type, machine->zone,
+                                       machine->spot);
 }
 
 bool rp_cluster_is_job_reconciled(struct rp_cluster *cluster, const struct rp_job *job) {
@@ -89,13 +90,13 @@
     return capacity;
 }
 
-struct rp_resources rp_cluster_over_quota(const struct rp_cluster *cluster,
-                                          const struct rp_job *job) {
+struct rp_resources rp_cluster_quota_excess(const struct rp_cluster *cluster,
+                                            const struct rp_job *job) {
     struct rp_resources over = {-1, -1, -1};
     const struct rp_team *team = team_of(cluster, job);
     /* Tasks of jobs that this leader can't know are counted against nobody's limit, so nobody with
      * a limit starts anything before they have exited. */
-    if (!team || (has_limit(team) && cluster->n_with_unknown_live > 0))
+    if (!team || (has_limit(team) && cluster->n_machines_with_unknown_tasks > 0))
         return (struct rp_resources){INFINITY, INFINITY, INFINITY};
     if (team->cpus_max > 0)
         over.cpus =
@@ -114,8 +115,8 @@
            need->memory_gb > capacity->memory_gb;
 }
 
-bool rp_cluster_is_allowed(const struct rp_cluster *cluster, const struct rp_job_spec *spec,
-                           int type, int zone, bool spot) {
+bool rp_cluster_is_kind_allowed(const struct rp_cluster *cluster, const struct rp_job_spec *spec,
+                                int type, int zone, bool spot) {
     if (type < 0 || zone < 0 || (spot && !spec->spot))
         return false;
     if (*spec->zone && strcmp(spec->zone, cluster->catalog->zones[zone]) != 0)
@@ -148,8 +149,8 @@
 /* Whether the job may have a task on the machine. */
 static bool is_machine_allowed(const struct rp_cluster *cluster, const struct rp_job *job,
                                const struct rp_machine *machine) {
-    return rp_cluster_is_allowed(cluster, &job->spec, machine->type, machine->zone,
-                                 machine->spot) &&
+    return rp_cluster_is_kind_allowed(cluster, &job->spec, machine->type, machine->zone,
+                                      machine->spot) &&
            is_zone_allowed(job, machine->zone);
 }
 
@@ -167,7 +168,7 @@
     if (!rp_cluster_is_job_reconciled(cluster, job) || !is_machine_allowed(cluster, job, machine))
         return false;
     struct rp_resources capacity = rp_machine_free_resources(cluster, machine);
-    struct rp_resources over = rp_cluster_over_quota(cluster, job);
+    struct rp_resources over = rp_cluster_quota_excess(cluster, job);
     rp_resources_add(&capacity, &freed->capacity);
     bool is_within_quota = over.cpus <= freed->quota.cpus && over.gpus <= freed->quota.gpus;
     return rp_resources_fit(&job->spec.each, &capacity) && is_within_quota;
--- a/src/cluster/start_permission.h
+++ b/src/cluster/start_permission.h
@@ -26,12 +26,12 @@
 /** Whether no machine may hold tasks of this job that this leader doesn't know of. */
 bool rp_cluster_is_job_reconciled(struct rp_cluster *cluster, const struct rp_job *job);
 /** Whether the job allows this type, zone and kind of machine. False for a type or zone below 0. */
-bool rp_cluster_is_allowed(const struct rp_cluster *cluster, const struct rp_job_spec *spec,
-                           int type, int zone, bool spot);
+bool rp_cluster_is_kind_allowed(const struct rp_cluster *cluster, const struct rp_job_spec *spec,
+                                int type, int zone, bool spot);
 /** How far one more task of the job would be beyond its team's limit; not above 0: it isn't.
  * INFINITY for a job without a team, and while it can't be told what the team's tasks use. */
-struct rp_resources rp_cluster_over_quota(const struct rp_cluster *cluster,
-                                          const struct rp_job *job);
+struct rp_resources rp_cluster_quota_excess(const struct rp_cluster *cluster,
+                                            const struct rp_job *job);
 /** What the machine's type has, less what its counted allocations may use. */
 struct rp_resources rp_machine_free_resources(const struct rp_cluster *cluster,
                                               const struct rp_machine *machine);
--- a/src/cluster/task_evidence.c
+++ b/src/cluster/task_evidence.c
@@ -32,14 +32,14 @@
     return rp_ts_reached(now, machine->contact.lease_expiry);
 }
 
-bool rp_machine_has_told_all(const struct rp_machine *machine) {
+bool rp_machine_has_complete_task_list(const struct rp_machine *machine) {
     if (machine->state == RP_MACHINE_UNRECONCILED)
         return false;
     return machine->state != RP_MACHINE_RELEASING || machine->contact.fencing_token_seen;
 }
 
 bool rp_machine_is_unreconciled(const struct rp_machine *machine, struct timespec now) {
-    if (rp_machine_has_told_all(machine))
+    if (rp_machine_has_complete_task_list(machine))
         return false;
     /* One that is being released stays in its state; of the others the tick makes lost ones. */
     return machine->state != RP_MACHINE_RELEASING || !rp_machine_is_lease_expired(machine, now);
--- a/src/cluster/task_evidence.h
+++ b/src/cluster/task_evidence.h
@@ -38,7 +38,7 @@
 /** Whether the machine holds no task of an earlier leader that it hasn't told of: a heartbeat has
  * shown our token, so no older start can be accepted any more, and its list is complete; or nothing
  * was ever started there before. */
-bool rp_machine_has_told_all(const struct rp_machine *machine);
+bool rp_machine_has_complete_task_list(const struct rp_machine *machine);
 /** Whether the machine may hold tasks of an earlier leader that it hasn't told of: neither has it
  * told all, nor is its lease over. */
 bool rp_machine_is_unreconciled(const struct rp_machine *machine, struct timespec now);
--- a/src/cluster/unknown_tasks.c
+++ b/src/cluster/unknown_tasks.c
@@ -3,8 +3,8 @@
 #include "base/memory.h"
 
 void rp_machine_clear_unknown_tasks(struct rp_cluster *cluster, struct rp_machine *machine) {
-    cluster->n_with_unknown_live -= machine->n_unknown_live > 0;
-    machine->n_unknown_tasks = machine->n_unknown_live = 0;
+    cluster->n_machines_with_unknown_tasks -= machine->n_unknown_not_exited > 0;
+    machine->n_unknown_tasks = machine->n_unknown_not_exited = 0;
 }
 
 bool rp_machine_add_unknown_task(struct rp_cluster *cluster, struct rp_machine *machine,
@@ -13,8 +13,8 @@
         machine->unknown_tasks = rp_alloc(RP_UNKNOWN_TASKS_MAX, sizeof *machine->unknown_tasks);
     bool is_full = machine->n_unknown_tasks == RP_UNKNOWN_TASKS_MAX;
     if (is_full || !unknown_task->exited) {
-        cluster->n_with_unknown_live += machine->n_unknown_live == 0;
-        machine->n_unknown_live++;
+        cluster->n_machines_with_unknown_tasks += machine->n_unknown_not_exited == 0;
+        machine->n_unknown_not_exited++;
     }
     if (is_full)
         return false;
--- a/src/scheduler/gang_reservation.c
+++ b/src/scheduler/gang_reservation.c
@@ -37,8 +37,8 @@
     if (!machine->ref || machine->reserved_for || !rp_machine_is_usable(machine->ref) ||
         rp_reservation_job(scheduler, machine->ref))
         return false;
-    return rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
-                                 machine->spot) &&
+    return rp_cluster_is_kind_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
+                                      machine->spot) &&
            !(rp_plan_share_of_machine(&job->spec.each, &machine->capacity) <= EXCLUSIVE_SHARE);
 }
 
--- a/src/scheduler/group_input.c
+++ b/src/scheduler/group_input.c
@@ -30,7 +30,7 @@
     for (size_t t = 0; t < catalog->n_types; t++)
         for (size_t z = 0; z < catalog->n_zones; z++)
             if ((catalog->types[t].zones >> z & 1) &&
-                rp_cluster_is_allowed(scheduler->cluster, spec, (int)t, (int)z, false)) {
+                rp_cluster_is_kind_allowed(scheduler->cluster, spec, (int)t, (int)z, false)) {
                 types |= 1u << t;
                 if (catalog->types[t].capacity.gpus <= 0)
                     plain |= 1u << t;
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -89,8 +89,8 @@
     for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next) {
         if (!rp_machine_is_usable(machine) || rp_reservation_job(scheduler, machine) ||
             (with_image && !rp_machine_has_image(machine, job->image_hash)) ||
-            !rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
-                                   machine->spot))
+            !rp_cluster_is_kind_allowed(scheduler->cluster, &job->spec, machine->type,
+                                        machine->zone, machine->spot))
             continue;
         double cost = rp_preemption_cost(scheduler, machine, job, now);
         if (cost >= 0 && (!best || cost < best_cost)) {
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -60,8 +60,8 @@
 static bool is_usable_for(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
                           const struct rp_job *job) {
     return rp_machine_is_usable(machine) && !rp_reservation_job(scheduler, machine) &&
-           rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
-                                 machine->spot);
+           rp_cluster_is_kind_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
+                                      machine->spot);
 }
 
 /* Tasks of the job that find room where other work is being stopped already. */
--- a/src/scheduler/replica_placement.c
+++ b/src/scheduler/replica_placement.c
@@ -83,8 +83,8 @@
     if (!rp_machine_is_usable(machine) || machine->scale_in.draining || is_reserved(machine, now))
         return false;
     return rp_silent_machines_is_heard(services, machine, now) &&
-           rp_cluster_is_allowed(services->cluster, &job->spec, machine->type, machine->zone,
-                                 machine->spot);
+           rp_cluster_is_kind_allowed(services->cluster, &job->spec, machine->type, machine->zone,
+                                      machine->spot);
 }
 
 double rp_replica_placement_penalty_s(const struct rp_services *services,
@@ -104,7 +104,7 @@
     for (unsigned i = 0; i < job->n_failed_machines; i++)
         penalty_s += strcmp(job->failed_machines[i], machine->name) == 0 ? FAILED_HERE_S : 0;
     penalty_s += rp_direct_commands_is_full(machine) ? NEXT_REPORT_S : 0;
-    penalty_s += ERROR_S * machine->health.consecutive_errors + (machine->spot ? SPOT_S : 0) +
+    penalty_s += ERROR_S * machine->health.n_consecutive_errors + (machine->spot ? SPOT_S : 0) +
                  (wastes_gpus ? GPU_S : 0);
     return penalty_s + (held.any ? 0 : NO_REPLICAS_S);
 }
--- a/src/scheduler/replica_preemption.c
+++ b/src/scheduler/replica_preemption.c
@@ -56,7 +56,7 @@
                                      const struct rp_machine *machine, const struct rp_job *job,
                                      const struct rp_released_resources *freed) {
     struct rp_resources available = rp_machine_free_resources(services->cluster, machine);
-    struct rp_resources over_limit = rp_cluster_over_quota(services->cluster, job);
+    struct rp_resources over_limit = rp_cluster_quota_excess(services->cluster, job);
     rp_resources_add(&available, &freed->capacity);
     if (!rp_resources_fit(&job->spec.each, &available))
         return LACKS_CAPACITY;
@@ -135,7 +135,7 @@
  */
 static struct rp_resources missing_quota(const struct rp_services *services,
                                          const struct rp_job *job) {
-    struct rp_resources over_limit = rp_cluster_over_quota(services->cluster, job);
+    struct rp_resources over_limit = rp_cluster_quota_excess(services->cluster, job);
     double n_more = job->spec.n_tasks - job->n_allocated - 1.0;
     over_limit.cpus += n_more * job->spec.each.cpus;
     over_limit.gpus += n_more * job->spec.each.gpus;
--- a/src/scheduler/silent_machines.c
+++ b/src/scheduler/silent_machines.c
@@ -15,7 +15,7 @@
 bool rp_silent_machines_is_heard(const struct rp_services *services,
                                  const struct rp_machine *machine, struct timespec now) {
     return !machine->contact.unreachable &&
-           rp_ts_since(now, machine->contact.last_heard) <
+           rp_ts_since(now, machine->contact.last_message_at) <
                REPORT_FACTOR * services->settings->report_s + SILENT_SLACK_S;
 }
 
@@ -50,14 +50,14 @@
                           uint32_t cut_zones, struct timespec now) {
     if (machine->state != RP_MACHINE_UP || !rp_services_has_replicas(machine))
         return;
-    double silent_s = rp_ts_since(now, machine->contact.last_heard) -
+    double silent_s = rp_ts_since(now, machine->contact.last_message_at) -
                       REPORT_FACTOR * services->settings->report_s;
     if (silent_s < PROBE_SLACK_S) {
-        machine->contact.probes_failed = 0;
+        machine->contact.n_probes_failed = 0;
         return;
     }
     bool is_cut_off = machine->zone >= 0 && (cut_zones >> machine->zone & 1);
-    if (machine->contact.probes_failed >= PROBES && !is_cut_off &&
+    if (machine->contact.n_probes_failed >= PROBES && !is_cut_off &&
         !rp_fleet_is_zone_silent(services->fleet, machine->zone) &&
         rp_ts_since(now, services->fleet->context.led_since) >
             services->settings->report_s * REPORT_FACTOR + LED_S)
--- a/src/scheduler/task_moves.c
+++ b/src/scheduler/task_moves.c
@@ -66,8 +66,8 @@
     if (target == from || !rp_machine_is_usable(target) || rp_reservation_job(scheduler, target) ||
         rp_machine_is_idle(target))
         return false;
-    return rp_cluster_is_allowed(scheduler->cluster, &job->spec, target->type, target->zone,
-                                 target->spot) &&
+    return rp_cluster_is_kind_allowed(scheduler->cluster, &job->spec, target->type, target->zone,
+                                      target->spot) &&
            rp_task_moves_may_change_zone(from, target, job) &&
            rp_resources_fit(&job->spec.each, available) &&
            rp_machine_has_image(target, job->image_hash);
--- a/src/standby/stream_server.c
+++ b/src/standby/stream_server.c
@@ -28,7 +28,7 @@
                            const struct rp_settings *settings) {
     *server = (struct rp_stream_server){.settings = settings, .cluster = cluster};
     cluster->on_machine_changed = on_machine_changed;
-    cluster->on_machine_arg = server;
+    cluster->on_machine_changed_arg = server;
 }
 
 void rp_stream_server_close(struct rp_stream_server *server) {
--- a/src/worker/heartbeat_reader.c
+++ b/src/worker/heartbeat_reader.c
@@ -31,7 +31,7 @@
                            heartbeat->seq > contact->heartbeat_seq &&
                            heartbeat->seq <= contact->heartbeat_seq + 1 + contact->n_direct;
     return has_next_number &&
-           rp_ts_since(rp_loop_now(context->loop), contact->last_heartbeat) < interval_max_s;
+           rp_ts_since(rp_loop_now(context->loop), contact->last_heartbeat_at) < interval_max_s;
 }
 
 /* Behind a one-way partition a machine looks like a good one: now and then a heartbeat comes, with
@@ -103,7 +103,7 @@
     rp_machine_note_contact(context->cluster, machine, heartbeat->addr, heartbeat->incarnation);
     contact->heartbeat_seq = heartbeat->seq;
     contact->n_direct = 0;
-    contact->last_heartbeat = contact->last_heard = rp_loop_now(context->loop);
+    contact->last_heartbeat_at = contact->last_message_at = rp_loop_now(context->loop);
     contact->unreachable = contact->known_by_fencing_only = false;
     rp_machine_note_fencing_token(context->cluster, machine,
                                   heartbeat->fencing_token == context->election->fencing_token);
@@ -136,7 +136,7 @@
 
 void rp_heartbeat_read_response(struct rp_worker_context *context, struct rp_machine *machine,
                                 const struct rp_heartbeat *heartbeat) {
-    machine->contact.last_heard = rp_loop_now(context->loop);
+    machine->contact.last_message_at = rp_loop_now(context->loop);
     if (heartbeat->incarnation != machine->contact.incarnation ||
         heartbeat->seq <= machine->contact.seq)
         return;
--- a/src/worker/probes.c
+++ b/src/worker/probes.c
@@ -17,7 +17,7 @@
     struct rp_heartbeat heartbeat;
     bool answered = rp_direct_call_read(response, &heartbeat) == RP_DIRECT_EXECUTED;
     machine->contact.probing = false;
-    machine->contact.probes_failed = answered ? 0 : machine->contact.probes_failed + 1;
+    machine->contact.n_probes_failed = answered ? 0 : machine->contact.n_probes_failed + 1;
     if (answered)
         rp_heartbeat_read_response(call->context, machine, &heartbeat);
     rp_heartbeat_free(&heartbeat);
--- a/src/worker/probes.h
+++ b/src/worker/probes.h
@@ -7,7 +7,7 @@
 #include "worker/worker_context.h"
 
 /** Asks the machine for its list of tasks, unless a probe is under way or its address isn't known.
- * Without a response `contact.probes_failed` grows; a response resets it. */
+ * Without a response `contact.n_probes_failed` grows; a response resets it. */
 void rp_probe_send(struct rp_worker_context *context, struct rp_machine *machine);
 
 #endif
--- a/src/worker/worker_fencing.c
+++ b/src/worker/worker_fencing.c
@@ -71,7 +71,7 @@
         !is_newer(&machine->contact, heartbeat))
         return false;
     if (is_first) {
-        rp_fleet_describe_machine(context->fleet, machine, heartbeat->type, heartbeat->zone,
+        rp_fleet_set_machine_kind(context->fleet, machine, heartbeat->type, heartbeat->zone,
                                   heartbeat->spot);
         machine->contact.lease_expiry =
             rp_ts_after(rp_loop_now(context->loop), rp_settings_worker_lease_s(context->settings));
@@ -102,7 +102,8 @@
         machine->contact.n_direct++; /* the response took a number after the newest heartbeat's */
     bool was_other_incarnation = is_same && outcome == RP_DIRECT_REFUSED &&
                                  heartbeat->incarnation != fencing->call.incarnation;
-    progress.resend = was_other_incarnation || (progress.fenced && machine->n_unknown_live > 0);
+    progress.resend =
+        was_other_incarnation || (progress.fenced && machine->n_unknown_not_exited > 0);
     fencing->call.incarnation = heartbeat->incarnation;
     return progress;
 }
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -48,9 +48,9 @@
         rp_ts_after(received_at, rp_settings_worker_lease_s(context->settings));
     if (rp_ts_cmp(lease_expiry, contact->lease_expiry) > 0)
         contact->lease_expiry = lease_expiry;
-    contact->last_answer = now;
-    if (rp_ts_zero(contact->first_answer))
-        contact->first_answer = now;
+    contact->last_answer_at = now;
+    if (rp_ts_zero(contact->first_answer_at))
+        contact->first_answer_at = now;
 }
 
 /* `machine` NULL: one that this leader doesn't know. */
@@ -99,7 +99,7 @@
         rp_info("machine in no record adopted: machine=%s", heartbeat->machine);
         machine = rp_machine_add(context->cluster, heartbeat->machine, RP_MACHINE_BOOTING);
     }
-    rp_fleet_describe_machine(context->fleet, machine, heartbeat->type, heartbeat->zone,
+    rp_fleet_set_machine_kind(context->fleet, machine, heartbeat->type, heartbeat->zone,
                               heartbeat->spot);
     return machine;
 }
@@ -132,9 +132,9 @@
 /* A machine that may hold tasks of an earlier leader and shows no sign of our answers is answered
  * no more: so its lease ends, and with it what it holds. Once it is lost it may come back. */
 static bool must_lease_expire(const struct rp_workers *workers, const struct rp_machine *machine) {
-    struct timespec first_answer = machine->contact.first_answer;
-    return machine->state == RP_MACHINE_UNRECONCILED && !rp_ts_zero(first_answer) &&
-           rp_ts_since(rp_loop_now(workers->context.loop), first_answer) > TOKEN_TIMEOUT_S;
+    struct timespec first_answer_at = machine->contact.first_answer_at;
+    return machine->state == RP_MACHINE_UNRECONCILED && !rp_ts_zero(first_answer_at) &&
+           rp_ts_since(rp_loop_now(workers->context.loop), first_answer_at) > TOKEN_TIMEOUT_S;
 }
 
 /* Answers a heartbeat that may not be read as the machine's newest; false if it may. */
