--- a/src/cluster/machine.c
+++ b/src/cluster/machine.c
@@ -24,7 +24,7 @@
 
 void rp_machine_set_kind(struct rp_machine *machine, const struct rp_catalog *catalog,
                          const char *type, const char *zone, bool spot) {
-    /* A zone never changes under a machine's tasks: they are counted by it. */
+    /* The zone must not change while there are allocations, which are counted by zone. */
     if (is_kind_known(machine) || machine->n_allocations > 0)
         return;
     machine->type = rp_catalog_type_index(catalog, type);
@@ -36,7 +36,8 @@
     return !rp_ts_zero(machine->contact.answers_lost_since);
 }
 
-/* Its name, and that it is up, are in a durable record: the next leader will ask it. */
+/* Whether a durable record names the machine and marks it as up. The next leader then assumes that
+ * the machine may hold tasks. */
 static bool is_durable(const struct rp_machine *machine) {
     return machine->recorded && machine->up_recorded;
 }
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -1,7 +1,8 @@
 /** @file
- * A machine: what it is, where it is in its life, the exchange with its worker, and the allocations
- * on it. This module has the data and what a machine alone tells; what changes the counts of the
- * cluster state is in allocation.h, unknown_tasks.h and machine_lifecycle.h. */
+ * A machine: its type and zone, its lifecycle state, the message exchange with its worker, and the
+ * allocations on it. This module defines the data and the predicates that depend on one machine
+ * only. Functions that also change the counts of the cluster state are in allocation.h,
+ * unknown_tasks.h and machine_lifecycle.h. */
 #ifndef RP_CLUSTER_MACHINE_H
 #define RP_CLUSTER_MACHINE_H
 
@@ -10,26 +11,29 @@
 #include "model/heartbeat.h"
 #include "model/job_spec.h"
 
-/** Where a machine is in its life; rp_machine_set_state (machine_lifecycle.h) has the edges. */
+/** The lifecycle state of a machine; rp_machine_set_state (machine_lifecycle.c) lists the edges. */
 enum rp_machine_state {
-    RP_MACHINE_BOOTING,      /* provisioned, has sent no heartbeat yet, can hold nothing */
-    RP_MACHINE_UNRECONCILED, /* from an earlier leader's records: may hold any task */
-    RP_MACHINE_UP,           /* its heartbeats tell all that it holds */
-    RP_MACHINE_LOST,         /* silent beyond its lease: holds nothing, is to be released */
-    RP_MACHINE_RELEASING     /* the cloud is being told; never used again */
+    RP_MACHINE_BOOTING,      /* provisioned, has sent no heartbeat yet, cannot hold any task */
+    RP_MACHINE_UNRECONCILED, /* loaded from an earlier leader's records: may hold any task */
+    RP_MACHINE_UP,           /* its heartbeats list every task that it holds */
+    RP_MACHINE_LOST, /* silent until its lease expired: holds no task; released unless it reports
+                        again */
+    RP_MACHINE_RELEASING /* is being deleted in the cloud; never used again */
 };
 
-/** What is known of a task that may be on a machine; rp_allocation_set_state (allocation.h) has the
+/** The state of a task that may be on a machine; rp_allocation_set_state (allocation.c) lists the
  * edges. */
 enum rp_allocation_state {
-    RP_ALLOCATION_PLANNED, /* no command has been sent: can be dropped at once */
-    RP_ALLOCATION_SENT,    /* the start is in a heartbeat's answer; a newer heartbeat settles it */
-    RP_ALLOCATION_SEEN,    /* in the machine's newest heartbeat */
-    RP_ALLOCATION_EXITED   /* has exited there: no longer on the machine, to be forgotten */
+    RP_ALLOCATION_PLANNED, /* no start command has been sent: can be dropped at once */
+    RP_ALLOCATION_SENT,  /* the start was sent; a newer message of the machine shows whether it took
+                            effect */
+    RP_ALLOCATION_SEEN,  /* the machine lists the task as not exited */
+    RP_ALLOCATION_EXITED /* the task has exited: it no longer runs on the machine and is to be
+                            forgotten */
 };
 
-/** A task that may be on a machine. While it isn't RP_ALLOCATION_EXITED, the task is counted by its
- * job, its zone and its team, and started nowhere else. */
+/** A task that may be on a machine. Until the allocation is RP_ALLOCATION_EXITED, the task counts
+ * towards the tasks of its job, of its zone and of its team, and is started on no other machine. */
 struct rp_allocation {
     struct rp_job *job;
     uint32_t task;
@@ -37,24 +41,27 @@
     enum rp_allocation_state state;
     enum rp_task_state task_state;
     enum rp_exit_reason exit_reason;
-    uint64_t sent_seq;         /* of the heartbeat whose answer carried the start */
-    uint64_t seen_seq;         /* of the newest message that listed it */
-    bool started_directly;     /* the start went as a direct command: copies of it may come late */
-    bool direct_start_pending; /* and that command's answer is still waited for */
+    uint64_t sent_seq; /* sequence number of the heartbeat whose answer carried the start, or of the
+                          newest one before a direct start */
+    uint64_t seen_seq; /* sequence number of the newest message that listed the task */
+    bool started_directly;     /* the start was a direct command: copies of it may arrive late */
+    bool direct_start_pending; /* the response to that direct command is outstanding */
     struct timespec planned_at;
-    struct timespec running_since; /* first seen running */
-    bool stop_requested;           /* is to be stopped */
+    struct timespec running_since; /* when a message first listed the task as running */
+    bool stop_requested;           /* the task is to be stopped */
     double grace_s;
     struct timespec stop_sent_at;
-    bool listed; /* scratch while a heartbeat is read: it lists the task */
+    bool listed; /* used only while a heartbeat is read: this heartbeat lists the task */
 };
 
-/** Images known of a machine, by 24 bytes; beyond, the one used longest ago is forgotten. */
+/** Number of images remembered for a machine, at 24 bytes each; when it is reached, the least
+ * recently used image is forgotten. */
 #define RP_IMAGES_MAX 128
-/** Tasks of unknown jobs known of a machine; those beyond are only counted. */
+/** Number of tasks of unknown jobs remembered for a machine; further ones are only counted. */
 #define RP_UNKNOWN_TASKS_MAX 256
 
-/** A task on a machine whose job this leader doesn't know (any more): stopped and forgotten. */
+/** A task on a machine whose job this leader has no record of, or no longer has: it is stopped and
+ * forgotten. */
 struct rp_unknown_task {
     char job[RP_ID_MAX];
     uint32_t task;
@@ -64,76 +71,83 @@
 
 /** An image on a machine's disk. */
 struct rp_image {
-    uint64_t hash; /* of the name: a wrong guess costs a fetch, no more */
+    uint64_t hash; /* hash of the image's name: a collision costs one fetch, nothing else */
     double gb;
     struct timespec used_at;
 };
 
 struct rp_provision_request;
 
-/** The exchange with a machine's worker, and what it proves. A time of zero: never. */
+/** The message exchange with a machine's worker, and what it proves. An instant of zero means that
+ * the event has not happened. */
 struct rp_machine_contact {
-    uint64_t incarnation;     /* of the worker; it grows each time the worker's lease expires */
-    uint64_t seq;             /* of the newest message: a heartbeat or a direct command's answer */
-    uint64_t heartbeat_seq;   /* of the newest heartbeat */
-    unsigned n_direct;        /* direct commands and probes sent since that heartbeat */
-    bool unreachable;         /* a direct command found no way there, and nothing has come since */
-    bool probing;             /* a probe is under way */
-    unsigned n_probes_failed; /* in a row */
+    uint64_t incarnation; /* of the worker: increases each time the worker's lease expires */
+    /* Sequence number of the newest message: a heartbeat or the answer to a direct command. */
+    uint64_t seq;
+    uint64_t heartbeat_seq; /* sequence number of the newest heartbeat */
+    unsigned n_direct;      /* direct commands and probes sent since the newest heartbeat */
+    bool unreachable; /* the newest direct command could not be delivered, and no heartbeat has
+                         arrived since */
+    bool probing;     /* a probe is in flight */
+    unsigned n_probes_failed; /* consecutive probes without a response */
     struct timespec probed_at;
     bool fencing_token_seen;    /* the newest heartbeat shows this leader's token */
-    bool known_by_fencing_only; /* it answered a new leader's token, but sent no heartbeat yet */
+    bool known_by_fencing_only; /* it has answered this leader's fencing command, but not yet sent a
+                                   heartbeat */
     struct timespec last_heartbeat_at;
-    struct timespec last_message_at; /* the newest message of any kind */
-    struct timespec lease_expiry;    /* its tasks are gone by then unless it is answered again */
-    struct timespec first_answer_at, last_answer_at; /* sent by this leader */
-    uint64_t lost_incarnation;          /* in which it was lost; 0: none that this leader knows */
-    struct timespec answers_lost_since; /* heartbeats arrive, but answers don't get there */
+    struct timespec last_message_at; /* when the newest message of any kind arrived */
+    struct timespec lease_expiry; /* no task runs there after this instant unless a later heartbeat
+                                     is answered */
+    struct timespec first_answer_at, last_answer_at; /* answers to heartbeats sent by this leader */
+    uint64_t lost_incarnation;          /* incarnation in which this leader lost it; 0: none */
+    struct timespec answers_lost_since; /* heartbeats arrive, but nothing shows that the worker
+                                           receives answers */
 };
 
-/** The cloud is about to take a spot machine away. */
+/** The cloud's notice that it is about to reclaim a spot machine. */
 struct rp_spot_notice {
     bool received;
     struct timespec ends_at;
 };
 
-/** Errors of tasks, as evidence against the machine (quarantine.h). */
+/** Errors of tasks that suggest that the machine is faulty (quarantine.h). */
 struct rp_machine_health {
-    unsigned n_consecutive_errors; /* since the last task that ended well */
-    unsigned n_error_jobs;         /* jobs that these errors were of */
-    uint64_t last_error_job;       /* the last of them, as a hash of its id */
-    bool suspected;                /* either the machine or that job is at fault */
+    unsigned n_consecutive_errors; /* errors since the last task that succeeded */
+    unsigned n_error_jobs;         /* number of jobs that caused these errors */
+    uint64_t last_error_job; /* hash of the id of the job with the newest error; 0: no errors */
+    bool suspected;          /* either the machine or the job with the newest error is at fault */
     struct timespec suspected_until;
     bool quarantined;
 };
 
-/** The machine's capacity, reserved for one job. */
+/** A reservation of the machine's capacity for one job. */
 struct rp_reservation {
-    char job_id[RP_ID_MAX]; /* "": none */
+    char job_id[RP_ID_MAX]; /* "": the machine is not reserved */
     struct timespec until;
 };
 
-/** The way of a machine back to the cloud. */
+/** The state of returning a machine to the cloud. */
 struct rp_scale_in {
-    bool draining;         /* its work moves elsewhere first */
-    struct timespec since; /* in RP_MACHINE_RELEASING */
+    bool draining;         /* its tasks are moved to other machines before it is released */
+    struct timespec since; /* when it entered RP_MACHINE_RELEASING */
     bool delete_sent;
-    unsigned n_lists_missing; /* lists of the cloud, in a row, that didn't name it */
+    unsigned n_lists_missing; /* complete lists of the cloud since the last that named it, counting
+                                 that one */
     bool listed_failed;       /* the cloud lists it as failed */
 };
 
-/** A machine that the service has from the cloud, and what may be on it. Belongs to the cluster
- * state; pointers to it hold until rp_machine_remove. */
+/** A machine provisioned from the cloud, and the tasks that may be on it. Owned by the cluster
+ * state; pointers to it are valid until rp_machine_remove. */
 struct rp_machine {
-    /* What it is. */
+    /* Identity and kind. */
     char name[RP_TEXT_MAX], addr[RP_TEXT_MAX];
-    int type; /* index in the catalog; -1: a type that it doesn't have */
+    int type; /* index in the catalog's types; -1: the catalog does not have the type */
     int zone; /* index in the catalog's zones; -1: unknown */
     bool spot;
-    /* Its lifecycle. */
+    /* Lifecycle. */
     enum rp_machine_state state;
-    bool recorded;    /* its name is durable */
-    bool up_recorded; /* and that it is up: only then may starts go to it */
+    bool recorded;    /* a durable record names it */
+    bool up_recorded; /* a durable record marks it as up; no task is started on it before */
     struct rp_provision_request *provision_request;
     struct timespec requested_at, up_at, lost_since;
     struct rp_scale_in scale_in;
@@ -141,12 +155,13 @@
     struct rp_spot_notice spot_notice;
     struct rp_machine_health health;
     struct rp_reservation reservation;
-    /* What it holds. */
+    /* What may be on it. */
     struct rp_allocation *allocations;
     size_t n_allocations, cap_allocations;
     struct rp_unknown_task *unknown_tasks;
     size_t n_unknown_tasks;
-    size_t n_unknown_not_exited; /* of them those that haven't exited, and those beyond the bound */
+    size_t n_unknown_not_exited; /* unknown tasks that have not exited, and those beyond
+                                    RP_UNKNOWN_TASKS_MAX */
     struct rp_image *images;
     size_t n_images, cap_images;
     struct rp_machine *prev, *next; /* all machines, in the order in which they were added */
@@ -155,19 +170,21 @@
 
 /** The state's name for log lines, such as "unreconciled". */
 const char *rp_machine_state_name(enum rp_machine_state state);
-/** What kind of machine it is, by names that a record, the cloud or its worker told. Nothing
- * changes once type and zone are known, or while it holds allocations: they are counted by its
- * zone. */
+/** Sets the machine's kind (type, zone, spot or on-demand) from names found in a record, the
+ * cloud's list or the worker's heartbeat. Does nothing once type and zone are known, or while the
+ * machine has allocations, since allocations are counted by the machine's zone. */
 void rp_machine_set_kind(struct rp_machine *machine, const struct rp_catalog *catalog,
                          const char *type, const char *zone, bool spot);
-/** Whether tasks may be started on it, as far as the machine alone is concerned. */
+/** Whether the state of this machine allows starting tasks on it. Whether a particular task may
+ * start there is decided by start_permission.h. */
 bool rp_machine_is_usable(const struct rp_machine *machine);
-/** Whether its heartbeats arrive, but nothing shows that it gets our answers. */
+/** Whether its heartbeats arrive, but nothing shows that it receives this leader's answers. */
 bool rp_machine_is_one_way_partitioned(const struct rp_machine *machine);
-/** Whether nothing is on the machine, nor may be. What has ended may still be listed: attempts that
- * were started directly are kept known there, so that late copies of their starts do nothing. */
+/** Whether no task is or may be on the machine. Exited allocations that were started directly do
+ * not count: the worker keeps their attempts listed, so that late copies of their starts have no
+ * effect. */
 bool rp_machine_is_idle(const struct rp_machine *machine);
-/** Whether the task may still be on the machine, and is counted. */
+/** Whether the task may still be on the machine, and is therefore counted. */
 static inline bool rp_allocation_is_counted(const struct rp_allocation *allocation) {
     return allocation->state != RP_ALLOCATION_EXITED;
 }
--- a/src/cluster/machine_images.c
+++ b/src/cluster/machine_images.c
@@ -2,7 +2,7 @@
 
 #include "base/memory.h"
 
-#define FIRST_CAPACITY 8
+#define INITIAL_CAPACITY 8
 
 static struct rp_image *find_image(const struct rp_machine *machine, uint64_t hash) {
     for (size_t i = 0; i < machine->n_images; i++)
@@ -11,8 +11,8 @@
     return NULL;
 }
 
-/* Of all images of the machine, and one more of `gb`. */
-static double total_with_gb(const struct rp_machine *machine, double gb) {
+/* The total size of all images of the machine and one more of `gb`. */
+static double total_with_new_gb(const struct rp_machine *machine, double gb) {
     double total = gb;
     for (size_t i = 0; i < machine->n_images; i++)
         total += machine->images[i].gb;
@@ -27,10 +27,10 @@
     return oldest;
 }
 
-/* Forgets images until one more of `gb` fits. */
-static void make_space(const struct rp_cluster *cluster, struct rp_machine *machine, double gb) {
+/* Evicts least recently used images until one more of `gb` fits. */
+static void evict_for(const struct rp_cluster *cluster, struct rp_machine *machine, double gb) {
     double cache_gb = machine->type >= 0 ? cluster->catalog->types[machine->type].cache_gb : 0;
-    double needed_gb = total_with_gb(machine, gb);
+    double needed_gb = total_with_new_gb(machine, gb);
     while (machine->n_images > 0 && (machine->n_images == RP_IMAGES_MAX || needed_gb > cache_gb)) {
         size_t oldest = least_recently_used(machine);
         needed_gb -= machine->images[oldest].gb;
@@ -41,14 +41,14 @@
 void rp_machine_note_image(struct rp_cluster *cluster, struct rp_machine *machine, uint64_t hash,
                            double gb) {
     struct timespec now = rp_loop_now(cluster->loop);
-    struct rp_image *known = find_image(machine, hash);
-    if (known) {
-        known->used_at = now;
+    struct rp_image *existing = find_image(machine, hash);
+    if (existing) {
+        existing->used_at = now;
         return;
     }
-    make_space(cluster, machine, gb);
+    evict_for(cluster, machine, gb);
     if (machine->n_images == machine->cap_images) {
-        machine->cap_images = machine->cap_images ? machine->cap_images * 2 : FIRST_CAPACITY;
+        machine->cap_images = machine->cap_images ? machine->cap_images * 2 : INITIAL_CAPACITY;
         machine->images = rp_realloc(machine->images, machine->cap_images, sizeof *machine->images);
     }
     machine->images[machine->n_images++] =
--- a/src/cluster/machine_lifecycle.c
+++ b/src/cluster/machine_lifecycle.c
@@ -27,7 +27,7 @@
 void rp_machine_remove(struct rp_cluster *cluster, struct rp_machine *machine,
                        enum rp_task_evidence evidence) {
     rp_machine_drop_tasks(cluster, machine, evidence);
-    /* Of others the standbys have never heard. */
+    /* Machines without a contact that are not releasing were never announced to the standbys. */
     if (machine->contact.incarnation > 0 || machine->state == RP_MACHINE_RELEASING)
         notify(cluster, machine, true);
     rp_cluster_unlink(cluster, machine);
@@ -45,12 +45,15 @@
 }
 
 /* The edges:
- * (new) -> BOOTING                  provisioned; or one that no record names reports, or is listed
- * (new) -> UNRECONCILED             named by an earlier leader's record, which says that it was up
- * BOOTING, UNRECONCILED, LOST -> UP a heartbeat shows our token: it tells all that is there
- * UP, UNRECONCILED -> LOST          silent beyond its lease
- * any -> RELEASING                  to be given back to the cloud; there is no way back
- * RELEASING -> (removed)            the cloud has confirmed its deletion */
+ * - (new) -> BOOTING: the cloud has provisioned the machine;
+ * - (new) -> BOOTING: an earlier leader's record names the machine but does not mark it as up;
+ * - (new) -> BOOTING: no record names the machine, but it reports or the cloud lists it;
+ * - (new) -> UNRECONCILED: an earlier leader's record names the machine and marks it as up;
+ * - BOOTING, UNRECONCILED, LOST -> UP: a heartbeat shows this leader's fencing token, which proves
+ *   that its list of tasks is complete;
+ * - UP, UNRECONCILED -> LOST: the machine was silent until its lease expired;
+ * - any -> RELEASING: the machine is to be returned to the cloud; no edge leads back;
+ * - RELEASING -> (removed): the cloud has confirmed its deletion. */
 void rp_machine_set_state(struct rp_cluster *cluster, struct rp_machine *machine,
                           enum rp_machine_state state) {
     struct timespec now = rp_loop_now(cluster->loop);
--- a/src/cluster/machine_lifecycle.h
+++ b/src/cluster/machine_lifecycle.h
@@ -1,28 +1,30 @@
 /** @file
- * A machine's life in the cluster state: added, up, lost, releasing, removed. Every change of state
- * goes through rp_machine_set_state; standbys hear of those that concern them
- * (`on_machine_changed`). */
+ * The lifecycle of a machine in the cluster state: added, up, lost, releasing, removed. Every
+ * change of state is made by rp_machine_set_state. Changes of a machine's contact, its release and
+ * its removal are sent to the standbys by `on_machine_changed`. */
 #ifndef RP_CLUSTER_MACHINE_LIFECYCLE_H
 #define RP_CLUSTER_MACHINE_LIFECYCLE_H
 
 #include "cluster/task_evidence.h"
 
-/** Adds a machine of this name, which must be new. It belongs to the cluster state. */
+/** Adds a machine of this name, which must be new. The cluster state owns the machine. */
 struct rp_machine *rp_machine_add(struct rp_cluster *cluster, const char *name,
                                   enum rp_machine_state state);
-/** Removes and frees the machine, with all that may be on it. */
+/** Drops all tasks that may be on the machine, for which `evidence` is the reason, then removes and
+ * frees the machine. */
 void rp_machine_remove(struct rp_cluster *cluster, struct rp_machine *machine,
                        enum rp_task_evidence evidence);
-/** The one place where a machine changes its state. */
+/** The only function that changes a machine's state. */
 void rp_machine_set_state(struct rp_cluster *cluster, struct rp_machine *machine,
                           enum rp_machine_state state);
-/** Where it can be reached, and in which incarnation, as its newest message says. */
+/** Sets the machine's address and incarnation to those of its newest message. */
 void rp_machine_note_contact(struct rp_cluster *cluster, struct rp_machine *machine,
                              const char *addr, uint64_t incarnation);
-/** Whether its newest heartbeat shows our token. */
+/** Sets whether the machine's newest heartbeat shows this leader's fencing token. */
 void rp_machine_note_fencing_token(struct rp_cluster *cluster, struct rp_machine *machine,
                                    bool seen);
-/** The worker shows a newer incarnation: no task of the one before is on the machine any more. */
+/** The worker shows a newer incarnation: drops all allocations, since no task of the previous
+ * incarnation is on the machine any more. */
 void rp_machine_end_incarnation(struct rp_cluster *cluster, struct rp_machine *machine);
 
 #endif
--- a/src/cluster/tombstones.h
+++ b/src/cluster/tombstones.h
@@ -1,8 +1,8 @@
 /** @file
- * Tombstones: the names of machines that are terminated for certain, so that late messages of them
- * are void. A copy of a heartbeat may come minutes after its machine; the set keeps the latest
- * RP_TOMBSTONES_MAX names, as hashes. The fleet keeps one for its own releases, which outlives a
- * term; a standby's machine directory keeps another. */
+ * Tombstones: the names of machines that are certainly terminated, so that late messages from them
+ * are ignored. A copy of a heartbeat may arrive minutes after its machine was terminated. The set
+ * keeps the latest RP_TOMBSTONES_MAX names, as hashes. The fleet has one set for its own releases,
+ * which is kept when a term ends; a standby's machine directory has another. */
 #ifndef RP_CLUSTER_TOMBSTONES_H
 #define RP_CLUSTER_TOMBSTONES_H
 
@@ -10,23 +10,24 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** 4,000 machines that each live for the minute that the cloud charges at least: 66 releases a
- * second, for 16 minutes. */
+/** Number of names that the set keeps. With 4,000 machines that are each released after the minute
+ * that the cloud charges at least, 66 machines are released per second, so the names of 16 minutes
+ * fit. */
 #define RP_TOMBSTONES_MAX 65536
 
-/** The set; all zero when empty. A ring of hashes, with a hash table over its positions. */
+/** A set of tombstones; all zero when empty. A ring of hashes and a hash table of its positions. */
 struct rp_tombstones {
-    uint64_t *hashes; /* a ring of RP_TOMBSTONES_MAX; NULL until the first machine is added */
-    uint32_t *heads;  /* of the hash table: 1 + a position in the ring, 0 for none */
-    uint32_t *next;   /* the same, for each position of the ring */
+    uint64_t *hashes; /* ring of RP_TOMBSTONES_MAX hashes; NULL until the first machine is added */
+    uint32_t *heads;  /* heads of the hash table's chains: 1 + a position in the ring; 0: empty */
+    uint32_t *next;   /* next link of each position's chain: 1 + a position in the ring; 0: none */
     size_t n;         /* machines added so far */
 };
 
-/** Remembers the name, and forgets the oldest one if the set is full. */
+/** Adds the name, and removes the oldest one if the set is full. */
 void rp_tombstones_add(struct rp_tombstones *tombstones, const char *machine);
-/** Whether the machine is among the latest that were added. */
+/** Whether the machine is in the set. */
 bool rp_tombstones_has(const struct rp_tombstones *tombstones, const char *machine);
-/** Empties the set and frees what it holds. */
+/** Empties the set and frees its memory. */
 void rp_tombstones_free(struct rp_tombstones *tombstones);
 
 #endif
