--- a/src/cluster/allocation.c
+++ b/src/cluster/allocation.c
@@ -2,9 +2,9 @@
 
 #include "base/memory.h"
 
-#define FIRST_CAPACITY 16
+#define INITIAL_CAPACITY 16
 
-/* Adds the allocation to all counts (sign 1), or takes it out (-1). */
+/* Adds the allocation to all counts (sign 1) or subtracts it from them (sign -1). */
 static void count_allocation(struct rp_cluster *cluster, const struct rp_machine *machine,
                              const struct rp_allocation *allocation, int sign) {
     struct rp_job *job = allocation->job;
@@ -15,7 +15,7 @@
         cluster->team_cpus[job->team] += sign * job->spec.each.cpus;
         cluster->team_gpus[job->team] += sign * job->spec.each.gpus;
     }
-    /* What was handed back may be started again from the first such task on. */
+    /* The task may be started again, so the search for startable tasks begins at it or before. */
     if (sign < 0 && allocation->task < job->first_startable_task)
         job->first_startable_task = allocation->task;
 }
@@ -30,7 +30,7 @@
                                         enum rp_allocation_state state) {
     if (machine->n_allocations == machine->cap_allocations) {
         machine->cap_allocations =
-            machine->cap_allocations ? machine->cap_allocations * 2 : FIRST_CAPACITY;
+            machine->cap_allocations ? machine->cap_allocations * 2 : INITIAL_CAPACITY;
         machine->allocations = rp_realloc(machine->allocations, machine->cap_allocations,
                                           sizeof *machine->allocations);
     }
@@ -48,15 +48,16 @@
 }
 
 /* The edges:
- * (new) -> PLANNED          a start is planned; it is counted from here on
- * PLANNED -> SENT           the start goes to the machine, with an answer or as a direct command
- * SENT -> SEEN              the machine lists the task
- * SENT, SEEN -> EXITED      the machine lists it as exited; no longer counted
- * (new) -> SEEN, EXITED     the machine lists a task that an earlier leader started
- * PLANNED -> (removed)      nothing was sent: dropped at once
- * SENT -> (removed)         a later heartbeat doesn't list it, or the command was refused
- * EXITED -> (removed)       its end is recorded, and the worker has forgotten it
- * any -> (removed)          no task of the machine runs any more (task_evidence.h) */
+ * - (new) -> PLANNED: a start is planned; the task is counted from here on;
+ * - PLANNED -> SENT: the start is sent to the machine, with a heartbeat's answer or as a direct
+ *   command;
+ * - SENT -> SEEN: the machine lists the task;
+ * - SENT, SEEN -> EXITED: the machine lists the task as exited; it is no longer counted;
+ * - (new) -> SEEN, EXITED: the machine lists a task that an earlier leader started;
+ * - PLANNED -> (removed): the start is cancelled; nothing was sent, so it is removed at once;
+ * - SENT -> (removed): a later heartbeat does not list the task, or the command was refused;
+ * - EXITED -> (removed): the task's end is recorded, and the worker has forgotten the task;
+ * - any -> (removed): no task of the machine can run any more (task_evidence.h). */
 void rp_allocation_set_state(struct rp_cluster *cluster, struct rp_machine *machine,
                              struct rp_allocation *allocation, enum rp_allocation_state state) {
     if (allocation->state == state)
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -1,7 +1,8 @@
 /** @file
- * The cluster state, as other directories use it: machines, the allocations on them, and the start
- * permission. Includes all its modules. Only a leader has one; it begins anew with each term and is
- * never read anew under the same fencing token (docs/safety.md, "One term, one cluster state"). */
+ * The interface of the cluster state for other directories: machines, the allocations on them, and
+ * the start permission. Includes the headers of all its modules. Only a leader has a cluster state;
+ * each term starts with an empty one, and it is never loaded twice under the same fencing token
+ * (docs/safety.md, "One term, one cluster state"). */
 #ifndef RP_CLUSTER_CLUSTER_H
 #define RP_CLUSTER_CLUSTER_H
 
@@ -14,18 +15,20 @@
 #include "cluster/task_evidence.h"
 #include "cluster/unknown_tasks.h"
 
-/** Makes an empty cluster state. All pointers are borrowed and must outlive it. Returns 0, or -1
- * when memory is out. */
+/** Initializes an empty cluster state. All pointers are borrowed and must outlive it. Returns 0, or
+ * -1 if out of memory. */
 int rp_cluster_init(struct rp_cluster *cluster, struct rp_loop *loop, struct rp_jobs *jobs,
                     const struct rp_settings *settings, const struct rp_catalog *catalog);
-/** Forgets everything and starts numbering attempts for this token; 0: the node doesn't lead. */
+/** Empties the cluster state and restarts the numbering of attempts for this fencing token; 0: the
+ * node does not lead. */
 void rp_cluster_reset(struct rp_cluster *cluster, uint64_t token);
 /** Frees what the cluster state holds, but not itself. */
 void rp_cluster_free(struct rp_cluster *cluster);
-/** An attempt's number, unique over all leaders: the token, shifted by 32 bits, and a count. */
+/** A new attempt number, unique across all leaders: the fencing token, shifted by 32 bits, plus a
+ * count. */
 uint64_t rp_cluster_next_attempt(struct rp_cluster *cluster);
-/** Wants every task of the job stopped, wherever it may be, with `grace_s` seconds to save its
- * progress. Planned starts are dropped. */
+/** Requests that every task of the job be stopped, on any machine where it may be, with `grace_s`
+ * seconds to save its progress. Planned starts are removed. */
 void rp_cluster_stop_job(struct rp_cluster *cluster, struct rp_job *job, double grace_s);
 
 #endif
--- a/src/cluster/start_permission.c
+++ b/src/cluster/start_permission.c
@@ -6,13 +6,13 @@
 #include "base/memory.h"
 #include "cluster/task_evidence.h"
 
-/* Sums of tasks' resources are exact to this. */
+/* Rounding error of sums of tasks' resources, in CPUs and GPUs, that a quota check tolerates. */
 #define QUOTA_TOLERANCE 1e-9
 
 /* ---- reconciliation ---- */
 
-/* Every start asks who is unreconciled: the machines that may be are listed anew only after one of
- * them has changed, and mostly there are none. */
+/* Rebuilds the list of machines that may be unreconciled. Every start checks this list, so it is
+ * rebuilt only after a machine has changed; it is usually empty. */
 static void refresh_unreconciled(struct rp_cluster *cluster) {
     if (!cluster->unreconciled_stale)
         return;
@@ -36,7 +36,7 @@
     return true;
 }
 
-/* The job's team; NULL: it has none. */
+/* The job's team; NULL if the job has none. */
 static const struct rp_team *team_of(const struct rp_cluster *cluster, const struct rp_job *job) {
     return job->team >= 0 ? &cluster->settings->teams[job->team] : NULL;
 }
@@ -45,7 +45,8 @@
     return team && (team->cpus_max > 0 || team->gpus_max > 0);
 }
 
-/* Whether no task of the job can have been started there, since the job doesn't allow it. */
+/* Whether the job excludes the machine's type, zone or kind, so that no task of the job can have
+ * been started there. */
 static bool is_kind_excluded(const struct rp_cluster *cluster, const struct rp_job *job,
                              const struct rp_machine *machine) {
     return machine->type >= 0 && machine->zone >= 0 &&
@@ -54,17 +55,17 @@
 }
 
 bool rp_cluster_is_job_reconciled(struct rp_cluster *cluster, const struct rp_job *job) {
-    /* Teams with a limit wait for all machines: what is there counts against it. */
+    /* A team with a limit waits for all machines, since any task there may count against it. */
     bool is_limited = has_limit(team_of(cluster, job));
-    /* A job whose record is younger than our token was accepted after the last leader's lease had
-     * ended: nobody but us can have started any of it. */
-    bool is_young = job->accepted_revision > cluster->fencing_token;
+    /* A job whose record is newer than this leader's fencing token was accepted after the previous
+     * leader's lease had ended: no other leader can have started any of its tasks. */
+    bool is_newer_than_token = job->accepted_revision > cluster->fencing_token;
     refresh_unreconciled(cluster);
     for (size_t i = 0; i < cluster->n_unreconciled; i++) {
         const struct rp_machine *machine = cluster->unreconciled[i];
         if (!rp_machine_is_unreconciled(machine, rp_loop_now(cluster->loop)))
             continue;
-        bool has_none = is_young || is_kind_excluded(cluster, job, machine);
+        bool has_none = is_newer_than_token || is_kind_excluded(cluster, job, machine);
         if (is_limited || !has_none)
             return false;
     }
@@ -92,24 +93,24 @@
 
 struct rp_resources rp_cluster_quota_excess(const struct rp_cluster *cluster,
                                             const struct rp_job *job) {
-    struct rp_resources over = {-1, -1, -1};
+    struct rp_resources excess = {-1, -1, -1};
     const struct rp_team *team = team_of(cluster, job);
-    /* Tasks of jobs that this leader can't know are counted against nobody's limit, so nobody with
-     * a limit starts anything before they have exited. */
+    /* Tasks of unknown jobs are counted against no team's limit. Teams with a limit therefore start
+     * no task until these tasks have exited: otherwise a team could exceed its limit. */
     if (!team || (has_limit(team) && cluster->n_machines_with_unknown_tasks > 0))
         return (struct rp_resources){INFINITY, INFINITY, INFINITY};
     if (team->cpus_max > 0)
-        over.cpus =
+        excess.cpus =
             cluster->team_cpus[job->team] + job->spec.each.cpus - team->cpus_max - QUOTA_TOLERANCE;
     if (team->gpus_max > 0)
-        over.gpus =
+        excess.gpus =
             cluster->team_gpus[job->team] + job->spec.each.gpus - team->gpus_max - QUOTA_TOLERANCE;
-    return over;
+    return excess;
 }
 
-/* ---- what the job allows ---- */
+/* ---- constraints of the job ---- */
 
-/* Compared exactly, unlike what is left of a machine: nothing was added up. */
+/* Compares exactly: unlike a machine's free resources, neither side is a sum. */
 static bool exceeds(const struct rp_resources *need, const struct rp_resources *capacity) {
     return need->cpus > capacity->cpus || need->gpus > capacity->gpus ||
            need->memory_gb > capacity->memory_gb;
@@ -140,7 +141,7 @@
 
 /* ---- the permission ---- */
 
-/* Whether the task is still to be done, and can't be anywhere. */
+/* Whether the task is not done yet and cannot be on any machine. */
 static bool is_task_startable(const struct rp_job *job, uint32_t task) {
     return job->state == RP_JOB_OPEN && task < job->spec.n_tasks &&
            rp_job_n_task_allocations(job, task) == 0 && !rp_job_is_task_done(job, task);
@@ -168,8 +169,8 @@
     if (!rp_cluster_is_job_reconciled(cluster, job) || !is_machine_allowed(cluster, job, machine))
         return false;
     struct rp_resources capacity = rp_machine_free_resources(cluster, machine);
-    struct rp_resources over = rp_cluster_quota_excess(cluster, job);
+    struct rp_resources excess = rp_cluster_quota_excess(cluster, job);
     rp_resources_add(&capacity, &freed->capacity);
-    bool is_within_quota = over.cpus <= freed->quota.cpus && over.gpus <= freed->quota.gpus;
+    bool is_within_quota = excess.cpus <= freed->quota.cpus && excess.gpus <= freed->quota.gpus;
     return rp_resources_fit(&job->spec.each, &capacity) && is_within_quota;
 }
--- a/src/cluster/start_permission.h
+++ b/src/cluster/start_permission.h
@@ -1,15 +1,17 @@
 /** @file
- * The start permission. A task is started only with rp_cluster_may_start's leave, which counts
- * everything that MAY be on a machine: in flight, fetching, stopping, on machines that can't be
- * reached. The argument is in docs/safety.md, "Where a task may run". Callers plan as they like;
- * they ask here before they add the allocation, in the same turn of the event loop. */
+ * The start permission. A task is started only if rp_cluster_may_start allows it. The check counts
+ * every task that MAY be on a machine: starts in flight, tasks that are fetching or stopping, and
+ * tasks on unreachable machines. The proof is in docs/safety.md, "Where a task may run".
+ *
+ * Planning needs no permission. A caller checks here before it adds an allocation, in the same turn
+ * of the event loop. */
 #ifndef RP_CLUSTER_START_PERMISSION_H
 #define RP_CLUSTER_START_PERMISSION_H
 
 #include "cluster/cluster_state.h"
 
-/** What the very message that starts a task gives back before: of the machine's capacity, and of
- * what the job's team uses. */
+/** Resources that the message that starts a task releases before the start: of the machine's
+ * capacity, and of the usage of the job's team. */
 struct rp_released_resources {
     struct rp_resources capacity, quota;
 };
@@ -17,22 +19,25 @@
 /** Whether this task of the job may be started on the machine now. */
 bool rp_cluster_may_start(struct rp_cluster *cluster, const struct rp_job *job, uint32_t task,
                           const struct rp_machine *machine);
-/** The same, with what the message gives back before. */
+/** Like rp_cluster_may_start, with the resources in `freed` counted as free. */
 bool rp_cluster_may_start_after_release(struct rp_cluster *cluster, const struct rp_job *job,
                                         uint32_t task, const struct rp_machine *machine,
                                         const struct rp_released_resources *freed);
-/** Whether no machine may hold tasks that this leader doesn't know of. */
+/** Whether no machine may hold tasks that are missing from this leader's cluster state. */
 bool rp_cluster_is_reconciled(struct rp_cluster *cluster);
-/** Whether no machine may hold tasks of this job that this leader doesn't know of. */
+/** Whether no machine may hold tasks of this job that are missing from this leader's cluster state.
+ * If the job's team has a limit, tasks of all jobs count. */
 bool rp_cluster_is_job_reconciled(struct rp_cluster *cluster, const struct rp_job *job);
-/** Whether the job allows this type, zone and kind of machine. False for a type or zone below 0. */
+/** Whether the job specification allows this type and zone, and spot machines if `spot`. False for
+ * a type or zone below 0. */
 bool rp_cluster_is_kind_allowed(const struct rp_cluster *cluster, const struct rp_job_spec *spec,
                                 int type, int zone, bool spot);
-/** How far one more task of the job would be beyond its team's limit; not above 0: it isn't.
- * INFINITY for a job without a team, and while it can't be told what the team's tasks use. */
+/** By how much one more task of the job would exceed its team's limit; 0 or less if it would not.
+ * INFINITY for a job without a team, and for a team with a limit while its usage is unknown because
+ * a machine holds tasks of unknown jobs. */
 struct rp_resources rp_cluster_quota_excess(const struct rp_cluster *cluster,
                                             const struct rp_job *job);
-/** What the machine's type has, less what its counted allocations may use. */
+/** The capacity of the machine's type, minus the resources of its counted allocations. */
 struct rp_resources rp_machine_free_resources(const struct rp_cluster *cluster,
                                               const struct rp_machine *machine);
 
