--- a/src/cluster/failure_detection.c
+++ b/src/cluster/failure_detection.c
@@ -2,40 +2,48 @@
 
 #include <string.h>
 
-/* Fewer machines say nothing about what they have in common. */
-#define SAMPLE_MIN 4
-/* Of the machines, silent at the same time: they share a cause. */
+/* Number of machines below which a share of silent ones does not indicate a common cause. */
+#define SILENCE_MACHINES_MIN 4
+/* Share of the machines that, silent at the same time, have a common cause. */
 #define COMMON_CAUSE_SHARE 0.6
-/* So many silent at once: the fault may be ours, and none is released for it. */
+/* Share of the machines that, silent at the same time, makes this node a suspect: no machine is
+ * released for its silence. */
 #define NODE_SUSPECTED_SHARE 0.3
-#define ISOLATED_S 2.0         /* for so long: this node is cut off rather than they */
-#define ISOLATED_PROVEN_S 10.0 /* leadership was provable for so long */
-/* No heartbeat at all, for so long, and where so many were due, in so many ticks. */
+/* How long most machines must have been silent for this node, not the machines, to count as
+ * partitioned. */
+#define ISOLATED_AFTER_S 2.0
+/* How long leadership must have been provable before this node can count as isolated. */
+#define ISOLATED_PROVEN_S 10.0
+/* This node counts as isolated if no heartbeat at all has arrived for ALL_SILENT_S, and for the
+ * time in which ALL_SILENT_HEARTBEATS were due, in ALL_SILENT_TICKS consecutive ticks. */
 #define ALL_SILENT_S 1.5
 #define ALL_SILENT_HEARTBEATS 20
 #define ALL_SILENT_TICKS 2
-/* A machine's heartbeats come within report_s and a quarter; so much more is a silence. */
+/* A machine's heartbeats arrive at intervals of at most HEARTBEAT_SPREAD times report_s; a machine
+ * is silent HEARTBEAT_MARGIN_S later. */
 #define HEARTBEAT_SPREAD 1.25
 #define HEARTBEAT_MARGIN_S 2.5
-/* For a single machine that other evidence speaks against. */
+/* The limit for a single machine, used where other evidence of a failure is required, too. */
 #define SUSPECT_HEARTBEAT_SPREAD 1.5
 #define SUSPECT_HEARTBEAT_MARGIN_S 0.5
+/* How long answers must have been lost for a machine to count as silent. */
 #define ANSWERS_LOST_CERTAIN_S 5.0
-/* So many machines lost at the same time, and such a share of all, were hardly lost one by one: a
- * cut ends, those that died are listed. */
+/* At least MASS_LOSS_MACHINES machines, and MASS_LOSS_SHARE of all, that are lost at the same time
+ * are unlikely to have failed independently. A network partition ends, and the cloud's list shows
+ * the machines that did fail. */
 #define MASS_LOSS_MACHINES 5
 #define MASS_LOSS_SHARE 0.03
-/* After a cut its machines come back within this. */
-#define CUT_RECOVERY_S 12.0
+/* Time within which machines report again after a network partition ends. */
+#define PARTITION_RECOVERY_S 12.0
 
-/* How many machines were counted, and how many of them are silent. */
-struct silence {
+/* Number of machines counted, and of those that are silent. */
+struct silence_count {
     size_t n_machines;
     size_t n_silent;
 };
 
-static bool has_silent_share(const struct silence *silence, double share) {
-    return silence->n_machines >= SAMPLE_MIN &&
+static bool has_silent_share(const struct silence_count *silence, double share) {
+    return silence->n_machines >= SILENCE_MACHINES_MIN &&
            (double)silence->n_silent >= share * (double)silence->n_machines;
 }
 
@@ -72,35 +80,39 @@
     return detector->context->settings->report_s * HEARTBEAT_SPREAD + HEARTBEAT_MARGIN_S;
 }
 
-/* A machine that is about to be taken away, or to be released, may fall silent by itself. */
+/* A machine that the cloud is about to reclaim, or that is being released, may fall silent without
+ * a failure. */
 static bool is_expected_to_stay(const struct rp_machine *machine) {
     return !machine->spot_notice.received && machine->state != RP_MACHINE_RELEASING;
 }
 
 /* ---- this node ---- */
 
-/* Counted in ticks as well: a node that stood still hasn't read what came meanwhile. */
+/* Counts ticks in addition to time: a node that was suspended has not yet read the heartbeats that
+ * arrived in the meantime. */
 static void count_silent_ticks(struct rp_failure_detector *detector, size_t n_machines,
                                struct timespec newest_heartbeat, struct timespec now) {
     double heartbeats_due_s =
         ALL_SILENT_HEARTBEATS * detector->context->settings->report_s / (double)(n_machines + 1);
     double limit_s = fmax(ALL_SILENT_S, heartbeats_due_s);
-    bool is_silent = n_machines >= SAMPLE_MIN && rp_ts_since(now, newest_heartbeat) > limit_s;
-    detector->silent_ticks = is_silent ? detector->silent_ticks + 1 : 0;
+    bool is_silent =
+        n_machines >= SILENCE_MACHINES_MIN && rp_ts_since(now, newest_heartbeat) > limit_s;
+    detector->n_silent_ticks = is_silent ? detector->n_silent_ticks + 1 : 0;
 }
 
-/* A node cut off from everything can't give the key up either: its lease does that. */
+/* Whether leadership has been provable for long enough, and the key-value store answers. A node
+ * that does not reach the store either cannot resign: its lease expires instead. */
 static bool is_leadership_proven(const struct rp_failure_detector *detector, struct timespec now) {
     return rp_kv_failing_s(detector->context->store) <= 0 &&
            rp_ts_since(now, detector->proven_since) >= ISOLATED_PROVEN_S;
 }
 
-/* A leader that the workers can't reach, though the key-value store can, renews its lease and does
- * nothing for anybody. When most machines fall silent together while leadership was provable all
- * along, it gives the key up: another node may be better placed. It also releases no machine then:
- * they are hardly all terminated. */
+/* A leader that the workers cannot reach, but the key-value store can, would renew its lease and
+ * schedule nothing. If most machines fall silent together while leadership was provable all the
+ * time, the leader resigns, since another node may reach the workers. It also releases no machine
+ * then: they are unlikely to have all been terminated. */
 static void observe_node(struct rp_failure_detector *detector, struct timespec now) {
-    struct silence silence = {0};
+    struct silence_count silence = {0};
     double limit_s = silence_limit_s(detector);
     struct timespec newest = {0};
     for (const struct rp_machine *machine = detector->context->cluster->first; machine;
@@ -126,24 +138,24 @@
                                             struct timespec now) {
     if (!is_leadership_proven(detector, now))
         return false;
-    /* Most machines have been silent for a while, or no heartbeat has come at all where many were
-     * due. */
+    /* Either most machines have been silent for ISOLATED_AFTER_S, or no heartbeat at all has
+     * arrived although many were due. */
     bool are_most_silent = !rp_ts_zero(detector->isolated_since) &&
-                           rp_ts_since(now, detector->isolated_since) > ISOLATED_S;
-    return detector->silent_ticks >= ALL_SILENT_TICKS || are_most_silent;
+                           rp_ts_since(now, detector->isolated_since) > ISOLATED_AFTER_S;
+    return detector->n_silent_ticks >= ALL_SILENT_TICKS || are_most_silent;
 }
 
-/* ---- zones, and many machines at once ---- */
+/* ---- zones and mass losses ---- */
 
-/* A zone that is cut off comes back with its machines, their images and, after the lease, nothing
- * on them: releasing them and provisioning anew costs a boot and all fetches, and in the meantime
- * new ones there could not report either. */
+/* When a partitioned zone recovers, its machines still have their images, and no tasks once their
+ * leases have expired. Releasing them and provisioning new ones would cost a boot and all fetches,
+ * and new machines in the zone could not report during the partition either. */
 static void observe_zones(struct rp_failure_detector *detector, struct timespec now) {
-    struct silence zones[RP_ZONES_MAX] = {{0}};
+    struct silence_count zones[RP_ZONES_MAX] = {{0}};
     double limit_s = silence_limit_s(detector);
     detector->silent_zones = 0;
     if (rp_ts_since(now, detector->context->led_since) < limit_s)
-        return; /* after a failover all are heard of anew */
+        return; /* after a failover no machine has reported to this leader yet */
     for (const struct rp_machine *machine = detector->context->cluster->first; machine;
          machine = machine->next) {
         if (!machine->up_recorded || machine->zone < 0 || !is_expected_to_stay(machine))
@@ -159,9 +171,9 @@
         }
 }
 
-/* A cut of many machines, of one zone or not, passes like a zone's: to release them all and
- * provision anew costs a boot and every image. What has died is told by the cloud's list within
- * half a minute. */
+/* A network partition of many machines, in one zone or several, ends like that of a whole zone.
+ * Releasing them all and provisioning new ones would cost a boot and a fetch of every image. The
+ * cloud's list shows within half a minute which machines have failed. */
 static void observe_mass_loss(struct rp_failure_detector *detector, struct timespec now) {
     size_t n_lost = 0;
     size_t n_machines = 0;
@@ -193,7 +205,7 @@
 
 bool rp_failure_detector_was_partitioned(const struct rp_failure_detector *detector,
                                          const struct rp_machine *machine, struct timespec now) {
-    bool is_zone_cut = machine->zone >= 0 &&
-                       was_within(detector->zone_silent_at[machine->zone], now, CUT_RECOVERY_S);
-    return is_zone_cut || was_within(detector->mass_loss_at, now, CUT_RECOVERY_S);
+    bool was_zone_silent = machine->zone >= 0 && was_within(detector->zone_silent_at[machine->zone],
+                                                            now, PARTITION_RECOVERY_S);
+    return was_zone_silent || was_within(detector->mass_loss_at, now, PARTITION_RECOVERY_S);
 }
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -7,10 +7,12 @@
 #include "cluster/release_policy.h"
 #include "cluster/scale_out.h"
 
-#define TICK_S 0.5
-#define TICK_LEAST_S 0.02
-#define TICK_LATE_S (TICK_LEAST_S / 10) /* after a lease's end: by then it is over */
-/* An isolated leader leaves the key to the others for so long. */
+/* Longest and shortest time between two ticks. */
+#define TICK_INTERVAL_S 0.5
+#define TICK_INTERVAL_MIN_S 0.02
+/* How long after a lease's expiry a tick is set, so that the lease has expired for certain. */
+#define TICK_LEASE_MARGIN_S (TICK_INTERVAL_MIN_S / 10)
+/* How long an isolated leader leaves the leader key to the other nodes after it has resigned. */
 #define ISOLATED_BACKOFF_S 12.0
 
 static void on_tick(void *arg);
@@ -69,18 +71,18 @@
 
 /* ---- the tick ---- */
 
-/* What ran on a lost machine runs elsewhere from the moment on when its lease is over: the tick
- * comes as soon as the next lease ends. */
+/* The time until the next tick. The tasks of a lost machine can be started on other machines as
+ * soon as its lease has expired, so a tick is due right after the next expiry of a lease. */
 static double until_next_tick_s(const struct rp_cluster *cluster, struct timespec now) {
-    double next_s = TICK_S;
+    double next_s = TICK_INTERVAL_S;
     for (const struct rp_machine *machine = cluster->first; machine; machine = machine->next) {
         double left_s = rp_ts_since(machine->contact.lease_expiry, now);
         bool has_lease =
             machine->state == RP_MACHINE_UP || machine->state == RP_MACHINE_UNRECONCILED;
         if (has_lease && left_s > 0)
-            next_s = fmin(next_s, left_s + TICK_LATE_S);
+            next_s = fmin(next_s, left_s + TICK_LEASE_MARGIN_S);
     }
-    return fmax(next_s, TICK_LEAST_S);
+    return fmax(next_s, TICK_INTERVAL_MIN_S);
 }
 
 static void on_tick(void *arg) {
@@ -105,7 +107,7 @@
     rp_reconciliation_step(&fleet->reconciliation);
 }
 
-/* ---- what other directories call ---- */
+/* ---- interface for other directories ---- */
 
 void rp_fleet_scale_out(struct rp_fleet *fleet, int type, int zone, bool spot, unsigned count) {
     rp_scale_out(&fleet->provisioning, type, zone, spot, count);
--- a/src/cluster/fleet_context.h
+++ b/src/cluster/fleet_context.h
@@ -1,6 +1,7 @@
 /** @file
- * What the parts of the fleet share: whom they talk to, and the term that they work for. The fleet
- * (fleet.h) owns it; provisioning, release, reconciliation and failure detection keep a pointer. */
+ * Data shared by the parts of the fleet: the modules that they call, and the current term. The
+ * fleet (fleet.h) owns it; provisioning, release, reconciliation and failure detection keep a
+ * pointer. */
 #ifndef RP_CLUSTER_FLEET_CONTEXT_H
 #define RP_CLUSTER_FLEET_CONTEXT_H
 
@@ -8,7 +9,7 @@
 #include "cluster/cluster.h"
 #include "cluster/tombstones.h"
 
-/** The fleet's surroundings; all pointers are borrowed. */
+/** The shared data; all pointers are borrowed. */
 struct rp_fleet_context {
     struct rp_loop *loop;
     struct rp_cloud_client *cloud;
@@ -18,16 +19,17 @@
     struct rp_jobs *jobs;
     const struct rp_settings *settings;
     struct rp_catalog *catalog;
-    struct rp_tombstones tombstones; /* outlive a term */
-    /* Grows whenever the fleet is cleared: answers to calls of an earlier one are dropped. */
+    struct rp_tombstones tombstones; /* of machines that this process released, in any term */
+    /* Incremented whenever the fleet is cleared; answers to calls of an earlier generation are
+     * discarded. */
     unsigned long generation;
     struct timespec led_since; /* when this term's records had been loaded */
-    /** Machines or capacity have changed; NULL: nobody wants to know. */
+    /** Called when machines or capacity have changed; NULL: no call. */
     void (*on_changed)(void *arg);
     void *on_changed_arg;
 };
 
-/** Tells the fleet's owner that machines or capacity have changed. */
+/** Notifies the fleet's owner that machines or capacity have changed. */
 static inline void rp_fleet_context_notify(const struct rp_fleet_context *context) {
     if (context->on_changed)
         context->on_changed(context->on_changed_arg);
--- a/src/cluster/quarantine.c
+++ b/src/cluster/quarantine.c
@@ -5,30 +5,34 @@
 #include "base/log.h"
 #include "base/string_copy.h"
 
-/* Machines on which a job failed, with no success anywhere, until it is suspected. */
+/* Number of machines on which a job must have failed, without any success, to be suspected. */
 #define JOB_SUSPECTED_MACHINES 2
-/* Jobs that failed on a machine in a row until it is at fault, whatever becomes of them elsewhere.
- */
+/* Number of jobs that must have failed on a machine, without a success between, for it to be faulty
+ * regardless of how these jobs do on other machines. */
 #define MACHINE_AT_FAULT_JOBS 2
-/* A suspected machine gets nothing meanwhile: the job may yet show whose fault it is. */
+/* How long a suspected machine gets no tasks: meanwhile the job may show on other machines whether
+ * it is the faulty one. */
 #define SUSPICION_S 20.0
-/* Before a job that failed is started again; doubles while it fails wherever it starts. */
+/* Backoff before a job that failed is started again; it doubles while the job fails on every
+ * machine. */
 #define START_BACKOFF_S 0.5
 #define START_BACKOFF_MAX_S 30.0
 #define START_BACKOFF_DOUBLINGS_MAX 8
 
-/* Whether the job's tasks can end well, or run: what fails of it is the machine's fault. */
-static bool has_proved_itself(const struct rp_job *job) {
+/* Whether a task of the job has succeeded, or a replica of the service runs: errors of its tasks
+ * are then attributed to their machines. */
+static bool has_working_task(const struct rp_job *job) {
     return job->n_done > 0 || (job->spec.kind == RP_JOB_SERVICE && job->n_running > 0);
 }
 
 bool rp_quarantine_is_job_suspected(const struct rp_job *job) {
-    return job->n_failed_machines >= JOB_SUSPECTED_MACHINES && !has_proved_itself(job);
+    return job->n_failed_machines >= JOB_SUSPECTED_MACHINES && !has_working_task(job);
 }
 
 /* ---- machines on which a job failed ---- */
 
-/* The machine's position among those on which the job failed; n_failed_machines: it is none. */
+/* The machine's index among the machines on which the job failed; n_failed_machines if it is not
+ * one of them. */
 static unsigned failed_machine_index(const struct rp_job *job, const struct rp_machine *machine) {
     unsigned i = 0;
     while (i < job->n_failed_machines && strcmp(job->failed_machines[i], machine->name) != 0)
@@ -46,7 +50,8 @@
     return true;
 }
 
-/* The machine was at fault: the job's error there says nothing about the job. */
+/* Removes a faulty machine from the job's failed machines: an error there does not show that the
+ * job is faulty. */
 static void remove_failed_machine(struct rp_job *job, const struct rp_machine *machine) {
     unsigned index = failed_machine_index(job, machine);
     if (index == job->n_failed_machines)
@@ -81,8 +86,9 @@
     return machine->health.n_consecutive_errors >= cluster->settings->tuning.faulty_after;
 }
 
-/* One job's errors are no proof: jobs with a mistake had every third good machine they met given
- * back, with its images (incident 4d52). Two jobs' are, or one's whose tasks end well elsewhere. */
+/* Errors of a single job do not prove that the machine is faulty: without this rule, faulty jobs
+ * caused every third good machine on which they ran to be released, with its images (incident
+ * 4d52). Errors of two jobs prove it, or of one job whose tasks succeed on other machines. */
 void rp_quarantine_count_machine_error(struct rp_cluster *cluster, const struct rp_job *job,
                                        struct rp_machine *machine, struct timespec now) {
     struct rp_machine_health *health = &machine->health;
@@ -94,7 +100,7 @@
     }
     if (!has_too_many_errors(cluster, machine))
         return;
-    if (has_proved_itself(job) || health->n_error_jobs >= MACHINE_AT_FAULT_JOBS) {
+    if (has_working_task(job) || health->n_error_jobs >= MACHINE_AT_FAULT_JOBS) {
         quarantine(cluster, machine, job);
     } else {
         health->suspected = true;
@@ -107,10 +113,10 @@
         machine->health.suspected = false;
 }
 
-/* ---- ends of tasks ---- */
+/* ---- results of tasks ---- */
 
-/* The job fails everywhere: its errors are taken off the machines that had no others. */
-static void clear_machines_of(struct rp_cluster *cluster, const struct rp_job *job) {
+/* The job is faulty: clears the errors of machines on which no other job has failed. */
+static void clear_errors_caused_by(struct rp_cluster *cluster, const struct rp_job *job) {
     uint64_t job_hash = rp_hash_string(job->spec.id);
     for (unsigned i = 0; i < job->n_failed_machines; i++) {
         struct rp_machine *machine = rp_machine_find(cluster, job->failed_machines[i]);
@@ -133,8 +139,8 @@
         rp_quarantine_count_machine_error(cluster, job, machine, now);
         return;
     }
-    clear_machines_of(cluster, job);
-    /* Errors of tasks that were started together count once. */
+    clear_errors_caused_by(cluster, job);
+    /* Errors of tasks that were started together count once towards the backoff. */
     if (rp_ts_reached(now, job->start_backoff_until))
         job->n_start_backoffs++;
     job->start_backoff_until = rp_ts_after(now, start_backoff_s(job));
@@ -146,7 +152,7 @@
     job->n_start_backoffs = 0;
     if (job->n_done != 1)
         return;
-    /* The job's first success shows that its errors were the machines' fault. */
+    /* The job's first success shows that the machines on which it failed are faulty. */
     for (unsigned i = job->n_failed_machines; i-- > 0;) {
         struct rp_machine *other = rp_machine_find(cluster, job->failed_machines[i]);
         if (other && has_too_many_errors(cluster, other))
--- a/src/cluster/reconciliation.c
+++ b/src/cluster/reconciliation.c
@@ -12,19 +12,27 @@
 #include "protocol/cloud_codec.h"
 
 #define MACHINES_PER_PAGE 500
-#define LIST_S 4.0          /* between lists, */
-#define LIST_SILENT_S 1.5   /* and while a machine is silent, */
-#define LIST_RATE_SHARE 0.5 /* but of the cloud's requests a second no more than this share */
-#define PRICES_S 30.0
-/* The list shows a machine's start or end up to list_lag_s late. How many lags, and seconds more,
- * make sure of it: */
-#define STRAY_LAGS 4 /* a listed machine of no record is a stray */
-#define STRAY_MARGIN_S 60
-#define STRAY_LED_S 30 /* its own heartbeats had so much of this term to come first */
-#define MISSING_LAGS 4 /* a machine must have been listed by now */
+/* Time between two lists; the shorter one applies while any machine is silent. */
+#define LIST_INTERVAL_S 4.0
+#define LIST_INTERVAL_SILENT_S 1.5
+/* Share of the cloud's requests per second that lists may use; it lengthens the interval. */
+#define LIST_RATE_SHARE 0.5
+#define PRICES_INTERVAL_S 30.0
+/* The list shows a machine's start or end up to list_lag_s late. Each limit below is a number of
+ * such lags plus a margin in seconds. */
+/* Age from which a listed machine that no record names is an orphan. */
+#define ORPHAN_LAGS 4
+#define ORPHAN_MARGIN_S 60
+/* How long this node must have led before a machine is an orphan, since it may report itself. */
+#define ORPHAN_LEADING_S 30
+/* Time after its request from which a machine must have been listed. */
+#define MISSING_LAGS 4
 #define MISSING_MARGIN_S 5
-#define MISSING_LISTS 2 /* in a row may lack it, as lists come out of order */
-#define AGE_LAGS 3      /* the list's age contradicts ours */
+/* Value of n_lists_missing above which a machine is missing: lists are received out of order, so
+ * several in a row must lack it. */
+#define MISSING_LISTS 2
+/* Difference from which the machine's age in the list replaces the recorded one. */
+#define AGE_LAGS 3
 #define AGE_MARGIN_S 2
 
 struct cloud_call {
@@ -57,18 +65,20 @@
     return call->generation == call->reconciliation->context->generation;
 }
 
-/* ---- the list ---- */
+/* ---- the cloud's list of machines ---- */
 
-/* A machine just released is listed a while longer; a real stray stays. */
-static bool is_stray(const struct rp_fleet_context *context, const struct rp_listed_machine *listed,
-                     struct timespec now) {
-    return listed->age_s > STRAY_LAGS * context->settings->list_lag_s + STRAY_MARGIN_S &&
-           rp_ts_since(now, context->led_since) > STRAY_LED_S && listed->state != RP_LISTED_FAILED;
+/* Whether the listed machine, which no record names, is an orphan. A machine that was just released
+ * is still listed for a while, so only an old machine counts. */
+static bool is_orphan(const struct rp_fleet_context *context,
+                      const struct rp_listed_machine *listed, struct timespec now) {
+    return listed->age_s > ORPHAN_LAGS * context->settings->list_lag_s + ORPHAN_MARGIN_S &&
+           rp_ts_since(now, context->led_since) > ORPHAN_LEADING_S &&
+           listed->state != RP_LISTED_FAILED;
 }
 
-/* A stray is adopted; it is released if it doesn't report for long. */
-static void add_stray(struct rp_reconciliation *reconciliation,
-                      const struct rp_listed_machine *listed, struct timespec now) {
+/* Adopts an orphan as a booting machine; it is released if it does not report in time. */
+static void adopt_orphan(struct rp_reconciliation *reconciliation,
+                         const struct rp_listed_machine *listed, struct timespec now) {
     const struct rp_fleet_context *context = reconciliation->context;
     struct rp_machine *machine =
         rp_machine_add(context->cluster, listed->machine, RP_MACHINE_BOOTING);
@@ -77,7 +87,8 @@
     rp_scale_out_adopt(reconciliation->provisioning, machine);
 }
 
-/* The age at the list's time bounds the time of the request from below. */
+/* Moves the machine's request time back to the earliest instant that its age in the list allows, if
+ * it is earlier by more than the list's lag explains. */
 static void correct_request_time(const struct rp_fleet_context *context, struct rp_machine *machine,
                                  const struct rp_listed_machine *listed, struct timespec now) {
     double lag_s = context->settings->list_lag_s;
@@ -96,8 +107,8 @@
     struct timespec now = rp_loop_now(context->loop);
     if (!machine) {
         if (!rp_tombstones_has(&context->tombstones, listed->machine) &&
-            is_stray(context, listed, now))
-            add_stray(reconciliation, listed, now);
+            is_orphan(context, listed, now))
+            adopt_orphan(reconciliation, listed, now);
         return;
     }
     machine->scale_in.n_lists_missing = 0;
@@ -106,9 +117,10 @@
     correct_request_time(context, machine, listed, now);
 }
 
-/* A machine that has been listed stays listed until it is terminated, and an old one has been, but
- * lists come out of order: several in a row must lack it, and the deletion's answer makes it
- * certain. */
+/* Whether the machine has probably been terminated, since the lists lack it. A machine that has
+ * been listed is listed until it is terminated, and every machine of this age has been listed.
+ * Since lists are received out of order, several in a row must lack it; the answer to its deletion
+ * then proves it. */
 static bool is_missing(const struct rp_fleet_context *context, const struct rp_machine *machine,
                        struct timespec now) {
     return machine->scale_in.n_lists_missing > MISSING_LISTS &&
@@ -121,11 +133,11 @@
     struct timespec now = rp_loop_now(context->loop);
     for (struct rp_machine *machine = context->cluster->first; machine; machine = machine->next) {
         machine->scale_in.n_lists_missing++;
-        bool is_unheard = machine->state == RP_MACHINE_BOOTING ||
-                          rp_failure_is_machine_silent(context, machine, now);
+        bool is_booting_or_silent = machine->state == RP_MACHINE_BOOTING ||
+                                    rp_failure_is_machine_silent(context, machine, now);
         if (machine->scale_in.listed_failed)
             rp_release_machine(reconciliation->release, machine, "listed_as_failed");
-        else if (is_unheard && is_missing(context, machine, now))
+        else if (is_booting_or_silent && is_missing(context, machine, now))
             rp_release_machine(reconciliation->release, machine, "not_listed");
     }
 }
@@ -183,17 +195,18 @@
     if (reconciliation->list_in_flight || !rp_ts_reached(now, reconciliation->next_list_at))
         return;
     double n_pages = ceil((double)(context->cluster->n_machines + 1) / MACHINES_PER_PAGE);
-    double interval_s = is_any_machine_silent(context, now) ? LIST_SILENT_S : LIST_S;
-    double least_s = n_pages / (context->settings->cloud_rps * LIST_RATE_SHARE);
-    reconciliation->next_list_at = rp_ts_after(now, fmax(interval_s, least_s));
+    double interval_s =
+        is_any_machine_silent(context, now) ? LIST_INTERVAL_SILENT_S : LIST_INTERVAL_S;
+    double interval_min_s = n_pages / (context->settings->cloud_rps * LIST_RATE_SHARE);
+    reconciliation->next_list_at = rp_ts_after(now, fmax(interval_s, interval_min_s));
     reconciliation->list_after[0] = '\0';
     request_page(reconciliation);
 }
 
 /* ---- prices ---- */
 
-/* Types keep their indices, which machines refer to: only prices are taken over. */
-static void take_prices(struct rp_catalog *catalog, const struct rp_catalog *fresh) {
+/* Copies only the prices: machines refer to types by their indices, which must not change. */
+static void update_prices(struct rp_catalog *catalog, const struct rp_catalog *fresh) {
     for (size_t i = 0; i < fresh->n_types; i++) {
         int type = rp_catalog_type_index(catalog, fresh->types[i].name);
         if (type == RP_CATALOG_NONE)
@@ -208,15 +221,15 @@
     struct rp_catalog *fresh = rp_alloc(1, sizeof *fresh);
     if (is_current(call) && answer->status == 200 &&
         rp_cloud_codec_parse_catalog(answer->body, answer->len, fresh))
-        take_prices(call->reconciliation->context->catalog, fresh);
+        update_prices(call->reconciliation->context->catalog, fresh);
     free(fresh);
     free(call);
 }
 
-static void ask_prices_when_due(struct rp_reconciliation *reconciliation, struct timespec now) {
+static void request_prices_when_due(struct rp_reconciliation *reconciliation, struct timespec now) {
     if (!rp_ts_reached(now, reconciliation->next_prices_at))
         return;
-    reconciliation->next_prices_at = rp_ts_after(now, PRICES_S);
+    reconciliation->next_prices_at = rp_ts_after(now, PRICES_INTERVAL_S);
     rp_cloud_call(reconciliation->context->cloud, RP_CLOUD_ROUTINE, "GET", RP_PATH_CATALOG, NULL,
                   on_catalog, cloud_call_new(reconciliation));
 }
@@ -224,5 +237,5 @@
 void rp_reconciliation_step(struct rp_reconciliation *reconciliation) {
     struct timespec now = rp_loop_now(reconciliation->context->loop);
     list_when_due(reconciliation, now);
-    ask_prices_when_due(reconciliation, now);
+    request_prices_when_due(reconciliation, now);
 }
--- a/src/cluster/reconciliation.h
+++ b/src/cluster/reconciliation.h
@@ -1,8 +1,9 @@
 /** @file
- * Reconciliation with the cloud: its list of machines tells of those that failed or are terminated,
- * and of strays that no record names; its catalog tells today's prices. The list lags behind and
- * comes out of order, so it decides nothing alone: a machine that it lacks is released, and the
- * deletion's answer makes it certain.
+ * Reconciliation with the cloud. The cloud's list of machines shows which machines failed or were
+ * terminated, and which orphans exist that no record names; its catalog has the current prices. The
+ * list lags behind and versions of it arrive out of order, so absence alone proves nothing: a
+ * machine that the list lacks is released, and only the answer to its deletion proves that it is
+ * terminated.
  *
  * Called by the fleet in each tick of a provable leadership. */
 #ifndef RP_CLUSTER_RECONCILIATION_H
@@ -10,26 +11,28 @@
 
 #include "cluster/release.h"
 
-/** The reading of the cloud's list and catalog. */
+/** The state of reading the cloud's list and catalog. */
 struct rp_reconciliation {
     struct rp_fleet_context *context;
-    struct rp_provisioning *provisioning; /* borrowed, as the next one */
-    struct rp_release *release;
+    struct rp_provisioning *provisioning; /* borrowed */
+    struct rp_release *release;           /* borrowed */
     bool list_in_flight;
     struct timespec next_list_at;
-    char list_after[RP_TEXT_MAX]; /* the last machine of the pages read; "": the first page */
+    char list_after[RP_TEXT_MAX]; /* the last machine of the pages read so far; "": no page has been
+                                     read */
     struct timespec next_prices_at;
 };
 
-/** All are borrowed. */
+/** All pointers are borrowed and must outlive the reconciliation. */
 void rp_reconciliation_init(struct rp_reconciliation *reconciliation,
                             struct rp_fleet_context *context, struct rp_provisioning *provisioning,
                             struct rp_release *release);
-/** A term has ended; answers under way are dropped by the context's generation. */
+/** A term has ended. Answers to calls in flight are discarded because the context's generation has
+ * changed. */
 void rp_reconciliation_clear(struct rp_reconciliation *reconciliation);
-/** A term begins: the list is due at once. */
+/** A term begins: makes the list due at once. */
 void rp_reconciliation_start(struct rp_reconciliation *reconciliation);
-/** Asks for the list and for the catalog's prices when they are due. */
+/** Requests the list and the catalog's prices when they are due. */
 void rp_reconciliation_step(struct rp_reconciliation *reconciliation);
 
 #endif
--- a/src/cluster/release.c
+++ b/src/cluster/release.c
@@ -7,13 +7,14 @@
 #include "base/string_copy.h"
 #include "protocol/cloud_codec.h"
 
-#define DELETE_MAX 100 /* machines in a call (PROTOCOL) */
-/* Standbys, which ask for changes more often than this, know of a release by then. */
-#define STANDBYS_TOLD_S 0.4
-/* What the leader before has released is released again at once, at the beginning of a term. */
+#define MACHINES_PER_DELETE_MAX 100 /* machines per call (PROTOCOL) */
+/* Time after which the standbys have received a release, as they request changes more often. */
+#define STANDBY_DELAY_S 0.4
+/* Time from the start of a term in which machines are deleted without waiting for the standbys, so
+ * that the releases of the previous leader are repeated at once. */
 #define NEW_TERM_S 2.0
 
-/* A call that deletes machines. */
+/* A call to the cloud that deletes machines. */
 struct delete_call {
     struct rp_release *release;
     unsigned long generation;
@@ -30,7 +31,7 @@
     release->delete_in_flight = false;
 }
 
-/* The machine is terminated for certain: the cloud has answered 200 to its deletion. */
+/* The machine is certainly terminated, because the cloud has answered 200 to its deletion. */
 static void on_terminated(struct rp_release *release, struct rp_machine *machine) {
     struct rp_provision_request *request = machine->provision_request;
     release->n_released++;
@@ -53,7 +54,8 @@
         struct rp_machine *machine = rp_machine_find(release->context->cluster, call->names[i]);
         if (!machine)
             continue;
-        machine->scale_in.delete_sent = false; /* unless deleted, asked for again by the tick */
+        /* If the machine was not deleted, the next tick sends its deletion again. */
+        machine->scale_in.delete_sent = false;
         if (is_deleted)
             on_terminated(release, machine);
     }
@@ -63,19 +65,20 @@
     free(call);
 }
 
-/* The standbys hear of a release before the cloud does: of a machine that is terminated without
- * their knowing, a new leader would have to think for seconds that tasks may be there. */
-static bool is_known_to_standbys(const struct rp_fleet_context *context,
+/* Whether the standbys have received the machine's release. They must receive it before the cloud
+ * does: otherwise a new leader would have to assume for seconds that the terminated machine may
+ * hold tasks. */
+static bool has_reached_standbys(const struct rp_fleet_context *context,
                                  const struct rp_machine *machine, struct timespec now) {
     return !context->settings->tuning.standby ||
-           rp_ts_since(now, machine->scale_in.since) > STANDBYS_TOLD_S ||
+           rp_ts_since(now, machine->scale_in.since) > STANDBY_DELAY_S ||
            rp_ts_since(now, context->led_since) < NEW_TERM_S;
 }
 
 static bool may_delete(const struct rp_fleet_context *context, const struct rp_machine *machine,
                        struct timespec now) {
     return machine->state == RP_MACHINE_RELEASING && !machine->scale_in.delete_sent &&
-           is_known_to_standbys(context, machine, now);
+           has_reached_standbys(context, machine, now);
 }
 
 static struct delete_call *delete_call_new(struct rp_release *release, const char *const *names,
@@ -91,13 +94,13 @@
 
 void rp_release_step(struct rp_release *release) {
     const struct rp_fleet_context *context = release->context;
-    const char *names[DELETE_MAX];
+    const char *names[MACHINES_PER_DELETE_MAX];
     struct timespec now = rp_loop_now(context->loop);
     size_t n = 0;
     if (release->delete_in_flight || !rp_election_is_valid(context->election, now))
         return;
-    for (struct rp_machine *machine = context->cluster->first; machine && n < DELETE_MAX;
-         machine = machine->next)
+    for (struct rp_machine *machine = context->cluster->first;
+         machine && n < MACHINES_PER_DELETE_MAX; machine = machine->next)
         if (may_delete(context, machine, now)) {
             machine->scale_in.delete_sent = true;
             names[n++] = machine->name;
--- a/src/cluster/release_policy.c
+++ b/src/cluster/release_policy.c
@@ -2,15 +2,18 @@
 
 #include "cluster/quarantine.h"
 
-/* A machine that lost its lease through our absence comes back within this. */
+/* Time within which a machine whose lease expired because no leader answered it reports again. */
 #define LOST_GRACE_S 16.0
-/* When most of its zone, or many others, fell silent with it. */
-#define CUT_GRACE_S 75.0
-/* A machine that reports but gets no answers has had its lease's time, and more, to recover. */
+/* The same, if most machines of its zone or many others fell silent with it. */
+#define PARTITION_GRACE_S 75.0
+/* How long a machine that reports but receives no answers is kept: longer than its lease, so that
+ * it can recover. */
 #define ANSWERS_LOST_MAX_S 32.0
-#define SPOT_NOTICE_GRACE_S 1.0 /* after the end that the notice told */
-/* Boot time of a type that the catalog doesn't have. */
+/* How long after the end announced by a spot notice a silent machine counts as reclaimed. */
+#define SPOT_NOTICE_GRACE_S 1.0
+/* Boot time assumed for a type that the catalog does not have. */
 #define UNKNOWN_TYPE_BOOT_S 60.0
+/* Margin after boot_patience times the boot time, before a booting machine is released. */
 #define BOOT_MARGIN_S 5.0
 
 struct policy {
@@ -20,21 +23,22 @@
     struct timespec now;
 };
 
-static bool is_answers_lost_too_long(const struct policy *policy,
-                                     const struct rp_machine *machine) {
+/* Whether the machine has received no answers for too long, with no suspicion against this node. */
+static bool has_lost_answers_too_long(const struct policy *policy,
+                                      const struct rp_machine *machine) {
     return !policy->detector->is_node_suspected &&
            rp_failure_answers_lost_s(machine, policy->now) > ANSWERS_LOST_MAX_S;
 }
 
-/* The cloud has taken it away, as it told. */
-static bool is_taken_away(const struct policy *policy, const struct rp_machine *machine) {
+/* Whether the cloud has reclaimed the spot machine, as announced by its notice. */
+static bool is_reclaimed(const struct policy *policy, const struct rp_machine *machine) {
     return machine->spot_notice.received &&
            rp_ts_since(policy->now, machine->spot_notice.ends_at) > SPOT_NOTICE_GRACE_S &&
            rp_failure_is_machine_silent(policy->context, machine, policy->now);
 }
 
-/* Why an idle machine is not to be used any more; NULL: it is. */
-static const char *reason_to_retire(const struct rp_machine *machine) {
+/* The reason why the machine is to be released once it is idle; NULL if it is to be kept. */
+static const char *reason_to_release_idle(const struct rp_machine *machine) {
     if (machine->health.quarantined)
         return "quarantined";
     if (machine->spot_notice.received)
@@ -48,29 +52,30 @@
         rp_machine_set_state(policy->context->cluster, machine, RP_MACHINE_LOST);
         return true;
     }
-    const char *reason = reason_to_retire(machine);
-    if (is_answers_lost_too_long(policy, machine))
+    const char *reason = reason_to_release_idle(machine);
+    if (has_lost_answers_too_long(policy, machine))
         rp_release_machine(policy->release, machine, "answers_lost");
-    else if (is_taken_away(policy, machine))
+    else if (is_reclaimed(policy, machine))
         rp_release_machine(policy->release, machine, "taken_away");
     else if (reason && machine->state == RP_MACHINE_UP && rp_machine_is_idle(machine))
         rp_release_machine(policy->release, machine, reason);
     return false;
 }
 
-/* After a failover machines need time to be heard of anew. */
+/* Whether this node has led long enough for machines to report to it after a failover. */
 static bool has_led_for_grace(const struct policy *policy) {
     return rp_ts_since(policy->now, policy->context->led_since) > LOST_GRACE_S;
 }
 
 static void check_lost(const struct policy *policy, struct rp_machine *machine) {
-    /* After a cut its machines come back one by one: the first of them are no reason to release the
-     * rest. */
-    bool is_cut = rp_failure_detector_was_partitioned(policy->detector, machine, policy->now);
-    double grace_s = is_cut ? CUT_GRACE_S : LOST_GRACE_S;
+    /* After a network partition its machines report again one by one. The longer grace period keeps
+     * the remaining ones from being released once the first have reported. */
+    bool was_partitioned =
+        rp_failure_detector_was_partitioned(policy->detector, machine, policy->now);
+    double grace_s = was_partitioned ? PARTITION_GRACE_S : LOST_GRACE_S;
     bool is_grace_over = !policy->detector->is_node_suspected &&
                          rp_ts_since(policy->now, machine->lost_since) > grace_s;
-    if (is_answers_lost_too_long(policy, machine))
+    if (has_lost_answers_too_long(policy, machine))
         rp_release_machine(policy->release, machine, "answers_lost");
     else if (is_grace_over && has_led_for_grace(policy))
         rp_release_machine(policy->release, machine, "lost");
--- a/src/cluster/release_policy.h
+++ b/src/cluster/release_policy.h
@@ -1,7 +1,8 @@
 /** @file
- * Which machines are lost, and which are given back, as time goes by: machines that are silent
- * beyond their lease, that never came up, that get no answers, that the cloud takes away, that are
- * quarantined, or that have been drained. The scheduler releases idle machines by itself.
+ * The release policy decides in each tick which machines become lost and which are released:
+ * machines that were silent until their lease expired, that never came up, that receive no answers,
+ * that the cloud reclaims, that are quarantined, or that have been drained. Idle machines that are
+ * no longer needed are released by the scheduler.
  *
  * Called by the fleet in each tick of a provable leadership. */
 #ifndef RP_CLUSTER_RELEASE_POLICY_H
@@ -10,7 +11,7 @@
 #include "cluster/failure_detection.h"
 #include "cluster/release.h"
 
-/** Looks at every machine. Returns whether any was lost. */
+/** Applies the policy to every machine. Returns whether any machine became lost. */
 bool rp_release_policy_apply(const struct rp_failure_detector *detector, struct rp_release *release,
                              struct timespec now);
 
