--- a/src/cluster/capacity_refusal.c
+++ b/src/cluster/capacity_refusal.c
@@ -3,8 +3,8 @@
 #include <math.h>
 #include <string.h>
 
-/* The backoff grows up to so many times the first one. */
-#define BACKOFF_GROWTH_MAX 6
+/* Largest backoff, as a multiple of the first one. */
+#define BACKOFF_FACTOR_MAX 6
 
 static bool is_in_catalog(int type, int zone) {
     return type >= 0 && zone >= 0;
@@ -21,7 +21,7 @@
     struct rp_capacity_refusal *refusal = &refusals->kinds[type][zone][spot];
     bool repeated = refusal->backoff_s > 0 && rp_ts_since(now, refusal->until) < refusal->backoff_s;
     refusal->backoff_s = repeated
-                             ? fmin(refusal->backoff_s * 2, first_backoff_s * BACKOFF_GROWTH_MAX)
+                             ? fmin(refusal->backoff_s * 2, first_backoff_s * BACKOFF_FACTOR_MAX)
                              : first_backoff_s;
     refusal->until = rp_ts_after(now, refusal->backoff_s);
     refusals->n_refused++;
--- a/src/cluster/capacity_refusal.h
+++ b/src/cluster/capacity_refusal.h
@@ -1,10 +1,10 @@
 /** @file
- * Kinds of machines (type, zone, spot or ordinary) that the cloud has refused for lack of capacity.
+ * Kinds of machines (type, zone, spot or on-demand) that the cloud refused for lack of capacity.
  *
- * Each try costs a call to the cloud and two changes in the key-value store, and until it is
- * answered its machines take up planned tasks. So a kind that goes on being refused is tried ever
- * more rarely; one of whose machines has been terminated may be tried at once. Owned by the
- * provisioning of machines. */
+ * Each attempt costs a call to the cloud and two writes to the key-value store, and until it is
+ * answered, tasks are planned onto its machines. A kind that is refused repeatedly is therefore
+ * requested with a growing backoff; a kind of which a machine has been terminated may be requested
+ * at once. Owned by the provisioning of machines. */
 #ifndef RP_CLUSTER_CAPACITY_REFUSAL_H
 #define RP_CLUSTER_CAPACITY_REFUSAL_H
 
@@ -12,30 +12,31 @@
 #include "base/timeutil.h"
 #include "model/catalog.h"
 
-/** A kind's refusal. */
+/** The refusal of one kind of machine. */
 struct rp_capacity_refusal {
-    struct timespec until; /* the kind isn't asked for before */
-    double backoff_s;      /* grows while the kind goes on being refused; 0: it isn't */
+    struct timespec until; /* the kind is not requested before this instant */
+    double backoff_s;      /* grows with repeated refusals; 0: the kind is not refused */
 };
 
-/** All refusals of a term. Indices are those of the catalog; the last one is 1 for spot machines.
- */
+/** All refusals of a term. */
 struct rp_capacity_refusals {
+    /* Indexed by the catalog's indices of type and zone, and by 1 for spot machines, else 0. */
     struct rp_capacity_refusal kinds[RP_TYPES_MAX][RP_ZONES_MAX][2];
-    unsigned long n_refused; /* since the process began */
+    unsigned long n_refused; /* refusals since the process started */
 };
 
-/** Forgets all refusals, but not how many there were. */
+/** Removes all refusals, but keeps n_refused. */
 void rp_capacity_refusals_clear(struct rp_capacity_refusals *refusals);
-/** The cloud has refused the kind. `first_backoff_s` is the backoff after a first refusal. A type
- * or zone below 0, which the catalog doesn't have, is ignored. Returns whether it was noted. */
+/** The cloud has refused the kind: starts or extends its backoff. `first_backoff_s` is the backoff
+ * after a first refusal. A type or zone below 0, which the catalog does not have, is ignored.
+ * Returns whether the refusal was recorded. */
 bool rp_capacity_refusals_note(struct rp_capacity_refusals *refusals, int type, int zone, bool spot,
                                double first_backoff_s, struct timespec now);
-/** A machine of the kind has been terminated: the cloud may have one again. A type or zone below 0
- * is ignored. */
+/** A machine of the kind has been terminated, so the cloud may have capacity again: ends the kind's
+ * backoff. A type or zone below 0 is ignored. */
 void rp_capacity_refusals_forget(struct rp_capacity_refusals *refusals, int type, int zone,
                                  bool spot);
-/** Whether the kind is not to be asked for now. Type and zone must be in the catalog. */
+/** Whether the kind must not be requested now. Type and zone must be in the catalog. */
 bool rp_capacity_refusals_has(const struct rp_capacity_refusals *refusals, int type, int zone,
                               bool spot, struct timespec now);
 
--- a/src/cluster/image_index.c
+++ b/src/cluster/image_index.c
@@ -6,9 +6,10 @@
 
 #define COPY_INTERVAL_S 8.0
 #define ANSWER_TIMEOUT_S 1.5
-/* Told of all machines together, the latest used of each: some 2 MB of text, */
-#define IMAGES_TOLD_MAX 65536
-/* but so many of each machine. */
+/* Number of images sent of all machines together, the most recently used of each machine; this is
+ * some 2 MB of text. */
+#define IMAGES_SENT_MAX 65536
+/* Number of images sent of each machine even if the total then exceeds IMAGES_SENT_MAX. */
 #define IMAGES_PER_MACHINE_MIN 4
 
 static void on_copy_timer(void *arg);
@@ -30,26 +31,27 @@
 
 void rp_image_index_close(struct rp_image_index *index) {
     rp_timer_cancel(index->loop, &index->timer);
-    json_decref(index->known);
-    index->known = NULL;
+    json_decref(index->copied_images);
+    index->copied_images = NULL;
 }
 
 static bool is_leading(const struct rp_image_index *index) {
     return index->election->state == RP_ELECTION_HOLDING_KEY;
 }
 
-/* ---- telling ---- */
+/* ---- serving the index ---- */
 
 static int compare_by_use(const void *a, const void *b) {
     return rp_ts_cmp(((const struct rp_image *)a)->used_at, ((const struct rp_image *)b)->used_at);
 }
 
 static size_t images_per_machine(const struct rp_cluster *cluster) {
-    size_t n = IMAGES_TOLD_MAX / (cluster->n_machines + 1);
+    size_t n = IMAGES_SENT_MAX / (cluster->n_machines + 1);
     return n > IMAGES_PER_MACHINE_MIN ? n : IMAGES_PER_MACHINE_MIN;
 }
 
-/* [hash, GB, ...] of the machine's `n_max` latest images. Sorts its images by their use. */
+/* [hash, GB, ...] of the machine's `n_max` most recently used images. Sorts the machine's images by
+ * the time of their last use. */
 static json_t *build_image_list(struct rp_machine *machine, size_t n_max) {
     json_t *list = json_array();
     qsort(machine->images, machine->n_images, sizeof *machine->images, compare_by_use);
@@ -71,18 +73,18 @@
 }
 
 char *rp_image_index_json(const struct rp_image_index *index) {
-    /* A leader that still reads its records knows no more than what it remembers. */
+    /* A leader that is still loading its records has no machines yet and serves its copy. */
     bool has_own = is_leading(index) && index->cluster->n_machines > 0;
-    json_t *images = has_own ? build_index(index->cluster) : json_incref(index->known);
+    json_t *images = has_own ? build_index(index->cluster) : json_incref(index->copied_images);
     json_t *value = json_pack("{s:o*}", "images", images);
     char *text = json_dumps(value, JSON_COMPACT);
     json_decref(value);
     return text;
 }
 
-/* ---- copying ---- */
+/* ---- copying the index ---- */
 
-/* What a machine is said to hold, unless its own heartbeats have told of it already. */
+/* Adds the images of a copy to a machine, except for those that the machine has already. */
 static void add_images(struct rp_cluster *cluster, struct rp_machine *machine, json_t *list) {
     for (size_t i = 0; i + 1 < json_array_size(list); i += 2) {
         uint64_t hash = (uint64_t)json_integer_value(json_array_get(list, i));
@@ -97,7 +99,7 @@
     json_t *list;
     json_object_foreach(images, name, list) {
         struct rp_machine *machine = rp_machine_find(cluster, name);
-        /* Without a type the size of its disk isn't known. */
+        /* The size of the disk is known only if the machine's type is. */
         if (machine && machine->type >= 0)
             add_images(cluster, machine, list);
     }
@@ -110,8 +112,8 @@
     if (json_object_size(images) > 0) {
         if (is_leading(index))
             add_to_cluster(index->cluster, images);
-        json_decref(index->known);
-        index->known = json_incref(images);
+        json_decref(index->copied_images);
+        index->copied_images = json_incref(images);
     }
     json_decref(value);
 }
@@ -122,7 +124,7 @@
 }
 
 void rp_image_index_restore(struct rp_image_index *index) {
-    add_to_cluster(index->cluster, index->known);
+    add_to_cluster(index->cluster, index->copied_images);
     for (size_t i = 0; i < index->settings->n_peers; i++)
         request_images(index, &index->settings->peers[i]);
 }
--- a/src/cluster/image_index.h
+++ b/src/cluster/image_index.h
@@ -1,7 +1,8 @@
 /** @file
- * Which images the machines hold, as the leader knows it, copied by the other nodes for the time
- * after it: a new leader otherwise knows only of the images of tasks that run. Hints and no more: a
- * wrong one costs a fetch, and no rule depends on any.
+ * The image index: which images the machines have on their disks. The other nodes copy it from the
+ * leader, so that the next leader has it, too; without the copy a new leader would have only the
+ * images of running tasks. Entries are hints: a wrong one costs a fetch, and no rule depends on
+ * them.
  *
  * Owned by the node, which serves RP_PATH_IMAGES with rp_image_index_json. */
 #ifndef RP_CLUSTER_IMAGE_INDEX_H
@@ -12,17 +13,18 @@
 #include "cluster/cluster.h"
 #include "election/election.h"
 
-/** Where a node tells the others which images the machines hold. */
+/** The path at which a node serves its image index to the other nodes. */
 #define RP_PATH_IMAGES "/peer/images"
 
-/** A node's copy, and its exchange with the others. Pointers to other parts are borrowed. */
+/** A node's copy of the index, and the state of copying it. Pointers are borrowed. */
 struct rp_image_index {
     struct rp_loop *loop;
     struct rp_net net;
     struct rp_election *election;
     struct rp_cluster *cluster;
     const struct rp_settings *settings;
-    json_t *known; /* machine -> [image's hash, GB, ...], the one used longest ago first */
+    json_t *copied_images; /* the copy: machine -> [image's hash, GB, ...], least recently used
+                              image first */
     struct rp_timer timer;
 };
 
@@ -30,14 +32,15 @@
 void rp_image_index_init(struct rp_image_index *index, struct rp_loop *loop, struct rp_net net,
                          struct rp_election *election, struct rp_cluster *cluster,
                          const struct rp_settings *settings);
-/** Begins to copy from the leader, every few seconds. */
+/** Starts copying the index from the leader, every few seconds. */
 void rp_image_index_start(struct rp_image_index *index);
-/** Ends the copying and frees the copy. */
+/** Stops copying and frees the copy. */
 void rp_image_index_close(struct rp_image_index *index);
-/** This node leads now, and its machines are known: takes over what it remembers, and asks the
- * others for what they do. */
+/** Called when this node leads and its machines have been loaded: adds the images of its copy to
+ * the machines, and requests the copies of the other nodes. */
 void rp_image_index_restore(struct rp_image_index *index);
-/** What this node knows, for another one, as JSON. Caller frees. */
+/** The index as JSON, for another node: the machines' images if this node leads, its copy
+ * otherwise. The caller frees it. */
 char *rp_image_index_json(const struct rp_image_index *index);
 
 #endif
--- a/src/cluster/provision_loading.c
+++ b/src/cluster/provision_loading.c
@@ -14,8 +14,8 @@
     void *arg;
 };
 
-/* How long ago the machines were asked for, by the time of day; never negative. In virtual mode
- * there is no time of day, and 0 is returned. */
+/* The age of the request in seconds, by the real-time clock; never negative. In virtual mode there
+ * is no real time, and the age is 0. */
 static double request_age_s(const struct rp_fleet_context *context,
                             const struct rp_provision_record *record) {
     struct timespec wall;
@@ -24,8 +24,9 @@
     return age_s > 0 ? age_s : 0;
 }
 
-/* No earlier leader can have answered a machine after this node got the key, or, if that leader was
- * fenced, after the end of what it had renewed. */
+/* The latest instant at which a worker's lease renewed by an earlier leader can expire. No earlier
+ * leader can have answered a machine after this node acquired the leader key or, if that leader was
+ * fenced, after the expiry of the leadership that it had renewed. */
 static struct timespec earlier_leaders_lease_expiry(const struct rp_fleet_context *context) {
     struct timespec now = rp_loop_now(context->loop);
     struct timespec fenced_leader_expiry = context->election->fenced_leader_expiry;
@@ -34,8 +35,8 @@
     return rp_ts_after(last_answer_at, rp_settings_worker_lease_s(context->settings));
 }
 
-/* A machine of a record. No leader starts anything on a machine before its record says that it is
- * up, so one that isn't holds nothing. */
+/* Adds a machine that a record names. No leader starts a task on a machine before its record marks
+ * the machine as up, so a machine that is not marked holds no task. */
 static void load_machine(const struct rp_fleet_context *context,
                          struct rp_provision_request *request, const char *name, bool is_up,
                          double age_s) {
@@ -54,7 +55,7 @@
     struct rp_provision_request *request =
         rp_provision_request_add(&provisioning->requests, item->key + strlen(RP_KEY_PROVISION));
     if (!rp_record_provision_read(item->value, &request->record)) {
-        rp_error("provision record can't be read, left alone: key=%s", item->key);
+        rp_error("unreadable provision record ignored: key=%s", item->key);
         rp_provision_request_remove(&provisioning->requests, request);
         return;
     }
@@ -72,7 +73,8 @@
             load_machine(context, request, name, rp_record_provision_is_up(item->value, name),
                          age_s);
     }
-    /* What a split that was cut short has left names nothing that another record doesn't. */
+    /* After an interrupted split, every machine of this record may be named by another record, too;
+     * the request then has no machine and has ended. */
     bool has_machines = rp_provision_request_has_machines(context, request);
     rp_provision_request_set_state(context, request,
                                    has_machines ? RP_PROVISION_LIVE : RP_PROVISION_ENDED);
--- a/src/cluster/provision_request.c
+++ b/src/cluster/provision_request.c
@@ -44,17 +44,19 @@
 
 /* The edges:
  * - (new) -> RECORDING_INTENT: machines are wanted (rp_scale_out);
- * - RECORDING_INTENT -> REQUESTING: the record is durable, so whoever leads next asks again by its
- *   name;
- * - (new) -> REQUESTING: a record without names was loaded, which may have been carried out;
- * - REQUESTING -> RECORDING_NAMES: the cloud has told the machines' names;
- * - REQUESTING -> ENDED: the cloud has refused, or given no machine;
- * - (new) -> RECORDING_NAMES: a machine of no record is adopted, or takes part in a split;
- * - RECORDING_NAMES -> LIVE: the names are durable, and starts may go to the machines;
+ * - RECORDING_INTENT -> REQUESTING: the record is durable, and so the next leader can repeat the
+ *   request by its name;
+ * - (new) -> REQUESTING: a record without names was loaded; the cloud may have carried the request
+ *   out;
+ * - REQUESTING -> RECORDING_NAMES: the cloud has answered with the machines' names;
+ * - REQUESTING -> ENDED: the cloud has refused or rejected the request, or provided no machine;
+ * - (new) -> RECORDING_NAMES: a machine that no record names is adopted, or a record was split and
+ *   this request takes over half of its machines;
+ * - RECORDING_NAMES -> LIVE: the names are durable; tasks may be started on machines that are up;
  * - (new) -> LIVE: a record with names was loaded;
- * - (new) -> ENDED: one was loaded whose names other records have, too;
- * - RECORDING_NAMES, LIVE -> ENDED: its last machine has been terminated;
- * - ENDED -> (freed): its record has been deleted, or there was none. */
+ * - (new) -> ENDED: a record was loaded whose machines are all named by other records, too;
+ * - RECORDING_NAMES, LIVE -> ENDED: the request's last machine has been terminated;
+ * - ENDED -> (freed): the record has been deleted, or none was written. */
 void rp_provision_request_set_state(const struct rp_fleet_context *context,
                                     struct rp_provision_request *request,
                                     enum rp_provision_state state) {
--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -8,11 +8,14 @@
 #include "cluster/catalog_index.h"
 #include "protocol/cloud_codec.h"
 
-#define MACHINES_PER_RECORD_MAX 64 /* at most 50 are asked for at once */
-#define RECORD_MAX_LEAST_BYTES 256 /* of a record that no limit is expected to refuse */
-#define RECORD_SHRINK 0.75         /* of the size, after the store has refused a record */
-
-/* Until a call about a request is repeated. */
+/* Number of machines that a record may name; a request is for at most 50. */
+#define MACHINES_PER_RECORD_MAX 64
+/* Lower bound of record_max_bytes: no store is expected to refuse a record of this size. */
+#define RECORD_MAX_LEAST_BYTES 256
+/* Factor applied to record_max_bytes after the store has refused a record. */
+#define RECORD_SHRINK_FACTOR 0.75
+
+/* Delays before a failed call about a request is repeated. */
 #define FENCED_RETRY_S 1.0
 #define RECORD_REFUSED_RETRY_S 1.0
 #define WRITE_RETRY_S 0.2
@@ -20,12 +23,13 @@
 #define CLOUD_RETRY_S 1.0
 #define CLOUD_RATE_LIMITED_RETRY_S 0.5
 
-/* One call about a request, to the store or to the cloud. */
+/* A call to the store or to the cloud about one request. */
 struct provision_call {
     struct rp_provisioning *provisioning;
     unsigned long generation;
     char request_name[RP_TEXT_MAX];
-    /* A write: the request's state then, and its machines' names; "" for one that wasn't up. */
+    /* Set for a write: the request's state when it was sent, and the names of the machines that it
+     * records as up; "" for a machine that was not up. */
     enum rp_provision_state written_state;
     size_t n_names;
     char (*names)[RP_TEXT_MAX];
@@ -63,7 +67,7 @@
     free(call);
 }
 
-/* The request that the call was about; NULL if it is no longer there. */
+/* The request that the call is about; NULL if it no longer exists. */
 static struct rp_provision_request *request_of_call(const struct provision_call *call) {
     struct rp_provisioning *provisioning = call->provisioning;
     if (call->generation != provisioning->context->generation)
@@ -73,7 +77,7 @@
 
 /* ---- the record ---- */
 
-/* What a record says that has been written: these machines are up. */
+/* Marks the machines that the written record names as up. */
 static void mark_up_recorded(const struct provision_call *call,
                              const struct rp_provision_request *request) {
     struct rp_cluster *cluster = call->provisioning->context->cluster;
@@ -94,7 +98,7 @@
         return;
     }
     request->stored = true;
-    /* The state may have moved on while the write was under way: its machines can be terminated. */
+    /* The state may have changed during the write, because its machines were terminated. */
     bool is_same_state = request->state == written_state;
     if (written_state == RP_PROVISION_RECORDING_INTENT && is_same_state)
         rp_provision_request_set_state(provisioning->context, request, RP_PROVISION_REQUESTING);
@@ -118,15 +122,16 @@
     request->is_dirty = true;
     if (result->outcome == RP_KV_BAD_REQUEST &&
         provisioning->record_max_bytes > RECORD_MAX_LEAST_BYTES) {
-        /* Larger than the limits told: smaller pieces, at a slower pace. */
+        /* The record exceeds the store's limits: retries with smaller records, after a longer
+         * delay. */
         provisioning->record_max_bytes =
-            (size_t)((double)provisioning->record_max_bytes * RECORD_SHRINK);
+            (size_t)((double)provisioning->record_max_bytes * RECORD_SHRINK_FACTOR);
         rp_provision_request_retry_after(context, request, RECORD_REFUSED_RETRY_S);
         return;
     }
-    /* Each write carries the revision that it replaces, so that a copy which arrives late can't
-     * take names away again. After a lost answer, or a conflict with a write whose answer was lost,
-     * the revision has to be read. */
+    /* Each write carries the revision that it replaces, so that a copy that arrives late cannot
+     * remove names again. After a lost answer, or a conflict with a write whose answer was lost,
+     * the revision must be read before the next write. */
     request->revision_known = false;
     rp_provision_request_retry_after(context, request, WRITE_RETRY_S);
 }
@@ -170,7 +175,8 @@
     rp_provisioning_step(provisioning, request);
 }
 
-/* The record as it stands; with a call, the names that it says are up are noted there. */
+/* Builds the request's current record. If `call` is set, stores in it the names of the machines
+ * that the record marks as up. */
 static json_t *build_record(const struct rp_provisioning *provisioning,
                             const struct rp_provision_request *request,
                             struct provision_call *call) {
@@ -194,10 +200,11 @@
                                   rp_record_provision(&request->record, names, is_up, n));
 }
 
-/* A record that names more machines than a value may hold (the version before wrote up to 50, and
- * the limit came down) is split: a new one takes over the second half of the names and is written
- * first, then the old one without them. Whoever reads both in between takes the first that names a
- * machine. Returns false if no split is needed. */
+/* Splits a record that is larger than a value may be. Such records exist because the previous
+ * version wrote up to 50 names and the store's limit was lowered since. A new record takes over the
+ * second half of the names and is written first, then the old record is written without them. A
+ * leader that loads both in between uses, for each machine, the first record that names it. Returns
+ * false if no split is needed. */
 static bool split_record(struct rp_provisioning *provisioning,
                          struct rp_provision_request *request) {
     const struct rp_fleet_context *context = provisioning->context;
@@ -224,8 +231,8 @@
     return true;
 }
 
-/* Writes the record, or deletes it once the request has ended; reads its revision first if that
- * isn't known. */
+/* Writes the record, or deletes it once the request has ended. Reads its revision first if that is
+ * not known. */
 static void write_record(struct rp_provisioning *provisioning,
                          struct rp_provision_request *request) {
     const struct rp_fleet_context *context = provisioning->context;
@@ -255,8 +262,8 @@
 
 /* ---- the cloud ---- */
 
-static void note_refusal(struct rp_provisioning *provisioning,
-                         const struct rp_provision_request *request) {
+static void record_refusal(struct rp_provisioning *provisioning,
+                           const struct rp_provision_request *request) {
     const struct rp_fleet_context *context = provisioning->context;
     const struct rp_provision_record *record = &request->record;
     int type = rp_catalog_type_index(context->catalog, record->type);
@@ -268,7 +275,7 @@
                  record->zone, record->spot);
 }
 
-/* Gives the request the machine that the cloud has named for it. */
+/* Adds a machine that the cloud has named in its answer to the request. */
 static void add_named_machine(const struct rp_provisioning *provisioning,
                               struct rp_provision_request *request, const char *name) {
     const struct rp_fleet_context *context = provisioning->context;
@@ -300,7 +307,7 @@
         "machines provisioned: request=%s type=%s zone=%s spot=%d n_requested=%u n_machines=%zu",
         request->name, record->type, record->zone, record->spot, record->count, n);
     if (n < record->count)
-        note_refusal(provisioning, request);
+        record_refusal(provisioning, request);
     free(names);
     rp_provision_request_set_state(provisioning->context, request,
                                    n ? RP_PROVISION_RECORDING_NAMES : RP_PROVISION_ENDED);
@@ -325,7 +332,7 @@
     if (answer->status == 200) {
         on_machines_named(provisioning, request, answer);
     } else if (answer->status == 503 && rp_cloud_codec_is_no_capacity(answer->body, answer->len)) {
-        note_refusal(provisioning, request);
+        record_refusal(provisioning, request);
         end_request(provisioning, request);
         rp_fleet_context_notify(provisioning->context);
     } else if (answer->status == 400) {
@@ -333,14 +340,15 @@
                  answer->body);
         end_request(provisioning, request);
     } else {
-        /* It may have been carried out: only the same name again tells. */
+        /* The cloud may have provided machines; only repeating the request by its name shows it. */
         rp_provision_request_retry_after(provisioning->context, request,
                                          answer->status == 429 ? CLOUD_RATE_LIMITED_RETRY_S
                                                                : CLOUD_RETRY_S);
     }
 }
 
-static void ask_cloud(struct rp_provisioning *provisioning, struct rp_provision_request *request) {
+static void request_machines(struct rp_provisioning *provisioning,
+                             struct rp_provision_request *request) {
     const struct rp_provision_record *record = &request->record;
     request->in_flight = true;
     rp_cloud_call(provisioning->context->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_MACHINES,
@@ -358,9 +366,9 @@
            rp_election_is_valid(context->election, now);
 }
 
-/* Whether another request's record has to be written before. */
-static bool must_wait_for_other(const struct rp_provisioning *provisioning,
-                                const struct rp_provision_request *request) {
+/* Whether another request's record must be written before this one's. */
+static bool should_wait_for_other(const struct rp_provisioning *provisioning,
+                                  const struct rp_provision_request *request) {
     if (!*request->write_after)
         return false;
     const struct rp_provision_request *other =
@@ -370,7 +378,7 @@
 
 void rp_provisioning_step(struct rp_provisioning *provisioning,
                           struct rp_provision_request *request) {
-    if (!may_step(provisioning->context, request) || must_wait_for_other(provisioning, request))
+    if (!may_step(provisioning->context, request) || should_wait_for_other(provisioning, request))
         return;
     request->write_after[0] = '\0';
     switch (request->state) {
@@ -379,7 +387,7 @@
         write_record(provisioning, request);
         break;
     case RP_PROVISION_REQUESTING:
-        ask_cloud(provisioning, request);
+        request_machines(provisioning, request);
         break;
     case RP_PROVISION_LIVE:
         if (request->is_dirty)
@@ -402,7 +410,7 @@
     }
 }
 
-/* ---- its machines ---- */
+/* ---- changes of machines ---- */
 
 void rp_provisioning_record_up(struct rp_provisioning *provisioning, struct rp_machine *machine) {
     struct rp_provision_request *request = machine->provision_request;
--- a/src/cluster/provisioning.h
+++ b/src/cluster/provisioning.h
@@ -1,40 +1,44 @@
 /** @file
- * Provisioning: does what the state of each provision request asks for, and keeps the requests'
- * records up to date.
+ * Provisioning: performs the next step of each provision request according to its state, and keeps
+ * the requests' records up to date.
  *
- * Invariants: a request is recorded before the cloud is asked, so that the next leader asks again
- * by the same name and gets the same machines; a machine's name is durable before it counts as
- * recorded; that it is up is durable before anything is started on it. Each write carries the
- * revision that it replaces, so that a copy which arrives late can't take names away. */
+ * Invariants: a request is recorded before it is sent to the cloud, so that the next leader can
+ * repeat it by the same name and gets the same machines; a machine's name is durable before the
+ * machine counts as recorded; that a machine is up is durable before any task is started on it.
+ * Each write carries the revision that it replaces, so that a copy that arrives late cannot remove
+ * names. */
 #ifndef RP_CLUSTER_PROVISIONING_H
 #define RP_CLUSTER_PROVISIONING_H
 
 #include "cluster/capacity_refusal.h"
 #include "cluster/provision_request.h"
 
-/** The provision requests of a term, and what the cloud has refused. */
+/** The provision requests of a term, and the kinds of machines that the cloud has refused. */
 struct rp_provisioning {
     struct rp_fleet_context *context;
     struct rp_provision_requests requests;
     struct rp_capacity_refusals refusals;
-    size_t record_max_bytes; /* of a record: the store's limit, less once it has refused so many */
-    unsigned long n_provisioned; /* machines got since the process began */
+    size_t record_max_bytes; /* largest size of a record: the store's limit, or less after it has
+                                refused a record */
+    unsigned long n_provisioned; /* machines received from the cloud since the process started */
 };
 
-/** The context is borrowed and must be filled in already. */
+/** The context is borrowed and must be initialized already. */
 void rp_provisioning_init(struct rp_provisioning *provisioning, struct rp_fleet_context *context);
-/** Forgets all requests and refusals; answers under way are dropped by the context's generation. */
+/** Removes all requests and refusals. Answers to calls in flight are discarded because the
+ * context's generation has changed. */
 void rp_provisioning_clear(struct rp_provisioning *provisioning);
-/** The machine has sent its first heartbeat: records that it is up. */
+/** The machine has sent a heartbeat: records that it is up, unless that is recorded already. */
 void rp_provisioning_record_up(struct rp_provisioning *provisioning, struct rp_machine *machine);
-/** A machine of the request has been terminated and removed. The request may be freed later. */
+/** A machine of the request has been terminated and removed. The request is freed in a later step
+ * if this was its last machine. */
 void rp_provisioning_on_machine_terminated(struct rp_provisioning *provisioning,
                                            struct rp_provision_request *request);
-/** Does what the request's state asks for, unless something is under way or has to wait. The
- * request may be freed. */
+/** Performs the next step of the request's state, unless a call is in flight or the step has to
+ * wait. The request may be freed. */
 void rp_provisioning_step(struct rp_provisioning *provisioning,
                           struct rp_provision_request *request);
-/** The same for all requests; called in every tick. */
+/** Calls rp_provisioning_step for all requests; called in every tick. */
 void rp_provisioning_step_all(struct rp_provisioning *provisioning);
 
 #endif
--- a/src/cluster/scale_out.c
+++ b/src/cluster/scale_out.c
@@ -6,10 +6,12 @@
 #include "cluster/catalog_index.h"
 
 #define MACHINES_PER_REQUEST_MAX 50 /* the cloud's limit (PROTOCOL) */
-#define RECORD_HEAD_BYTES 320       /* of a record besides its machines' names */
-#define RECORD_NAME_BYTES 16 /* of a machine's name in it, as a rule; what is longer is split */
+/* Size of a record without its machines' names. */
+#define RECORD_HEAD_BYTES 320
+/* Usual size of a machine's name in a record; a record whose names are longer is split. */
+#define RECORD_NAME_BYTES 16
 
-/* As many machines as one request may ask for, and one record may name, twice each. */
+/* Largest number of machines of one request: its record must have space for each name twice. */
 static unsigned machines_per_request(const struct rp_provisioning *provisioning) {
     double n_fitting =
         ((double)provisioning->record_max_bytes - RECORD_HEAD_BYTES) / (2 * RECORD_NAME_BYTES);
@@ -18,7 +20,7 @@
     return n_fitting < MACHINES_PER_REQUEST_MAX ? (unsigned)n_fitting : MACHINES_PER_REQUEST_MAX;
 }
 
-/* Adds a request for machines of a kind of the catalog, made now. */
+/* Adds a request for machines of a kind of the catalog, with the current time as request time. */
 static struct rp_provision_request *add_request(struct rp_provisioning *provisioning,
                                                 const char *name, int type, int zone, bool spot) {
     const struct rp_catalog *catalog = provisioning->context->catalog;
--- a/src/cluster/tombstones.c
+++ b/src/cluster/tombstones.c
@@ -5,7 +5,8 @@
 #include "base/memory.h"
 #include "model/names.h"
 
-/* The head of the hash's chain of links. A link is 1 + a position in the ring; 0 ends the chain. */
+/* The head of the chain of links for the hash. A link is 1 + a position in the ring; 0 ends the
+ * chain. */
 static uint32_t *head_of(const struct rp_tombstones *tombstones, uint64_t hash) {
     return &tombstones->heads[hash % RP_TOMBSTONES_MAX];
 }
@@ -16,7 +17,7 @@
     tombstones->next = rp_alloc(RP_TOMBSTONES_MAX, sizeof *tombstones->next);
 }
 
-/* Takes the position out of its chain. */
+/* Removes the position from its chain. */
 static void unlink_position(struct rp_tombstones *tombstones, uint32_t position) {
     uint32_t *link = head_of(tombstones, tombstones->hashes[position]);
     while (*link != position + 1)
