--- a/src/cluster/failure_detection.c
+++ b/src/cluster/failure_detection.c
@@ -155,7 +155,7 @@
     double limit_s = silence_limit_s(detector);
     detector->silent_zones = 0;
     if (rp_ts_since(now, detector->context->led_since) < limit_s)
-        return; /* after a failover no machine has reported to this leader yet */
+        return; /* soon after a failover, machines may not have reported to this leader yet */
     for (const struct rp_machine *machine = detector->context->cluster->first; machine;
          machine = machine->next) {
         if (!machine->up_recorded || machine->zone < 0 || !is_expected_to_stay(machine))
--- a/src/cluster/reconciliation.c
+++ b/src/cluster/reconciliation.c
@@ -15,23 +15,23 @@
 /* Time between two lists; the shorter one applies while any machine is silent. */
 #define LIST_INTERVAL_S 4.0
 #define LIST_INTERVAL_SILENT_S 1.5
-/* Share of the cloud's requests per second that lists may use; it lengthens the interval. */
+/* Share of the cloud's requests per second that lists may use at most. */
 #define LIST_RATE_SHARE 0.5
 #define PRICES_INTERVAL_S 30.0
 /* The list shows a machine's start or end up to list_lag_s late. Each limit below is a number of
  * such lags plus a margin in seconds. */
-/* Age from which a listed machine that no record names is an orphan. */
+/* Age above which a listed machine that no record names is an orphan. */
 #define ORPHAN_LAGS 4
 #define ORPHAN_MARGIN_S 60
 /* How long this node must have led before a machine is an orphan, since it may report itself. */
 #define ORPHAN_LEADING_S 30
-/* Time after its request from which a machine must have been listed. */
+/* Time since its request after which a machine must have been listed. */
 #define MISSING_LAGS 4
 #define MISSING_MARGIN_S 5
 /* Value of n_lists_missing above which a machine is missing: lists are received out of order, so
  * several in a row must lack it. */
 #define MISSING_LISTS 2
-/* Difference from which the machine's age in the list replaces the recorded one. */
+/* Difference above which the age in the list corrects the request time of a machine. */
 #define AGE_LAGS 3
 #define AGE_MARGIN_S 2
 
--- a/src/cluster/release_policy.c
+++ b/src/cluster/release_policy.c
@@ -4,7 +4,8 @@
 
 /* Time within which a machine whose lease expired because no leader answered it reports again. */
 #define LOST_GRACE_S 16.0
-/* The same, if most machines of its zone or many others fell silent with it. */
+/* Time within which a lost machine reports again if most of its zone, or many others, fell silent
+ * with it. */
 #define PARTITION_GRACE_S 75.0
 /* How long a machine that reports but receives no answers is kept: longer than its lease, so that
  * it can recover. */
