--- a/src/api/status.c
+++ b/src/api/status.c
@@ -36,7 +36,7 @@
 
 /* What went beyond a fixed bound, was put off or left out, and logged. */
 static unsigned long n_over_bounds(const struct rp_status_sources *sources) {
-    return sources->workers->context.counters.n_unknown_tasks_above +
+    return sources->workers->context.counters.n_unknown_tasks_over_limit +
            sources->scheduler->n_over_bounds + sources->jobs->run_time_estimator.n_unclassified +
            sources->catalog->n_left_out;
 }
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -104,7 +104,7 @@
  * on_leadership_lost before on_elected. */
 static void set_state(struct rp_node *node, enum rp_node_state state) {
     node->state = state;
-    node->workers.ready = state == RP_NODE_LEADING;
+    node->workers.is_leading = state == RP_NODE_LEADING;
     rp_timer_cancel(node->loop, &node->recovery_timer);
     rp_cycle_trigger_stop(&node->cycle_trigger);
     if (state != RP_NODE_LEADING)
--- a/src/scheduler/replica_placement.c
+++ b/src/scheduler/replica_placement.c
@@ -103,7 +103,7 @@
         held.n_of_job * SAME_MACHINE_S + zone_excess(services, job, machine->zone) * SAME_ZONE_S;
     for (unsigned i = 0; i < job->n_failed_machines; i++)
         penalty_s += strcmp(job->failed_machines[i], machine->name) == 0 ? FAILED_HERE_S : 0;
-    penalty_s += rp_direct_commands_is_full(machine) ? NEXT_REPORT_S : 0;
+    penalty_s += rp_direct_commands_is_attempt_limit_reached(machine) ? NEXT_REPORT_S : 0;
     penalty_s += ERROR_S * machine->health.consecutive_errors + (machine->spot ? SPOT_S : 0) +
                  (wastes_gpus ? GPU_S : 0);
     return penalty_s + (held.any ? 0 : NO_REPLICAS_S);
--- a/src/worker/answer_queue.h
+++ b/src/worker/answer_queue.h
@@ -1,38 +1,39 @@
 /** @file
- * Heartbeats that have been read, but whose answers wait for the next scheduling cycle. Cycles keep
- * a distance, and on a large fleet nearly every heartbeat frees capacity between two of them: a
- * start planned a moment after the answer had to wait for the machine's next heartbeat, seconds
- * later. So the answer waits for the cycle, which is a small part of what a worker waits
- * (docs/safety.md, "Answers that wait for a cycle"). Owned by struct rp_workers (workers.h), used
- * by workers.c. */
+ * A queue of heartbeats that have been read and whose answers wait for the next scheduling cycle.
+ * Cycles keep a minimum interval, and on a large fleet nearly every heartbeat frees capacity
+ * between two cycles. Without the queue, a start that is planned shortly after the answer waits for
+ * the machine's next heartbeat, seconds later. The wait for the cycle is a small part of the time
+ * for which a worker waits for its answer (docs/safety.md, "Answers that wait for a cycle"). Owned
+ * by struct rp_workers (workers.h), used by workers.c. */
 #ifndef RP_WORKER_ANSWER_QUEUE_H
 #define RP_WORKER_ANSWER_QUEUE_H
 
 #include "base/net.h"
 #include "cluster/cluster.h"
 
-/** A heartbeat to be answered. */
+/** A heartbeat whose answer is pending. */
 struct rp_pending_answer {
     struct rp_request *req;
-    char machine[RP_TEXT_MAX]; /* by name: it may be terminated before the answer */
+    /* The machine's name, because the machine may be terminated before the answer is sent. */
+    char machine[RP_TEXT_MAX];
     uint64_t incarnation;
     uint64_t heartbeat_seq;
     struct timespec received_at;
 };
 
-/** The pending answers, in the order in which their heartbeats came. */
+/** The pending answers, in the order in which their heartbeats arrived. */
 struct rp_answer_queue {
     struct rp_pending_answer *answers;
     size_t n, cap;
 };
 
-/** Adds the answer to the machine's newest heartbeat, which came at `received_at`. */
+/** Adds the answer to the machine's newest heartbeat, which was received at `received_at`. */
 void rp_answer_queue_add(struct rp_answer_queue *queue, struct rp_request *req,
                          const struct rp_machine *machine, struct timespec received_at);
-/** Moves all answers out of the queue, which is empty afterwards; answering may fill it anew. The
- * caller must answer them, and free them with rp_answer_queue_clear. */
+/** Moves all answers out of the queue, which is empty afterwards. Sending the answers may add new
+ * ones to it. The caller must send the answers and free them with rp_answer_queue_clear. */
 struct rp_answer_queue rp_answer_queue_take(struct rp_answer_queue *queue);
-/** Forgets the answers without giving them. */
+/** Frees the queue's entries without sending the answers. */
 void rp_answer_queue_clear(struct rp_answer_queue *queue);
 
 #endif
--- a/src/worker/command_batch.c
+++ b/src/worker/command_batch.c
@@ -5,10 +5,11 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 
-/* Below the 64 KiB that a line of an answer may have (PROTOCOL), at some 90 bytes a command. */
+/* The maximum number of commands in one message. At about 90 bytes for each, the message remains
+ * below the 64 KiB that a line of an answer may have (PROTOCOL). */
 #define COMMANDS_MAX 400
-/* An attempt's number is the token of its leader, shifted so far, plus a count
- * (rp_cluster_next_attempt). */
+/* The number of bits by which the leader's token is shifted in an attempt's number, which is the
+ * shifted token plus a count (rp_cluster_next_attempt). */
 #define ATTEMPT_TOKEN_SHIFT 32
 
 void rp_command_batch_init(struct rp_command_batch *batch) {
@@ -26,8 +27,8 @@
     return batch->n == COMMANDS_MAX;
 }
 
-/* What finds no place goes with a later message: each command is chosen anew from the machine's
- * state. */
+/* Adds a command unless the batch is full. A command that does not fit is sent with a later
+ * message, because the commands of each message are selected anew from the machine's state. */
 static void add(struct rp_command_batch *batch, enum rp_command_kind kind, const char *job,
                 uint32_t task, uint64_t attempt, double grace_s) {
     if (is_full(batch))
@@ -56,7 +57,7 @@
         0);
 }
 
-/* ---- stops and forgets: they can be repeated, and come late, without harm ---- */
+/* ---- stops and forgets: harmless when repeated or late ---- */
 
 void rp_command_batch_add_unknown_tasks(struct rp_command_batch *batch,
                                         const struct rp_machine *machine) {
@@ -64,24 +65,25 @@
         const struct rp_unknown_task *task = &machine->unknown_tasks[i];
         if (!task->exited)
             add(batch, RP_COMMAND_STOP, task->job, task->task, task->attempt, 0);
-        else if (machine->contact.fencing_token_seen) /* as in may_forget */
+        else if (machine->contact.fencing_token_seen) /* for the reason given in may_forget */
             add(batch, RP_COMMAND_FORGET, task->job, task->task, task->attempt, 0);
     }
 }
 
-/* A worker that has forgotten an attempt would begin it anew on a late copy of its start (PROTOCOL,
- * `forget`). Starts in answers to heartbeats have no late copies, direct ones may have; those are
- * void with the token, which is part of the attempt's number, or with the incarnation. */
+/* A worker that has forgotten an attempt would begin it again on a late copy of its start
+ * (PROTOCOL, `forget`). Starts in answers to heartbeats have no late copies. Direct starts may have
+ * them, but the copies become void when the incarnation changes, or when the token changes, which
+ * is part of the attempt's number. */
 static bool may_forget(const struct rp_worker_context *context, const struct rp_machine *machine,
                        const struct rp_allocation *allocation) {
-    /* Until the token is seen, an earlier leader's start may still be on its way. */
+    /* Until the machine shows this leader's token, an earlier leader's start may still arrive. */
     if (!machine->contact.fencing_token_seen)
         return false;
     bool is_of_this_term =
         allocation->attempt >> ATTEMPT_TOKEN_SHIFT == context->election->fencing_token;
     if (allocation->started_directly && is_of_this_term)
         return false;
-    /* A result must be durable before the worker may lose it. */
+    /* A result must be durable before the worker may delete it. */
     return allocation->exit_reason != RP_EXIT_DONE ||
            rp_job_is_task_durable(allocation->job, allocation->task);
 }
@@ -97,9 +99,9 @@
     if (is_saving)
         return;
     note_stop_sent(allocation, now);
-    /* A direct start that nothing has been heard of may still arrive, after this stop: started and
-     * stopped in one go, its attempt is known there, and over (docs/safety.md, "Direct commands").
-     */
+    /* A direct start without any confirmation may still arrive after this stop. With a start and a
+     * stop in one message, the worker lists the attempt as ended, so that the late start has no
+     * effect (docs/safety.md, "Direct commands"). */
     if (allocation->started_directly && allocation->state == RP_ALLOCATION_SENT)
         add_start(batch, allocation);
     add_stop(batch, allocation, allocation->grace_s);
@@ -136,7 +138,8 @@
 
 /* ---- starts ---- */
 
-/* What allowed the start when it was planned may have changed since. */
+/* Whether the start is still allowed: the conditions under which it was planned may have changed
+ * since. */
 static bool may_still_start(const struct rp_worker_context *context,
                             const struct rp_machine *machine,
                             const struct rp_allocation *allocation) {
@@ -145,13 +148,13 @@
            rp_jobs_may_start_tasks(context->jobs);
 }
 
-/* Nothing has been heard of a direct start, and its command is no longer under way. */
+/* Whether no message has confirmed the direct start, and its command is no longer in flight. */
 static bool is_unanswered_direct_start(const struct rp_allocation *allocation) {
     return allocation->state == RP_ALLOCATION_SENT && allocation->started_directly &&
            !allocation->direct_start_pending;
 }
 
-/* A direct start whose response was lost is sent again: the same attempt can't begin twice
+/* Sends direct starts again whose responses were lost. The same attempt cannot begin twice
  * (PROTOCOL, `run`). */
 static void add_repeated_starts(struct rp_command_batch *batch,
                                 const struct rp_worker_context *context,
@@ -168,8 +171,9 @@
     }
 }
 
-/* Attempts started directly have to be kept known by their workers for the rest of the term, so
- * only services' replicas are, and, within bounds, what a failover would delay. */
+/* Workers must keep attempts that were started directly in their lists for the rest of the term.
+ * Direct starts are therefore limited to replicas of services and, within bounds, to tasks that a
+ * failover would delay. */
 static bool may_start_directly(const struct rp_worker_context *context,
                                const struct rp_machine *machine, const struct rp_job *job) {
     bool is_delayed_by_failover =
@@ -216,9 +220,10 @@
 void rp_command_batch_add_for_answer(struct rp_command_batch *batch,
                                      struct rp_worker_context *context,
                                      struct rp_machine *machine) {
-    /* What is over is stopped by the very first answer, which renews the lease like any other: a
-     * machine that hung right after a first answer without stops ran cancelled work for one more
-     * lease; one that was about to be scaled in, while the cloud didn't answer, for ever. */
+    /* The very first answer already stops tasks that must not run any more, because it renews the
+     * lease like any other answer. Without these stops, a machine that hangs right after its first
+     * answer runs cancelled work for one more lease, and a machine that is about to be scaled in
+     * runs it for as long as the cloud does not respond. */
     rp_command_batch_add_unknown_tasks(batch, machine);
     add_stops_and_forgets(batch, context, machine);
     if (machine->contact.fencing_token_seen) {
--- a/src/worker/direct_commands.c
+++ b/src/worker/direct_commands.c
@@ -7,13 +7,14 @@
 #include "worker/direct_call.h"
 #include "worker/heartbeat_reader.h"
 
-/* For the response to a direct command. */
+/* Seconds to wait for the response to a direct command. */
 #define RESPONSE_TIMEOUT_S 1.0
-/* Exited attempts that were started directly are never forgotten in the term; a worker's
- * heartbeats, of 64 KiB (PROTOCOL), must be able to list them. */
+/* The number of exited attempts, started directly, at which a machine gets no more direct starts.
+ * Such attempts are not forgotten before the end of the term, and a worker's heartbeats, of 64 KiB
+ * (PROTOCOL), must be able to list them. */
 #define DIRECT_ATTEMPTS_MAX 192
 
-/* Direct commands under way to a machine, with the attempts that they start. */
+/* A message of direct commands in flight to a machine, with the attempts that it starts. */
 struct direct_message {
     struct rp_direct_call call;
     uint64_t *attempts;
@@ -44,9 +45,9 @@
     return false;
 }
 
-/* Ends the wait for what became of the starts. Refused, or never sent, they can't arrive any more.
- * (Executed, they are listed: in this response, or in a newer heartbeat that came before it.
- * Without a response they may still arrive.) */
+/* Marks the message's starts as no longer pending. Starts that were refused or never sent cannot
+ * arrive any more and are removed. Executed starts are listed, in this response or in a newer
+ * heartbeat that was received before it. Without a response, the starts may still arrive. */
 static void end_starts(const struct direct_message *message, struct rp_machine *machine,
                        enum rp_direct_outcome outcome) {
     bool is_void = outcome == RP_DIRECT_REFUSED || outcome == RP_DIRECT_UNSENT;
@@ -68,7 +69,7 @@
         goto out;
     struct rp_heartbeat heartbeat;
     enum rp_direct_outcome outcome = rp_direct_call_read(response, &heartbeat);
-    size_t n_busy = rp_heartbeat_n_busy(machine);
+    size_t n_live_before = rp_heartbeat_n_live_allocations(machine);
     if (outcome == RP_DIRECT_EXECUTED || outcome == RP_DIRECT_REFUSED) {
         if (heartbeat.fencing_token > context->election->fencing_token)
             rp_election_verify(context->election);
@@ -79,8 +80,8 @@
     rp_heartbeat_free(&heartbeat);
     end_starts(message, machine, outcome);
     machine->contact.unreachable = outcome == RP_DIRECT_UNSENT;
-    /* Of an unreachable machine, what was planned there can be planned elsewhere. */
-    if (rp_heartbeat_n_busy(machine) < n_busy || outcome == RP_DIRECT_UNSENT)
+    /* The starts planned for an unreachable machine can be planned elsewhere. */
+    if (rp_heartbeat_n_live_allocations(machine) < n_live_before || outcome == RP_DIRECT_UNSENT)
         rp_worker_notify_capacity_freed(context);
 out:
     message_free(message);
@@ -100,7 +101,7 @@
 
 static bool can_send(const struct rp_worker_context *context, const struct rp_machine *machine) {
     return rp_machine_is_usable(machine) && *machine->addr &&
-           !rp_direct_commands_is_full(machine) &&
+           !rp_direct_commands_is_attempt_limit_reached(machine) &&
            rp_election_is_valid(context->election, rp_loop_now(context->loop));
 }
 
@@ -129,7 +130,7 @@
             rp_direct_commands_send(context, machine);
 }
 
-bool rp_direct_commands_is_full(const struct rp_machine *machine) {
+bool rp_direct_commands_is_attempt_limit_reached(const struct rp_machine *machine) {
     size_t n = 0;
     for (size_t i = 0; i < machine->n_allocations; i++)
         n += machine->allocations[i].state == RP_ALLOCATION_EXITED &&
--- a/src/worker/heartbeat_queue.c
+++ b/src/worker/heartbeat_queue.c
@@ -4,8 +4,9 @@
 #include <string.h>
 #include "base/memory.h"
 
-/* Less, by a step and a message's way, than the 4 s after which a worker goes elsewhere (PROTOCOL,
- * "Workers"). election/election.c reckons with this time. */
+/* Seconds for which a heartbeat may wait: the 4 s after which a worker turns to another node
+ * (PROTOCOL, "Workers"), less CHECK_INTERVAL_S and the transit time of a message.
+ * election/election.c relies on this time. */
 #define WAIT_MAX_S 3.7
 #define CHECK_INTERVAL_S 0.1
 
@@ -38,11 +39,11 @@
     struct rp_heartbeat_queue *queue = arg;
     struct timespec now = rp_loop_now(queue->loop);
     bool can_wait = queue->owner.can_wait(queue->owner.arg);
-    struct rp_queued_heartbeat *rest = queue->first;
+    struct rp_queued_heartbeat *waiting = queue->first;
     queue->first = NULL;
-    while (rest) {
-        struct rp_queued_heartbeat *heartbeat = rest;
-        rest = heartbeat->next;
+    while (waiting) {
+        struct rp_queued_heartbeat *heartbeat = waiting;
+        waiting = heartbeat->next;
         if (can_wait && !rp_ts_reached(now, heartbeat->wait_until))
             push(queue, heartbeat);
         else
--- a/src/worker/heartbeat_reader.c
+++ b/src/worker/heartbeat_reader.c
@@ -5,25 +5,29 @@
 #include "worker/spot_notice.h"
 #include "worker/task_reader.h"
 
-/* A worker waits so long for an answer, then it goes to another node (PROTOCOL, "Workers"). */
+/* Seconds for which a worker waits for an answer before it turns to another node (PROTOCOL,
+ * "Workers"). */
 #define ANSWER_TIMEOUT_S 4.0
-/* Heartbeats are report_s apart, give or take a quarter (PROTOCOL, "Workers"). */
+/* The longest interval between two heartbeats as a multiple of report_s: intervals vary by a
+ * quarter (PROTOCOL, "Workers"). */
 #define HEARTBEAT_INTERVAL_FACTOR 1.25
-/* For the difference of two heartbeats' times on their way. */
+/* Seconds allowed for the difference between the transit times of two heartbeats. */
 #define HEARTBEAT_DELAY_S 0.75
 
-/* ---- one-way partitions: heartbeats arrive, but our answers don't get there ---- */
+/* ---- one-way partitions: heartbeats arrive, but answers do not reach the worker ---- */
 
-/* A worker that got an answer stays with this node and sends its next heartbeat with the next
- * number within the time that it would have waited. Responses to direct commands have numbers of
- * their own in between. */
-static bool shows_that_answers_arrive(const struct rp_worker_context *context,
-                                      const struct rp_machine *machine,
-                                      const struct rp_heartbeat *heartbeat) {
+/* Whether the heartbeat shows that the last answer reached the worker. A worker that received an
+ * answer sends its next heartbeat to this node again, with the next sequence number, within the
+ * time for which it would have waited for an answer. Responses to direct commands and probes take
+ * sequence numbers in between. */
+static bool is_proof_that_answers_arrive(const struct rp_worker_context *context,
+                                         const struct rp_machine *machine,
+                                         const struct rp_heartbeat *heartbeat) {
     const struct rp_machine_contact *contact = &machine->contact;
-    /* Where report_s is 4 s, every second heartbeat of a good machine came later than 4 s after the
-     * one before, and a quarter of a large fleet stood idle as partitioned. A worker that got no
-     * answer asks another node first: by then 6 s are over. */
+    /* A limit of ANSWER_TIMEOUT_S alone is too short where report_s is 4 s: every second heartbeat
+     * of a healthy machine comes later than 4 s after the one before, and a quarter of a large
+     * fleet stays idle as partitioned. The longer limit still detects partitions: a worker that
+     * received no answer tries another node first, and 6 s have passed by then. */
     double interval_max_s =
         fmax(ANSWER_TIMEOUT_S,
              context->settings->report_s * HEARTBEAT_INTERVAL_FACTOR + HEARTBEAT_DELAY_S);
@@ -34,10 +38,11 @@
            rp_ts_since(rp_loop_now(context->loop), contact->last_heartbeat) < interval_max_s;
 }
 
-/* Behind a one-way partition a machine looks like a good one: now and then a heartbeat comes, with
- * capacity and a newer incarnation, and what is started on it vanishes. Such a worker is at another
- * node when its next heartbeat is due here. Until a heartbeat shows that answers arrive, the
- * machine gets no work, and in the end it is scaled in (cluster/release_policy.c). */
+/* A machine behind a one-way partition appears healthy: occasionally a heartbeat arrives that shows
+ * free capacity and a newer incarnation, but tasks that are started on the machine are lost. Its
+ * worker has turned to another node when its next heartbeat is due here. Until a heartbeat shows
+ * that answers arrive, the machine gets no work; if none does, it is scaled in
+ * (cluster/release_policy.c). */
 static void detect_one_way_partition(const struct rp_worker_context *context,
                                      struct rp_machine *machine,
                                      const struct rp_heartbeat *heartbeat) {
@@ -45,7 +50,7 @@
     struct timespec *lost_since = &machine->contact.answers_lost_since;
     bool is_first = machine->contact.incarnation == 0;
     bool was_partitioned = rp_machine_is_one_way_partitioned(machine);
-    if (is_first || shows_that_answers_arrive(context, machine, heartbeat)) {
+    if (is_first || is_proof_that_answers_arrive(context, machine, heartbeat)) {
         if (was_partitioned && rp_ts_since(now, *lost_since) > ANSWER_TIMEOUT_S)
             rp_info("one-way partition ended: machine=%s", machine->name);
         *lost_since = (struct timespec){0};
@@ -57,12 +62,13 @@
 
 /* ---- the list of tasks ---- */
 
-/* What the newest heartbeat doesn't list is not there: a start in an older answer was dropped,
- * since a worker has one heartbeat in flight and never executes an answer it has stopped waiting
- * for (PROTOCOL, "Workers"). A start sent directly may still arrive: only the response to its
- * command, or being listed, tells what became of it (docs/safety.md, "Direct commands"); and what a
- * newer response to a direct command has listed is there, whatever an older heartbeat says. */
-static bool may_be_there(const struct rp_allocation *allocation, uint64_t heartbeat_seq) {
+/* A task that the newest heartbeat does not list is not on the machine: a start in an older answer
+ * was dropped, because a worker has one heartbeat in flight and never executes an answer that it
+ * has stopped waiting for (PROTOCOL, "Workers"). There are two exceptions. A start that was sent
+ * directly may still arrive; only the response to its command, or a message that lists the task,
+ * shows its outcome (docs/safety.md, "Direct commands"). A task that a newer response to a direct
+ * command lists is on the machine even if an older heartbeat does not list it. */
+static bool may_be_on_machine(const struct rp_allocation *allocation, uint64_t heartbeat_seq) {
     if (allocation->listed || allocation->state == RP_ALLOCATION_PLANNED ||
         allocation->seen_seq >= heartbeat_seq)
         return true;
@@ -73,17 +79,18 @@
 static void remove_missing(const struct rp_worker_context *context, struct rp_machine *machine,
                            uint64_t heartbeat_seq) {
     for (size_t i = machine->n_allocations; i-- > 0;)
-        if (!may_be_there(&machine->allocations[i], heartbeat_seq))
+        if (!may_be_on_machine(&machine->allocations[i], heartbeat_seq))
             rp_allocation_remove(context->cluster, machine, i);
 }
 
-/* For a heartbeat that was on its way while a response to a direct command came: what it lists is
- * older than what is known; it still tells what became of starts in earlier heartbeats' answers. */
+/* Reads the list of a heartbeat that arrived after a newer response to a direct command. The list
+ * is older than the cluster state, but it still shows what became of starts in the answers to
+ * earlier heartbeats. */
 static void mark_listed(const struct rp_worker_context *context, const struct rp_machine *machine,
                         const struct rp_heartbeat *heartbeat) {
     for (size_t i = 0; i < heartbeat->n_tasks; i++) {
         struct rp_allocation *allocation =
-            rp_task_reader_find(context, machine, &heartbeat->tasks[i]);
+            rp_task_reader_find_allocation(context, machine, &heartbeat->tasks[i]);
         if (allocation)
             allocation->listed = true;
     }
@@ -112,23 +119,24 @@
 void rp_heartbeat_read(struct rp_worker_context *context, struct rp_machine *machine,
                        const struct rp_heartbeat *heartbeat) {
     detect_one_way_partition(context, machine, heartbeat);
-    /* A worker kills all its tasks before its next incarnation (PROTOCOL, "Leases"). */
+    /* A worker kills all its tasks before its next incarnation begins (PROTOCOL, "Leases"). */
     if (heartbeat->incarnation > machine->contact.incarnation && machine->contact.incarnation > 0)
         rp_machine_end_incarnation(context->cluster, machine);
-    bool overtaken = heartbeat->incarnation == machine->contact.incarnation &&
-                     heartbeat->seq < machine->contact.seq;
+    bool is_overtaken = heartbeat->incarnation == machine->contact.incarnation &&
+                        heartbeat->seq < machine->contact.seq;
     note_heartbeat(context, machine, heartbeat);
     for (size_t i = 0; i < machine->n_allocations; i++)
         machine->allocations[i].listed = false;
-    if (overtaken)
+    if (is_overtaken)
         mark_listed(context, machine, heartbeat);
     else
         read_tasks(context, machine, heartbeat);
     remove_missing(context, machine, heartbeat->seq);
     if (heartbeat->has_notice)
         rp_spot_notice_apply(context, machine, heartbeat->notice_s);
-    /* Only a heartbeat that shows our token proves that no start of an earlier leader is still on
-     * its way (PROTOCOL, "Tokens"); until then the machine may hold more than it says. */
+    /* Only a heartbeat that shows this leader's token proves that no start of an earlier leader can
+     * still arrive (PROTOCOL, "Tokens"). Until then the machine may hold more tasks than the
+     * heartbeat lists. */
     if (machine->state != RP_MACHINE_RELEASING && machine->contact.fencing_token_seen)
         rp_machine_set_state(context->cluster, machine, RP_MACHINE_UP);
     rp_fleet_record_up(context->fleet, machine);
@@ -141,9 +149,9 @@
         heartbeat->seq <= machine->contact.seq)
         return;
     machine->contact.seq = heartbeat->seq;
-    /* What this leader hasn't started, heartbeats tell of. */
+    /* Tasks for which this leader has no allocation are read from heartbeats only. */
     for (size_t i = 0; i < heartbeat->n_tasks; i++)
-        if (rp_task_reader_find(context, machine, &heartbeat->tasks[i]))
+        if (rp_task_reader_find_allocation(context, machine, &heartbeat->tasks[i]))
             rp_task_reader_read(context, machine, &heartbeat->tasks[i]);
 }
 
@@ -160,7 +168,7 @@
     }
 }
 
-size_t rp_heartbeat_n_busy(const struct rp_machine *machine) {
+size_t rp_heartbeat_n_live_allocations(const struct rp_machine *machine) {
     size_t n = 0;
     for (size_t i = 0; i < machine->n_allocations; i++)
         n += machine->allocations[i].state != RP_ALLOCATION_EXITED;
--- a/src/worker/probes.c
+++ b/src/worker/probes.c
@@ -6,7 +6,7 @@
 #include "worker/direct_call.h"
 #include "worker/heartbeat_reader.h"
 
-/* For the response to a probe. */
+/* Seconds to wait for the response to a probe. */
 #define RESPONSE_TIMEOUT_S 0.7
 
 static void on_probe_response(void *arg, const struct rp_answer *response) {
@@ -32,7 +32,7 @@
     *call = rp_direct_call_to(context, machine);
     machine->contact.probing = true;
     machine->contact.probed_at = rp_loop_now(context->loop);
-    machine->contact.n_direct++; /* its response takes a number, too */
+    machine->contact.n_direct++; /* the response takes a sequence number, too */
     context->net.call_once(context->net.ctx, machine->addr, "GET", RP_PATH_PROBE, NULL,
                            RESPONSE_TIMEOUT_S, on_probe_response, call);
 }
--- a/src/worker/spot_notice.c
+++ b/src/worker/spot_notice.c
@@ -2,34 +2,37 @@
 
 #include "base/log.h"
 
-/* Time that a task gets to save: `brace_s` is the least that PROTOCOL asks for, the rest is for the
- * command's way and for machines that are slower than others. */
-#define SAVE_FACTOR 1.5
+/* The time for a task to save a checkpoint is the job's `brace_s` (save_s) times SAVE_TIME_FACTOR
+ * plus SAVE_SLACK_S seconds. PROTOCOL requires at least `brace_s`; the rest covers the transit time
+ * of the command and machines that are slower than others. */
+#define SAVE_TIME_FACTOR 1.5
 #define SAVE_SLACK_S 1.0
 
-/* May drop other allocations of the machine: those of a gang that had not been sent yet. */
+/* Stops one allocation. May also remove other allocations of the machine: those of a gang whose
+ * starts have not been sent yet. */
 static void stop_allocation(struct rp_worker_context *context, struct rp_machine *machine,
                             size_t index) {
     struct rp_allocation *allocation = &machine->allocations[index];
     const struct rp_job_spec *spec = &allocation->job->spec;
-    double save_s = spec->save_s * SAVE_FACTOR + SAVE_SLACK_S;
+    double save_s = spec->save_s * SAVE_TIME_FACTOR + SAVE_SLACK_S;
     bool has_begun =
         allocation->task_state != RP_TASK_FETCHING && allocation->task_state != RP_TASK_WAITING;
     bool can_save = has_begun && spec->checkpoint_s > 0;
-    /* A gang's progress is safe only if all of its tasks are told within gang_peer_s (PROTOCOL,
-     * "Gangs"): each machine sends a heartbeat before that. */
+    /* A gang's progress is safe only if all of its tasks receive the stop within gang_peer_s
+     * (PROTOCOL, "Gangs"): each machine sends a heartbeat within that time. */
     if (spec->kind == RP_JOB_GANG && spec->n_tasks > 1 && !allocation->stop_requested)
         rp_cluster_stop_job(context->cluster, allocation->job, can_save ? save_s : 0);
     else if (allocation->state == RP_ALLOCATION_PLANNED)
         rp_allocation_remove(context->cluster, machine, index);
     else if (spec->kind == RP_JOB_SERVICE)
-        /* So that it runs elsewhere sooner than when the machine is taken. */
+        /* Stopped now, the replica runs elsewhere sooner than if it were stopped when the machine
+         * is reclaimed. */
         rp_allocation_request_stop(allocation, 0);
     else if (!has_begun)
         rp_allocation_request_stop(allocation, 0);
     else if (can_save)
         rp_allocation_request_stop(allocation, save_s);
-    /* What can't save runs on: it may be done before the machine is taken. */
+    /* A task that cannot save continues to run: it may be done before the machine is reclaimed. */
 }
 
 void rp_spot_notice_apply(struct rp_worker_context *context, struct rp_machine *machine,
@@ -40,6 +43,6 @@
     machine->spot_notice.received = true;
     machine->spot_notice.ends_at = rp_ts_after(rp_loop_now(context->loop), notice_s);
     for (size_t i = machine->n_allocations; i-- > 0;)
-        if (i < machine->n_allocations) /* stopping a gang may have dropped some */
+        if (i < machine->n_allocations) /* stopping a gang may have removed several */
             stop_allocation(context, machine, i);
 }
--- a/src/worker/task_exit.c
+++ b/src/worker/task_exit.c
@@ -4,17 +4,19 @@
 #include "base/log.h"
 #include "cluster/quarantine.h"
 
-/* A replica that ran for so long has not failed at its start. */
+/* Seconds of run time up to which the exit of a replica counts as a failure at its start. */
 #define EARLY_EXIT_S 30.0
-/* The pause before a job's replicas are started again doubles with each early exit, up to the
- * maximum. From the eighth on the product is above the maximum. */
+/* Seconds before a job's replicas are started again. The backoff doubles with each early exit, up
+ * to REPLICA_BACKOFF_MAX_S. At most REPLICA_BACKOFF_EXITS_MAX exits are counted: from the eighth on
+ * the product is above the maximum. */
 #define REPLICA_BACKOFF_S 0.5
 #define REPLICA_BACKOFF_MAX_S 30.0
 #define REPLICA_BACKOFF_EXITS_MAX 8
-/* After a refused start: the capacity, or the task's earlier attempt, shows in the next heartbeat.
- */
+/* Seconds until a job is started again after a worker refused a start: the machine's capacity, or
+ * the task's earlier attempt, is listed in the next heartbeat. */
 #define REFUSED_START_BACKOFF_S 1.0
-/* The worker fetches the job's description by itself, from where its user uploads it. */
+/* Seconds until a job is started again after a worker reported its task as unknown: the worker
+ * fetches the job's description by itself, from where its user uploads it. */
 #define UNKNOWN_TASK_BACKOFF_S 5.0
 
 static bool is_early_exit(const struct rp_allocation *allocation, struct timespec now) {
@@ -22,34 +24,35 @@
            rp_ts_since(now, allocation->running_since) <= EARLY_EXIT_S;
 }
 
-static bool has_ended_by_itself(const struct rp_allocation *allocation) {
+static bool has_exited_unrequested(const struct rp_allocation *allocation) {
     return !allocation->stop_requested &&
            (allocation->exit_reason == RP_EXIT_DONE || allocation->exit_reason == RP_EXIT_ERROR);
 }
 
-/* A replica that ended by itself runs again elsewhere at once. One that ended soon after its start
- * speaks against the machine first; once replicas of the job have ended so on several machines it
- * is the job's own fault, and the pauses grow, so that a bad image costs little. */
+/* A replica that exited without being stopped is started elsewhere at once. An exit soon after the
+ * start counts against the machine first. Once replicas of the job have exited early on several
+ * machines, the job itself is at fault, and its backoff grows so that a faulty image costs little.
+ */
 static void on_replica_exit(struct rp_worker_context *context, struct rp_machine *machine,
                             const struct rp_allocation *allocation) {
     struct rp_job *job = allocation->job;
     struct timespec now = rp_loop_now(context->loop);
-    if (!has_ended_by_itself(allocation))
+    if (!has_exited_unrequested(allocation))
         return;
     if (!is_early_exit(allocation, now)) {
         job->consecutive_early_exits = job->n_failed_machines = 0;
         return;
     }
-    bool first_machine = job->n_failed_machines == 0;
-    bool pausing = !rp_ts_reached(now, job->start_backoff_until);
-    if (!rp_quarantine_note_job_failure(job, machine) && pausing)
+    bool is_first_machine = job->n_failed_machines == 0;
+    bool is_backing_off = !rp_ts_reached(now, job->start_backoff_until);
+    if (!rp_quarantine_note_job_failure(job, machine) && is_backing_off)
         return;
     if (!rp_quarantine_is_job_suspected(job) && allocation->exit_reason == RP_EXIT_ERROR)
         rp_quarantine_count_machine_error(context->cluster, job, machine, now);
     job->consecutive_early_exits++;
-    /* The first exit pauses nothing, so the second is the one with the undoubled pause. */
+    /* The first early exit causes no backoff, so the second one has the undoubled backoff. */
     int doublings = (int)fmin(job->consecutive_early_exits, REPLICA_BACKOFF_EXITS_MAX) - 2;
-    double backoff_s = first_machine ? 0 : ldexp(REPLICA_BACKOFF_S, doublings);
+    double backoff_s = is_first_machine ? 0 : ldexp(REPLICA_BACKOFF_S, doublings);
     job->start_backoff_until = rp_ts_after(now, fmin(backoff_s, REPLICA_BACKOFF_MAX_S));
 }
 
--- a/src/worker/task_exit.h
+++ b/src/worker/task_exit.h
@@ -1,12 +1,13 @@
 /** @file
- * What the exit of a task means for its job and its machine: progress, run times, quarantine, and
- * the pause before the next start. Called by task_reader.c, once for each exit. */
+ * Applies the exit of a task to its job and its machine: progress, run times, quarantine, and the
+ * backoff before the next start. Called by task_reader.c, once for each exit. */
 #ifndef RP_WORKER_TASK_EXIT_H
 #define RP_WORKER_TASK_EXIT_H
 
 #include "worker/worker_context.h"
 
-/** The allocation has just become RP_ALLOCATION_EXITED, with its exit reason set. */
+/** Applies an exit. The allocation must just have become RP_ALLOCATION_EXITED, with its exit reason
+ * set. */
 void rp_task_exit_apply(struct rp_worker_context *context, struct rp_machine *machine,
                         const struct rp_allocation *allocation);
 
--- a/src/worker/task_reader.c
+++ b/src/worker/task_reader.c
@@ -22,9 +22,9 @@
     return NULL;
 }
 
-struct rp_allocation *rp_task_reader_find(const struct rp_worker_context *context,
-                                          const struct rp_machine *machine,
-                                          const struct rp_task_status *status) {
+struct rp_allocation *rp_task_reader_find_allocation(const struct rp_worker_context *context,
+                                                     const struct rp_machine *machine,
+                                                     const struct rp_task_status *status) {
     const struct rp_job *job = rp_task_reader_find_job(context, status);
     return job ? find_allocation(machine, job, status) : NULL;
 }
@@ -37,8 +37,9 @@
     rp_string_copy(unknown_task.job, sizeof unknown_task.job, status->job);
     if (rp_machine_add_unknown_task(context->cluster, machine, &unknown_task))
         return;
-    /* The machine gets no work while it has any, so the rest is stopped from a later heartbeat. */
-    if (context->counters.n_unknown_tasks_above++ == 0)
+    /* The machine gets no work while it has unknown tasks, so the tasks beyond the limit can be
+     * stopped after a later heartbeat. */
+    if (context->counters.n_unknown_tasks_over_limit++ == 0)
         rp_error("too many tasks of unknown jobs: machine=%s n_max=%d", machine->name,
                  RP_UNKNOWN_TASKS_MAX);
 }
@@ -46,8 +47,8 @@
 static struct rp_allocation *add_allocation(struct rp_worker_context *context,
                                             struct rp_machine *machine, struct rp_job *job,
                                             const struct rp_task_status *status) {
-    /* An old copy of a heartbeat, read before any newer one, may name an allocation that went long
-     * ago; one that shows our token doesn't. */
+    /* An old copy of a heartbeat that is read before any newer one may list a task that ended long
+     * ago. A heartbeat that shows this leader's token is no such copy. */
     if (status->state != RP_TASK_EXITED && machine->contact.fencing_token_seen &&
         rp_job_n_task_allocations(job, status->task))
         rp_error("task may be on two machines: task=%s/%u machine=%s", job->spec.id, status->task,
@@ -56,8 +57,8 @@
                              RP_ALLOCATION_SEEN);
 }
 
-/* Keeps the count of running tasks, and what a fetch that has ended says of the machine's images.
- */
+/* Updates the job's count of running tasks, and records the job's image on the machine when the
+ * task has finished fetching it. */
 static void note_task_state(struct rp_worker_context *context, struct rp_machine *machine,
                             struct rp_allocation *allocation, enum rp_task_state state) {
     struct rp_job *job = allocation->job;
@@ -76,7 +77,7 @@
     allocation->task_state = state;
 }
 
-/* The job's tasks run at least as long as this one has by now. */
+/* Raises the lower bound of the job's run times to the time for which this task has run so far. */
 static void note_run_floor(const struct rp_worker_context *context,
                            const struct rp_allocation *allocation) {
     struct rp_job *job = allocation->job;
--- a/src/worker/worker_fencing.c
+++ b/src/worker/worker_fencing.c
@@ -10,13 +10,13 @@
 #include "worker/direct_call.h"
 #include "worker/heartbeat_reader.h"
 
-/* For the response to a direct command. */
+/* Seconds to wait for the response to a direct command. */
 #define RESPONSE_TIMEOUT_S 1.0
-/* Direct commands to a machine: two until the incarnation is right, a stop of tasks whose jobs are
- * over, a forget. */
+/* The maximum number of direct commands that are sent to a machine: two until the incarnation is
+ * right, one with the stops of tasks whose jobs have ended, and one with the forgets. */
 #define COMMANDS_SENT_MAX 4
 
-/* A machine that is being fenced. */
+/* The fencing of one machine, in progress. */
 struct fencing {
     struct rp_direct_call call;
     char addr[RP_TEXT_MAX];
@@ -35,8 +35,9 @@
     on_fenced(arg, fenced);
 }
 
-/* The command that shows the token; to a machine that has shown it, with the stops of tasks whose
- * jobs are over: what they use counts against everybody until they are gone. */
+/* Sends the command that shows the token. To a machine that has already shown the token, it carries
+ * the stops of tasks whose jobs have ended: until these tasks have exited, the capacity that they
+ * use is not available to any other task. */
 static void send_command(struct fencing *fencing, const struct rp_machine *machine) {
     const struct rp_worker_context *context = fencing->call.context;
     struct rp_command_batch batch;
@@ -58,11 +59,11 @@
            (heartbeat->incarnation == contact->incarnation && heartbeat->seq > contact->seq);
 }
 
-/* The machine shows our token in what it says after the command: no start of an earlier leader can
- * be accepted there any more, so what it lists is all there is. Its lease was renewed last by a
- * heartbeat that it sent before now. Newer than any heartbeat so far, the response counts as one:
- * what was sent before it is refused, and the worker sends its heartbeat again. Returns whether the
- * response could be read so. */
+/* Reads the response as a heartbeat. The machine shows this leader's token after the command: it
+ * can accept no start of an earlier leader any more, so its list of tasks is complete. Its lease
+ * was last renewed by a heartbeat that it sent before now. A response that is newer than any
+ * heartbeat so far counts as one: heartbeats that were sent before it are refused, and the worker
+ * sends its heartbeat again. Returns whether the response was read as a heartbeat. */
 static bool read_as_heartbeat(struct rp_worker_context *context, struct rp_machine *machine,
                               const struct rp_heartbeat *heartbeat) {
     bool is_first = machine->state == RP_MACHINE_UNRECONCILED;
@@ -81,10 +82,10 @@
     return true;
 }
 
-/* What a response means for the fencing. */
+/* The effect of a response on the fencing. */
 struct fencing_progress {
     bool fenced; /* the response counts as a heartbeat */
-    bool resend; /* another command makes sense */
+    bool resend; /* another command is to be sent */
 };
 
 static struct fencing_progress read_response(struct fencing *fencing, struct rp_machine *machine,
@@ -92,14 +93,15 @@
                                              const struct rp_heartbeat *heartbeat) {
     struct rp_worker_context *context = fencing->call.context;
     struct fencing_progress progress = {0};
-    /* Addresses are used again: another machine may have answered. */
+    /* Addresses are reused: another machine may have responded. */
     bool is_same = strcmp(heartbeat->machine, fencing->call.machine) == 0;
     if (is_same && heartbeat->fencing_token > fencing->call.fencing_token)
         rp_election_verify(context->election);
     progress.fenced =
         is_same && outcome == RP_DIRECT_EXECUTED && read_as_heartbeat(context, machine, heartbeat);
+    /* Otherwise the response took a sequence number after the newest heartbeat's. */
     if (!progress.fenced)
-        machine->contact.n_direct++; /* the response took a number after the newest heartbeat's */
+        machine->contact.n_direct++;
     bool was_other_incarnation = is_same && outcome == RP_DIRECT_REFUSED &&
                                  heartbeat->incarnation != fencing->call.incarnation;
     progress.resend = was_other_incarnation || (progress.fenced && machine->n_unknown_live > 0);
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -8,13 +8,14 @@
 #include "worker/command_batch.h"
 #include "worker/heartbeat_reader.h"
 
-/* A machine from before the failover has shown our token so soon after our first answer, if answers
- * reach it: two heartbeats, and a worker's wait for an answer between them. */
+/* Seconds after this leader's first answer to a machine from before the failover. If answers reach
+ * the machine, it has shown this leader's token by then: the time covers two heartbeats and,
+ * between them, a worker's wait for an answer. */
 #define TOKEN_TIMEOUT_S 8.0
 
 /* ---- responses ---- */
 
-/* Takes over `body`; NULL: "{}". */
+/* Frees `body`. When `body` is NULL, "{}" is sent. */
 static void respond(struct rp_request *req, int status, char *body) {
     req->respond(req, status, body ? body : "{}", 0);
     free(body);
@@ -30,16 +31,17 @@
     respond(req, 421, rp_worker_codec_write_leader_hint(leader));
 }
 
-/* Every answer renews a lease, and so lets what runs there run on: only a leader whose lease is
- * provable may give one, and only while it hears what users cancel. */
+/* Every answer renews the worker's lease and so lets its tasks continue to run. Only a leader whose
+ * own lease is provably valid may answer, and only while it receives the cancellations of users in
+ * time. */
 static bool may_answer(const struct rp_workers *workers) {
     const struct rp_worker_context *context = &workers->context;
     return rp_election_is_valid(context->election, rp_loop_now(context->loop)) &&
            rp_jobs_may_answer_heartbeats(context->jobs);
 }
 
-/* The worker reckons its lease from the sending of its heartbeat, which was before it was received
- * here (PROTOCOL, "Leases"). */
+/* The lease recorded here is counted from `received_at`. The worker counts it from the sending of
+ * its heartbeat, which is earlier (PROTOCOL, "Leases"). */
 static void note_answer(const struct rp_worker_context *context, struct rp_machine *machine,
                         struct timespec received_at) {
     struct rp_machine_contact *contact = &machine->contact;
@@ -53,7 +55,7 @@
         contact->first_answer = now;
 }
 
-/* `machine` NULL: one that this leader doesn't know. */
+/* `machine` is NULL when the heartbeat's machine is not in the cluster state. */
 static void answer(const struct rp_workers *workers, struct rp_request *req,
                    struct rp_machine *machine, const struct rp_command_batch *batch,
                    struct timespec received_at) {
@@ -84,10 +86,11 @@
     rp_command_batch_free(&batch);
 }
 
-/* ---- heartbeats that prove nothing, or not enough ---- */
+/* ---- heartbeats that are not read as the machine's newest ---- */
 
-/* NULL if no record names the machine and the heartbeat may be a copy of one sent long ago, by a
- * machine that is terminated: only one that shows our token proves that there is one. */
+/* Returns NULL when no record names the machine and the heartbeat does not show this leader's
+ * token. Such a heartbeat may be a copy, sent long ago by a machine that has been terminated since;
+ * only this leader's token proves that the machine exists. */
 static struct rp_machine *find_or_adopt_machine(const struct rp_workers *workers,
                                                 const struct rp_heartbeat *heartbeat) {
     const struct rp_worker_context *context = &workers->context;
@@ -95,8 +98,8 @@
     if (!machine && heartbeat->fencing_token != context->election->fencing_token)
         return NULL;
     if (!machine) {
-        /* No record names it, so no leader has ever started anything on it. */
-        rp_info("machine in no record adopted: machine=%s", heartbeat->machine);
+        /* No leader has ever started a task on a machine that no record names. */
+        rp_info("machine without a stored record adopted: machine=%s", heartbeat->machine);
         machine = rp_machine_add(context->cluster, heartbeat->machine, RP_MACHINE_BOOTING);
     }
     rp_fleet_describe_machine(context->fleet, machine, heartbeat->type, heartbeat->zone,
@@ -110,10 +113,10 @@
            heartbeat->incarnation == machine->contact.lost_incarnation;
 }
 
-/* It may be of an incarnation that is over, or of the next one, of which nothing can be there. Once
- * it shows our token it is the next one's. (Taken for a heartbeat of the lost incarnation, the
- * heartbeats of all machines that were cut off during a failover were refused until they had been
- * scaled in.) */
+/* Whether the heartbeat may be of the lost incarnation, which has ended, or of the next one, which
+ * cannot hold any task yet. Once the heartbeat shows this leader's token, it is of the next one. If
+ * such heartbeats were refused like those of the lost incarnation, all machines that were
+ * partitioned during a failover would be refused until they were scaled in. */
 static bool may_be_of_lost_incarnation(const struct rp_workers *workers,
                                        const struct rp_machine *machine,
                                        const struct rp_heartbeat *heartbeat) {
@@ -121,7 +124,8 @@
            heartbeat->fencing_token != workers->context.election->fencing_token;
 }
 
-/* A copy, late by seconds or by many leases (PROTOCOL, "Delayed messages"). */
+/* Whether the heartbeat is a delayed copy, late by seconds or by many lease periods (PROTOCOL,
+ * "Delayed messages"). */
 static bool is_stale(const struct rp_machine *machine, const struct rp_heartbeat *heartbeat) {
     const struct rp_machine_contact *contact = &machine->contact;
     return heartbeat->incarnation < contact->incarnation ||
@@ -129,18 +133,20 @@
             heartbeat->seq <= contact->heartbeat_seq);
 }
 
-/* A machine that may hold tasks of an earlier leader and shows no sign of our answers is answered
- * no more: so its lease ends, and with it what it holds. Once it is lost it may come back. */
+/* A machine that may hold tasks of an earlier leader and does not show that answers reach it gets
+ * no more answers. Its lease then expires, and with the lease its tasks end. Once the machine is
+ * lost (RP_MACHINE_LOST), it may return. */
 static bool must_lease_expire(const struct rp_workers *workers, const struct rp_machine *machine) {
     struct timespec first_answer = machine->contact.first_answer;
     return machine->state == RP_MACHINE_UNRECONCILED && !rp_ts_zero(first_answer) &&
            rp_ts_since(rp_loop_now(workers->context.loop), first_answer) > TOKEN_TIMEOUT_S;
 }
 
-/* Answers a heartbeat that may not be read as the machine's newest; false if it may. */
-static bool answer_unreadable(struct rp_workers *workers, struct rp_request *req,
-                              struct rp_machine *machine, const struct rp_heartbeat *heartbeat,
-                              struct timespec received_at) {
+/* Answers a heartbeat that must not be read as the machine's newest. Returns false, without an
+ * answer, when the heartbeat may be read. */
+static bool answer_if_outdated(struct rp_workers *workers, struct rp_request *req,
+                               struct rp_machine *machine, const struct rp_heartbeat *heartbeat,
+                               struct timespec received_at) {
     struct rp_worker_context *context = &workers->context;
     if (is_of_lost_incarnation(machine, heartbeat)) {
         rp_heartbeat_read_results(context, machine, heartbeat);
@@ -149,7 +155,8 @@
         rp_heartbeat_read_results(context, machine, heartbeat);
         answer_without_commands(workers, req, machine, received_at);
     } else if (is_stale(machine, heartbeat)) {
-        /* It proves nothing, and its answer renews no lease, for nobody waits for it. */
+        /* A stale heartbeat proves nothing, and answering it renews no lease because no worker
+         * waits for the answer. */
         context->counters.n_stale_heartbeats++;
         refuse(req, "a newer report is known");
     } else {
@@ -169,9 +176,9 @@
         answer_without_commands(workers, req, NULL, received_at);
         return;
     }
-    if (answer_unreadable(workers, req, machine, heartbeat, received_at))
+    if (answer_if_outdated(workers, req, machine, heartbeat, received_at))
         return;
-    size_t n_busy = rp_heartbeat_n_busy(machine);
+    size_t n_live_before = rp_heartbeat_n_live_allocations(machine);
     bool was_up = machine->state == RP_MACHINE_UP;
     rp_heartbeat_read(context, machine, heartbeat);
     if (!machine->recorded)
@@ -181,14 +188,14 @@
         return;
     }
     bool freed_capacity = machine->state != RP_MACHINE_RELEASING &&
-                          (rp_heartbeat_n_busy(machine) < n_busy || !was_up);
+                          (rp_heartbeat_n_live_allocations(machine) < n_live_before || !was_up);
     if (freed_capacity && !rp_worker_notify_capacity_freed(context))
         rp_answer_queue_add(&workers->awaiting_cycle, req, machine, rp_loop_now(context->loop));
     else
         answer_with_commands(workers, req, machine, received_at);
 }
 
-/* Whether a leader will soon be known at this node, which may be itself. */
+/* Whether a leader, which may be this node itself, is expected to be known here soon. */
 static bool can_wait_for_leader(void *arg) {
     const struct rp_workers *workers = arg;
     const struct rp_election *election = workers->context.election;
@@ -196,12 +203,12 @@
     bool is_expected = election->state == RP_ELECTION_HOLDING_KEY
                            ? rp_election_is_valid(election, now)
                            : !rp_election_leader(election, now);
-    return !workers->ready && is_expected && rp_kv_failing_s(election->store) <= 0;
+    return !workers->is_leading && is_expected && rp_kv_failing_s(election->store) <= 0;
 }
 
 static void on_wait_for_leader_over(void *arg, struct rp_request *req) {
     struct rp_workers *workers = arg;
-    if (workers->ready)
+    if (workers->is_leading)
         rp_workers_on_heartbeat(workers, req);
     else
         redirect_to_leader(workers, req);
@@ -213,7 +220,7 @@
         rp_heartbeat_queue_add(&workers->awaiting_leader, req);
         return;
     }
-    if (!workers->ready || !may_answer(workers)) {
+    if (!workers->is_leading || !may_answer(workers)) {
         redirect_to_leader(workers, req);
         return;
     }
@@ -238,7 +245,7 @@
 static void answer_pending(struct rp_workers *workers, const struct rp_pending_answer *pending) {
     struct rp_machine *machine = rp_machine_find(workers->context.cluster, pending->machine);
     /* A start carries the number of the heartbeat that it answers (docs/safety.md, "Where a task
-     * may run"), so the heartbeat must still be the newest. */
+     * may run"), so the heartbeat must still be the machine's newest. */
     bool is_newest = machine && machine->contact.incarnation == pending->incarnation &&
                      machine->contact.heartbeat_seq == pending->heartbeat_seq;
     if (!is_newest)
@@ -252,7 +259,7 @@
 void rp_workers_answer_pending(struct rp_workers *workers) {
     struct rp_answer_queue queue = rp_answer_queue_take(&workers->awaiting_cycle);
     for (size_t i = 0; i < queue.n; i++) {
-        if (workers->ready)
+        if (workers->is_leading)
             answer_pending(workers, &queue.answers[i]);
         else
             redirect_to_leader(workers, queue.answers[i].req);
@@ -260,7 +267,7 @@
     rp_answer_queue_clear(&queue);
 }
 
-/* ---- life ---- */
+/* ---- initialization and shutdown ---- */
 
 void rp_workers_init(struct rp_workers *workers, const struct rp_worker_context *context) {
     memset(workers, 0, sizeof *workers);
