--- a/src/controller/cycle_trigger.c
+++ b/src/controller/cycle_trigger.c
@@ -6,23 +6,24 @@
 
 /* The share of this node's processor time that triggered cycles may use. */
 #define CYCLE_CPU_SHARE 0.35
-/* The same as a share of one core, where the node has several: more brings no earlier starts, since
- * each cycle then only finds less to do. */
+/* The share of one core that triggered cycles may use at most, also on a node with several cores. A
+ * larger share brings no earlier starts, because each cycle then finds less to do. */
 #define CYCLE_CORE_SHARE_MAX 0.12
-/* Seconds between two triggered cycles at least, however short they are: about 20 heartbeats arrive
- * in them with 850 machines. */
-#define CYCLE_DISTANCE_MIN_S 0.1
-/* Seconds for which the answer to a heartbeat may wait for a cycle. docs/safety.md counts on it. */
+/* The least number of seconds between two triggered cycles, however short they are: with 850
+ * machines, about 20 heartbeats arrive in that time. */
+#define CYCLE_INTERVAL_MIN_S 0.1
+/* Seconds for which the answer to a heartbeat may wait for a cycle. docs/safety.md relies on this
+ * bound. */
 #define ANSWER_WAIT_MAX_S 0.8
 
-/* Seconds until the next triggered cycle may run; not positive: now. Cycles that take long keep a
- * longer distance, and find more to do in one. */
+/* Seconds until the next triggered cycle may run; zero or less when it may run now. Cycles that
+ * take long have longer intervals between them, and each handles more changes at once. */
 static double until_next_cycle_s(const struct rp_cycle_trigger *trigger) {
     const struct rp_scheduler *scheduler = trigger->scheduler;
     double since_last_s = rp_ts_since(rp_loop_now(trigger->loop), scheduler->last_cycle_at);
     double core_share =
         fmin(CYCLE_CPU_SHARE * fmin(1, trigger->settings->cpu_share), CYCLE_CORE_SHARE_MAX);
-    return fmax(scheduler->last_cycle_s / core_share, CYCLE_DISTANCE_MIN_S) - since_last_s;
+    return fmax(scheduler->last_cycle_s / core_share, CYCLE_INTERVAL_MIN_S) - since_last_s;
 }
 
 static void run_cycle(struct rp_cycle_trigger *trigger) {
@@ -54,7 +55,8 @@
 bool rp_cycle_trigger_on_capacity_freed(struct rp_cycle_trigger *trigger) {
     if (*trigger->node_state != RP_NODE_LEADING)
         return true;
-    /* Services don't wait for a cycle: which machines have capacity for them is known now. */
+    /* Replicas of services are placed without waiting for a cycle, because the machines with
+     * capacity for them are known already. */
     rp_service_controller_run(trigger->services);
     double wait_s = until_next_cycle_s(trigger);
     if (wait_s <= 0) {
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -3,38 +3,38 @@
 #include <string.h>
 #include "base/log.h"
 
-/* The share of the time between two looks at the leader's key that a node takes instead while a
- * format waits for its activation. */
-#define EAGER_CHECK_SHARE 0.4
-/* Seconds before the stored records are read again after a failure. Far shorter than any lease, and
- * long enough not to use the store's request budget up. */
+/* The interval between two reads of the leader's key while a format waits for its activation, as a
+ * share of leader_check_s. */
+#define UPGRADE_CHECK_SHARE 0.4
+/* Seconds before the stored records are read again after a failure: far shorter than any lease, and
+ * long enough not to exhaust the store's request budget. */
 #define RECOVERY_RETRY_S 0.3
-/* Seconds for which a node that leaves for good keeps away from the leader's key: longer than any
+/* Seconds for which a node that resigns for good does not claim the leader's key: longer than any
  * process takes to end. */
-#define LEAVE_BACKOFF_S 3600
+#define RESIGN_BACKOFF_S 3600
 
-/* ---- leadership: which format, which machine types, who leads ---- */
+/* ---- leadership: record format, machine types, elections ---- */
 
-/* A node takes part in elections once it knows the machine types, and that no later version's
+/* A node joins the elections once it has the machine types and has read that no later version's
  * format is active. */
 static void join_elections(struct rp_node *node) {
     bool is_ready = node->catalog_source.known && node->upgrade.activation_read;
-    if (!is_ready || node->is_electing || node->upgrade.state == RP_UPGRADE_TOO_OLD)
+    if (!is_ready || node->has_joined_elections || node->upgrade.state == RP_UPGRADE_TOO_OLD)
         return;
-    node->is_electing = true;
+    node->has_joined_elections = true;
     rp_election_start(&node->election);
 }
 
-/* A later version's format is active: its records can't be read by this version. */
+/* Called when a later version's format is active, whose records this version cannot read. */
 static void leave_elections(struct rp_node *node) {
-    rp_election_resign(&node->election, LEAVE_BACKOFF_S);
+    rp_election_resign(&node->election, RESIGN_BACKOFF_S);
     rp_election_stop(&node->election);
 }
 
 static void on_format_active(struct rp_node *node) {
     const struct rp_settings *settings = node->settings;
     node->election.check_s = settings->tuning.leader_check_s;
-    /* The store's next limits may come into force at any moment from now on. */
+    /* From now on the store's next limits may take effect at any moment. */
     rp_kv_client_set_limits(&node->store, settings->state_fit.rps, settings->state_fit.write_rps);
     if (node->state == RP_NODE_LEADING)
         rp_catalog_source_lead(&node->catalog_source);
@@ -48,9 +48,10 @@
     else if (rp_upgrade_is_active(&node->upgrade))
         on_format_active(node);
     else if (!tuning->keep_old_forms)
-        /* Until every node knows this version's format, those that do look at the leader's key more
-         * often: a free key then rather comes to a node that won't be replaced. */
-        node->election.check_s = tuning->leader_check_s * EAGER_CHECK_SHARE;
+        /* Until all nodes support this version's format, those that do read the leader's key more
+         * often, so that a free key is more likely to be claimed by a node that will not be
+         * replaced. */
+        node->election.check_s = tuning->leader_check_s * UPGRADE_CHECK_SHARE;
     join_elections(node);
 }
 
@@ -65,7 +66,7 @@
     rp_service_controller_stop(&node->services);
 }
 
-/* Empties the cluster state. Nothing of an earlier term may be left when the records are read. */
+/* Empties the cluster state: nothing of an earlier term may remain when the records are read. */
 static void enter_following(struct rp_node *node) {
     stop_scheduling(node);
     rp_fleet_clear(&node->fleet);
@@ -74,7 +75,7 @@
     rp_standby_lost(&node->standby);
 }
 
-/* Reads the stored records, jobs first: on_jobs_loaded goes on with the machines. rp_jobs_load
+/* Reads the stored records, jobs first; on_jobs_loaded continues with the machines. rp_jobs_load
  * empties the job table itself. */
 static void enter_recovering(struct rp_node *node) {
     stop_scheduling(node);
@@ -94,13 +95,13 @@
     rp_scheduler_start(&node->scheduler);
 }
 
-/* The only function that changes the node's state. Its edges:
- *   following  -> recovering  the election is won (on_elected)
+/* The only function that changes the node's state. Its edges, each with its cause and its event:
+ *   following  -> recovering  this node has won the election (on_elected)
  *   recovering -> leading     jobs and machines have been read (on_machines_loaded)
- *   recovering -> recovering  reading has failed (on_recovery_due): it begins anew, since records
+ *   recovering -> recovering  reading has failed (on_recovery_due): it starts over, because records
  *                             may have changed meanwhile
- *   any        -> following   leadership is lost or given up (on_leadership_lost)
- * A leader that has to read the records anew gives its leadership up: the election tells
+ *   any        -> following   leadership was lost or given up (on_leadership_lost)
+ * A leader that has to read the records again first gives up its leadership: the election calls
  * on_leadership_lost before on_elected. */
 static void set_state(struct rp_node *node, enum rp_node_state state) {
     node->state = state;
@@ -172,12 +173,12 @@
     return rp_cycle_trigger_on_capacity_freed(&node->cycle_trigger);
 }
 
-/* The same where no worker waits for an answer. */
+/* Does the same as on_capacity_freed, for callers that have no worker waiting for an answer. */
 static void on_change(void *arg) {
     (void)on_capacity_freed(arg);
 }
 
-/* ---- wiring ---- */
+/* ---- initialization ---- */
 
 static void init_clients(struct rp_node *node) {
     const struct rp_settings *settings = node->settings;
@@ -273,7 +274,7 @@
                                      .arg = &node->running_counts};
 }
 
-/* Each part is set up after those that it refers to. */
+/* Each part is initialized after those that it refers to. */
 int rp_node_init(struct rp_node *node, struct rp_loop *loop, struct rp_net net,
                  const struct rp_settings *settings) {
     memset(node, 0, sizeof *node);
@@ -292,8 +293,9 @@
     return 0;
 }
 
-/* Starts what every node does. Elections start later (join_elections), scheduling when the node
- * leads (enter_leading). The machine types come first, since elections wait for them. */
+/* Starts the parts that run on every node. Elections start later (join_elections), scheduling when
+ * the node leads (enter_leading). The source of the machine types is started first, because
+ * elections wait for them. */
 void rp_node_start(struct rp_node *node) {
     rp_catalog_source_start(&node->catalog_source);
     rp_upgrade_start(&node->upgrade);
@@ -303,13 +305,14 @@
     rp_peer_health_start(&node->peer_health);
 }
 
-void rp_node_leave(struct rp_node *node) {
-    node->is_leaving = true;
-    rp_election_resign(&node->election, LEAVE_BACKOFF_S);
+void rp_node_begin_shutdown(struct rp_node *node) {
+    node->is_shutting_down = true;
+    rp_election_resign(&node->election, RESIGN_BACKOFF_S);
 }
 
-/* Whatever refers to the cluster state ends before it: workers and standby first, then machines,
- * then the jobs that machines refer to. Clients end last, since parts may have calls under way. */
+/* Parts that refer to the cluster state are closed before it: workers and standby first, then
+ * machines, then the jobs that machines refer to. The clients are closed after the parts that may
+ * have calls in flight. */
 void rp_node_close(struct rp_node *node) {
     rp_workers_close(&node->workers);
     rp_standby_close(&node->standby);
@@ -333,7 +336,7 @@
 }
 
 bool rp_node_is_healthy(const struct rp_node *node) {
-    bool is_staying = !node->is_leaving && node->upgrade.state != RP_UPGRADE_TOO_OLD;
+    bool is_staying = !node->is_shutting_down && node->upgrade.state != RP_UPGRADE_TOO_OLD;
     bool has_started = node->catalog_source.known && node->store.n_ok > 0;
-    return is_staying && has_started && !rp_peer_health_is_refused_alone(&node->peer_health);
+    return is_staying && has_started && !rp_peer_health_is_isolated(&node->peer_health);
 }
--- a/src/controller/node.h
+++ b/src/controller/node.h
@@ -1,13 +1,13 @@
 /** @file
- * A node: owns all of its parts, wires them together, and decides when it leads. Network and event
- * loop are plugged in from outside: main.c plugs in HTTP, the tests plug in a simulation.
+ * A node: owns all of its parts, connects them, and decides when it leads. Network and event loop
+ * are passed in: main.c uses HTTP, the tests a simulation.
  *
- * Invariants: only a node in state RP_NODE_LEADING runs scheduling cycles; whether it may answer a
- * worker or send a command is asked of the election each time (rp_election_is_valid), since a lease
- * may end before the node hears of it. The state is changed by one function, set_state in node.c,
- * where each change is explained. Nothing is kept on disk.
+ * Invariants: only a node in state RP_NODE_LEADING runs scheduling cycles. Whether it may answer a
+ * worker or send a command is checked with the election each time (rp_election_is_valid), because a
+ * lease may end before the node is notified. Only set_state in node.c changes the state, and its
+ * comment explains each change. Nothing is stored on disk.
  *
- * Requests from outside come in by controller/node_requests.h. */
+ * Requests from outside arrive through controller/node_requests.h. */
 #ifndef RP_CONTROLLER_NODE_H
 #define RP_CONTROLLER_NODE_H
 
@@ -35,14 +35,15 @@
 #include "upgrade/format_upgrade.h"
 #include "worker/workers.h"
 
-/** A node with all of its parts. They refer to each other: it must not be moved in memory. */
+/** A node with all of its parts. They refer to each other, so the node must not be moved in memory.
+ */
 struct rp_node {
     struct rp_loop *loop;
     struct rp_net net;
     const struct rp_settings *settings;
     enum rp_node_state state;
-    bool is_electing; /* takes part in elections */
-    bool is_leaving;  /* the process is about to end */
+    bool has_joined_elections;
+    bool is_shutting_down; /* the process is about to end */
     struct rp_timer recovery_timer;
 
     /* Clients. */
@@ -59,7 +60,7 @@
     struct rp_cluster cluster;
     struct rp_fleet fleet;
     struct rp_image_index image_index;
-    /* Workers, and the standby that follows another node's. */
+    /* Workers, and the standby, which follows another node while that one leads. */
     struct rp_metrics metrics;
     struct rp_workers workers;
     struct rp_standby standby;
@@ -74,17 +75,19 @@
     struct rp_peer_health peer_health;
 };
 
-/** Sets all parts up and starts none; `loop` and `settings` must outlive the node. Returns 0, or -1
- * when memory is out: the process should end then. */
+/** Initializes all parts and starts none; `loop` and `settings` must outlive the node. Returns 0,
+ * or -1 when out of memory: the process should end then. */
 int rp_node_init(struct rp_node *node, struct rp_loop *loop, struct rp_net net,
                  const struct rp_settings *settings);
-/** Starts the parts that run from the beginning; the loop does the rest. */
+/** Starts the parts that run from the beginning; everything else is started by events of the loop.
+ */
 void rp_node_start(struct rp_node *node);
-/** The process is about to end: healthz says so from now on, and the leader's key is given up. */
-void rp_node_leave(struct rp_node *node);
-/** Stops all parts and frees what they own; calls that are under way are not answered any more. */
+/** Prepares the node for the end of the process: `GET /healthz` reports it as unhealthy from now
+ * on, and the leader's key is given up. */
+void rp_node_begin_shutdown(struct rp_node *node);
+/** Stops all parts and frees what they own. Calls that are in flight are not answered any more. */
 void rp_node_close(struct rp_node *node);
-/** Whether users may be sent to this node: what `GET /healthz` answers. */
+/** Whether users may be sent to this node, which `GET /healthz` reports. */
 bool rp_node_is_healthy(const struct rp_node *node);
 
 #endif
--- a/src/controller/node_requests.c
+++ b/src/controller/node_requests.c
@@ -11,7 +11,7 @@
 #include "protocol/worker_codec.h"
 
 #define PATH_STATUS "/status"
-#define PATH_CANCEL "/cancel" /* after a job's path */
+#define PATH_CANCEL "/cancel" /* follows a job's path */
 
 static bool is_get(const struct rp_request *req) {
     return strcmp(req->method, "GET") == 0;
@@ -41,7 +41,7 @@
 
 /* ---- the peers' port ---- */
 
-/* Answers with `json`, which is freed; NULL: memory was out. */
+/* Answers with `json` and frees it. NULL, when out of memory, is answered as unavailable. */
 static void respond_json(struct rp_request *req, char *json) {
     req->respond(req, json ? RP_RESPONSE_OK : RP_RESPONSE_UNAVAILABLE, json ? json : "{}", 0);
     free(json);
@@ -120,8 +120,8 @@
         refuse_method(req);
 }
 
-/* Copies the id that `path` begins with, up to a slash or its end. Returns false where no job can
- * have it. */
+/* Copies the id at the beginning of `path`, up to a slash or the end. Returns false when no job can
+ * have that id. */
 static bool read_job_id(const char *path, char id[RP_ID_MAX]) {
     size_t len = strcspn(path, "/");
     if (len >= RP_ID_MAX)
@@ -131,7 +131,7 @@
     return rp_job_codec_is_id(id);
 }
 
-/* `path` is what follows the path of all jobs: ID or ID/cancel. */
+/* `path` is the part of the target after the path of all jobs: ID or ID/cancel. */
 static void on_job_request(struct rp_node *node, struct rp_request *req, const char *path) {
     char id[RP_ID_MAX];
     const char *action = strchr(path, '/');
--- a/src/controller/peer_health.c
+++ b/src/controller/peer_health.c
@@ -3,20 +3,20 @@
 #include "api/response_status.h"
 #include "protocol/codec.h"
 
-/* Seconds between two checks, and for an answer to one. */
+/* Seconds between two checks, and seconds to wait for the response to one. */
 #define CHECK_PERIOD_S 0.5
-/* Seconds without an answer of the store before the other nodes are asked: shorter failures pass by
- * themselves. */
+/* Seconds without a response from the store before the other nodes are queried: shorter failures
+ * end without any action. */
 #define STORE_FAILING_S 1.0
-/* Seconds without an answer of the store and of any other node before this node counts as cut off.
- * docs/safety.md counts on it. */
-#define CUT_OFF_S 2.5
-/* Seconds for which a verdict holds unless it is renewed: four checks, so that a lost answer
- * doesn't bring users back for a moment. */
-#define REFUSAL_S (4 * CHECK_PERIOD_S)
+/* Seconds without a response from the store and from any other node before this node counts as
+ * partitioned. docs/safety.md relies on this time. */
+#define PARTITION_TIMEOUT_S 2.5
+/* Seconds for which this node counts as isolated after a check that found it so: four checks, so
+ * that one lost response does not send users back to this node for a moment. */
+#define ISOLATION_S (4 * CHECK_PERIOD_S)
 
-static void note_refused_alone(struct rp_peer_health *health) {
-    health->refused_until = rp_ts_after(rp_loop_now(health->loop), REFUSAL_S);
+static void note_isolated(struct rp_peer_health *health) {
+    health->isolated_until = rp_ts_after(rp_loop_now(health->loop), ISOLATION_S);
     rp_jobs_note_store_refusal(health->jobs);
 }
 
@@ -24,11 +24,11 @@
     struct rp_peer_health *health = arg;
     if (answer->status != RP_RESPONSE_OK)
         return;
-    health->peer_answered_at = rp_loop_now(health->loop);
+    health->last_response_at = rp_loop_now(health->loop);
     json_t *body = rp_codec_parse_object(answer->body, answer->len);
     if (json_is_true(json_object_get(body, "state_answers")) &&
         rp_kv_failing_s(health->store) > STORE_FAILING_S)
-        note_refused_alone(health);
+        note_isolated(health);
     json_decref(body);
 }
 
@@ -37,12 +37,13 @@
     const struct rp_settings *settings = health->settings;
     rp_timer_set(health->loop, &health->timer, CHECK_PERIOD_S);
     if (rp_kv_failing_s(health->store) <= STORE_FAILING_S) {
-        health->peer_answered_at = rp_loop_now(health->loop);
+        health->last_response_at = rp_loop_now(health->loop);
         return;
     }
-    bool is_cut_off = rp_ts_since(rp_loop_now(health->loop), health->peer_answered_at) > CUT_OFF_S;
-    if (settings->n_peers > 0 && is_cut_off)
-        note_refused_alone(health);
+    bool is_partitioned =
+        rp_ts_since(rp_loop_now(health->loop), health->last_response_at) > PARTITION_TIMEOUT_S;
+    if (settings->n_peers > 0 && is_partitioned)
+        note_isolated(health);
     for (size_t i = 0; i < settings->n_peers; i++)
         health->net.call(health->net.ctx, settings->peers[i].addr, "GET", RP_PATH_PEER_HEALTH, NULL,
                          CHECK_PERIOD_S, on_health_response, health);
@@ -67,8 +68,8 @@
     rp_timer_cancel(health->loop, &health->timer);
 }
 
-bool rp_peer_health_is_refused_alone(const struct rp_peer_health *health) {
-    return !rp_ts_reached(rp_loop_now(health->loop), health->refused_until);
+bool rp_peer_health_is_isolated(const struct rp_peer_health *health) {
+    return !rp_ts_reached(rp_loop_now(health->loop), health->isolated_until);
 }
 
 bool rp_peer_health_is_store_answering(const struct rp_peer_health *health) {
--- a/src/controller/peer_health.h
+++ b/src/controller/peer_health.h
@@ -1,12 +1,13 @@
 /** @file
- * Whether the key-value store refuses this node alone. While it doesn't answer this node, the other
- * nodes are asked whether it answers them. An outage of the store is the same for every node, and
- * taking this one out of the load balancer would help nobody; but if the store answers the others,
- * users are better off with them, and what is decided there is not heard here. A node that neither
- * the store nor any other node answers is itself cut off, which counts as the same.
+ * Detects whether the key-value store fails for this node alone. While the store does not respond
+ * to this node, this node checks with the other nodes whether the store responds to them. An outage
+ * of the store affects all nodes alike, and taking this node out of the load balancer would not
+ * help. If the store responds to the other nodes, users are served better by them, and this node
+ * does not receive the changes that are made there. A node that receives responses neither from the
+ * store nor from any other node is partitioned itself, which counts as isolated, too.
  *
- * The node (node.h) starts and stops the checks and asks for the verdict; node_requests.c answers
- * the other nodes' checks. */
+ * The node (node.h) starts and stops the checks and reads their result; node_requests.c answers the
+ * checks of the other nodes. */
 #ifndef RP_CONTROLLER_PEER_HEALTH_H
 #define RP_CONTROLLER_PEER_HEALTH_H
 
@@ -15,32 +16,34 @@
 #include "jobs/jobs.h"
 #include "store/kv_client.h"
 
-/** The path on the peers' port where a node tells whether the store answers it. */
+/** The path on the peers' port where a node reports whether the store responds to it. */
 #define RP_PATH_PEER_HEALTH "/peer/health"
 
-/** The checks' state; the parts that it refers to are the node's and outlive it. */
+/** The state of the checks; the parts that it refers to belong to the node and outlive it. */
 struct rp_peer_health {
     struct rp_loop *loop;
     struct rp_net net;
     const struct rp_settings *settings;
     const struct rp_kv_client *store;
-    struct rp_jobs *jobs; /* is told of each refusal: it limits what this node may still answer */
+    /* Notified while this node is isolated, which limits what this node may still answer. */
+    struct rp_jobs *jobs;
     struct rp_timer timer;
-    struct timespec peer_answered_at; /* when another node last answered, or the store did */
-    struct timespec refused_until;    /* until then this node counts as refused alone */
+    /* When another node, or the store, last responded. */
+    struct timespec last_response_at;
+    struct timespec isolated_until; /* until then this node counts as isolated */
 };
 
-/** Sets the checks up without starting them. */
+/** Initializes the checks without starting them. */
 void rp_peer_health_init(struct rp_peer_health *health, struct rp_loop *loop, struct rp_net net,
                          const struct rp_settings *settings, const struct rp_kv_client *store,
                          struct rp_jobs *jobs);
-/** Begins to check, twice a second. */
+/** Starts the checks, which run twice a second. */
 void rp_peer_health_start(struct rp_peer_health *health);
-/** Ends the checks; an answer that is under way may still arrive. */
+/** Stops the checks. A response that is in flight may still arrive. */
 void rp_peer_health_stop(struct rp_peer_health *health);
-/** Whether the store answers other nodes but not this one, or this node is cut off. */
-bool rp_peer_health_is_refused_alone(const struct rp_peer_health *health);
-/** Whether the store has ever answered this node, and its last answer wasn't a failure. */
+/** Whether the store responds to other nodes but not to this one, or this node is partitioned. */
+bool rp_peer_health_is_isolated(const struct rp_peer_health *health);
+/** Whether the store has ever responded to this node, and its last response was not a failure. */
 bool rp_peer_health_is_store_answering(const struct rp_peer_health *health);
 
 #endif
--- a/src/controller/running_counts.h
+++ b/src/controller/running_counts.h
@@ -1,11 +1,12 @@
 /** @file
- * How many tasks of each open job are done and how many run, for display to users. Only the leader
- * knows; the other nodes ask it every two seconds and show what it last told. A count may be that
- * old, and nothing is decided by it.
+ * Counts, for display to users, how many tasks of each open job are done and how many run. Only the
+ * leader has the counts; the other nodes poll it every two seconds and show those of its last
+ * response. A count may be that old, and no decision depends on it.
  *
- * The question is also a sign of life: whether the leader answered it is passed to the election,
- * which then knows whether workers may be sent there. The node (node.h) starts and stops the
- * questions, node_requests.c answers those of other nodes, the users' interface asks for counts. */
+ * The poll also checks whether the leader is alive: its success or failure is passed to the
+ * election, which uses it to decide whether workers may be redirected to the leader. The node
+ * (node.h) starts and stops the polls, node_requests.c answers the polls of other nodes, and the
+ * users' interface reads the counts. */
 #ifndef RP_CONTROLLER_RUNNING_COUNTS_H
 #define RP_CONTROLLER_RUNNING_COUNTS_H
 
@@ -14,10 +15,10 @@
 #include "election/election.h"
 #include "jobs/jobs.h"
 
-/** The path on the peers' port where the leader tells the counts. */
+/** The path on the peers' port where the leader reports the counts. */
 #define RP_PATH_RUNNING_COUNTS "/peer/summary"
 
-/** The counts last told by the leader; the parts that it refers to are the node's. */
+/** The counts last received from the leader; the parts that it refers to belong to the node. */
 struct rp_running_counts {
     struct rp_loop *loop;
     struct rp_net net;
@@ -26,27 +27,28 @@
     struct rp_election *election;
     const struct rp_jobs *jobs;
     struct rp_timer timer;
-    struct timespec asked_at;
-    struct rp_job_status *told; /* by the leader, in the order of their ids; owned */
-    size_t n_told;
+    struct timespec polled_at;
+    struct rp_job_status *received; /* from the leader, sorted by id; owned */
+    size_t n_received;
 };
 
-/** Sets the module up without asking anybody. */
+/** Initializes the module without starting the polls. */
 void rp_running_counts_init(struct rp_running_counts *counts, struct rp_loop *loop,
                             struct rp_net net, const struct rp_settings *settings,
                             const enum rp_node_state *node_state, struct rp_election *election,
                             const struct rp_jobs *jobs);
-/** Begins to ask the leader, while this node follows. */
+/** Starts to poll the leader, which happens only while this node follows. */
 void rp_running_counts_start(struct rp_running_counts *counts);
-/** Ends the questions; what was told stays until rp_running_counts_free. */
+/** Stops the polls; the received counts are kept until rp_running_counts_free. */
 void rp_running_counts_stop(struct rp_running_counts *counts);
-/** Frees what was told. */
+/** Frees the received counts. */
 void rp_running_counts_free(struct rp_running_counts *counts);
-/** The leader's answer: the counts of its job table as JSON, which the caller frees. NULL: out of
- * memory. */
+/** The leader's response to a poll: the counts of its job table as JSON, which the caller frees.
+ * NULL when out of memory. */
 char *rp_running_counts_json(const struct rp_running_counts *counts);
-/** Fills in the counts of the open job `status->id`, zero where this node doesn't know them, and
- * the phase. `running_counts` is a struct rp_running_counts; the type is the users' interface's. */
+/** Fills in the phase and the counts of the open job `status->id`; counts that this node does not
+ * have are zero. `running_counts` is a struct rp_running_counts; the parameter's type is the one
+ * that struct rp_user_api requires. */
 void rp_running_counts_fill(void *running_counts, struct rp_job_status *status);
 
 #endif
--- a/src/main.c
+++ b/src/main.c
@@ -207,7 +207,7 @@
     (void)events;
     rp_info("asked to end");
     rp_watch_remove(&process->loop, &process->signals);
-    rp_node_leave(process->node);
+    rp_node_begin_shutdown(process->node);
     rp_timer_set(&process->loop, &process->leave_timer, LEAVE_S);
 }
 
