--- a/src/api/status.c
+++ b/src/api/status.c
@@ -108,7 +108,7 @@
     json_t *wins = json_object();
     for (size_t i = 0; i < tuning->n_heuristics; i++)
         json_object_set_new(wins, tuning->heuristics[i],
-                            json_integer((json_int_t)sources->scheduler->wins[i]));
+                            json_integer((json_int_t)sources->scheduler->n_wins[i]));
     return wins;
 }
 
@@ -125,7 +125,7 @@
     json_t *object = json_object();
     set_counters(object, placements, N_OF(placements));
     json_object_set_new(object, "reserve_cpus",
-                        json_real(rp_service_headroom_wanted_cpus(services)));
+                        json_real(rp_service_headroom_target_cpus(services)));
     json_object_set_new(object, "ready_cpus", json_real(ready_cpus));
     set_counters(object, commands, N_OF(commands));
     return object;
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -16,8 +16,8 @@
 #include "scheduler/service_controller.h"
 #include "scheduler/service_headroom.h"
 
-#define LOG_USE_EVERY_CYCLES 10 /* for the debug log */
-#define FIRST_CYCLE_S 0.2       /* from the start of leading */
+#define LOG_UTILIZATION_CYCLES 10 /* cycles between two debug logs of the utilization */
+#define FIRST_CYCLE_DELAY_S 0.2   /* seconds from the start of leading to the first cycle */
 
 static void on_cycle_timer(void *arg);
 
@@ -43,7 +43,7 @@
 
 void rp_scheduler_start(struct rp_scheduler *scheduler) {
     scheduler->active = true;
-    rp_timer_set(scheduler->loop, &scheduler->timer, FIRST_CYCLE_S);
+    rp_timer_set(scheduler->loop, &scheduler->timer, FIRST_CYCLE_DELAY_S);
 }
 
 void rp_scheduler_stop(struct rp_scheduler *scheduler) {
@@ -57,9 +57,9 @@
     rp_scheduler_run_cycle(scheduler);
 }
 
-/* ---- applying the winner ---- */
+/* ---- applying the winning plan ---- */
 
-static bool next_task(struct rp_job *job, uint32_t *task) {
+static bool find_startable_task(struct rp_job *job, uint32_t *task) {
     for (; job->first_startable_task < job->spec.n_tasks; job->first_startable_task++)
         if (rp_job_n_task_allocations(job, job->first_startable_task) == 0 &&
             !rp_job_is_task_done(job, job->first_startable_task)) {
@@ -73,7 +73,8 @@
                         struct rp_machine *machine, uint32_t count, uint64_t gang_attempt) {
     for (uint32_t i = 0; i < count; i++) {
         uint32_t task;
-        if (!next_task(job, &task) || !rp_cluster_may_start(scheduler->cluster, job, task, machine))
+        if (!find_startable_task(job, &task) ||
+            !rp_cluster_may_start(scheduler->cluster, job, task, machine))
             return;
         rp_allocation_add(scheduler->cluster, machine, job, task,
                           gang_attempt ? gang_attempt : rp_cluster_next_attempt(scheduler->cluster),
@@ -86,15 +87,17 @@
     for (size_t i = 0; i < plan->n_placements;) {
         const struct rp_plan_group *group = &input->groups[plan->placements[i].group];
         size_t end = i;
-        bool all_now = true;
+        bool all_start_now = true;
         while (end < plan->n_placements && plan->placements[end].group == plan->placements[i].group)
-            all_now &= plan->placements[end++].starts_now;
-        /* A gang starts once the plan places all its tasks on machines that are up. */
-        bool gang = group->kind == RP_JOB_GANG;
-        uint64_t attempt = gang && all_now ? rp_cluster_next_attempt(scheduler->cluster) : 0;
+            all_start_now &= plan->placements[end++].starts_now;
+        /* A gang is started only once the plan places all its tasks on machines that are up and
+         * have the capacity now. Its tasks share one attempt number. */
+        bool is_gang = group->kind == RP_JOB_GANG;
+        uint64_t attempt =
+            is_gang && all_start_now ? rp_cluster_next_attempt(scheduler->cluster) : 0;
         for (; i < end; i++) {
             const struct rp_placement *placement = &plan->placements[i];
-            if (placement->starts_now && (!gang || all_now))
+            if (placement->starts_now && (!is_gang || all_start_now))
                 start_tasks(scheduler, group->ref, input->machines[placement->machine].ref,
                             placement->count, attempt);
         }
@@ -113,21 +116,23 @@
     }
 }
 
-/* Whether services could go to the machine. */
-static bool may_hold_services(const struct rp_scheduler *scheduler,
-                              const struct rp_machine *machine) {
+/* Whether the machine's capacity counts as headroom for services: only that of ordinary machines
+ * without GPUs does. */
+static bool is_headroom_machine(const struct rp_scheduler *scheduler,
+                                const struct rp_machine *machine) {
     return !machine->spot &&
            rp_scheduler_catalog(scheduler)->types[machine->type].capacity.gpus <= 0;
 }
 
-/* Services come at any moment and are to run within seconds, while a machine takes half a minute
- * and more to boot: where room for what comes in that time isn't there, free or held by work that
- * can be stopped at once, one machine more is rented, of the kind with most capacity per price. */
+/* Services are submitted at any moment and are to run within seconds, while a machine takes half a
+ * minute or more to boot. If the capacity for the services expected in that time is neither free
+ * nor held by work that can be stopped at once, one more machine is provisioned, of the offering
+ * with the most CPUs per price. */
 static void provision_headroom(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                                const struct rp_plan *plan) {
     const struct rp_plan_offering *best = NULL;
     if (plan->n_new_machines > 0 || rp_service_headroom_ready_cpus(scheduler->services) >=
-                                        rp_service_headroom_wanted_cpus(scheduler->services))
+                                        rp_service_headroom_target_cpus(scheduler->services))
         return;
     for (size_t k = 0; k < input->plan_input.n_offerings; k++) {
         const struct rp_plan_offering *offering = &input->offerings[k];
@@ -148,79 +153,86 @@
 static void scale_in_idle(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                           const struct rp_plan *plan, struct timespec now) {
     const struct rp_tuning *tuning = &scheduler->settings->tuning;
-    double reserve = rp_service_headroom_wanted_cpus(scheduler->services);
-    /* Summed up once: for each idle machine anew, thousands of them cost a cycle seconds. */
-    double ready = rp_service_headroom_ready_cpus(scheduler->services);
-    bool *wanted = calloc(input->plan_input.n_machines + 1, sizeof *wanted);
-    if (!wanted)
+    double target_cpus = rp_service_headroom_target_cpus(scheduler->services);
+    /* Computed once per cycle: computed again for each idle machine, it takes a cycle with
+     * thousands of them seconds. */
+    double ready_cpus = rp_service_headroom_ready_cpus(scheduler->services);
+    bool *is_used = calloc(input->plan_input.n_machines + 1, sizeof *is_used);
+    if (!is_used)
         return;
     for (size_t p = 0; p < plan->n_placements; p++)
         if (plan->placements[p].machine < input->plan_input.n_machines)
-            wanted[plan->placements[p].machine] = true;
+            is_used[plan->placements[p].machine] = true;
     for (size_t i = 0; i < input->plan_input.n_machines; i++) {
         struct rp_machine *machine = input->machines[i].ref;
-        /* What is kept for a gang stands idle until the last of its machines is free, and no plan
-         * puts anything there: given back at its unit's end, it was rented again at once, for
-         * minutes on end, and the gang never had all of them together. */
-        if (!machine || wanted[i] || !rp_machine_is_idle(machine) ||
+        /* A machine that is reserved for a gang is idle until the last of the gang's machines is
+         * free, and no plan places other work on it. Without this check, it is released at the end
+         * of its billing unit and provisioned again at once, for minutes on end, and the gang never
+         * has all its machines at the same time. */
+        if (!machine || is_used[i] || !rp_machine_is_idle(machine) ||
             machine->state != RP_MACHINE_UP || rp_reservation_job(scheduler, machine))
             continue;
-        double age = rp_ts_since(now, machine->requested_at);
-        double into = fmod(age, tuning->billing_unit_s);
-        double part = rp_service_headroom_ready_cpus_of(scheduler->services, machine);
-        /* The first minute is paid for in any case (PROTOCOL, price). */
-        if (age >= RP_MIN_CHARGE_S - tuning->return_margin_s &&
-            into >= tuning->billing_unit_s - tuning->return_margin_s &&
-            !(may_hold_services(scheduler, machine) &&
-              ready - part < reserve - RP_SERVICE_HEADROOM_SLACK_CPUS)) {
+        double age_s = rp_ts_since(now, machine->requested_at);
+        double unit_age_s = fmod(age_s, tuning->billing_unit_s);
+        double machine_ready_cpus =
+            rp_service_headroom_machine_ready_cpus(scheduler->services, machine);
+        /* The first minute of a machine is charged in any case (PROTOCOL, price). */
+        if (age_s >= RP_MIN_CHARGE_S - tuning->return_margin_s &&
+            unit_age_s >= tuning->billing_unit_s - tuning->return_margin_s &&
+            !(is_headroom_machine(scheduler, machine) &&
+              ready_cpus - machine_ready_cpus < target_cpus - RP_SERVICE_HEADROOM_TOLERANCE_CPUS)) {
             rp_fleet_scale_in(scheduler->fleet, machine, "idle");
-            ready -= part;
+            ready_cpus -= machine_ready_cpus;
         }
     }
-    free(wanted);
+    free(is_used);
 }
 
-/* CPUs, or GPUs where the type has them. */
+/* The amount of the resource by which utilization is measured: GPUs for machine types that have
+ * them, else CPUs. */
 static double main_resource(const struct rp_resources *capacity,
                             const struct rp_resources *amount) {
     return capacity->gpus > 0 ? amount->gpus : amount->cpus;
 }
 
-/* Where the capacity of a machine type goes, in its main resource. */
-struct type_use {
+/* How the capacity of a machine type is used, in its main resource. */
+struct type_utilization {
     unsigned n_up, n_booting, n_idle;
     double capacity;
     double by_task_state[RP_TASK_EXITED + 1];
 };
 
-static void add_use(struct type_use *use, const struct rp_machine *machine,
-                    const struct rp_resources *capacity) {
+static void add_machine_utilization(struct type_utilization *utilization,
+                                    const struct rp_machine *machine,
+                                    const struct rp_resources *capacity) {
     bool is_up = machine->state == RP_MACHINE_UP;
-    use->n_up += is_up;
-    use->n_booting += machine->state == RP_MACHINE_BOOTING;
-    use->n_idle += is_up && machine->n_allocations == 0;
-    use->capacity += is_up ? main_resource(capacity, capacity) : 0;
+    utilization->n_up += is_up;
+    utilization->n_booting += machine->state == RP_MACHINE_BOOTING;
+    utilization->n_idle += is_up && machine->n_allocations == 0;
+    utilization->capacity += is_up ? main_resource(capacity, capacity) : 0;
     for (size_t i = 0; i < machine->n_allocations; i++) {
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state != RP_ALLOCATION_EXITED)
-            use->by_task_state[allocation->task_state] +=
+            utilization->by_task_state[allocation->task_state] +=
                 main_resource(capacity, &allocation->job->spec.each);
     }
 }
 
-static void log_use(const struct rp_scheduler *scheduler) {
+static void log_utilization(const struct rp_scheduler *scheduler) {
     const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
     for (size_t t = 0; t < catalog->n_types; t++) {
-        struct type_use use = {0};
+        struct type_utilization utilization = {0};
         for (const struct rp_machine *machine = scheduler->cluster->first; machine;
              machine = machine->next)
             if (machine->type == (int)t)
-                add_use(&use, machine, &catalog->types[t].capacity);
-        rp_debug("use of capacity: type=%s n_up=%u n_idle=%u n_booting=%u capacity=%.0f "
-                 "fetching=%.1f waiting=%.1f running=%.1f saving=%.1f",
-                 catalog->types[t].name, use.n_up, use.n_idle, use.n_booting, use.capacity,
-                 use.by_task_state[RP_TASK_FETCHING], use.by_task_state[RP_TASK_WAITING],
-                 use.by_task_state[RP_TASK_RUNNING], use.by_task_state[RP_TASK_SAVING]);
+                add_machine_utilization(&utilization, machine, &catalog->types[t].capacity);
+        rp_debug(
+            "use of capacity: type=%s n_up=%u n_idle=%u n_booting=%u capacity=%.0f "
+            "fetching=%.1f waiting=%.1f running=%.1f saving=%.1f",
+            catalog->types[t].name, utilization.n_up, utilization.n_idle, utilization.n_booting,
+            utilization.capacity, utilization.by_task_state[RP_TASK_FETCHING],
+            utilization.by_task_state[RP_TASK_WAITING], utilization.by_task_state[RP_TASK_RUNNING],
+            utilization.by_task_state[RP_TASK_SAVING]);
     }
 }
 
@@ -231,18 +243,19 @@
              scheduler->n_cycles, input->n_groups, input->n_machines, plan->n_starting,
              plan->n_waiting, plan->n_new_machines, plan->unplaced_work, plan->cost,
              scheduler->settings->tuning.heuristics[winner]);
-    if (rp_log_current_level() >= RP_LOG_DEBUG && scheduler->n_cycles % LOG_USE_EVERY_CYCLES == 0)
-        log_use(scheduler);
+    if (rp_log_current_level() >= RP_LOG_DEBUG && scheduler->n_cycles % LOG_UTILIZATION_CYCLES == 0)
+        log_utilization(scheduler);
 }
 
-/* Starts what the plan places now, provisions what it asks for, and does what no plan does. */
+/* Starts what the plan places now and provisions the machines that it needs, then does what is in
+ * no plan: preemption, reservations, draining and scale in. */
 static void apply_plan(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                        struct rp_plan *plan, struct timespec now) {
     rp_preemption_prefer_image_holders(scheduler, input, plan, now);
     apply_starts(scheduler, input, plan);
-    rp_service_controller_send(scheduler->services);
-    /* While machines from before the failover are unreconciled, what they run is unknown:
-     * provisioning for tasks that may be running already would be waste. */
+    rp_service_controller_send_commands(scheduler->services);
+    /* While machines from before the failover are unreconciled, the tasks on them are unknown.
+     * Machines provisioned for tasks that may already be running would be wasted. */
     if (rp_cluster_is_reconciled(scheduler->cluster)) {
         scale_out(scheduler, input, plan);
         provision_headroom(scheduler, input, plan);
@@ -271,8 +284,8 @@
         rp_plan_best(&input.plan_input, scheduler->heuristics, scheduler->n_heuristics, &plan);
     if (plan.failed)
         goto out;
-    scheduler->wins[winner]++;
-    scheduler->n_probes += plan.n_machines_examined;
+    scheduler->n_wins[winner]++;
+    scheduler->n_machines_examined += plan.n_machines_examined;
     memcpy(scheduler->short_of_capacity, plan.short_of_capacity,
            sizeof scheduler->short_of_capacity);
     log_plan(scheduler, &input.plan_input, &plan, winner);
--- a/src/scheduler/cycle.h
+++ b/src/scheduler/cycle.h
@@ -6,17 +6,18 @@
 
 #include "scheduler/scheduler.h"
 
-/** Prepares the scheduler, with the heuristics that the settings name; no cycle runs before
- * rp_scheduler_start. What the parameters point to must outlive it. */
+/** Prepares the scheduler with the heuristics that the settings name; no cycle runs before
+ * rp_scheduler_start. The objects that the parameters point to must outlive the scheduler. */
 void rp_scheduler_init(struct rp_scheduler *scheduler, struct rp_loop *loop,
                        struct rp_election *election, struct rp_cluster *cluster,
                        struct rp_jobs *jobs, struct rp_fleet *fleet, struct rp_services *services,
                        const struct rp_settings *settings, struct rp_metrics *metrics);
-/** This node leads: cycles run periodically. */
+/** Called when this node becomes the leader: cycles run periodically from then on. */
 void rp_scheduler_start(struct rp_scheduler *scheduler);
-/** This node leads no more. */
+/** Called when this node is no longer the leader: no cycle runs after it. */
 void rp_scheduler_stop(struct rp_scheduler *scheduler);
-/** Runs one cycle now, if this node may act. */
+/** Runs one cycle now, unless this node's leadership cannot be proven or no tasks may be started
+ * yet. */
 void rp_scheduler_run_cycle(struct rp_scheduler *scheduler);
 
 #endif
--- a/src/scheduler/gang_repair.c
+++ b/src/scheduler/gang_repair.c
@@ -2,18 +2,20 @@
 
 #include "scheduler/reservation.h"
 
-#define PATIENCE_GANG_WAITS 8 /* gang_wait_s after which a gang that hasn't begun starts anew */
+/* An incomplete gang that has not begun to run is stopped, to start anew, after this multiple of
+ * gang_wait_s. */
+#define INCOMPLETE_MAX_GANG_WAITS 8
 
-/* What is known of a gang's attempt. */
+/* A gang's attempt, as its allocations show it. */
 struct gang_attempt {
     uint64_t number;
-    bool has_begun;        /* some task runs, saves or is being stopped */
-    struct timespec since; /* when its first allocation was planned */
+    bool is_join_impossible;    /* a task runs, saves, is being stopped or has another attempt */
+    struct timespec planned_at; /* when the attempt's first allocation was planned */
 };
 
-/* Whether no task can join the attempt any more, as this one's allocation shows. Of two attempts at
- * once the older one is ending: nothing can join it. */
-static bool shows_beginning(const struct rp_allocation *allocation, uint64_t attempt) {
+/* Whether the allocation shows that no task can join the attempt any more. If there are two
+ * attempts at once, the older one is ending and no task can join it. */
+static bool is_join_impossible(const struct rp_allocation *allocation, uint64_t attempt) {
     bool is_of_other_attempt = attempt && allocation->attempt != attempt;
     bool is_joining =
         allocation->task_state == RP_TASK_FETCHING || allocation->task_state == RP_TASK_WAITING;
@@ -29,16 +31,16 @@
             const struct rp_allocation *allocation = &machine->allocations[i];
             if (allocation->job != job || allocation->state == RP_ALLOCATION_EXITED)
                 continue;
-            attempt.has_begun |= shows_beginning(allocation, attempt.number);
-            if (!attempt.number || rp_ts_cmp(allocation->planned_at, attempt.since) < 0)
-                attempt.since = allocation->planned_at;
+            attempt.is_join_impossible |= is_join_impossible(allocation, attempt.number);
+            if (!attempt.number || rp_ts_cmp(allocation->planned_at, attempt.planned_at) < 0)
+                attempt.planned_at = allocation->planned_at;
             attempt.number = allocation->attempt;
         }
     return attempt;
 }
 
-/* Where the task of this attempt has just exited: until its removal is confirmed, starting the same
- * attempt there again would do nothing. */
+/* The machine on which the task of this attempt has just exited; NULL if there is none. Until the
+ * removal of the exited task is confirmed, starting the same attempt there again has no effect. */
 static struct rp_machine *machine_of_exited_task(const struct rp_scheduler *scheduler,
                                                  const struct rp_job *job, uint32_t task,
                                                  uint64_t attempt) {
@@ -51,7 +53,7 @@
 }
 
 /* The machine for a missing task: one reserved for the job, else one that holds its image, else any
- * that can take it; NULL: none can now. */
+ * that can take the task; NULL if none can now. */
 static struct rp_machine *replacement_machine(struct rp_scheduler *scheduler, struct rp_job *job,
                                               uint32_t task) {
     struct rp_machine *best = NULL;
@@ -71,12 +73,12 @@
     return best;
 }
 
-/* Returns false when no machine can take the task now. */
+/* Allocates the missing task anew. Returns false when no machine can take it now. */
 static bool replace_task(struct rp_scheduler *scheduler, struct rp_job *job, uint32_t task,
                          uint64_t attempt) {
     struct rp_machine *previous = machine_of_exited_task(scheduler, job, task, attempt);
     if (previous) {
-        /* It holds the image by now: it is reserved for the task. */
+        /* The machine holds the image by now, so it is reserved for the task. */
         rp_reservation_make(scheduler, previous, job, 0);
         return false;
     }
@@ -86,7 +88,7 @@
     return machine;
 }
 
-/* Returns false when some missing task found no machine. */
+/* Returns false when no machine was found for at least one missing task. */
 static bool replace_missing_tasks(struct rp_scheduler *scheduler, struct rp_job *job,
                                   uint64_t attempt) {
     bool is_missing = false;
@@ -96,19 +98,23 @@
     return !is_missing;
 }
 
-/* A gang whose tasks still fetch their image or wait for one another is completed by a new start
- * with the same attempt number. So a task that waits on a machine with the image may exit as alone
- * after gang_wait_s, while another fetches for longer: stopping all of them, as for a gang that
- * runs, gave the fetches up, and a gang with a large image never began. */
+/* A gang whose tasks still fetch their image or wait for one another is completed by starting the
+ * missing tasks with the same attempt number. A task that waits on a machine with the image may
+ * exit with RP_EXIT_GANG_WAIT_TIMEOUT after gang_wait_s, while another task fetches for longer. If
+ * the whole gang were stopped then, as a running gang is, the fetches would be aborted, and a gang
+ * with a large image would never begin to run. */
 static void repair_gang(struct rp_scheduler *scheduler, struct rp_job *job, struct timespec now) {
     struct gang_attempt attempt = find_attempt(scheduler, job);
-    double patience_s = scheduler->settings->gang_wait_s * PATIENCE_GANG_WAITS;
+    double incomplete_max_s = scheduler->settings->gang_wait_s * INCOMPLETE_MAX_GANG_WAITS;
     if (job->gang_attempt != attempt.number) {
-        /* Not the oldest allocation's time: each that exits as alone is followed by a new one. */
+        /* Recorded once per attempt. The oldest allocation's time cannot be used in each cycle,
+         * since every allocation that exits with RP_EXIT_GANG_WAIT_TIMEOUT is followed by a new
+         * one. */
         job->gang_attempt = attempt.number;
-        job->gang_incomplete_since = attempt.since;
+        job->gang_incomplete_since = attempt.planned_at;
     }
-    if (attempt.has_begun || rp_ts_since(now, job->gang_incomplete_since) > patience_s) {
+    if (attempt.is_join_impossible ||
+        rp_ts_since(now, job->gang_incomplete_since) > incomplete_max_s) {
         rp_cluster_stop_job(scheduler->cluster, job, 0);
         return;
     }
@@ -117,14 +123,15 @@
     else if (rp_ts_zero(job->machine_missing_since))
         job->machine_missing_since = now;
     else if (rp_ts_since(now, job->machine_missing_since) > scheduler->settings->gang_wait_s)
-        /* Machines are provisioned only for what a plan places, and a gang that holds some is in
-         * none: with no other work about it waited for ever. Stopped, it is planned anew as a
-         * whole. */
+        /* Machines are provisioned only for what a plan places, and a gang that holds some is in no
+         * plan. Without this stop, the gang waits forever if no other work causes machines to be
+         * provisioned. A stopped gang is planned again as a whole. */
         rp_cluster_stop_job(scheduler->cluster, job, 0);
 }
 
-/* After a failover a gang's tasks are heard of one by one: those not heard of yet are no reason to
- * stop the others (every failover stopped every gang of several tasks). */
+/* After a failover, the tasks of a gang are reported one by one. Tasks that have not been reported
+ * yet are no reason to stop the others: without the check for reconciliation, every failover stops
+ * every gang of several tasks. */
 void rp_gang_repair_run(struct rp_scheduler *scheduler, struct timespec now) {
     for (struct rp_job *job = scheduler->jobs->table.first; job; job = job->next)
         if (job->spec.kind != RP_JOB_GANG || job->state != RP_JOB_OPEN)
--- a/src/scheduler/gang_repair.h
+++ b/src/scheduler/gang_repair.h
@@ -1,12 +1,13 @@
 /** @file
- * What is done with a gang that lost a task: it is completed if it hasn't begun, or stopped. Called
- * by the scheduling cycle before it builds the planner's input: such gangs are in no plan. */
+ * Repairs gangs that have lost a task: a gang that has not begun to run is completed, any other is
+ * stopped. Called by the scheduling cycle before it builds the planner's input: such gangs are in
+ * no plan. */
 #ifndef RP_SCHEDULER_GANG_REPAIR_H
 #define RP_SCHEDULER_GANG_REPAIR_H
 
 #include "scheduler/scheduler.h"
 
-/** Repairs every open gang of which some tasks are allocated, and not all. */
+/** Repairs every open gang of which some but not all tasks are allocated. */
 void rp_gang_repair_run(struct rp_scheduler *scheduler, struct timespec now);
 
 #endif
--- a/src/scheduler/gang_reservation.c
+++ b/src/scheduler/gang_reservation.c
@@ -8,19 +8,22 @@
 #include "scheduler/preemption.h"
 #include "scheduler/reservation.h"
 
-#define FREE_WITHIN_S 60   /* a machine that isn't free by then isn't reserved for a gang */
-#define RUN_TIME_SLACK_S 6 /* run times are estimates */
-/* One of so many machines may be reserved for a gang of one task, once it has waited for so long.
- */
-#define MACHINES_PER_SINGLE 8
-#define SINGLE_WAIT_S 45
-#define EXCLUSIVE_SHARE 0.5 /* a task that takes more than this part of a machine has it alone */
+#define FREE_WITHIN_MAX_S 60 /* seconds within which a machine must be free to be reserved */
+#define RUN_TIME_MARGIN_S 6  /* seconds added to a reservation: run times are estimates */
+/* Machines may be reserved for one gang of one task, and for one more for each this many machines
+ * of the fleet, once the gang has waited for SINGLE_TASK_GANG_WAIT_S. */
+#define MACHINES_PER_SINGLE_TASK_GANG 8
+#define SINGLE_TASK_GANG_WAIT_S 45
+#define EXCLUSIVE_SHARE_MIN 0.5 /* share of a machine above which a task has it to itself */
 
-/* When a machine could start one of the gang's tasks. */
+/* A machine that may be reserved, and when it could start one of the gang's tasks. */
 struct candidate {
     struct rp_machine *machine;
-    double start_after_s; /* with the fetch */
-    double free_after_s;  /* by its work's estimated ends, or once lower work is stopped */
+    /* Seconds until a task could start there, including the fetch of the image. */
+    double start_after_s;
+    /* Seconds until the capacity is free: at the estimated ends of its work, or once lower-priority
+     * work is stopped. */
+    double free_after_s;
     bool needs_preemption;
 };
 
@@ -31,7 +34,7 @@
                                                       : left->start_after_s > right->start_after_s;
 }
 
-/* Whether the machine may be reserved for the job, whose tasks need one each. */
+/* Whether the machine may be reserved for the job, whose tasks need one machine each. */
 static bool may_reserve(const struct rp_scheduler *scheduler, const struct rp_job *job,
                         const struct rp_plan_machine *machine) {
     if (!machine->ref || machine->reserved_for || !rp_machine_is_usable(machine->ref) ||
@@ -39,7 +42,7 @@
         return false;
     return rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
                                  machine->spot) &&
-           !(rp_plan_share_of_machine(&job->spec.each, &machine->capacity) <= EXCLUSIVE_SHARE);
+           !(rp_plan_share_of_machine(&job->spec.each, &machine->capacity) <= EXCLUSIVE_SHARE_MIN);
 }
 
 static bool find_candidate(struct rp_scheduler *scheduler, const struct rp_job *job,
@@ -51,7 +54,7 @@
     candidate->free_after_s = rp_plan_machine_fits_after_s(machine, &job->spec.each);
     if (candidate->free_after_s > RP_FREE_SOON_S && job->spec.priority >= RP_PRIORITY_HIGH &&
         scheduler->settings->tuning.preemption &&
-        rp_preemption_cost(scheduler, machine->ref, job, now) >= 0) {
+        rp_preemption_cost_s(scheduler, machine->ref, job, now) >= 0) {
         candidate->needs_preemption = true;
         candidate->free_after_s = RP_FREE_SOON_S;
     }
@@ -60,14 +63,14 @@
         candidate->free_after_s + (has_image || machine->fetch_gb_per_s <= 0
                                        ? 0
                                        : job->spec.image_gb / machine->fetch_gb_per_s);
-    return candidate->free_after_s < FREE_WITHIN_S;
+    return candidate->free_after_s < FREE_WITHIN_MAX_S;
 }
 
-/* The machines, of one zone if need be, that could start the gang soonest; false if there aren't
- * enough of them. They are the first of `candidates`. */
-static bool find_soonest(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
-                         const struct rp_job *job, struct candidate *candidates,
-                         struct timespec now) {
+/* Finds the machines that could start the gang soonest, all of one zone if the job requires it, and
+ * puts them first in `candidates`. Returns false if there are not enough of them. */
+static bool find_soonest_machines(struct rp_scheduler *scheduler,
+                                  const struct rp_cycle_input *input, const struct rp_job *job,
+                                  struct candidate *candidates, struct timespec now) {
     size_t n_zones = job->spec.one_zone ? rp_scheduler_catalog(scheduler)->n_zones : 1;
     size_t n_wanted = job->spec.n_tasks;
     struct candidate *best = calloc(n_wanted, sizeof *best);
@@ -98,15 +101,16 @@
     for (uint32_t i = 0; i < job->spec.n_tasks; i++) {
         if (candidates[i].needs_preemption)
             rp_preemption_free_machine(scheduler, candidates[i].machine, job);
-        rp_reservation_make(scheduler, candidates[i].machine, job, longest_s + RUN_TIME_SLACK_S);
+        rp_reservation_make(scheduler, candidates[i].machine, job, longest_s + RUN_TIME_MARGIN_S);
     }
     rp_info("machines reserved for gang: job=%s n_machines=%u free_s=%.0f", job->spec.id,
             job->spec.n_tasks, longest_s);
 }
 
-/* Whether the plan has room for all of the gang, either now or on machines still to come up. */
-static bool is_served(const struct rp_cycle_input *input, const struct rp_plan *plan,
-                      size_t group) {
+/* Whether the plan has capacity for the whole gang, either now or on machines that have yet to
+ * boot. */
+static bool is_planned(const struct rp_cycle_input *input, const struct rp_plan *plan,
+                       size_t group) {
     bool starts_now = true;
     bool waits_for_boot = false;
     size_t n_placements = 0;
@@ -122,43 +126,46 @@
     return n_placements > 0 && (starts_now || waits_for_boot);
 }
 
-static bool is_single(const struct rp_job *job) {
+static bool is_single_task_gang(const struct rp_job *job) {
     return rp_reservation_is_exclusive(job) && job->spec.n_tasks == 1;
 }
 
-/* A task that takes a whole machine mostly finds one soon. Where it doesn't, on few machines that
- * smaller work of its priority keeps full, it waited for ever (incident f8f1). It needs no more
- * than one machine, so several such gangs can have one reserved at the same time. */
-static void reserve_for_singles(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
-                                const struct rp_plan *plan, struct candidate *candidates,
-                                struct timespec now) {
+/* A task that takes a whole machine usually finds one soon. Without a reservation, it waits forever
+ * on a fleet of few machines that smaller work of its priority keeps full (incident f8f1). It needs
+ * only one machine, so several such gangs can have one reserved at the same time. */
+static void reserve_for_single_task_gangs(struct rp_scheduler *scheduler,
+                                          const struct rp_cycle_input *input,
+                                          const struct rp_plan *plan, struct candidate *candidates,
+                                          struct timespec now) {
     size_t n_reserved = 0;
-    size_t n_max = 1 + input->plan_input.n_machines / MACHINES_PER_SINGLE;
+    size_t n_reserved_max = 1 + input->plan_input.n_machines / MACHINES_PER_SINGLE_TASK_GANG;
     for (size_t g = 0; g < input->plan_input.n_groups; g++)
-        n_reserved += is_single(input->groups[g].ref) && input->groups[g].has_reservation;
-    for (size_t g = 0; g < input->plan_input.n_groups && n_reserved < n_max; g++) {
+        n_reserved += is_single_task_gang(input->groups[g].ref) && input->groups[g].has_reservation;
+    for (size_t g = 0; g < input->plan_input.n_groups && n_reserved < n_reserved_max; g++) {
         const struct rp_plan_group *group = &input->groups[g];
         struct rp_job *job = group->ref;
-        bool has_waited =
-            is_single(job) && !group->has_reservation && !(group->age_s < SINGLE_WAIT_S);
-        if (!has_waited || is_served(input, plan, g) ||
+        bool has_waited_long = is_single_task_gang(job) && !group->has_reservation &&
+                               !(group->age_s < SINGLE_TASK_GANG_WAIT_S);
+        if (!has_waited_long || is_planned(input, plan, g) ||
             !rp_cluster_is_job_reconciled(scheduler->cluster, job) ||
-            !find_soonest(scheduler, input, job, candidates, now))
+            !find_soonest_machines(scheduler, input, job, candidates, now))
             continue;
         reserve_machines(scheduler, job, candidates);
         n_reserved++;
     }
 }
 
-static bool goes_before(const struct rp_plan_group *group, const struct rp_plan_group *other) {
+static bool has_precedence_over(const struct rp_plan_group *group,
+                                const struct rp_plan_group *other) {
     return group->priority > other->priority ||
            (group->priority == other->priority && group->age_s > other->age_s);
 }
 
-/* The gang of several tasks that waits longest, of the highest priority, for machines that no plan
- * has for it; n_groups: there is none, or machines are reserved for one. */
-static size_t next_gang(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
-                        const struct rp_plan *plan) {
+/* The gang of several tasks with the highest priority, and of these the oldest, that the plan
+ * has no capacity for. Returns n_groups if there is none, or if machines are reserved for one
+ * already. */
+static size_t choose_gang(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
+                          const struct rp_plan *plan) {
     size_t n_groups = input->plan_input.n_groups;
     size_t chosen = n_groups;
     for (size_t g = 0; g < n_groups; g++) {
@@ -167,10 +174,10 @@
         if (!rp_reservation_is_exclusive(job) || job->spec.n_tasks == 1)
             continue;
         if (group->has_reservation)
-            return n_groups; /* one at a time */
-        bool is_first = chosen == n_groups || goes_before(group, &input->groups[chosen]);
+            return n_groups; /* machines are reserved for one gang at a time */
+        bool is_first = chosen == n_groups || has_precedence_over(group, &input->groups[chosen]);
         if (is_first && rp_cluster_is_job_reconciled(scheduler->cluster, job) &&
-            !is_served(input, plan, g))
+            !is_planned(input, plan, g))
             chosen = g;
     }
     return chosen;
@@ -181,10 +188,10 @@
     struct candidate *candidates = calloc(input->plan_input.n_machines + 1, sizeof *candidates);
     if (!candidates)
         return;
-    size_t gang = next_gang(scheduler, input, plan);
+    size_t gang = choose_gang(scheduler, input, plan);
     if (gang < input->plan_input.n_groups &&
-        find_soonest(scheduler, input, input->groups[gang].ref, candidates, now))
+        find_soonest_machines(scheduler, input, input->groups[gang].ref, candidates, now))
         reserve_machines(scheduler, input->groups[gang].ref, candidates);
-    reserve_for_singles(scheduler, input, plan, candidates, now);
+    reserve_for_single_task_gangs(scheduler, input, plan, candidates, now);
     free(candidates);
 }
--- a/src/scheduler/machine_draining.c
+++ b/src/scheduler/machine_draining.c
@@ -8,19 +8,21 @@
 #include "scheduler/service_headroom.h"
 #include "scheduler/task_moves.h"
 
-#define MACHINES_PER_DRAINING                                                                      \
-    40                          /* one machine, and one more of so many, may be draining at once   \
-                                 */
-#define REPLICA_SHARE_MAX 0.25  /* of a machine that its replicas may hold for them to be moved */
-#define REPLICA_MOVE_EVERY_S 20 /* machines with replicas are drained one after the other */
+/* One machine, and one more for each this many machines of the fleet, may be draining at once. */
+#define MACHINES_PER_DRAINING 40
+/* Largest share of a machine that its replicas may hold for the machine to be drained. */
+#define REPLICA_SHARE_MAX 0.25
+/* Seconds between two machines with replicas, which are drained one after the other. */
+#define REPLICA_DRAIN_INTERVAL_S 20
 
-/* What a run works on. */
+/* The state of one run. */
 struct draining {
     struct rp_task_moves moves;
-    double ready_cpus; /* for services, of all machines; summed up once, not for each machine */
+    /* CPUs that are ready for services on all machines; added up once, not for each machine. */
+    double ready_cpus;
 };
 
-static bool is_type_wanted(const struct rp_cycle_input *input, int type) {
+static bool is_type_in_demand(const struct rp_cycle_input *input, int type) {
     for (size_t g = 0; g < input->plan_input.n_groups; g++)
         if (input->groups[g].types >> type & 1)
             return true;
@@ -31,19 +33,20 @@
                       const struct rp_machine *machine) {
     if (!rp_machine_is_usable(machine) || rp_machine_is_idle(machine) || machine->scale_in.draining)
         return false;
-    return !is_type_wanted(input, machine->type) && !rp_reservation_job(scheduler, machine);
+    return !is_type_in_demand(input, machine->type) && !rp_reservation_job(scheduler, machine);
 }
 
 /* The work on a machine that could be drained. */
 struct drained_work {
     bool is_movable;
-    double busy_s;        /* until its last task ends by itself */
-    double replica_share; /* of the machine that its replicas hold */
+    double busy_s;        /* seconds until its last task ends without being stopped */
+    double replica_share; /* share of the machine that its replicas hold */
 };
 
-static struct drained_work work_of(const struct rp_scheduler *scheduler,
-                                   const struct rp_machine *machine,
-                                   const struct rp_resources *capacity, struct timespec now) {
+static struct drained_work find_drained_work(const struct rp_scheduler *scheduler,
+                                             const struct rp_machine *machine,
+                                             const struct rp_resources *capacity,
+                                             struct timespec now) {
     struct drained_work work = {.is_movable = true};
     for (size_t i = 0; i < machine->n_allocations; i++) {
         const struct rp_allocation *allocation = &machine->allocations[i];
@@ -60,17 +63,20 @@
 }
 
 /* Whether services would have too little headroom without the machine. */
-static bool is_headroom(const struct rp_scheduler *scheduler, const struct draining *draining,
-                        const struct rp_machine *machine, const struct rp_resources *capacity) {
+static bool is_needed_for_headroom(const struct rp_scheduler *scheduler,
+                                   const struct draining *draining,
+                                   const struct rp_machine *machine,
+                                   const struct rp_resources *capacity) {
     if (capacity->gpus > 0 || machine->spot)
         return false;
-    return draining->ready_cpus - rp_service_headroom_ready_cpus_of(scheduler->services, machine) <
-           rp_service_headroom_wanted_cpus(scheduler->services) + capacity->cpus -
-               RP_SERVICE_HEADROOM_SLACK_CPUS;
+    return draining->ready_cpus -
+               rp_service_headroom_machine_ready_cpus(scheduler->services, machine) <
+           rp_service_headroom_target_cpus(scheduler->services) + capacity->cpus -
+               RP_SERVICE_HEADROOM_TOLERANCE_CPUS;
 }
 
-/* What is saved, in money, if the machine's tasks go elsewhere; negative when they can't, or
- * needn't. */
+/* The cost that is saved if the machine's tasks are moved elsewhere, as hourly price times seconds;
+ * negative if they cannot be moved or moving them saves too little. */
 static double drain_saving(const struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                            struct draining *draining, const struct rp_machine *machine,
                            struct timespec now) {
@@ -79,54 +85,55 @@
     const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
     const struct rp_resources *capacity = &catalog->types[machine->type].capacity;
     double price = rp_fleet_hourly_price(catalog, machine->type, machine->spot);
-    struct drained_work work = work_of(scheduler, machine, capacity, now);
+    struct drained_work work = find_drained_work(scheduler, machine, capacity, now);
     if (!work.is_movable)
         return -1;
-    /* A move is a moment without the replica, and the machine that it frees costs little. */
+    /* A move interrupts the replica for a moment, and the machine that it frees costs little. */
     if (work.replica_share > REPLICA_SHARE_MAX ||
         (work.replica_share > 0 &&
-         rp_ts_since(now, scheduler->replicas_moved_at) < REPLICA_MOVE_EVERY_S))
+         rp_ts_since(now, scheduler->replicas_moved_at) < REPLICA_DRAIN_INTERVAL_S))
         return -1;
-    if (is_headroom(scheduler, draining, machine, capacity))
+    if (is_needed_for_headroom(scheduler, draining, machine, capacity))
         return -1;
     if (work.busy_s <= 2 * RP_TASK_MOVE_S)
         return -1;
-    double more = rp_task_moves_price(scheduler, &draining->moves, machine, now);
-    double saving = price * (work.busy_s - RP_TASK_MOVE_S) - more;
-    return more >= 0 && saving > price * RP_TASK_MOVE_S ? saving : -1;
+    double extra_cost = rp_task_moves_extra_cost(scheduler, &draining->moves, machine, now);
+    double saving = price * (work.busy_s - RP_TASK_MOVE_S) - extra_cost;
+    return extra_cost >= 0 && saving > price * RP_TASK_MOVE_S ? saving : -1;
 }
 
-/* Takes the capacity that the tasks of the machines being drained already need elsewhere: what is
- * found for one machine's tasks must not be found twice. Returns how many machines these are. */
-static size_t take_moves_under_way(const struct rp_scheduler *scheduler, struct draining *draining,
-                                   struct timespec now) {
+/* Takes the capacity that the tasks of machines already being drained need elsewhere. Without this,
+ * the same capacity could be found for the tasks of two machines. Returns the number of machines
+ * already being drained. */
+static size_t take_capacity_of_pending_moves(const struct rp_scheduler *scheduler,
+                                             struct draining *draining, struct timespec now) {
     size_t n_draining = 0;
     for (const struct rp_machine *machine = scheduler->cluster->first; machine;
          machine = machine->next)
         if (machine->scale_in.draining) {
             n_draining++;
-            (void)rp_task_moves_take(scheduler, &draining->moves, machine, now);
+            (void)rp_task_moves_take_capacity(scheduler, &draining->moves, machine, now);
         }
     return n_draining;
 }
 
-/* A machine and its place in the cluster's list. */
-struct choice {
-    struct rp_machine *machine; /* NULL: there is none */
+/* A machine and its index in the cluster's list. */
+struct drain_choice {
+    struct rp_machine *machine; /* NULL if there is no machine to drain */
     size_t index;
 };
 
-static struct choice best_to_drain(struct rp_scheduler *scheduler,
-                                   const struct rp_cycle_input *input, struct draining *draining,
-                                   struct timespec now) {
-    struct choice best = {0};
+static struct drain_choice find_best_to_drain(struct rp_scheduler *scheduler,
+                                              const struct rp_cycle_input *input,
+                                              struct draining *draining, struct timespec now) {
+    struct drain_choice best = {0};
     double best_saving = 0;
     size_t index = 0;
     for (struct rp_machine *machine = scheduler->cluster->first; machine;
          machine = machine->next, index++) {
         double saving = drain_saving(scheduler, input, draining, machine, now);
         if (saving > best_saving) {
-            best = (struct choice){machine, index};
+            best = (struct drain_choice){machine, index};
             best_saving = saving;
         }
     }
@@ -134,13 +141,13 @@
 }
 
 static void drain_machine(struct rp_scheduler *scheduler, struct draining *draining,
-                          struct choice choice, struct timespec now) {
+                          struct drain_choice choice, struct timespec now) {
     struct rp_machine *machine = choice.machine;
     rp_info("machine draining: machine=%s n_tasks=%zu reason=tasks fit elsewhere", machine->name,
             machine->n_allocations);
-    (void)rp_task_moves_take(scheduler, &draining->moves, machine, now);
+    (void)rp_task_moves_take_capacity(scheduler, &draining->moves, machine, now);
     draining->moves.is_source[choice.index] = true;
-    draining->ready_cpus -= rp_service_headroom_ready_cpus_of(scheduler->services, machine);
+    draining->ready_cpus -= rp_service_headroom_machine_ready_cpus(scheduler->services, machine);
     machine->scale_in.draining = true;
     for (size_t i = 0; i < machine->n_allocations; i++) {
         const struct rp_job_spec *spec = &machine->allocations[i].job->spec;
@@ -159,10 +166,10 @@
     struct draining draining = {.ready_cpus = rp_service_headroom_ready_cpus(scheduler->services)};
     if (!rp_task_moves_init(&draining.moves, scheduler))
         goto out;
-    size_t n_max = 1 + draining.moves.n / MACHINES_PER_DRAINING;
-    size_t n_draining = take_moves_under_way(scheduler, &draining, now);
-    for (; n_draining < n_max; n_draining++) {
-        struct choice best = best_to_drain(scheduler, input, &draining, now);
+    size_t n_draining_max = 1 + draining.moves.n_machines / MACHINES_PER_DRAINING;
+    size_t n_draining = take_capacity_of_pending_moves(scheduler, &draining, now);
+    for (; n_draining < n_draining_max; n_draining++) {
+        struct drain_choice best = find_best_to_drain(scheduler, input, &draining, now);
         if (!best.machine)
             break;
         drain_machine(scheduler, &draining, best, now);
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -4,10 +4,10 @@
 #include "base/log.h"
 #include "scheduler/reservation.h"
 
-#define HOLDER_WORTH_S 15 /* a fetch this long is worth freeing a machine with the image */
-#define GRACE_FACTOR 1.2  /* times what a task says it needs to save */
-#define GRACE_MARGIN_S 1
-#define PROGRESS_LOST_S 5.0 /* what a task that saves is taken to lose at most */
+#define LONG_FETCH_S 15         /* fetch time that is worth freeing a machine with the image */
+#define GRACE_FACTOR 1.2        /* multiple of the time that a task declares it needs to save */
+#define GRACE_MARGIN_S 1        /* seconds added to the grace period */
+#define PROGRESS_LOST_MAX_S 5.0 /* assumed bound on what a task with checkpoints loses */
 
 double rp_preemption_grace_s(const struct rp_job_spec *spec) {
     return spec->checkpoint_s > 0 ? spec->save_s * GRACE_FACTOR + GRACE_MARGIN_S : 0;
@@ -16,7 +16,7 @@
 double rp_preemption_lost_s(const struct rp_allocation *allocation, struct timespec now) {
     double ran_s =
         rp_ts_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
-    return allocation->job->spec.checkpoint_s > 0 ? fmin(ran_s, PROGRESS_LOST_S) : ran_s;
+    return allocation->job->spec.checkpoint_s > 0 ? fmin(ran_s, PROGRESS_LOST_MAX_S) : ran_s;
 }
 
 static bool may_preempt_task(const struct rp_allocation *allocation, enum rp_priority above) {
@@ -24,8 +24,8 @@
            allocation->job->spec.kind == RP_JOB_ARRAY && allocation->job->spec.priority < above;
 }
 
-double rp_preemption_cost(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
-                          const struct rp_job *job, struct timespec now) {
+double rp_preemption_cost_s(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
+                            const struct rp_job *job, struct timespec now) {
     struct rp_resources available = rp_machine_free_resources(scheduler->cluster, machine);
     double cost = 1;
     for (size_t i = 0; i < machine->n_allocations && !rp_resources_fit(&job->spec.each, &available);
@@ -34,15 +34,16 @@
         if (!may_preempt_task(allocation, job->spec.priority))
             continue;
         rp_resources_add(&available, &allocation->job->spec.each);
-        /* What is being stopped already costs nothing more: so a second probe chooses the same
-         * machine again, and not one more. */
+        /* A task that is already being stopped adds no cost. Otherwise a repeated search would
+         * choose one more machine instead of the same machine again. */
         if (!allocation->stop_requested)
             cost += rp_preemption_lost_s(allocation, now);
     }
     return rp_resources_fit(&job->spec.each, &available) ? cost : -1;
 }
 
-/* What the machine has free once the lower tasks that are being stopped there have ended. */
+/* The machine's free resources once the lower-priority tasks that are being stopped there have
+ * ended. */
 static struct rp_resources free_after_stops(const struct rp_scheduler *scheduler,
                                             const struct rp_machine *machine,
                                             const struct rp_job *job) {
@@ -81,18 +82,19 @@
                 n_stopped);
 }
 
-/* The machine where room for the job costs least; of those that hold its image, if asked so. */
+/* The machine on which freeing capacity for the job costs least; with `needs_image`, only among
+ * the machines that hold its image. NULL if there is none. */
 static struct rp_machine *cheapest_machine(struct rp_scheduler *scheduler, const struct rp_job *job,
-                                           bool with_image, struct timespec now) {
+                                           bool needs_image, struct timespec now) {
     struct rp_machine *best = NULL;
     double best_cost = 0;
     for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next) {
         if (!rp_machine_is_usable(machine) || rp_reservation_job(scheduler, machine) ||
-            (with_image && !rp_machine_has_image(machine, job->image_hash)) ||
+            (needs_image && !rp_machine_has_image(machine, job->image_hash)) ||
             !rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
                                    machine->spot))
             continue;
-        double cost = rp_preemption_cost(scheduler, machine, job, now);
+        double cost = rp_preemption_cost_s(scheduler, machine, job, now);
         if (cost >= 0 && (!best || cost < best_cost)) {
             best = machine;
             best_cost = cost;
@@ -101,7 +103,7 @@
     return best;
 }
 
-static bool may_preempt(const struct rp_job *job) {
+static bool may_preempt_for(const struct rp_job *job) {
     return job->spec.priority >= RP_PRIORITY_HIGH && job->spec.kind == RP_JOB_GANG &&
            job->spec.n_tasks == 1;
 }
@@ -111,8 +113,8 @@
                            const struct rp_machine *machine) {
     if (rp_machine_has_image(machine, job->image_hash))
         return false;
-    double rate = rp_scheduler_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
-    return !(rate <= 0 || job->spec.image_gb / rate < HOLDER_WORTH_S);
+    double gb_per_s = rp_scheduler_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
+    return !(gb_per_s <= 0 || job->spec.image_gb / gb_per_s < LONG_FETCH_S);
 }
 
 void rp_preemption_prefer_image_holders(struct rp_scheduler *scheduler,
@@ -124,7 +126,7 @@
         struct rp_placement *placement = &plan->placements[i];
         const struct rp_job *job = input->groups[placement->group].ref;
         const struct rp_machine *machine = rp_cycle_input_machine(input, placement);
-        if (!placement->starts_now || !machine || !may_preempt(job) ||
+        if (!placement->starts_now || !machine || !may_preempt_for(job) ||
             !has_long_fetch(scheduler, job, machine))
             continue;
         struct rp_machine *holder = cheapest_machine(scheduler, job, true, now);
@@ -157,7 +159,8 @@
         return;
     for (size_t g = 0; g < input->plan_input.n_groups; g++) {
         const struct rp_job *job = input->groups[g].ref;
-        if (input->groups[g].has_reservation || !may_preempt(job) || starts_soon(input, plan, g))
+        if (input->groups[g].has_reservation || !may_preempt_for(job) ||
+            starts_soon(input, plan, g))
             continue;
         struct rp_machine *machine = cheapest_machine(scheduler, job, false, now);
         if (machine)
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -1,38 +1,43 @@
 /** @file
- * Which tasks are preempted for a job, and at what cost. Only array tasks of a lower priority are,
- * and only for gangs of one task of a high priority: what is stopped for a larger gang would stand
- * empty until the last of its machines is free (gang_reservation.h). The machine is reserved for
- * the job until it starts there. Other teams' work beyond its guarantee is stopped by quota.h, work
- * that makes way for a service's replica by replica_preemption.h. Called by the scheduling cycle
- * after the plan is made; the cycle's input is only read. */
+ * Which tasks are preempted for a job, and at what cost. Only array tasks of a lower priority are
+ * preempted. This module frees machines only for gangs of one task with a high or critical
+ * priority: capacity freed for a larger gang would be idle until the last of its machines is free,
+ * so gang_reservation.h frees and reserves all of them together. The machine is reserved for the
+ * job until the job starts there. Other teams' work beyond its guarantee is preempted by quota.h,
+ * work that is preempted for a service's replica by replica_preemption.h. Called by the scheduling
+ * cycle after the plan is made; the cycle's input is only read. */
 #ifndef RP_SCHEDULER_PREEMPTION_H
 #define RP_SCHEDULER_PREEMPTION_H
 
 #include "scheduler/cycle_input.h"
 
-/** Capacity that comes by itself within so many seconds is waited for. */
+/** Capacity that becomes free within this many seconds without preemption is waited for. */
 #define RP_FREE_SOON_S 8
 
-/** Cost of one task's room on the machine: seconds of work lost and kept waiting if lower tasks are
- * stopped for it, and 1; negative when that wouldn't do. */
-double rp_preemption_cost(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
-                          const struct rp_job *job, struct timespec now);
-/** Stops as much lower work on the machine as one task of the job needs, and reserves the machine
- * for the job. */
+/** Cost of freeing the capacity for one task of the job on the machine, in seconds: the work that
+ * is lost and has to wait if lower-priority tasks are stopped for it, plus 1. Negative if stopping
+ * them does not free enough. */
+double rp_preemption_cost_s(const struct rp_scheduler *scheduler, const struct rp_machine *machine,
+                            const struct rp_job *job, struct timespec now);
+/** Stops as many lower-priority tasks on the machine as one task of the job needs, and reserves the
+ * machine for the job. */
 void rp_preemption_free_machine(struct rp_scheduler *scheduler, struct rp_machine *machine,
                                 const struct rp_job *job);
-/** Seconds that a task is given to save when it is stopped; 0 if it keeps no progress. */
+/** Seconds that a task is given to save its progress when it is stopped; 0 if it never saves. */
 double rp_preemption_grace_s(const struct rp_job_spec *spec);
 /** Seconds of run time that are lost if the task is stopped now. */
 double rp_preemption_lost_s(const struct rp_allocation *allocation, struct timespec now);
 
-/** An urgent gang that would have to fetch its image, though another machine holds it and only has
- * to be freed of lower work, has that machine freed: saving that work takes less than the fetch,
- * which a whole machine would stand idle for. Its placement in the plan is emptied. */
+/** Prefers a machine that holds the image, for a gang of one task with a high or critical priority
+ * that the plan starts where the image is missing: if another machine holds the image and only has
+ * to be freed of lower-priority work, that machine is freed and reserved, and the gang's placement
+ * is emptied. Saving that work takes less time than the fetch, during which a whole machine would
+ * be idle. */
 void rp_preemption_prefer_image_holders(struct rp_scheduler *scheduler,
                                         const struct rp_cycle_input *input, struct rp_plan *plan,
                                         struct timespec now);
-/** Frees a machine for each urgent gang of one task that the plan doesn't start now or soon. */
+/** Frees a machine for each gang of one task with a high or critical priority that has no
+ * reservation and that the plan starts neither now nor soon. */
 void rp_preemption_run(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                        const struct rp_plan *plan, struct timespec now);
 
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -5,12 +5,12 @@
 #include "scheduler/preemption.h"
 #include "scheduler/reservation.h"
 
-#define EPSILON 1e-9 /* sums of resources are rounded */
-#define STOPS_MAX 64 /* machines freed in one cycle */
+#define RESOURCE_TOLERANCE 1e-9 /* rounding error allowed in sums of resources */
+#define FREED_MACHINES_MAX 64   /* upper bound of the machines freed in one cycle */
 
-/* What each team uses beyond its guarantee, without what is being stopped already. */
-struct surplus {
-    struct rp_resources *of;
+/* For each team, what it uses beyond its guarantee, without tasks that are being stopped. */
+struct team_surplus {
+    struct rp_resources *by_team;
 };
 
 static bool is_counted(const struct rp_allocation *allocation) {
@@ -18,35 +18,37 @@
            allocation->job->team >= 0;
 }
 
-static bool fill_surplus(const struct rp_scheduler *scheduler, struct surplus *surplus) {
-    surplus->of = calloc(scheduler->settings->n_teams + 1, sizeof *surplus->of);
-    if (!surplus->of)
+static bool init_surplus(const struct rp_scheduler *scheduler, struct team_surplus *surplus) {
+    surplus->by_team = calloc(scheduler->settings->n_teams + 1, sizeof *surplus->by_team);
+    if (!surplus->by_team)
         return false;
     for (size_t i = 0; i < scheduler->settings->n_teams; i++) {
-        surplus->of[i].cpus = -scheduler->settings->teams[i].cpus;
-        surplus->of[i].gpus = -scheduler->settings->teams[i].gpus;
+        surplus->by_team[i].cpus = -scheduler->settings->teams[i].cpus;
+        surplus->by_team[i].gpus = -scheduler->settings->teams[i].gpus;
     }
     for (const struct rp_machine *machine = scheduler->cluster->first; machine;
          machine = machine->next)
         for (size_t i = 0; i < machine->n_allocations; i++)
             if (is_counted(&machine->allocations[i]))
-                rp_resources_add(&surplus->of[machine->allocations[i].job->team],
+                rp_resources_add(&surplus->by_team[machine->allocations[i].job->team],
                                  &machine->allocations[i].job->spec.each);
     return true;
 }
 
-/* Whether the task belongs to another team that stays at its guarantee without it. */
-static bool may_stop(const struct surplus *surplus, const struct rp_allocation *allocation,
+/* Whether the task may be stopped for the job: it is an array task of another team, which still
+ * uses its whole guarantee without the task. */
+static bool may_stop(const struct team_surplus *surplus, const struct rp_allocation *allocation,
                      const struct rp_job *job) {
     if (!is_counted(allocation) || allocation->job->team == job->team ||
         allocation->job->spec.kind != RP_JOB_ARRAY)
         return false;
-    const struct rp_resources *over = &surplus->of[allocation->job->team];
+    const struct rp_resources *surplus_of_owner = &surplus->by_team[allocation->job->team];
     const struct rp_resources *each = &allocation->job->spec.each;
-    return over->cpus >= each->cpus - EPSILON && over->gpus >= each->gpus - EPSILON;
+    return surplus_of_owner->cpus >= each->cpus - RESOURCE_TOLERANCE &&
+           surplus_of_owner->gpus >= each->gpus - RESOURCE_TOLERANCE;
 }
 
-/* What the machine has free once what is being stopped there has ended. */
+/* The machine's free resources once the tasks that are being stopped there have ended. */
 static struct rp_resources free_after_stops(const struct rp_scheduler *scheduler,
                                             const struct rp_machine *machine) {
     struct rp_resources available = rp_machine_free_resources(scheduler->cluster, machine);
@@ -64,8 +66,10 @@
                                  machine->spot);
 }
 
-/* Tasks of the job that find room where other work is being stopped already. */
-static uint32_t n_tasks_coming(const struct rp_scheduler *scheduler, const struct rp_job *job) {
+/* The number of the job's tasks that fit where other work is already being stopped, without those
+ * that fit there now. */
+static uint32_t n_tasks_with_pending_capacity(const struct rp_scheduler *scheduler,
+                                              const struct rp_job *job) {
     uint32_t tasks = 0;
     for (const struct rp_machine *machine = scheduler->cluster->first; machine;
          machine = machine->next) {
@@ -81,15 +85,15 @@
     return tasks;
 }
 
-/* Run time that is lost if one task of the job is given room on the machine; negative: it can't be.
- */
-static double preemption_cost_s(const struct rp_scheduler *scheduler, const struct surplus *surplus,
-                                const struct rp_machine *machine, const struct rp_job *job,
-                                struct timespec now) {
+/* Run time that is lost, in seconds, if capacity for one task of the job is freed on the machine;
+ * negative if it cannot be freed or need not be. */
+static double stop_cost_s(const struct rp_scheduler *scheduler, const struct team_surplus *surplus,
+                          const struct rp_machine *machine, const struct rp_job *job,
+                          struct timespec now) {
     struct rp_resources available = free_after_stops(scheduler, machine);
     double cost = 0;
     if (rp_resources_fit(&job->spec.each, &available))
-        return -1; /* it has room already, or will have */
+        return -1; /* the task fits already, or will once the pending stops have ended */
     for (size_t i = 0; i < machine->n_allocations && !rp_resources_fit(&job->spec.each, &available);
          i++) {
         const struct rp_allocation *allocation = &machine->allocations[i];
@@ -101,7 +105,7 @@
     return rp_resources_fit(&job->spec.each, &available) ? cost : -1;
 }
 
-static void stop_tasks(struct rp_scheduler *scheduler, struct surplus *surplus,
+static void stop_tasks(struct rp_scheduler *scheduler, struct team_surplus *surplus,
                        struct rp_machine *machine, const struct rp_job *job) {
     struct rp_resources available = free_after_stops(scheduler, machine);
     for (size_t i = machine->n_allocations;
@@ -111,8 +115,8 @@
         if (!may_stop(surplus, allocation, job))
             continue;
         rp_resources_add(&available, &spec->each);
-        surplus->of[allocation->job->team].cpus -= spec->each.cpus;
-        surplus->of[allocation->job->team].gpus -= spec->each.gpus;
+        surplus->by_team[allocation->job->team].cpus -= spec->each.cpus;
+        surplus->by_team[allocation->job->team].gpus -= spec->each.gpus;
         if (allocation->state == RP_ALLOCATION_PLANNED) {
             rp_allocation_remove(scheduler->cluster, machine, i);
             continue;
@@ -122,14 +126,15 @@
     }
 }
 
-/* Frees the machine where least is lost; false when there is none. */
-static bool free_cheapest_machine(struct rp_scheduler *scheduler, struct surplus *surplus,
+/* Frees capacity for one task of the job on the machine where the least run time is lost. Returns
+ * false when there is no such machine. */
+static bool free_cheapest_machine(struct rp_scheduler *scheduler, struct team_surplus *surplus,
                                   const struct rp_job *job, struct timespec now) {
     struct rp_machine *best = NULL;
     double best_cost = 0;
     for (struct rp_machine *machine = scheduler->cluster->first; machine; machine = machine->next) {
         double cost = is_usable_for(scheduler, machine, job)
-                          ? preemption_cost_s(scheduler, surplus, machine, job, now)
+                          ? stop_cost_s(scheduler, surplus, machine, job, now)
                           : -1;
         if (cost >= 0 && (!best || cost < best_cost)) {
             best = machine;
@@ -141,9 +146,9 @@
     return best;
 }
 
-/* Tasks of the group that the plan has no room for now. */
-static uint32_t n_tasks_missing(const struct rp_plan *plan, const struct rp_plan_group *group,
-                                size_t index) {
+/* The number of the group's tasks that the plan does not start now. */
+static uint32_t n_tasks_not_starting(const struct rp_plan *plan, const struct rp_plan_group *group,
+                                     size_t index) {
     uint32_t placed = 0;
     for (size_t p = 0; p < plan->n_placements; p++)
         if (plan->placements[p].group == index && plan->placements[p].starts_now)
@@ -153,27 +158,28 @@
 
 void rp_quota_enforce_guarantees(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                                  const struct rp_plan *plan, struct timespec now) {
-    struct surplus surplus = {0};
-    unsigned stops = 0;
+    struct team_surplus surplus = {0};
+    unsigned n_freed = 0;
     if (!scheduler->settings->tuning.preemption || !rp_cluster_is_reconciled(scheduler->cluster))
         return;
-    for (size_t g = 0; g < input->plan_input.n_groups && stops < STOPS_MAX; g++) {
+    for (size_t g = 0; g < input->plan_input.n_groups && n_freed < FREED_MACHINES_MAX; g++) {
         const struct rp_plan_group *group = &input->groups[g];
         const struct rp_job *job = group->ref;
         if (!group->is_guaranteed || (group->kind == RP_JOB_GANG && job->spec.n_tasks > 1))
             continue;
-        uint32_t n_missing = n_tasks_missing(plan, group, g);
-        uint32_t n_coming = n_missing > 0 ? n_tasks_coming(scheduler, job) : 0;
-        if (n_missing <= n_coming || (!surplus.of && !fill_surplus(scheduler, &surplus)))
+        uint32_t n_not_starting = n_tasks_not_starting(plan, group, g);
+        uint32_t n_pending = n_not_starting > 0 ? n_tasks_with_pending_capacity(scheduler, job) : 0;
+        if (n_not_starting <= n_pending || (!surplus.by_team && !init_surplus(scheduler, &surplus)))
             continue;
-        unsigned before = stops;
-        for (uint32_t i = n_coming; i < n_missing && stops < STOPS_MAX; i++) {
+        unsigned n_freed_before = n_freed;
+        for (uint32_t i = n_pending; i < n_not_starting && n_freed < FREED_MACHINES_MAX; i++) {
             if (!free_cheapest_machine(scheduler, &surplus, job, now))
                 break;
-            stops++;
+            n_freed++;
         }
-        if (stops > before)
-            rp_info("guaranteed quota enforced: job=%s n_tasks=%u", job->spec.id, stops - before);
+        if (n_freed > n_freed_before)
+            rp_info("guaranteed quota enforced: job=%s n_tasks=%u", job->spec.id,
+                    n_freed - n_freed_before);
     }
-    free(surplus.of);
+    free(surplus.by_team);
 }
--- a/src/scheduler/replica_moves.c
+++ b/src/scheduler/replica_moves.c
@@ -4,10 +4,10 @@
 #include "scheduler/replica_preemption.h"
 #include "scheduler/task_moves.h"
 
-#define PENALTY_MAX_S 3.0 /* what may speak against the machine that a replica is moved to */
+#define TARGET_PENALTY_MAX_S 3.0 /* bound on the penalty of a machine that a replica moves to */
 
 /* Whether some replica is missing, being stopped, or not running yet. */
-static bool is_any_unsteady(const struct rp_services *services) {
+static bool is_any_replica_in_transition(const struct rp_services *services) {
     for (const struct rp_job *job = services->jobs->table.first; job; job = job->next)
         if (job->spec.kind == RP_JOB_SERVICE && job->state == RP_JOB_OPEN &&
             job->n_running < job->spec.n_tasks)
@@ -21,7 +21,7 @@
     return false;
 }
 
-/* Whether the replica could go on at once on another machine. */
+/* Whether the replica could be started at once on another machine. */
 static bool can_move(const struct rp_services *services, const struct rp_machine *from,
                      const struct rp_allocation *allocation, struct timespec now) {
     struct rp_job *job = allocation->job;
@@ -29,7 +29,7 @@
         if (machine == from || !rp_task_moves_may_change_zone(from, machine, job))
             continue;
         double penalty_s = rp_replica_placement_penalty_s(services, machine, job, now);
-        if (penalty_s >= 0 && penalty_s < PENALTY_MAX_S &&
+        if (penalty_s >= 0 && penalty_s < TARGET_PENALTY_MAX_S &&
             rp_machine_has_image(machine, job->image_hash))
             return true;
     }
@@ -47,14 +47,14 @@
             rp_allocation_request_stop(allocation, 0);
             services->n_moved++;
         } else {
-            machine->scale_in.draining = false; /* it stays */
+            machine->scale_in.draining = false; /* the machine keeps its replica */
         }
         return;
     }
 }
 
 void rp_replica_moves_step(struct rp_services *services, struct timespec now) {
-    if (is_any_unsteady(services))
+    if (is_any_replica_in_transition(services))
         return;
     for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next)
         if (machine->state == RP_MACHINE_UP &&
--- a/src/scheduler/replica_placement.c
+++ b/src/scheduler/replica_placement.c
@@ -6,83 +6,101 @@
 #include "scheduler/silent_machines.h"
 #include "worker/direct_commands.h"
 
-/* What makes a machine worse for a replica, in seconds of a later start. */
-#define SAME_MACHINE_S 0.4 /* for each replica of the job that one loss would take as well */
-#define SAME_MOST 4        /* but not more than for so many */
-#define SAME_ZONE_S 0.8    /* for each that a zone has beyond its even part */
-#define LOST_WORK_SHARE 0.02
-#define ERROR_S 5.0
-#define FAILED_HERE_S 20.0
-#define SPOT_S 40.0
-#define GPU_S 120.0       /* such machines are wanted whole, and cost many times as much */
-#define NO_REPLICAS_S 0.3 /* a machine that holds services anyway isn't kept longer by one more */
-#define FETCH_LEFT_S 0.3  /* of a fetch under way, at least */
-#define NEXT_REPORT_S 1.5 /* where a start has to go with the next heartbeat's answer */
-#define FETCHES_COUNTED 8 /* more images fetched at the same time count as so many */
+/* All penalties of a machine for a replica are in seconds of a later start. */
 
-/* A release large enough for every task, in CPUs, GPUs and GB. */
-#define ANY_AMOUNT 1e12
+/* Penalty for each replica of the job on the machine, which the loss of the machine would also
+ * stop. */
+#define SAME_MACHINE_PENALTY_S 0.4
+/* Upper bound of the replicas that count towards a penalty, of the machine and of its zone. */
+#define PENALIZED_REPLICAS_MAX 4
+/* Penalty for each replica of the job that the zone has beyond its even share. */
+#define SAME_ZONE_PENALTY_S 0.8
+/* Penalty, in seconds, for each second of work that is lost by preemption on the machine. */
+#define LOST_WORK_WEIGHT 0.02
+/* Penalty for each consecutive error of tasks on the machine. */
+#define ERROR_PENALTY_S 5.0
+/* Penalty for a machine on which the job has failed. */
+#define FAILED_BEFORE_PENALTY_S 20.0
+#define SPOT_PENALTY_S 40.0
+/* Penalty for a machine with GPUs, if the replica uses none: other work needs such machines as a
+ * whole, and they cost many times as much. */
+#define WASTED_GPU_PENALTY_S 120.0
+/* Penalty for a machine without replicas: one that already holds some is not kept longer by one
+ * more. */
+#define NO_REPLICAS_PENALTY_S 0.3
+/* Least time, in seconds, that is assumed until a fetch under way ends. */
+#define FETCH_REMAINING_MIN_S 0.3
+/* Penalty for a machine where the start has to wait for the answer to the next heartbeat. */
+#define NEXT_HEARTBEAT_PENALTY_S 1.5
+/* Upper bound of the other images, fetched at the same time, that count towards the fetch time. */
+#define FETCHES_COUNTED_MAX 8
 
-/* Until the image is there. Images fetched at the same time may share the machine's rate. */
+/* An amount of released CPUs, GPUs or GB of memory that is large enough for every task. */
+#define UNLIMITED_AMOUNT 1e12
+
+/* Seconds until the machine holds the job's image. Images fetched at the same time may share the
+ * machine's fetch rate. */
 static double fetch_s(const struct rp_services *services, const struct rp_machine *machine,
                       const struct rp_job *job, struct timespec now) {
-    double rate = services->catalog->types[machine->type].fetch_gb_per_s;
-    uint64_t others[FETCHES_COUNTED];
+    double gb_per_s = services->catalog->types[machine->type].fetch_gb_per_s;
+    uint64_t others[FETCHES_COUNTED_MAX];
     size_t n_others = 0;
-    if (rp_machine_has_image(machine, job->image_hash) || rate <= 0)
+    if (rp_machine_has_image(machine, job->image_hash) || gb_per_s <= 0)
         return 0;
-    double own_s = job->spec.image_gb / rate;
+    double own_s = job->spec.image_gb / gb_per_s;
     for (size_t i = 0; i < machine->n_allocations; i++) {
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state == RP_ALLOCATION_EXITED || allocation->task_state != RP_TASK_FETCHING)
             continue;
         uint64_t hash = allocation->job->image_hash;
         if (hash == job->image_hash)
-            return fmax(FETCH_LEFT_S, own_s - rp_ts_since(now, allocation->planned_at));
-        bool known = rp_machine_has_image(machine, hash);
+            return fmax(FETCH_REMAINING_MIN_S, own_s - rp_ts_since(now, allocation->planned_at));
+        bool should_skip = rp_machine_has_image(machine, hash);
         for (size_t k = 0; k < n_others; k++)
-            known |= others[k] == hash;
-        if (!known && n_others < sizeof others / sizeof others[0])
+            should_skip |= others[k] == hash;
+        if (!should_skip && n_others < sizeof others / sizeof others[0])
             others[n_others++] = hash;
     }
     return own_s * (double)(1 + n_others);
 }
 
-/* Whether its capacity is reserved for a gang. */
+/* Whether the machine's capacity is reserved for a gang. */
 static bool is_reserved(const struct rp_machine *machine, struct timespec now) {
     return *machine->reservation.job_id && !rp_ts_reached(now, machine->reservation.until);
 }
 
-/* How many more of the job's replicas the zone would have than an even part of them. */
+/* The number of the job's replicas by which the zone, with one more of them, would exceed its even
+ * share; at most PENALIZED_REPLICAS_MAX. */
 static double zone_excess(const struct rp_services *services, const struct rp_job *job, int zone) {
-    double even = ceil((double)job->spec.n_tasks / fmax(1, (double)services->catalog->n_zones));
-    return fmin(fmax(0, job->zone_count[zone] + 1 - even), SAME_MOST);
+    double even_share =
+        ceil((double)job->spec.n_tasks / fmax(1, (double)services->catalog->n_zones));
+    return fmin(fmax(0, job->zone_count[zone] + 1 - even_share), PENALIZED_REPLICAS_MAX);
 }
 
 /* The replicas that the machine holds. */
 struct held_replicas {
-    bool any;
-    unsigned n_of_job; /* of the same job, up to SAME_MOST */
+    bool has_any;
+    unsigned n_of_job; /* those of the same job, up to PENALIZED_REPLICAS_MAX */
 };
 
-static struct held_replicas held_replicas(const struct rp_machine *machine,
-                                          const struct rp_job *job) {
+static struct held_replicas find_held_replicas(const struct rp_machine *machine,
+                                               const struct rp_job *job) {
     struct held_replicas held = {0};
     for (size_t i = 0; i < machine->n_allocations; i++) {
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state == RP_ALLOCATION_EXITED)
             continue;
-        held.any |= allocation->job->spec.kind == RP_JOB_SERVICE;
-        held.n_of_job += allocation->job == job && held.n_of_job < SAME_MOST;
+        held.has_any |= allocation->job->spec.kind == RP_JOB_SERVICE;
+        held.n_of_job += allocation->job == job && held.n_of_job < PENALIZED_REPLICAS_MAX;
     }
     return held;
 }
 
-static bool may_take(const struct rp_services *services, const struct rp_machine *machine,
-                     const struct rp_job *job, struct timespec now) {
+static bool may_hold_replica(const struct rp_services *services, const struct rp_machine *machine,
+                             const struct rp_job *job, struct timespec now) {
     if (!rp_machine_is_usable(machine) || machine->scale_in.draining || is_reserved(machine, now))
         return false;
-    return rp_silent_machines_is_heard(services, machine, now) &&
+    return rp_silent_machines_is_reporting(services, machine, now) &&
            rp_cluster_is_allowed(services->cluster, &job->spec, machine->type, machine->zone,
                                  machine->spot);
 }
@@ -90,30 +108,33 @@
 double rp_replica_placement_penalty_s(const struct rp_services *services,
                                       struct rp_machine *machine, const struct rp_job *job,
                                       struct timespec now) {
-    if (!may_take(services, machine, job, now))
+    if (!may_hold_replica(services, machine, job, now))
         return -1;
     double lost_s = rp_replica_preemption_cost_s(services, machine, job, now);
     if (lost_s < 0)
         return -1;
     const struct rp_resources *capacity = &services->catalog->types[machine->type].capacity;
     bool wastes_gpus = capacity->gpus > 0 && job->spec.each.gpus <= 0;
-    struct held_replicas held = held_replicas(machine, job);
-    double penalty_s = fetch_s(services, machine, job, now) + lost_s * LOST_WORK_SHARE;
-    penalty_s +=
-        held.n_of_job * SAME_MACHINE_S + zone_excess(services, job, machine->zone) * SAME_ZONE_S;
+    struct held_replicas held = find_held_replicas(machine, job);
+    double penalty_s = fetch_s(services, machine, job, now) + lost_s * LOST_WORK_WEIGHT;
+    penalty_s += held.n_of_job * SAME_MACHINE_PENALTY_S +
+                 zone_excess(services, job, machine->zone) * SAME_ZONE_PENALTY_S;
     for (unsigned i = 0; i < job->n_failed_machines; i++)
-        penalty_s += strcmp(job->failed_machines[i], machine->name) == 0 ? FAILED_HERE_S : 0;
-    penalty_s += rp_direct_commands_is_full(machine) ? NEXT_REPORT_S : 0;
-    penalty_s += ERROR_S * machine->health.consecutive_errors + (machine->spot ? SPOT_S : 0) +
-                 (wastes_gpus ? GPU_S : 0);
-    return penalty_s + (held.any ? 0 : NO_REPLICAS_S);
+        penalty_s +=
+            strcmp(job->failed_machines[i], machine->name) == 0 ? FAILED_BEFORE_PENALTY_S : 0;
+    penalty_s += rp_direct_commands_is_full(machine) ? NEXT_HEARTBEAT_PENALTY_S : 0;
+    penalty_s += ERROR_PENALTY_S * machine->health.consecutive_errors +
+                 (machine->spot ? SPOT_PENALTY_S : 0) + (wastes_gpus ? WASTED_GPU_PENALTY_S : 0);
+    return penalty_s + (held.has_any ? 0 : NO_REPLICAS_PENALTY_S);
 }
 
-/* The machine on which the task, which is on none, runs soonest; NULL: on none. */
+/* The machine on which the task, which is allocated on none, runs soonest; NULL if none can take
+ * it. */
 static struct rp_machine *best_machine(const struct rp_services *services, const struct rp_job *job,
                                        uint32_t task, struct timespec now) {
-    static const struct rp_released_resources all = {{ANY_AMOUNT, ANY_AMOUNT, ANY_AMOUNT},
-                                                     {ANY_AMOUNT, ANY_AMOUNT, ANY_AMOUNT}};
+    static const struct rp_released_resources all = {
+        {UNLIMITED_AMOUNT, UNLIMITED_AMOUNT, UNLIMITED_AMOUNT},
+        {UNLIMITED_AMOUNT, UNLIMITED_AMOUNT, UNLIMITED_AMOUNT}};
     struct rp_machine *best = NULL;
     double best_penalty_s = 0;
     for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next) {
--- a/src/scheduler/replica_placement.h
+++ b/src/scheduler/replica_placement.h
@@ -1,18 +1,18 @@
 /** @file
- * On which machine a replica runs soonest. What speaks against a machine is summed up in seconds of
- * a later start. */
+ * Finds the machine on which a replica runs soonest. All disadvantages of a machine are added up as
+ * a penalty, in seconds of a later start. */
 #ifndef RP_SCHEDULER_REPLICA_PLACEMENT_H
 #define RP_SCHEDULER_REPLICA_PLACEMENT_H
 
 #include "scheduler/services.h"
 
-/** What speaks against the machine for a task of the job, in seconds; negative: it can't take one.
- */
+/** The machine's penalty for a task of the job, in seconds; negative if the machine cannot take
+ * one. */
 double rp_replica_placement_penalty_s(const struct rp_services *services,
                                       struct rp_machine *machine, const struct rp_job *job,
                                       struct timespec now);
-/** Plans the start of the task, which is on no machine, on the best one, where is_lower work makes
- * way for it. False: no machine can take it. */
+/** Plans the start of the task, which is allocated on no machine, on the best machine, where
+ * lower-priority work is preempted if necessary. Returns false if no machine can take the task. */
 bool rp_replica_placement_place(struct rp_services *services, struct rp_job *job, uint32_t task,
                                 struct timespec now);
 
--- a/src/scheduler/replica_preemption.c
+++ b/src/scheduler/replica_preemption.c
@@ -3,11 +3,13 @@
 #include <math.h>
 #include "scheduler/preemption.h"
 
-#define ALLOCATIONS_MAX 1024   /* machines with more allocations make way for nothing */
-#define PRIORITY_COST_S 1000.0 /* so that work of the lowest priority makes way first */
-#define STOP_COST_S 1          /* of a task that has just begun */
+/* On a machine with more allocations, nothing is preempted for a replica. */
+#define ALLOCATIONS_MAX 1024
+/* Cost added for each level of priority, so that work of the lowest priority is preempted first. */
+#define COST_PER_PRIORITY_S 1000.0
+#define STOP_COST_S 1 /* cost of stopping a task that has just begun to run */
 
-static bool is_lower(const struct rp_allocation *allocation, const struct rp_job *job) {
+static bool is_lower_priority(const struct rp_allocation *allocation, const struct rp_job *job) {
     return allocation->job->spec.kind == RP_JOB_ARRAY &&
            allocation->job->spec.priority < job->spec.priority;
 }
@@ -18,11 +20,11 @@
 }
 
 static bool may_preempt_task(const struct rp_allocation *allocation, const struct rp_job *job) {
-    return is_lower(allocation, job) && !allocation->stop_requested &&
+    return is_lower_priority(allocation, job) && !allocation->stop_requested &&
            (allocation->state == RP_ALLOCATION_SEEN || allocation->state == RP_ALLOCATION_PLANNED);
 }
 
-/* The work that is lost with it, in seconds. */
+/* Seconds of work that are lost if the task is stopped. */
 static double lost_work_s(const struct rp_allocation *allocation, struct timespec now) {
     double ran_s =
         rp_ts_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
@@ -32,29 +34,30 @@
                : STOP_COST_S + (checkpoint_s > 0 ? fmin(ran_s, checkpoint_s) : ran_s);
 }
 
-static void note_release(struct rp_released_resources *freed,
-                         const struct rp_allocation *allocation, const struct rp_job *job) {
+static void add_release(struct rp_released_resources *freed, const struct rp_allocation *allocation,
+                        const struct rp_job *job) {
     rp_resources_add(&freed->capacity, &allocation->job->spec.each);
     if (allocation->job->team == job->team)
         rp_resources_add(&freed->quota, &allocation->job->spec.each);
 }
 
-/* What stops under way on the machine give back before anything that is started there now. */
+/* The resources that pending stops on the machine release before anything is started there now. */
 static struct rp_released_resources released_by_stops(const struct rp_machine *machine,
                                                       const struct rp_job *job) {
     struct rp_released_resources freed = {0};
     for (size_t i = 0; i < machine->n_allocations; i++)
         if (rp_replica_preemption_is_ending(&machine->allocations[i]))
-            note_release(&freed, &machine->allocations[i], job);
+            add_release(&freed, &machine->allocations[i], job);
     return freed;
 }
 
 enum lacking_resource { LACKS_NOTHING, LACKS_CAPACITY, LACKS_QUOTA };
 
-/* What one more task of the job still lacks on the machine. */
-static enum lacking_resource lacking(const struct rp_services *services,
-                                     const struct rp_machine *machine, const struct rp_job *job,
-                                     const struct rp_released_resources *freed) {
+/* What one more task of the job still lacks on the machine, given the released resources. */
+static enum lacking_resource find_lacking_resource(const struct rp_services *services,
+                                                   const struct rp_machine *machine,
+                                                   const struct rp_job *job,
+                                                   const struct rp_released_resources *freed) {
     struct rp_resources available = rp_machine_free_resources(services->cluster, machine);
     struct rp_resources over_limit = rp_cluster_over_quota(services->cluster, job);
     rp_resources_add(&available, &freed->capacity);
@@ -64,19 +67,20 @@
     return fits_quota ? LACKS_NOTHING : LACKS_QUOTA;
 }
 
-/* The room that costs least to take; where the team's limit is in the way, one of its own. */
+/* The task whose preemption costs least; if quota is lacking, only among the tasks of the job's own
+ * team. Tasks marked in `is_taken`, which may be NULL, are left out. NULL if there is none. */
 static struct rp_allocation *cheapest_task(struct rp_machine *machine, const struct rp_job *job,
-                                           enum lacking_resource lacks, const bool *taken,
+                                           enum lacking_resource lacks, const bool *is_taken,
                                            struct timespec now) {
     struct rp_allocation *best = NULL;
     double best_cost = 0;
     for (size_t i = 0; i < machine->n_allocations; i++) {
         struct rp_allocation *allocation = &machine->allocations[i];
-        if ((taken && taken[i]) || !may_preempt_task(allocation, job) ||
+        if ((is_taken && is_taken[i]) || !may_preempt_task(allocation, job) ||
             (lacks == LACKS_QUOTA && allocation->job->team != job->team))
             continue;
-        double cost =
-            lost_work_s(allocation, now) + PRIORITY_COST_S * (double)allocation->job->spec.priority;
+        double cost = lost_work_s(allocation, now) +
+                      COST_PER_PRIORITY_S * (double)allocation->job->spec.priority;
         if (!best || cost < best_cost) {
             best = allocation;
             best_cost = cost;
@@ -88,18 +92,18 @@
 double rp_replica_preemption_cost_s(const struct rp_services *services, struct rp_machine *machine,
                                     const struct rp_job *job, struct timespec now) {
     struct rp_released_resources freed = released_by_stops(machine, job);
-    bool taken[ALLOCATIONS_MAX] = {false};
-    enum lacking_resource lacks = lacking(services, machine, job, &freed);
+    bool is_taken[ALLOCATIONS_MAX] = {false};
+    enum lacking_resource lacks = find_lacking_resource(services, machine, job, &freed);
     double lost_s = 0;
     if (lacks != LACKS_NOTHING &&
         (!services->settings->tuning.preemption || machine->n_allocations > ALLOCATIONS_MAX))
         return -1;
-    for (; lacks != LACKS_NOTHING; lacks = lacking(services, machine, job, &freed)) {
-        struct rp_allocation *allocation = cheapest_task(machine, job, lacks, taken, now);
+    for (; lacks != LACKS_NOTHING; lacks = find_lacking_resource(services, machine, job, &freed)) {
+        struct rp_allocation *allocation = cheapest_task(machine, job, lacks, is_taken, now);
         if (!allocation)
             return -1;
-        taken[allocation - machine->allocations] = true;
-        note_release(&freed, allocation, job);
+        is_taken[allocation - machine->allocations] = true;
+        add_release(&freed, allocation, job);
         lost_s += lost_work_s(allocation, now);
     }
     return lost_s;
@@ -111,7 +115,7 @@
                                                                 struct timespec now) {
     struct rp_released_resources freed = released_by_stops(machine, job);
     for (enum lacking_resource lacks;
-         (lacks = lacking(services, machine, job, &freed)) != LACKS_NOTHING;) {
+         (lacks = find_lacking_resource(services, machine, job, &freed)) != LACKS_NOTHING;) {
         struct rp_allocation *allocation = cheapest_task(machine, job, lacks, NULL, now);
         if (!allocation)
             break;
@@ -119,20 +123,20 @@
         if (allocation->state == RP_ALLOCATION_PLANNED) {
             rp_allocation_remove(services->cluster, machine,
                                  (size_t)(allocation - machine->allocations));
-            continue; /* its room is free, and its team's part, as counted anew */
+            continue; /* its capacity and its team's quota are free and counted anew */
         }
         rp_allocation_request_stop(allocation, 0);
-        note_release(&freed, allocation, job);
+        add_release(&freed, allocation, job);
     }
     return freed;
 }
 
-static bool is_over(const struct rp_resources *over_limit) {
+static bool is_over_limit(const struct rp_resources *over_limit) {
     return over_limit->cpus > 0 || over_limit->gpus > 0;
 }
 
-/* What the team of the job lacks for its missing replicas, once all that is being stopped is gone.
- */
+/* What the job's team lacks for the job's missing replicas, once all of the team's tasks
+ * that are being stopped have ended. */
 static struct rp_resources missing_quota(const struct rp_services *services,
                                          const struct rp_job *job) {
     struct rp_resources over_limit = rp_cluster_over_quota(services->cluster, job);
@@ -152,8 +156,8 @@
     return over_limit;
 }
 
-static void stop_anywhere(struct rp_services *services, struct rp_machine *machine,
-                          struct rp_allocation *allocation) {
+static void stop_task(struct rp_services *services, struct rp_machine *machine,
+                      struct rp_allocation *allocation) {
     services->n_preempted++;
     if (allocation->state == RP_ALLOCATION_PLANNED)
         rp_allocation_remove(services->cluster, machine,
@@ -165,7 +169,7 @@
 void rp_replica_preemption_free_quota(struct rp_services *services, const struct rp_job *job,
                                       struct timespec now) {
     struct rp_resources over_limit = missing_quota(services, job);
-    while (isfinite(over_limit.cpus) && isfinite(over_limit.gpus) && is_over(&over_limit)) {
+    while (isfinite(over_limit.cpus) && isfinite(over_limit.gpus) && is_over_limit(&over_limit)) {
         struct rp_machine *from = NULL;
         struct rp_allocation *best = NULL;
         for (struct rp_machine *machine = services->cluster->first; machine;
@@ -180,6 +184,6 @@
             return;
         over_limit.cpus -= best->job->spec.each.cpus;
         over_limit.gpus -= best->job->spec.each.gpus;
-        stop_anywhere(services, from, best);
+        stop_task(services, from, best);
     }
 }
--- a/src/scheduler/replica_preemption.h
+++ b/src/scheduler/replica_preemption.h
@@ -1,27 +1,29 @@
 /** @file
- * Which is_lower work makes way for a replica, and at what cost. Only array tasks of a is_lower
- * priority do; they are stopped without time to save, in the message that starts the replica. */
+ * Which lower-priority work is preempted for a replica, and at what cost. Only array tasks of a
+ * lower priority are preempted. On the replica's machine they are stopped without time to save, in
+ * the message that starts the replica. */
 #ifndef RP_SCHEDULER_REPLICA_PREEMPTION_H
 #define RP_SCHEDULER_REPLICA_PREEMPTION_H
 
 #include "scheduler/services.h"
 
-/** Whether the task is being stopped without time to save: it is over by the time when a start that
- * follows is carried out. */
+/** Whether the task is being stopped without time to save: it has ended by the time that a
+ * subsequent start is executed. */
 bool rp_replica_preemption_is_ending(const struct rp_allocation *allocation);
-/** Seconds of work that are lost if the machine makes way for one task of the job; negative: it
- * can't. */
+/** Seconds of work that are lost if capacity for one task of the job is freed on the machine;
+ * negative if it cannot be freed. */
 double rp_replica_preemption_cost_s(const struct rp_services *services, struct rp_machine *machine,
                                     const struct rp_job *job, struct timespec now);
-/** Stops as much is_lower work on the machine as one task of the job needs. Returns what is given
- * back by the time of the start. */
+/** Stops as many lower-priority tasks on the machine as one task of the job needs. Returns the
+ * resources that are released by the time of the start. */
 struct rp_released_resources rp_replica_preemption_free_machine(struct rp_services *services,
                                                                 struct rp_machine *machine,
                                                                 const struct rp_job *job,
                                                                 struct timespec now);
-/** Stops is_lower work of the job's team, wherever it is, until its missing replicas are within the
- * team's limit. A team at its limit, whose is_lower work sits where a replica can't go (on spot
- * machines, say), would have no machine provisioned for it either. */
+/** Stops lower-priority work of the job's team, on any machine, until the job's missing replicas
+ * are within the team's limit. Otherwise, a team at its limit whose lower-priority work runs where
+ * a replica cannot run (such as on spot machines) would have no machine provisioned for the replica
+ * either. */
 void rp_replica_preemption_free_quota(struct rp_services *services, const struct rp_job *job,
                                       struct timespec now);
 
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -3,7 +3,8 @@
 #include <string.h>
 #include "base/string_copy.h"
 
-#define RESERVE_SLACK_S 6 /* after the estimated end of what a reservation waits for */
+/* Seconds that a reservation lasts beyond the estimated end of what it waits for. */
+#define RESERVATION_MARGIN_S 6
 
 bool rp_reservation_is_exclusive(const struct rp_job *job) {
     return job->spec.kind == RP_JOB_GANG &&
@@ -13,7 +14,8 @@
 void rp_reservation_make(const struct rp_scheduler *scheduler, struct rp_machine *machine,
                          const struct rp_job *job, double for_s) {
     rp_string_copy(machine->reservation.job_id, sizeof machine->reservation.job_id, job->spec.id);
-    machine->reservation.until = rp_ts_after(rp_loop_now(scheduler->loop), for_s + RESERVE_SLACK_S);
+    machine->reservation.until =
+        rp_ts_after(rp_loop_now(scheduler->loop), for_s + RESERVATION_MARGIN_S);
 }
 
 struct rp_job *rp_reservation_job(const struct rp_scheduler *scheduler,
@@ -27,8 +29,8 @@
         return NULL;
     if (rp_reservation_is_exclusive(job))
         return job;
-    struct rp_resources room = rp_machine_free_resources(scheduler->cluster, machine);
-    return rp_resources_fit(&job->spec.each, &room) ? NULL : job;
+    struct rp_resources available = rp_machine_free_resources(scheduler->cluster, machine);
+    return rp_resources_fit(&job->spec.each, &available) ? NULL : job;
 }
 
 void rp_reservation_mark_jobs(const struct rp_scheduler *scheduler) {
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -1,6 +1,6 @@
 /** @file
- * The scheduler of a leader: what its modules share. cycle.h has the operations on it as a whole.
- */
+ * The state of a leader's scheduler that its modules share. cycle.h has the operations on the
+ * scheduler as a whole. */
 #ifndef RP_SCHEDULER_SCHEDULER_H
 #define RP_SCHEDULER_SCHEDULER_H
 
@@ -21,16 +21,17 @@
     struct rp_metrics *metrics;
     struct rp_heuristic heuristics[RP_HEURISTICS_MAX];
     size_t n_heuristics;
-    unsigned long wins[RP_HEURISTICS_MAX];
+    unsigned long n_wins[RP_HEURISTICS_MAX];
     unsigned long n_cycles, n_preempted;
-    unsigned long n_over_bounds; /* cycles that left jobs out */
-    unsigned long n_probes;      /* machines looked at by plans */
+    unsigned long n_over_bounds;       /* cycles whose input left some jobs out */
+    unsigned long n_machines_examined; /* machines examined by the winning plans */
     struct timespec last_cycle_at;
     struct timespec replicas_moved_at; /* when a machine with replicas was last drained */
-    struct rp_resources
-        full_gpu_work[RP_TYPES_MAX]; /* what its GPU work takes of a type when full */
-    bool short_of_capacity[2];       /* as the last plan said */
-    double last_cycle_s;             /* the last cycle's own time */
+    /* For each machine type, the resources that GPU work takes of a machine that it fills. */
+    struct rp_resources full_gpu_work[RP_TYPES_MAX];
+    /* Whether not all work can be in time, as of the last plan: [0] without GPUs, [1] with. */
+    bool short_of_capacity[2];
+    double last_cycle_s; /* duration of the last cycle */
     struct rp_timer timer;
     bool active;
 };
--- a/src/scheduler/service_controller.c
+++ b/src/scheduler/service_controller.c
@@ -9,11 +9,13 @@
 #include "scheduler/silent_machines.h"
 #include "worker/direct_commands.h"
 
-#define WATCH_S 0.25   /* between two looks at silent machines and missing replicas */
-#define KEPT_LEAST 300 /* ended attempts that are kept known, in all, */
-#define KEPT_EACH 24   /* and for each machine */
+#define CHECK_PERIOD_S 0.25 /* seconds between checks for silent machines and missing replicas */
+/* Bound on the number of exited attempts that all workers together keep. */
+#define EXITED_KEPT_MAX 300
+/* Bound on the number of exited attempts that workers keep, for each machine of the fleet. */
+#define EXITED_KEPT_PER_MACHINE_MAX 24
 
-static void on_watch_timer(void *arg);
+static void on_check_timer(void *arg);
 
 void rp_service_controller_init(struct rp_services *services, struct rp_loop *loop,
                                 struct rp_cluster *cluster, struct rp_jobs *jobs,
@@ -22,7 +24,7 @@
                                 const struct rp_catalog *catalog) {
     memset(services, 0, sizeof *services);
     services->fleet = fleet;
-    services->watch_timer = (struct rp_timer){.fn = on_watch_timer, .arg = services};
+    services->check_timer = (struct rp_timer){.fn = on_check_timer, .arg = services};
     services->loop = loop;
     services->cluster = cluster;
     services->jobs = jobs;
@@ -34,31 +36,32 @@
 void rp_service_controller_start(struct rp_services *services) {
     services->arrivals = (struct rp_service_arrivals){0};
     services->counted_until_revision = 0;
-    rp_timer_set(services->loop, &services->watch_timer, WATCH_S);
+    rp_timer_set(services->loop, &services->check_timer, CHECK_PERIOD_S);
 }
 
 void rp_service_controller_stop(struct rp_services *services) {
-    rp_timer_cancel(services->loop, &services->watch_timer);
+    rp_timer_cancel(services->loop, &services->check_timer);
 }
 
-/* A replica to be started, or one to be stopped, so that it starts elsewhere, that wasn't told yet.
- */
-static bool is_to_send(const struct rp_allocation *allocation) {
+/* Whether the allocation is a replica to be started, or a replica to be stopped, so that it starts
+ * elsewhere, whose stop has not been sent yet. */
+static bool should_send_command(const struct rp_allocation *allocation) {
     return allocation->job->spec.kind == RP_JOB_SERVICE &&
            (allocation->state == RP_ALLOCATION_PLANNED ||
             (rp_replica_preemption_is_ending(allocation) && rp_ts_zero(allocation->stop_sent_at)));
 }
 
-void rp_service_controller_send(struct rp_services *services) {
+void rp_service_controller_send_commands(struct rp_services *services) {
     for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next)
         for (size_t i = 0; i < machine->n_allocations; i++)
-            if (is_to_send(&machine->allocations[i])) {
+            if (should_send_command(&machine->allocations[i])) {
                 rp_direct_commands_send(&services->workers->context, machine);
                 break;
             }
 }
 
-static void place_job(struct rp_services *services, struct rp_job *job, struct timespec now) {
+static void place_missing_replicas(struct rp_services *services, struct rp_job *job,
+                                   struct timespec now) {
     if (!rp_cluster_is_job_reconciled(services->cluster, job))
         return;
     for (uint32_t task = 0; task < job->spec.n_tasks; task++)
@@ -79,37 +82,39 @@
         if (job->spec.kind != RP_JOB_SERVICE || job->state != RP_JOB_OPEN)
             continue;
         if (job->accepted_revision > services->counted_until_revision)
-            rp_service_headroom_note_arrival(services, job, now);
+            rp_service_headroom_record_arrival(services, job, now);
         newest_revision =
             job->accepted_revision > newest_revision ? job->accepted_revision : newest_revision;
         if (job->n_allocated < job->spec.n_tasks && rp_ts_reached(now, job->start_backoff_until))
-            place_job(services, job, now);
+            place_missing_replicas(services, job, now);
     }
     services->counted_until_revision = newest_revision;
-    rp_service_controller_send(services);
+    rp_service_controller_send_commands(services);
 }
 
-/* Ended attempts that were started directly stay in their machines' heartbeats for as long as the
- * fencing token is ours (worker/command_batch.h). Over days of services that come and go they would
- * fill these: once there are many, another term begins, under which workers may forget them. */
-static bool has_much_to_forget(const struct rp_services *services) {
+/* Exited attempts that were started directly remain in their machines' heartbeats for as long as
+ * this leader's fencing token is valid (worker/command_batch.h). Over days of services that are
+ * submitted and cancelled, they would fill the heartbeats. Once their number exceeds both bounds,
+ * the leader resigns: under the next term, workers may forget them. */
+static bool has_too_many_exited(const struct rp_services *services) {
     size_t n_kept = 0;
     for (const struct rp_machine *machine = services->cluster->first; machine;
          machine = machine->next)
         for (size_t i = 0; i < machine->n_allocations; i++)
             n_kept += machine->allocations[i].state == RP_ALLOCATION_EXITED &&
                       machine->allocations[i].started_directly;
-    return n_kept > KEPT_LEAST && n_kept > KEPT_EACH * services->cluster->n_machines;
+    return n_kept > EXITED_KEPT_MAX &&
+           n_kept > EXITED_KEPT_PER_MACHINE_MAX * services->cluster->n_machines;
 }
 
-static void on_watch_timer(void *arg) {
+static void on_check_timer(void *arg) {
     struct rp_services *services = arg;
     struct timespec now = rp_loop_now(services->loop);
-    rp_timer_set(services->loop, &services->watch_timer, WATCH_S);
+    rp_timer_set(services->loop, &services->check_timer, CHECK_PERIOD_S);
     if (services->jobs->table.n_services == 0 ||
         !rp_election_is_valid(services->workers->context.election, now))
         return;
-    if (has_much_to_forget(services)) {
+    if (has_too_many_exited(services)) {
         rp_info("too many ended attempts kept by workers, resigning");
         rp_election_resign(services->workers->context.election, 0);
         return;
--- a/src/scheduler/service_controller.h
+++ b/src/scheduler/service_controller.h
@@ -1,9 +1,10 @@
 /** @file
- * The reconciling controller of services: wanted are as many running replicas as each open service
- * has tasks; observed is what the machines say; the difference is placed as soon as it is known,
- * also between two scheduling cycles, on the machine where it runs soonest, is_lower work making
- * way for it if need be. What finds no machine is left to the plan, which provisions one for it.
- * Called by the scheduling cycle and when messages of workers change what is observed. */
+ * The reconciling controller of services. The desired state is as many running replicas as each
+ * open service has tasks; the observed state is what the machines report. Missing replicas are
+ * placed as soon as they are detected, also between two scheduling cycles, on the machine where
+ * they run soonest; lower-priority work is preempted for them if necessary. Replicas for which
+ * there is no machine are left to the plan, which provisions machines for them. Called by the
+ * scheduling cycle and when messages of workers change the observed state. */
 #ifndef RP_SCHEDULER_SERVICE_CONTROLLER_H
 #define RP_SCHEDULER_SERVICE_CONTROLLER_H
 
@@ -15,13 +16,15 @@
                                 struct rp_workers *workers, struct rp_fleet *fleet,
                                 const struct rp_settings *settings,
                                 const struct rp_catalog *catalog);
-/** This node leads: begins to watch, with nothing counted as arrived. */
+/** Called when this node becomes the leader: starts the periodic check, with no arrivals counted
+ * yet. */
 void rp_service_controller_start(struct rp_services *services);
-/** This node leads no more. */
+/** Called when this node is no longer the leader: stops the periodic check. */
 void rp_service_controller_stop(struct rp_services *services);
-/** Places what is missing now and sends the starts. */
+/** Places the replicas that are missing now and sends their starts. */
 void rp_service_controller_run(struct rp_services *services);
-/** Sends starts of replicas that the plan has placed. */
-void rp_service_controller_send(struct rp_services *services);
+/** Sends the starts of planned replicas, and the stops of replicas that are to be started
+ * elsewhere. */
+void rp_service_controller_send_commands(struct rp_services *services);
 
 #endif
--- a/src/scheduler/service_headroom.c
+++ b/src/scheduler/service_headroom.c
@@ -2,18 +2,18 @@
 
 #include <math.h>
 
-#define ARRIVALS_S 60.0 /* time constant of what is remembered of arrivals */
+#define ARRIVALS_DECAY_S 60.0 /* time constant of the decaying arrival statistics */
 
-void rp_service_headroom_note_arrival(struct rp_services *services, const struct rp_job *job,
-                                      struct timespec now) {
+void rp_service_headroom_record_arrival(struct rp_services *services, const struct rp_job *job,
+                                        struct timespec now) {
     struct rp_service_arrivals *arrivals = &services->arrivals;
     double cpus = job->spec.n_tasks * job->spec.each.cpus;
-    double decay = rp_ts_zero(arrivals->counted_at)
+    double decay = rp_ts_zero(arrivals->updated_at)
                        ? 0
-                       : exp(-rp_ts_since(now, arrivals->counted_at) / ARRIVALS_S);
-    arrivals->cpus_per_s = arrivals->cpus_per_s * decay + cpus / ARRIVALS_S;
+                       : exp(-rp_ts_since(now, arrivals->updated_at) / ARRIVALS_DECAY_S);
+    arrivals->cpus_per_s = arrivals->cpus_per_s * decay + cpus / ARRIVALS_DECAY_S;
     arrivals->largest_job_cpus = fmax(arrivals->largest_job_cpus * decay, cpus);
-    arrivals->counted_at = now;
+    arrivals->updated_at = now;
 }
 
 static double longest_boot_s(const struct rp_catalog *catalog) {
@@ -24,19 +24,19 @@
     return longest_s;
 }
 
-double rp_service_headroom_wanted_cpus(const struct rp_services *services) {
+double rp_service_headroom_target_cpus(const struct rp_services *services) {
     const struct rp_service_arrivals *arrivals = &services->arrivals;
-    if (rp_ts_zero(arrivals->counted_at))
+    if (rp_ts_zero(arrivals->updated_at))
         return 0;
     double decay =
-        exp(-rp_ts_since(rp_loop_now(services->loop), arrivals->counted_at) / ARRIVALS_S);
-    double arriving = arrivals->cpus_per_s * longest_boot_s(services->catalog);
-    return services->settings->tuning.service_reserve * (arriving + arrivals->largest_job_cpus) *
-           decay;
+        exp(-rp_ts_since(rp_loop_now(services->loop), arrivals->updated_at) / ARRIVALS_DECAY_S);
+    double arriving_cpus = arrivals->cpus_per_s * longest_boot_s(services->catalog);
+    return services->settings->tuning.service_reserve *
+           (arriving_cpus + arrivals->largest_job_cpus) * decay;
 }
 
-double rp_service_headroom_ready_cpus_of(const struct rp_services *services,
-                                         const struct rp_machine *machine) {
+double rp_service_headroom_machine_ready_cpus(const struct rp_services *services,
+                                              const struct rp_machine *machine) {
     if (machine->type < 0 || machine->spot || machine->scale_in.draining ||
         services->catalog->types[machine->type].capacity.gpus > 0)
         return 0;
@@ -59,6 +59,6 @@
     double cpus = 0;
     for (const struct rp_machine *machine = services->cluster->first; machine;
          machine = machine->next)
-        cpus += rp_service_headroom_ready_cpus_of(services, machine);
+        cpus += rp_service_headroom_machine_ready_cpus(services, machine);
     return cpus;
 }
--- a/src/scheduler/service_headroom.h
+++ b/src/scheduler/service_headroom.h
@@ -1,24 +1,24 @@
 /** @file
- * How much capacity is is_reserved ready for services that come: they are to run within seconds,
- * while a machine takes half a minute and more to boot. Ready is what ordinary machines without
- * GPUs have free, or could have at once by stopping is_lower work. */
+ * How much capacity is kept ready for services that are submitted: they are to run within seconds,
+ * while a machine takes half a minute or more to boot. Ready capacity is what ordinary machines
+ * without GPUs have free, or could free at once by stopping lower-priority work. */
 #ifndef RP_SCHEDULER_SERVICE_HEADROOM_H
 #define RP_SCHEDULER_SERVICE_HEADROOM_H
 
 #include "scheduler/services.h"
 
-/** Sums of CPUs are compared with so much to spare. */
-#define RP_SERVICE_HEADROOM_SLACK_CPUS 1e-6
+/** Tolerance for comparisons of sums of CPUs. */
+#define RP_SERVICE_HEADROOM_TOLERANCE_CPUS 1e-6
 
 /** Counts a service that has just been accepted. */
-void rp_service_headroom_note_arrival(struct rp_services *services, const struct rp_job *job,
-                                      struct timespec now);
-/** CPUs that are to be ready. */
-double rp_service_headroom_wanted_cpus(const struct rp_services *services);
+void rp_service_headroom_record_arrival(struct rp_services *services, const struct rp_job *job,
+                                        struct timespec now);
+/** CPUs that should be ready on all machines. */
+double rp_service_headroom_target_cpus(const struct rp_services *services);
 /** CPUs that are ready on all machines. */
 double rp_service_headroom_ready_cpus(const struct rp_services *services);
-/** The machine's part of that. */
-double rp_service_headroom_ready_cpus_of(const struct rp_services *services,
-                                         const struct rp_machine *machine);
+/** CPUs that are ready on the machine. */
+double rp_service_headroom_machine_ready_cpus(const struct rp_services *services,
+                                              const struct rp_machine *machine);
 
 #endif
--- a/src/scheduler/services.h
+++ b/src/scheduler/services.h
@@ -1,17 +1,18 @@
 /** @file
- * The services of a leader: what the modules about them share. service_controller.h has the
- * operations on them as a whole; service_headroom.h, replica_placement.h, replica_preemption.h,
- * replica_moves.h and silent_machines.h answer one question each. */
+ * The state about services that the modules of a leader share. service_controller.h has the
+ * operations on all services; service_headroom.h, replica_placement.h, replica_preemption.h,
+ * replica_moves.h and silent_machines.h each handle one aspect. */
 #ifndef RP_SCHEDULER_SERVICES_H
 #define RP_SCHEDULER_SERVICES_H
 
 #include "worker/workers.h"
 
-/** What has recently arrived of services: the headroom for more is taken from it. */
+/** Decaying statistics of the services that have recently arrived; the target headroom is computed
+ * from them. */
 struct rp_service_arrivals {
-    double cpus_per_s;       /* decayed */
-    double largest_job_cpus; /* CPUs of a whole job, decayed */
-    struct timespec counted_at;
+    double cpus_per_s;       /* decayed rate of the CPUs requested */
+    double largest_job_cpus; /* decayed CPUs of the largest whole job */
+    struct timespec updated_at;
 };
 
 /** What a leader keeps about services; owned by the node. */
@@ -24,8 +25,9 @@
     const struct rp_settings *settings;
     const struct rp_catalog *catalog;
     struct rp_service_arrivals arrivals;
-    uint64_t counted_until_revision; /* the newest job that the arrivals have counted */
-    struct rp_timer watch_timer;
+    /* The revision of the newest job that is counted in `arrivals`. */
+    uint64_t counted_until_revision;
+    struct rp_timer check_timer;
     unsigned long n_placed, n_preempted, n_moved;
 };
 
--- a/src/scheduler/silent_machines.c
+++ b/src/scheduler/silent_machines.c
@@ -4,26 +4,32 @@
 #include "cluster/fleet.h"
 #include "worker/probes.h"
 
-#define REPORT_FACTOR 1.25 /* times a heartbeat's period until it is late */
-#define SILENT_SLACK_S 0.6
-#define PROBE_SLACK_S 0.15 /* a heartbeat later than this is asked for */
-#define PROBES 2           /* so many probes without an answer, one after the other */
-#define SILENT_SHARE 0.2   /* of the machines: where more are silent, it is a cut that ends */
-#define ZONE_SHARE 0.4     /* the same of a zone's */
-#define LED_S 3.0          /* a new leader has heard of every machine that is there by then */
+/* Multiple of the heartbeat period after which a heartbeat is late. */
+#define LATE_HEARTBEAT_FACTOR 1.25
+#define SILENT_MARGIN_S 0.6 /* seconds from a late heartbeat until the machine counts as silent */
+#define PROBE_MARGIN_S 0.15 /* seconds from a late heartbeat until the machine is probed */
+/* Consecutive probes without an answer before a machine is scaled in. */
+#define FAILED_PROBES_MIN 2
+/* Share of all machines. If more are silent, the cause is a network partition, which ends. */
+#define PARTITION_SHARE 0.2
+/* Share of a zone's machines. If more are silent, the cause is a network partition, which ends. */
+#define ZONE_PARTITION_SHARE 0.4
+/* Seconds, beyond the time of a late heartbeat, within which a new leader has received a message
+ * from every machine that is running. */
+#define NEW_LEADER_GRACE_S 3.0
 
-bool rp_silent_machines_is_heard(const struct rp_services *services,
-                                 const struct rp_machine *machine, struct timespec now) {
+bool rp_silent_machines_is_reporting(const struct rp_services *services,
+                                     const struct rp_machine *machine, struct timespec now) {
     return !machine->contact.unreachable &&
            rp_ts_since(now, machine->contact.last_heard) <
-               REPORT_FACTOR * services->settings->report_s + SILENT_SLACK_S;
+               LATE_HEARTBEAT_FACTOR * services->settings->report_s + SILENT_MARGIN_S;
 }
 
-/* The zones (bit set) in which so many machines are silent that it is a cut that ends, rather than
- * machines that hang or have died; all of them where that holds for the whole fleet. At the
- * beginning of a zone's cut its machines fall silent within one heartbeat's time, before the first
- * is scaled in. */
-static uint32_t partitioned_zones(const struct rp_services *services, struct timespec now) {
+/* The zones, as a bit set, in which so many machines are silent that the cause is a network
+ * partition, which ends, rather than machines that hang or have died. Returns all zones if this
+ * holds for the whole fleet. When a zone's partition begins, its machines become silent within one
+ * heartbeat period, before the first of them is scaled in. */
+static uint32_t find_partitioned_zones(const struct rp_services *services, struct timespec now) {
     double n_known[RP_ZONES_MAX] = {0};
     double n_silent[RP_ZONES_MAX] = {0};
     double n_known_all = 0;
@@ -35,39 +41,39 @@
             machine->state == RP_MACHINE_RELEASING)
             continue;
         n_known[machine->zone]++;
-        n_silent[machine->zone] += !rp_silent_machines_is_heard(services, machine, now);
+        n_silent[machine->zone] += !rp_silent_machines_is_reporting(services, machine, now);
     }
     for (int z = 0; z < RP_ZONES_MAX; z++) {
         n_known_all += n_known[z];
         n_silent_all += n_silent[z];
-        if (n_silent[z] > fmax(1, ZONE_SHARE * n_known[z]))
+        if (n_silent[z] > fmax(1, ZONE_PARTITION_SHARE * n_known[z]))
             zones |= UINT32_C(1) << z;
     }
-    return n_silent_all > fmax(1, SILENT_SHARE * n_known_all) ? UINT32_MAX : zones;
+    return n_silent_all > fmax(1, PARTITION_SHARE * n_known_all) ? UINT32_MAX : zones;
 }
 
-static void watch_machine(struct rp_services *services, struct rp_machine *machine,
-                          uint32_t cut_zones, struct timespec now) {
+static void check_machine(struct rp_services *services, struct rp_machine *machine,
+                          uint32_t partitioned_zones, struct timespec now) {
     if (machine->state != RP_MACHINE_UP || !rp_services_has_replicas(machine))
         return;
     double silent_s = rp_ts_since(now, machine->contact.last_heard) -
-                      REPORT_FACTOR * services->settings->report_s;
-    if (silent_s < PROBE_SLACK_S) {
+                      LATE_HEARTBEAT_FACTOR * services->settings->report_s;
+    if (silent_s < PROBE_MARGIN_S) {
         machine->contact.probes_failed = 0;
         return;
     }
-    bool is_cut_off = machine->zone >= 0 && (cut_zones >> machine->zone & 1);
-    if (machine->contact.probes_failed >= PROBES && !is_cut_off &&
+    bool is_partitioned = machine->zone >= 0 && (partitioned_zones >> machine->zone & 1);
+    if (machine->contact.probes_failed >= FAILED_PROBES_MIN && !is_partitioned &&
         !rp_fleet_is_zone_silent(services->fleet, machine->zone) &&
         rp_ts_since(now, services->fleet->context.led_since) >
-            services->settings->report_s * REPORT_FACTOR + LED_S)
+            services->settings->report_s * LATE_HEARTBEAT_FACTOR + NEW_LEADER_GRACE_S)
         rp_fleet_scale_in(services->fleet, machine, "replicas_wait");
     else
         rp_probe_send(&services->workers->context, machine);
 }
 
 void rp_silent_machines_step(struct rp_services *services, struct timespec now) {
-    uint32_t cut_zones = partitioned_zones(services, now);
+    uint32_t partitioned_zones = find_partitioned_zones(services, now);
     for (struct rp_machine *machine = services->cluster->first; machine; machine = machine->next)
-        watch_machine(services, machine, cut_zones, now);
+        check_machine(services, machine, partitioned_zones, now);
 }
--- a/src/scheduler/silent_machines.h
+++ b/src/scheduler/silent_machines.h
@@ -1,17 +1,17 @@
 /** @file
- * What is done about machines that fall silent with replicas on them. A machine that hangs or has
- * died takes its replicas with it, and nobody may start them elsewhere before its lease has
- * expired, unless it is certainly terminated: the cloud's answer to its deletion makes that certain
- * within a moment. So one that neither sends heartbeats nor answers probes is scaled in. Not where
- * many are silent: then it is the network, behind which they go on. */
+ * Handles machines that become silent while they hold replicas. When a machine hangs or has died,
+ * its replicas may not be started elsewhere before its lease has expired, unless it is certainly
+ * terminated: the cloud's answer to its deletion confirms that within a moment. Therefore a machine
+ * that neither sends heartbeats nor answers probes is scaled in. If many machines are silent, none
+ * is scaled in: the cause is then the network, and they continue to run behind a partition. */
 #ifndef RP_SCHEDULER_SILENT_MACHINES_H
 #define RP_SCHEDULER_SILENT_MACHINES_H
 
 #include "scheduler/services.h"
 
 /** Whether the machine's heartbeats arrive when they are due. */
-bool rp_silent_machines_is_heard(const struct rp_services *services,
-                                 const struct rp_machine *machine, struct timespec now);
+bool rp_silent_machines_is_reporting(const struct rp_services *services,
+                                     const struct rp_machine *machine, struct timespec now);
 /** Probes the silent machines that hold replicas, and scales in those that answer no probe. */
 void rp_silent_machines_step(struct rp_services *services, struct timespec now);
 
--- a/src/scheduler/task_moves.h
+++ b/src/scheduler/task_moves.h
@@ -1,45 +1,47 @@
 /** @file
- * Where the tasks of a machine could go on if it were drained, and how much longer other machines
- * would have to be kept for them. The capacity found for one task is taken, so that it isn't found
- * twice. Used by machine_draining.h within one cycle. */
+ * Finds where the tasks of a machine could continue if it were drained, and how much longer other
+ * machines would have to be kept for them. The capacity found for one task is taken, so that it is
+ * not found again for another. Used by machine_draining.h within one cycle. */
 #ifndef RP_SCHEDULER_TASK_MOVES_H
 #define RP_SCHEDULER_TASK_MOVES_H
 
 #include "scheduler/scheduler.h"
 
-/** Seconds that stopping a task here and starting it there takes. */
+/** Seconds that stopping a task on one machine and starting it on another take. */
 #define RP_TASK_MOVE_S 10
 
-/** What every machine has free, in the order of the cluster's list, as it is used up by tasks that
- * are to move. */
+/** The free resources of every machine, in the order of the cluster's list, less what tasks that
+ * are to be moved take of them. */
 struct rp_task_moves {
-    struct rp_resources *free;
-    bool *is_source; /* machines being drained: nothing moves there */
-    size_t n;        /* machines */
+    struct rp_resources *free_resources;
+    bool *is_source; /* marks the machines being drained, to which no task is moved */
+    size_t n_machines;
 };
 
-/** Fills both arrays from the cluster, where the machines being drained are the sources. Returns
- * false when memory is short. Caller calls rp_task_moves_free in either case. */
+/** Fills both arrays from the cluster; the machines being drained are marked as sources. Returns
+ * false when memory is short. The caller must call rp_task_moves_free in either case. */
 bool rp_task_moves_init(struct rp_task_moves *moves, const struct rp_scheduler *scheduler);
 /** Frees the arrays. */
 void rp_task_moves_free(struct rp_task_moves *moves);
 /** Whether the task may be moved: it keeps its progress when stopped, or is a replica, which has
- * none, and its start counts already. */
+ * none, and it has run for long enough that its start counts already. */
 bool rp_task_moves_is_movable(const struct rp_allocation *allocation, struct timespec now);
-/** What one_zone and spread say of a task on the target machine, once it has left its own. */
+/** Whether the job's one_zone and spread settings allow one of its tasks to move from its machine
+ * to the target machine. */
 bool rp_task_moves_may_change_zone(const struct rp_machine *from, const struct rp_machine *target,
                                    const struct rp_job *job);
-/** Seconds until the allocation is free by itself. */
+/** Seconds until the allocation's resources are free without the task being stopped. */
 double rp_task_moves_occupied_s(const struct rp_scheduler *scheduler,
                                 const struct rp_machine *machine,
                                 const struct rp_allocation *allocation, struct timespec now);
-/** Takes capacity on other machines for all tasks of the machine. Returns how much longer these
- * have to be kept for them, in money, or a negative number when there is no room for all: then
- * nothing is taken. */
-double rp_task_moves_take(const struct rp_scheduler *scheduler, struct rp_task_moves *moves,
-                          const struct rp_machine *machine, struct timespec now);
-/** The same price, without taking the capacity. */
-double rp_task_moves_price(const struct rp_scheduler *scheduler, struct rp_task_moves *moves,
-                           const struct rp_machine *machine, struct timespec now);
+/** Takes capacity on other machines for all tasks of the machine. Returns what it costs to keep
+ * these machines longer for them, as hourly price times seconds, the largest amount of any task.
+ * Returns a negative number if the capacity is not enough for all tasks: then nothing is taken. */
+double rp_task_moves_take_capacity(const struct rp_scheduler *scheduler,
+                                   struct rp_task_moves *moves, const struct rp_machine *machine,
+                                   struct timespec now);
+/** The cost that rp_task_moves_take_capacity would return; no capacity is taken. */
+double rp_task_moves_extra_cost(const struct rp_scheduler *scheduler, struct rp_task_moves *moves,
+                                const struct rp_machine *machine, struct timespec now);
 
 #endif
--- a/tests/simulation/test_large_fleet.c
+++ b/tests/simulation/test_large_fleet.c
@@ -41,7 +41,7 @@
     const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
     unsigned long reads = sim->n_state_reads;
     unsigned long polls = sim->n_polls;
-    unsigned long probes = node->scheduler.n_probes;
+    unsigned long probes = node->scheduler.n_machines_examined;
     unsigned long cycles = node->scheduler.n_cycles;
     sim_run(sim, 8);
     for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
@@ -55,7 +55,7 @@
     /* Each heuristic may look at each machine a few times, not once for every group. */
     cycles = node->scheduler.n_cycles - cycles;
     assert_more_than(cycles, 0);
-    assert_less_than(node->scheduler.n_probes - probes, 6 * 1304 * cycles);
+    assert_less_than(node->scheduler.n_machines_examined - probes, 6 * 1304 * cycles);
     assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
