--- a/src/election/election.c
+++ b/src/election/election.c
@@ -9,24 +9,31 @@
 #include "base/string_copy.h"
 #include "store/records.h"
 
-/* The steady clock may run 0.05% fast against the store's: four times that, and a little for the
- * clock's steps and for a turn of the event loop that ends between the check and the sending. */
-#define CLOCK_DRIFT 0.002
+/* Share of a lease's length by which this node trusts its own lease for less time, and a fenced
+ * leader's for more. The steady clock may run 0.05% fast against the store's clock; this is four
+ * times that. */
+#define CLOCK_DRIFT_SHARE 0.002
+/* Margin added to that of the drift, for steps of the clock and for a turn of the event loop that
+ * ends between the check of the lease and the sending of a message. */
 #define CLOCK_MARGIN_S 0.15
-/* Beyond the lease's length; a leader whose key was read longer ago may have ended since. */
-#define STALE_SLACK_S 2.0
-/* Beyond the lease's length; a leader silent for longer that still has the key renews its lease. */
-#define SILENT_SLACK_S 0.5
-#define RETRY_S 0.25
-/* Between renewals, at most: what the lease has lost since the last one is missing when an outage
- * of the store begins. */
-#define RENEWAL_PERIOD_S 0.5
-#define RENEWALS_PER_LEASE 8 /* at least, where the lease is short */
-/* The lease's length, at most, in a term that begins because the leader before fell silent: one
- * node is likely down, and where this leader falls silent too, workers have too few nodes left to
- * try. Each waits 4 s for an answer, tries the next node a second later, and is held there for up
- * to 3.7 s (worker/heartbeat_queue.c); by then the next leader has to be known. */
-#define SILENT_TTL_S 7.5
+/* Time beyond the lease's length for which the leader read last is reported as the leader. One
+ * whose key was read longer ago may have lost it since. */
+#define STALE_LEADER_SLACK_S 2.0
+/* Time beyond the lease's length for which a silent leader may have stopped. One that is silent for
+ * longer and still has the key must be renewing its lease. */
+#define SILENT_LEADER_SLACK_S 0.5
+/* Delay before the next attempt after a request has failed. */
+#define RETRY_DELAY_S 0.25
+/* Longest time between renewals. When an outage of the store begins, the lease has already lost the
+ * time since its last renewal. */
+#define RENEWAL_PERIOD_MAX_S 0.5
+/* Fewest renewals within the length of a lease; shortens the renewal period of a short lease. */
+#define RENEWALS_PER_LEASE_MIN 8
+/* Longest lease of a term that begins because the previous leader fell silent. One node is then
+ * probably down, and if this leader falls silent too, workers have too few nodes left to try. A
+ * worker waits 4 s for an answer, tries the next node a second later, and is held there for up to
+ * 3.7 s (worker/heartbeat_queue.c); by then the next leader has to be known. */
+#define TTL_AFTER_SILENT_LEADER_MAX_S 7.5
 
 static void on_timer(void *arg);
 
@@ -45,28 +52,30 @@
                                      .timer = {.fn = on_timer, .arg = election}};
 }
 
-/* ---- questions ---- */
+/* ---- validity and the current leader ---- */
 
 struct timespec rp_election_trusted_until(struct timespec sent, double ttl_s) {
-    return rp_ts_after(sent, ttl_s * (1.0 - CLOCK_DRIFT) - CLOCK_MARGIN_S);
+    return rp_ts_after(sent, ttl_s * (1.0 - CLOCK_DRIFT_SHARE) - CLOCK_MARGIN_S);
 }
 
 bool rp_election_is_valid(const struct rp_election *election, struct timespec now) {
     return election->state == RP_ELECTION_HOLDING_KEY && !rp_ts_reached(now, election->valid_until);
 }
 
-/* Whether the leader stands still or has ended. One that still has the key when any lease would
- * have ended lives, and only this node can't reach it. */
+/* Whether the leader has stalled or terminated. A leader that still has the key when any lease
+ * would have ended is running, and only this node cannot reach it. */
 static bool is_leader_silent(const struct rp_election *election, struct timespec now) {
     return !rp_ts_zero(election->leader_silent_since) &&
-           rp_ts_since(now, election->leader_silent_since) < election->ttl_s + SILENT_SLACK_S;
+           rp_ts_since(now, election->leader_silent_since) <
+               election->ttl_s + SILENT_LEADER_SLACK_S;
 }
 
-/* A node that is cut off from the store knows of a leader that may have ended long ago: workers
- * must not be sent round in circles on such knowledge. */
+/* Whether the leader was read recently enough to be reported. A node that is cut off from the store
+ * would otherwise report a leader that may have terminated long ago, and workers would be
+ * redirected in circles. */
 static bool is_leader_known(const struct rp_election *election, struct timespec now) {
     double age_s = rp_ts_since(now, election->leader_key_read_at);
-    return election->leader[0] && age_s <= election->ttl_s + STALE_SLACK_S;
+    return election->leader[0] && age_s <= election->ttl_s + STALE_LEADER_SLACK_S;
 }
 
 const char *rp_election_leader(const struct rp_election *election, struct timespec now) {
@@ -81,55 +90,63 @@
     rp_kv_txn_if(txn, RP_KEY_LEADER, election->fencing_token);
 }
 
-/* Whether the time has passed for which a key that this node gave up is left to the others. That
- * holds also while its lease's end, which may be carried out seconds later, hasn't taken this
- * node's name out of the key yet. */
+/* Whether the time has passed for which this node leaves a key that it gave up to the other nodes.
+ * The backoff applies also while the key still names this node, since the revocation of its lease
+ * may be carried out seconds later. */
 static bool is_backoff_over(const struct rp_election *election) {
     return rp_ts_reached(rp_loop_now(election->loop), election->backoff_until);
 }
 
-/* ---- the state ---- */
+/* ---- state transitions ---- */
 
 struct transition {
     enum rp_election_state from, to;
 };
 
-/* The changes of state that there are, and what is known when each is made. docs/safety.md,
- * "Failovers", has the argument why that is enough. */
+/* All transitions, each with its event and what is known when it is made. docs/safety.md,
+ * "Failovers", has the argument why that is sufficient. */
 static const struct transition transitions[] = {
-    /* The key was read, names another node, and names the lease by which that node, or one that it
-     * fenced, may act. Nothing is known of whether it still does. */
+    /* rp_election_fence_leader was called. The key was read, names another node, and names the
+     * lease by which that node, or one that it fenced, may act. Whether that node still acts is not
+     * known. */
     {RP_ELECTION_FOLLOWING, RP_ELECTION_OVERWRITING_KEY},
-    /* The key was read and names this node, which doesn't hold it: an earlier process of this node
-     * wrote it when it had fenced a leader, whose lease it names. That leader may still act. */
+    /* The key was read and names this node, which does not hold it: an earlier process of this node
+     * wrote it when it had fenced a leader, whose lease the key names. That leader may still act.
+     */
     {RP_ELECTION_FOLLOWING, RP_ELECTION_REVOKING_LEASE},
-    /* The key was read. Either it is free: the lease of whoever held it has ended. Or it names this
-     * node, and no leader that it had fenced: an earlier process, which has ended, or a claim whose
-     * answer was lost. Nobody acts on that claim, so there is no need to wait for its lease. */
+    /* The key was read. Either it is free, because the lease of its last holder has ended, or it
+     * names this node and no fenced leader. In the second case it was written by an earlier
+     * process, which has terminated, or by a claim whose answer was lost. No node acts on that
+     * claim, hence this node need not wait for its lease to end. */
     {RP_ELECTION_FOLLOWING, RP_ELECTION_ACQUIRING_LEASE},
-    /* The key was written over at a known revision. Every guarded write of the earlier leader fails
-     * from now on, but it may still answer workers. */
+    /* The store confirmed that the key was overwritten, at a known revision. Every guarded write of
+     * the earlier leader fails from now on, but that leader may still answer workers. */
     {RP_ELECTION_OVERWRITING_KEY, RP_ELECTION_REVOKING_LEASE},
-    /* A conflict, a refusal, or no answer. If the write was carried out all the same, the next read
-     * shows this node's name with the lease that is to be ended. */
+    /* Overwriting the key failed with a conflict, was refused, or was not answered. If the write
+     * was carried out nevertheless, the next read shows this node's name with the lease that has to
+     * be revoked. */
     {RP_ELECTION_OVERWRITING_KEY, RP_ELECTION_FOLLOWING},
-    /* No confirmation came: the end of the lease is asked for again. */
+    /* The store did not confirm the revocation of the lease, which is requested again. */
     {RP_ELECTION_REVOKING_LEASE, RP_ELECTION_REVOKING_LEASE},
-    /* The store has confirmed that the lease has ended. The earlier leader can renew nothing more,
-     * and what it renewed before ends by fenced_leader_expiry. */
+    /* The store confirmed that the lease has ended. The earlier leader can renew nothing more, and
+     * its earlier renewals are valid until fenced_leader_expiry at the latest. */
     {RP_ELECTION_REVOKING_LEASE, RP_ELECTION_ACQUIRING_LEASE},
-    /* A lease of this node's own was granted. */
+    /* The store granted a lease to this node. */
     {RP_ELECTION_ACQUIRING_LEASE, RP_ELECTION_CLAIMING_KEY},
-    /* None was, or no answer came; such a lease has no key. */
+    /* No lease was granted, or no answer came. No key is attached to a lease that was granted
+     * without an answer. */
     {RP_ELECTION_ACQUIRING_LEASE, RP_ELECTION_FOLLOWING},
-    /* The key was written with the lease, on the condition of the revision that the claim began
-     * with: nobody else has held it since. Its revision is the fencing token. */
+    /* The store confirmed that the key was written, attached to the lease, on the condition that
+     * it still had the revision with which the claim began. No other node has held the key since.
+     * The revision of the write is the fencing token. */
     {RP_ELECTION_CLAIMING_KEY, RP_ELECTION_HOLDING_KEY},
-    /* Another node was faster, or no answer came. */
+    /* The claim failed: another node wrote the key first, or the store refused the claim or did not
+     * answer. */
     {RP_ELECTION_CLAIMING_KEY, RP_ELECTION_FOLLOWING},
-    /* The lease has ended, the key was read and is another's or free, a fence of a later revision
-     * was seen, or this node gives the key up. That its leadership could not be proven for a while
-     * is no reason: rp_election_is_valid stops it from acting meanwhile. */
+    /* The lease has ended, a read showed the key to be free or another node's, a fence of a later
+     * revision was received, or this node gave up the key. A period in which leadership could not
+     * be proven does not end the term: rp_election_is_valid keeps this node from acting meanwhile.
+     */
     {RP_ELECTION_HOLDING_KEY, RP_ELECTION_FOLLOWING}};
 
 static bool is_transition(enum rp_election_state from, enum rp_election_state to) {
@@ -139,7 +156,7 @@
     return false;
 }
 
-/* The one place where the election changes its state. */
+/* Changes the state and calls the call-backs. No other function assigns `state`. */
 static void set_state(struct rp_election *election, enum rp_election_state state) {
     bool was_holding = election->state == RP_ELECTION_HOLDING_KEY;
     bool is_expected = is_transition(election->state, state);
@@ -174,7 +191,7 @@
 
 static void schedule_renewal(struct rp_election *election) {
     rp_timer_set(election->loop, &election->timer,
-                 fmin(RENEWAL_PERIOD_S, election->term_ttl_s / RENEWALS_PER_LEASE));
+                 fmin(RENEWAL_PERIOD_MAX_S, election->term_ttl_s / RENEWALS_PER_LEASE_MIN));
 }
 
 static void on_key_claimed(void *arg, const struct rp_kv_result *result) {
@@ -187,14 +204,14 @@
         schedule_renewal(election);
         return;
     }
-    /* Where the claim wasn't answered it may have been carried out: the lease is left to its time,
-     * and the next read shows this node's own name, which is claimed again. */
+    /* A claim that was not answered may have been carried out. Its lease is then left to expire,
+     * and the next read shows this node's own name, upon which the key is claimed again. */
     if (result->outcome == RP_KV_CONDITION_FAILED)
         rp_kv_lease_revoke(election->store, election->lease, ignore_result, NULL);
-    follow(election, RETRY_S);
+    follow(election, RETRY_DELAY_S);
 }
 
-/* The key's value for this node's next term. The lease is named only where other nodes may end it
+/* The key's value for this node's next term. It names the lease only if other nodes may revoke it
  * in a failover. */
 static json_t *own_record(const struct rp_election *election, uint64_t lease) {
     struct rp_leader_record record = {.fenced = election->fenced_lease};
@@ -208,7 +225,7 @@
     struct rp_election *election = arg;
     uint64_t lease = rp_kv_result_lease(result);
     if (result->outcome != RP_KV_OK || lease == RP_KV_NO_LEASE) {
-        follow(election, RETRY_S);
+        follow(election, RETRY_DELAY_S);
         return;
     }
     election->lease = lease;
@@ -219,14 +236,13 @@
     rp_kv_txn_submit(election->store, RP_KV_BUDGET_LEADERSHIP, txn, on_key_claimed, election);
 }
 
-/* The length of the next term's lease. */
 static double next_term_ttl_s(const struct rp_election *election) {
-    /* Whoever finds this node's key free has waited for its lease, which is then at least as long
-     * as the fenced leader may act. */
+    /* A node that finds this node's key free has waited for this node's lease to end. With this
+     * length, the lease lasts at least as long as the fenced leader may act. */
     if (election->fenced_lease.lease != RP_KV_NO_LEASE)
         return fmax(election->ttl_s, election->fenced_lease.ttl_s);
     if (!rp_ts_zero(election->leader_silent_since))
-        return fmin(SILENT_TTL_S, election->ttl_s);
+        return fmin(TTL_AFTER_SILENT_LEADER_MAX_S, election->ttl_s);
     return election->ttl_s;
 }
 
@@ -243,15 +259,15 @@
         return;
     bool has_ended = result->outcome == RP_KV_OK || result->outcome == RP_KV_NOT_FOUND;
     if (!has_ended) {
-        /* Nobody leads before that lease has ended. */
-        rp_timer_set(election->loop, &election->timer, RETRY_S);
+        /* No node may lead before that lease has ended, hence the revocation is requested again. */
+        rp_timer_set(election->loop, &election->timer, RETRY_DELAY_S);
         return;
     }
-    /* Whatever renewal the fenced leader trusts was sent before the lease's end, and that was
-     * before now. */
+    /* Every renewal that the fenced leader trusts was sent before the lease ended, and the lease
+     * ended before now. */
     election->fenced_leader_expiry =
         rp_ts_after(rp_loop_now(election->loop),
-                    election->fenced_lease.ttl_s * (1.0 + CLOCK_DRIFT) + CLOCK_MARGIN_S);
+                    election->fenced_lease.ttl_s * (1.0 + CLOCK_DRIFT_SHARE) + CLOCK_MARGIN_S);
     acquire_lease(election);
 }
 
@@ -261,8 +277,9 @@
                        election);
 }
 
-/* Begins a claim of the key as it stands at `revision`. `fenced` is the lease of an earlier leader
- * that may still act, and has to end first; without one, nobody may. */
+/* Begins a claim of the key whose current revision is `revision`. `fenced` is the lease of an
+ * earlier leader that may still act; it has to end first. RP_KV_NO_LEASE in it means that no
+ * earlier leader may still act. */
 static void claim_key(struct rp_election *election, uint64_t revision,
                       struct rp_fenced_lease fenced) {
     election->claim_revision = revision;
@@ -281,7 +298,7 @@
     if (result->outcome == RP_KV_OK)
         claim_key(election, rp_kv_result_revision(result), election->fenced_lease);
     else
-        follow(election, RETRY_S);
+        follow(election, RETRY_DELAY_S);
 }
 
 static bool can_fence_leader(const struct rp_election *election) {
@@ -294,7 +311,8 @@
 bool rp_election_fence_leader(struct rp_election *election) {
     const struct rp_leader_record *leader = &election->leader_key;
     bool can_fence = can_fence_leader(election);
-    /* A node whose own failover has stopped halfway holds no lease yet. */
+    /* A node whose own failover has stopped halfway holds no lease yet; its key names only the
+     * lease of the leader that it fenced. */
     election->fenced_lease = leader->own.lease != RP_KV_NO_LEASE ? leader->own : leader->fenced;
     if (!can_fence || election->fenced_lease.lease == RP_KV_NO_LEASE)
         return false;
@@ -319,8 +337,9 @@
 
 /* ---- following ---- */
 
-/* A leader that stands still keeps the key until its lease ends: workers that were sent back to it
- * waited there once more, and many lost their lease before they found the next one. */
+/* A stalled leader keeps the key until its lease ends. If its silence were not recorded, workers
+ * would be redirected to it and wait there once more, and many would lose their lease before they
+ * found the next leader. */
 void rp_election_note_leader_answer(struct rp_election *election, bool answered) {
     if (answered)
         election->leader_silent_since = (struct timespec){0};
@@ -331,13 +350,15 @@
 static void note_leader(struct rp_election *election, const struct rp_leader_record *record,
                         uint64_t revision) {
     if (strcmp(record->node, election->leader) != 0)
-        election->leader_silent_since = (struct timespec){0}; /* it was another one's silence */
+        election->leader_silent_since =
+            (struct timespec){0}; /* was the silence of another leader */
     rp_string_copy(election->leader, sizeof election->leader, record->node);
     election->leader_key = *record;
     election->leader_key_revision = revision;
 }
 
-/* Takes in what was read of the key, and claims it where that is due: then true. */
+/* Records the result of a read of the key, and claims the key if it is free or names this node and
+ * no backoff applies. Returns whether a claim has begun. */
 static bool read_leader_key(struct rp_election *election, const struct rp_kv_result *result) {
     static const struct rp_fenced_lease none = {0};
     struct rp_leader_record record = {0};
@@ -364,17 +385,17 @@
 static void on_leader_key_read(void *arg, const struct rp_kv_result *result) {
     struct rp_election *election = arg;
     if (election->state != RP_ELECTION_FOLLOWING)
-        return; /* a failover has begun meanwhile */
+        return; /* a failover has begun since the read was sent */
     if (result->outcome == RP_KV_OK)
         election->leader_key_read_at = rp_loop_now(election->loop);
     if (!read_leader_key(election, result))
         rp_timer_set(election->loop, &election->timer,
-                     result->outcome == RP_KV_OK ? election->check_s : RETRY_S);
+                     result->outcome == RP_KV_OK ? election->check_s : RETRY_DELAY_S);
 }
 
 /* ---- holding the key ---- */
 
-/* A renewal that was sent. */
+/* A renewal request that was sent. */
 struct renewal {
     struct rp_election *election;
     uint64_t lease;
@@ -385,8 +406,8 @@
     struct renewal renewal = *(struct renewal *)arg;
     struct rp_election *election = renewal.election;
     free(arg);
-    /* The answer to a renewal of an earlier term's lease says nothing of this one's: taken for it,
-     * it proved a lease that nobody had renewed, or ended a term that was sound. */
+    /* The answer to a renewal of an earlier term's lease does not apply to this term's lease.
+     * Without this check, it proves a lease that was not renewed, or ends a valid term. */
     if (election->state != RP_ELECTION_HOLDING_KEY || renewal.lease != election->lease)
         return;
     switch (result->outcome) {
@@ -394,13 +415,13 @@
         follow(election, 0);
         break;
     case RP_KV_OK:
-        /* While the lease lives, the key is attached to it and nobody else can have written it:
-         * leadership goes on even if it could not be proven for a while. */
+        /* As long as the lease exists, the key is attached to it and no other node can have written
+         * the key. Leadership continues even if it could not be proven for a while. */
         election->valid_until = rp_election_trusted_until(renewal.sent_at, election->term_ttl_s);
         schedule_renewal(election);
         break;
     default:
-        rp_timer_set(election->loop, &election->timer, RETRY_S);
+        rp_timer_set(election->loop, &election->timer, RETRY_DELAY_S);
     }
 }
 
@@ -434,8 +455,8 @@
         return;
     rp_info("resigning leadership: backoff_s=%.1f", backoff_s);
     election->backoff_until = rp_ts_after(now, backoff_s);
-    /* While a leader that was fenced may still act, the key must not be found free: then it ends
-     * with its lease, which is long enough (next_term_ttl_s). */
+    /* While a fenced leader may still act, no node may find the key free. In that case the lease is
+     * left to expire; it is long enough (next_term_ttl_s). */
     if (rp_ts_reached(now, election->fenced_leader_expiry))
         rp_kv_lease_revoke(election->store, election->lease, ignore_result, NULL);
     follow(election, election->check_s);
@@ -443,8 +464,8 @@
 
 /* ---- the timer ---- */
 
-/* What is to be done next in the present state; in those that need nothing an answer is awaited,
- * which always comes. */
+/* Starts the next step of the current state. In the states without one, this node waits for an
+ * answer, which always arrives. */
 static void on_timer(void *arg) {
     struct rp_election *election = arg;
     switch (election->state) {
