--- a/src/api/status.c
+++ b/src/api/status.c
@@ -43,9 +43,9 @@
 
 static void set_node_counters(json_t *object, const struct rp_status_sources *sources) {
     const struct rp_worker_counters *worker_counters = &sources->workers->context.counters;
-    const struct counter counters[] = {{"nodes_known", sources->upgrade->n_known},
-                                       {"state_too_fast", sources->store->n_too_fast},
-                                       {"state_too_large", sources->store->n_bad},
+    const struct counter counters[] = {{"nodes_known", sources->upgrade->n_nodes_announced},
+                                       {"state_too_fast", sources->store->n_rate_limited},
+                                       {"state_too_large", sources->store->n_rejected},
                                        {"state_shed", sources->store->n_shed},
                                        {"unreadable", sources->jobs->record_reader.n_unreadable},
                                        {"rounds", sources->scheduler->n_cycles},
--- a/src/api/submission_record.c
+++ b/src/api/submission_record.c
@@ -58,7 +58,7 @@
         return;
     }
     if (rp_upgrade_is_active(upgrade))
-        out->n = rp_record_cut(record, value_max_bytes, out->values, n_pieces_max(upgrade));
+        out->n = rp_record_split(record, value_max_bytes, out->values, n_pieces_max(upgrade));
     json_decref(record);
 }
 
--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -314,7 +314,7 @@
         read_key(request, key, on_terminal_record_read);
         break;
     case REQUEST_READING_FORMAT:
-        read_key(request, RP_KEY_FORMAT, on_format_read);
+        read_key(request, RP_KEY_ACTIVATION, on_format_read);
         break;
     case REQUEST_WRITING:
         if (request->kind == REQUEST_SUBMIT)
--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -110,7 +110,7 @@
                             const struct rp_kv_result *result) {
     const struct rp_fleet_context *context = provisioning->context;
     if (result->outcome == RP_KV_CONDITION_FAILED &&
-        rp_kv_result_failed_on(result, RP_KEY_LEADER)) {
+        rp_kv_result_has_failed_condition(result, RP_KEY_LEADER)) {
         rp_election_verify(context->election);
         rp_provision_request_retry_after(context, request, FENCED_RETRY_S);
         return;
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -18,7 +18,7 @@
 /* A node takes part in elections once it knows the machine types, and that no later version's
  * format is active. */
 static void join_elections(struct rp_node *node) {
-    bool is_ready = node->catalog_source.known && node->upgrade.activation_read;
+    bool is_ready = node->catalog_source.known && node->upgrade.has_read_activation;
     if (!is_ready || node->is_electing || node->upgrade.state == RP_UPGRADE_TOO_OLD)
         return;
     node->is_electing = true;
--- a/src/jobs/job_finisher.c
+++ b/src/jobs/job_finisher.c
@@ -42,7 +42,7 @@
     }
     rp_job_table_set_state(finisher->table, job, RP_JOB_COMPLETE);
     if (result->outcome == RP_KV_CONDITION_FAILED &&
-        rp_kv_result_failed_on(result, RP_KEY_LEADER)) {
+        rp_kv_result_has_failed_condition(result, RP_KEY_LEADER)) {
         rp_election_verify(context->election);
     } else if (result->outcome == RP_KV_BAD_REQUEST) {
         rp_garbage_collector_on_txn_refused(finisher->collector);
--- a/src/jobs/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -56,7 +56,7 @@
     if (result->outcome != RP_KV_CONDITION_FAILED)
         return RP_LOOKUP_UNAVAILABLE;
     rp_key(key, RP_KEY_OPEN, job_id);
-    return rp_kv_result_failed_on(result, key) ? RP_LOOKUP_OPEN : RP_LOOKUP_NOT_OPEN;
+    return rp_kv_result_has_failed_condition(result, key) ? RP_LOOKUP_OPEN : RP_LOOKUP_NOT_OPEN;
 }
 
 static void on_batch_response(void *arg, const struct rp_kv_result *result) {
--- a/src/jobs/job_watch.c
+++ b/src/jobs/job_watch.c
@@ -123,7 +123,7 @@
     struct rp_partial_record *partial = rp_record_reader_find(watch->reader, job_id);
     if (partial) {
         struct rp_stored_records parts =
-            rp_stored_records_of_parts(rp_record_parts(partial->record));
+            rp_stored_records_of_parts(rp_record_n_parts(partial->record));
         partial->is_cancelled = true;
         rp_garbage_collector_add(watch->collector, job_id, &parts);
     } else if (job && job->state != RP_JOB_CLOSED) {
--- a/src/jobs/progress_writer.c
+++ b/src/jobs/progress_writer.c
@@ -125,7 +125,7 @@
     rp_progress_record_key(key, job->spec.id, record);
     bool may_be_written = result->outcome == RP_KV_UNKNOWN;
     bool has_other_revision =
-        result->outcome == RP_KV_CONDITION_FAILED && rp_kv_result_failed_on(result, key);
+        result->outcome == RP_KV_CONDITION_FAILED && rp_kv_result_has_failed_condition(result, key);
     rp_job_progress_apply(&job->progress, record, RP_PROGRESS_WRITE_FAILED);
     if (may_be_written || has_other_revision)
         rp_job_progress_set_revision(&job->progress, record, RP_PROGRESS_REVISION_UNKNOWN);
@@ -156,7 +156,8 @@
         else
             note_write_failed(job, written->record, result);
     }
-    if (result->outcome == RP_KV_CONDITION_FAILED && rp_kv_result_failed_on(result, RP_KEY_LEADER))
+    if (result->outcome == RP_KV_CONDITION_FAILED &&
+        rp_kv_result_has_failed_condition(result, RP_KEY_LEADER))
         rp_election_verify(writer->context->election);
     if (result->outcome == RP_KV_BAD_REQUEST)
         note_refused_as_large(writer, write);
--- a/src/jobs/record_reader.c
+++ b/src/jobs/record_reader.c
@@ -60,7 +60,7 @@
 }
 
 void rp_record_reader_read(struct rp_record_reader *reader, const struct rp_kv_item *item) {
-    if (rp_record_format(item->value) <= RP_FORMAT && rp_record_parts(item->value)) {
+    if (rp_record_format(item->value) <= RP_FORMAT && rp_record_n_parts(item->value)) {
         add_partial_record(reader, item);
         return;
     }
@@ -97,7 +97,7 @@
 static json_t *join_record(const struct rp_partial_record *partial,
                            const struct rp_kv_result *result) {
     json_t *pieces[RP_PARTS_MAX] = {partial->record};
-    size_t n_parts = rp_record_parts(partial->record);
+    size_t n_parts = rp_record_n_parts(partial->record);
     size_t n_found = 0;
     size_t n = rp_kv_result_n_items(result);
     for (size_t i = 0; i < n; i++) {
@@ -119,7 +119,7 @@
     struct rp_job *job = record ? add_job(reader, record, partial->revision) : NULL;
     json_decref(record);
     if (job) {
-        job->stored = rp_stored_records_of_parts(rp_record_parts(partial->record));
+        job->stored = rp_stored_records_of_parts(rp_record_n_parts(partial->record));
         return;
     }
     char key[RP_KEY_MAX];
--- a/src/store/keys.c
+++ b/src/store/keys.c
@@ -5,9 +5,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define UNIT_MARK                                                                                  \
-    'u' /* before a unit's number: a node of format 1 takes no such key for its own                \
-         */
+/* Precedes the number of a unit in its key, so that a node of format 1 does not read the key as
+ * that of a chunk. */
+#define UNIT_MARK 'u'
 
 void rp_key(char out[RP_KEY_MAX], const char *prefix, const char *name) {
     snprintf(out, RP_KEY_MAX, "%s%s", prefix, name);
@@ -40,7 +40,7 @@
     return slash + 1;
 }
 
-/* Whether `text` is a decimal number below `limit`. */
+/* Reads a decimal number; returns false unless `text` is one below `limit`. */
 static bool read_number(const char *text, unsigned limit, unsigned *out) {
     char *end;
     if (!isdigit((unsigned char)*text))
@@ -50,13 +50,13 @@
     return !*end && number < limit;
 }
 
-bool rp_key_progress_read(const char *key, char job[RP_ID_MAX], unsigned *piece, bool *unit) {
+bool rp_key_progress_read(const char *key, char job[RP_ID_MAX], unsigned *index, bool *is_unit) {
     const char *rest = split_key(key, RP_KEY_PROGRESS, job);
     if (!rest)
         return false;
-    *unit = *rest == UNIT_MARK;
-    return *unit ? read_number(rest + 1, RP_UNITS_MAX, piece)
-                 : read_number(rest, RP_CHUNKS_MAX, piece);
+    *is_unit = *rest == UNIT_MARK;
+    return *is_unit ? read_number(rest + 1, RP_UNITS_MAX, index)
+                    : read_number(rest, RP_CHUNKS_MAX, index);
 }
 
 bool rp_key_part_read(const char *key, char job[RP_ID_MAX], unsigned *part) {
--- a/src/store/kv_budget.c
+++ b/src/store/kv_budget.c
@@ -2,26 +2,33 @@
 
 #include <math.h>
 
-/* Parts of the store's requests a second, and of one second's worth the most at once. The leader's
- * hold for the one node that leads, the users' for all nodes together. */
+/* Shares of the store's requests per second, and the largest bursts, in seconds of the store's full
+ * rate. The leader's values apply to the one node that leads, the users' values to all nodes
+ * together; only the burst of submissions applies to each node. */
 #define LEADER_REQUEST_SHARE 0.3
 #define LEADER_REQUEST_BURST_S 0.25
 #define QUERIES_REQUEST_SHARE 0.45
 #define QUERIES_REQUEST_BURST_S 0.35
 #define SUBMISSIONS_REQUEST_SHARE 0.1
 #define SUBMISSIONS_REQUEST_BURST_S 0.05
-/* Of the leader's part of the changes (setting `leader_write_share`): some is left for what other
- * nodes write about themselves. */
-#define LEADER_WRITE_SHARE 0.9
+/* Share that the leader uses of its part of the changes (setting `leader_write_share`); the rest is
+ * left for what other nodes write about themselves. */
+#define LEADER_WRITE_USED_SHARE 0.9
+/* Largest burst of the leader's changes, in seconds of the rate of its part. */
 #define LEADER_WRITE_BURST_S 0.6
-#define LEADER_WRITE_BURST_LEAST 2.0 /* changes: a job's move to the terminal states is two */
-/* Of its even part that a node may use: balancers never spread evenly. For changes by users it is
- * more, since the leader rarely needs all of its own, and the store refuses what is too much. */
-#define EVEN_SHARE 1.2
-#define SUBMISSIONS_WRITE_SHARE 1.8
-/* Submissions come in bursts, and no node knows of the others': a node may let a quarter of a
- * second's worth of changes go at once, however many nodes there are, and rely on the store to
- * refuse what is too much, which is then tried again. */
+/* Smallest depth of the bucket of the leader's changes: a job's move to the terminal states makes
+ * two changes. */
+#define LEADER_WRITE_BURST_MIN 2.0
+/* Multiple of its even share of the users' requests that a node may use, since load balancers never
+ * spread requests evenly. */
+#define EVEN_SHARE_FACTOR 1.2
+/* The same multiple for changes by users. It is larger, since the leader rarely needs all of its
+ * own changes, and the store refuses those above its limit. */
+#define EVEN_WRITE_SHARE_FACTOR 1.8
+/* Smallest burst of changes by users on a node, in seconds of the store's full rate. Submissions
+ * come in bursts, and no node has information about those of the others. A node may send a quarter
+ * of a second's worth of changes at once, however many nodes there are, and relies on the store to
+ * refuse those above its limit, which are then retried. */
 #define SUBMISSIONS_WRITE_BURST_S 0.25
 
 const char *rp_kv_budget_name(enum rp_kv_budget budget) {
@@ -47,12 +54,12 @@
     double wps = limits->writes_per_s;
     double leader_share = limits->leader_write_share;
     double users_share = 1.0 - leader_share;
-    double even_share = EVEN_SHARE / (double)limits->n_nodes;
-    double submissions_share = users_share * SUBMISSIONS_WRITE_SHARE / (double)limits->n_nodes;
+    double even_share = EVEN_SHARE_FACTOR / (double)limits->n_nodes;
+    double submissions_share = users_share * EVEN_WRITE_SHARE_FACTOR / (double)limits->n_nodes;
     set_rate(&budgets->requests[RP_KV_BUDGET_LEADER], rps * LEADER_REQUEST_SHARE,
              rps * LEADER_REQUEST_BURST_S, now);
-    set_rate(&budgets->writes[RP_KV_BUDGET_LEADER], wps * leader_share * LEADER_WRITE_SHARE,
-             fmax(wps * leader_share * LEADER_WRITE_BURST_S, LEADER_WRITE_BURST_LEAST), now);
+    set_rate(&budgets->writes[RP_KV_BUDGET_LEADER], wps * leader_share * LEADER_WRITE_USED_SHARE,
+             fmax(wps * leader_share * LEADER_WRITE_BURST_S, LEADER_WRITE_BURST_MIN), now);
     set_rate(&budgets->requests[RP_KV_BUDGET_QUERIES], rps * QUERIES_REQUEST_SHARE * even_share,
              rps * QUERIES_REQUEST_BURST_S * even_share, now);
     set_rate(&budgets->requests[RP_KV_BUDGET_SUBMISSIONS],
@@ -78,7 +85,7 @@
 void rp_kv_budgets_penalize(struct rp_kv_budgets *budgets, enum rp_kv_budget budget,
                             unsigned n_writes) {
     struct rp_token_bucket *writes = &budgets->writes[budget];
-    bool is_in_debt = writes->level <= -writes->depth; /* enough has been paid for */
+    bool is_in_debt = writes->level <= -writes->depth; /* enough has been charged */
     if (!is_in_debt)
         rp_token_bucket_take(writes, n_writes);
 }
--- a/src/store/kv_budget.h
+++ b/src/store/kv_budget.h
@@ -1,12 +1,13 @@
 /** @file
- * Request budgets: how many of the requests, and of the changes, that the key-value store allows a
- * second this node may use, and for whom.
+ * Request budgets: how many of the requests per second and changes per second that the key-value
+ * store allows this node may use, and for which purpose.
  *
- * The store's limits hold for all nodes together, and nodes don't know of each other's use. Each
- * budget is a token bucket with a fixed part of a limit, so that the leader, users who submit or
- * cancel, and users who ask can't use up each other's. A request is never cut short by a budget:
- * one that costs more than a bucket holds goes once the bucket is full, and is paid back
- * afterwards. For use by store/kv_client.c, which queues what a budget doesn't let through. */
+ * The store's limits apply to all nodes together, and no node has information about the use of the
+ * others. Each budget is a token bucket with a fixed share of a limit, so that the leader, users
+ * who submit or cancel, and users who query cannot exhaust each other's budgets. A budget never
+ * cuts a request short: one that costs more than a bucket holds is sent once the bucket is full,
+ * and the tokens are paid back afterwards. Called by store/kv_client.c, which queues the requests
+ * that a budget does not let through. */
 #ifndef RP_STORE_KV_BUDGET_H
 #define RP_STORE_KV_BUDGET_H
 
@@ -14,23 +15,23 @@
 #include <stddef.h>
 #include "base/token_bucket.h"
 
-/** Whom a request is for. */
+/** The purpose of a request. */
 enum rp_kv_budget {
-    RP_KV_BUDGET_LEADERSHIP,  /**< elections and watches: few, never wait */
-    RP_KV_BUDGET_LEADER,      /**< what the leader reads and writes */
+    RP_KV_BUDGET_LEADERSHIP,  /**< elections and watches: few requests, which never wait */
+    RP_KV_BUDGET_LEADER,      /**< reads and writes of the leader */
     RP_KV_BUDGET_SUBMISSIONS, /**< users who submit or cancel */
-    RP_KV_BUDGET_QUERIES,     /**< users who ask */
-    RP_KV_BUDGETS             /**< how many there are */
+    RP_KV_BUDGET_QUERIES,     /**< users who query */
+    RP_KV_BUDGETS             /**< number of budgets */
 };
 
 /** A budget's name for log lines. */
 const char *rp_kv_budget_name(enum rp_kv_budget budget);
 
-/** The store's limits, and who may use how much of them. */
+/** The store's limits, and how the nodes share them. */
 struct rp_kv_rate_limits {
-    double requests_per_s; /* of all nodes together */
-    double writes_per_s;   /* changes; a transaction has several */
-    size_t n_nodes;        /* this one included */
+    double requests_per_s; /* limit for all nodes together */
+    double writes_per_s;   /* limit of changes; a transaction makes several */
+    size_t n_nodes;        /* number of nodes, this one included */
     double leader_write_share;
 };
 
@@ -39,8 +40,8 @@
     struct rp_token_bucket requests[RP_KV_BUDGETS], writes[RP_KV_BUDGETS];
 };
 
-/** Sets the rates that follow from the limits; at the first call, of zeroed budgets, the buckets
- * are filled. Later calls leave in them what they held. */
+/** Sets the rates that follow from the limits. The first call, with zeroed budgets, fills the
+ * buckets; later calls keep the tokens that they hold. */
 void rp_kv_budgets_set_limits(struct rp_kv_budgets *budgets, const struct rp_kv_rate_limits *limits,
                               struct timespec now);
 /** Whether a request that makes `n_writes` changes may be sent now. */
@@ -49,11 +50,12 @@
 /** Accounts for a request that is sent. */
 void rp_kv_budgets_spend(struct rp_kv_budgets *budgets, enum rp_kv_budget budget,
                          unsigned n_writes);
-/** The store refused a request as one too many: its limits have come down, or other nodes used them
- * up. The refused changes are paid for once more, so that the pace goes down. */
+/** Accounts for a request that the store refused for its rate limit, because its limits were
+ * lowered or other nodes used them up. The refused changes are charged once more, so that this
+ * node's rate falls. */
 void rp_kv_budgets_penalize(struct rp_kv_budgets *budgets, enum rp_kv_budget budget,
                             unsigned n_writes);
-/** The changes that the budget would let through now; negative while it is being paid back. */
+/** The number of changes that the budget allows now; negative while tokens are paid back. */
 double rp_kv_budgets_write_headroom(struct rp_kv_budgets *budgets, enum rp_kv_budget budget,
                                     struct timespec now);
 
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -9,17 +9,24 @@
 #include "protocol/codec.h"
 #include "protocol/kv_codec.h"
 
-#define ANSWER_S 1.5      /* an answer takes milliseconds, now and then a few hundred */
-#define LIST_ANSWER_S 3.0 /* up to 512 KiB have to come */
-/* How long a request may wait here for its budget. Users come back at once where they are refused;
- * the leader would only ask again. */
-#define QUEUE_USERS_S 0.3
-#define QUEUE_LEADER_S 4.0
-#define QUEUE_CHECK_S 0.02     /* between looks whether a budget lets a waiting request through */
-#define RATE_LIMIT_ATTEMPTS 3  /* of a request that the store refuses as one too many */
-#define RATE_LIMIT_PAUSE_S 0.1 /* before the second attempt; before the third it is twice that */
-#define RATE_LIMIT_LOG_EVERY 100
-#define SHED_LOG_EVERY_S 5.0
+/* Timeout of a request. An answer takes milliseconds, occasionally a few hundred. */
+#define ANSWER_TIMEOUT_S 1.5
+/* Timeout of a list, whose answer can have up to 512 KiB. */
+#define LIST_TIMEOUT_S 3.0
+/* Longest time that a request waits for its budget before it is refused. Users retry at once when
+ * they are refused; the leader would only repeat its request. */
+#define USER_QUEUE_WAIT_MAX_S 0.3
+#define LEADER_QUEUE_WAIT_MAX_S 4.0
+/* Time between checks of whether a budget lets a waiting request through. */
+#define QUEUE_CHECK_INTERVAL_S 0.02
+/* Most attempts at a request that the store refuses for its rate limit. */
+#define RATE_LIMIT_ATTEMPTS_MAX 3
+/* Backoff before the second attempt; before the third it is twice that. */
+#define RATE_LIMIT_BACKOFF_S 0.1
+/* Rate-limited answers for each log line about them. */
+#define RATE_LIMITED_ANSWERS_PER_LOG_LINE 100
+/* Shortest time between log lines about requests shed for one budget. */
+#define SHED_LOG_INTERVAL_S 5.0
 
 enum {
     STATUS_OK = 200,
@@ -33,13 +40,13 @@
 
 struct rp_kv_call {
     struct rp_kv_client *client;
-    struct rp_kv_call *next; /* in its queue */
+    struct rp_kv_call *next; /* next call in the same queue */
     enum rp_kv_budget budget;
     const char *method;
     char *target, *body;
     double timeout_s;
-    unsigned n_writes;  /* changes that it makes */
-    unsigned n_refused; /* attempts that the store refused as one too many */
+    unsigned n_writes;       /* changes that the request makes */
+    unsigned n_rate_limited; /* attempts that the store refused for its rate limit */
     struct timespec queued_at;
     struct rp_timer retry_timer;
     rp_kv_fn fn;
@@ -80,7 +87,8 @@
 }
 
 double rp_kv_failing_s(const struct rp_kv_client *client) {
-    static const double just_failed_s = 1e-3; /* so that it isn't 0 in the moment of the failure */
+    static const double just_failed_s =
+        1e-3; /* keeps the result above 0 at the instant of the failure */
     if (rp_ts_zero(client->failing_since))
         return 0;
     return rp_ts_since(rp_loop_now(client->loop), client->failing_since) + just_failed_s;
@@ -137,9 +145,9 @@
 }
 
 static void note_rate_limit(struct rp_kv_client *client, const struct rp_kv_call *call) {
-    if (client->n_too_fast++ % RATE_LIMIT_LOG_EVERY == 0)
+    if (client->n_rate_limited++ % RATE_LIMITED_ANSWERS_PER_LOG_LINE == 0)
         rp_info("key-value store refuses requests over its rate limit: budget=%s n_refused=%lu",
-                rp_kv_budget_name(call->budget), client->n_too_fast);
+                rp_kv_budget_name(call->budget), client->n_rate_limited);
     rp_kv_budgets_penalize(&client->budgets, call->budget, call->n_writes);
 }
 
@@ -156,17 +164,18 @@
     note_health(client, outcome, answer->status);
     if (answer->status == STATUS_TOO_MANY_REQUESTS) {
         note_rate_limit(client, call);
-        if (++call->n_refused < RATE_LIMIT_ATTEMPTS) {
-            rp_timer_set(client->loop, &call->retry_timer, RATE_LIMIT_PAUSE_S * call->n_refused);
+        if (++call->n_rate_limited < RATE_LIMIT_ATTEMPTS_MAX) {
+            rp_timer_set(client->loop, &call->retry_timer,
+                         RATE_LIMIT_BACKOFF_S * call->n_rate_limited);
             return;
         }
     }
     json_t *body = answer->len ? rp_codec_parse_object(answer->body, answer->len) : NULL;
-    bool is_garbled = answer->len && !body;
-    if (outcome == RP_KV_OK && is_garbled)
+    bool is_malformed = answer->len && !body;
+    if (outcome == RP_KV_OK && is_malformed)
         outcome = RP_KV_UNKNOWN;
     if (outcome == RP_KV_BAD_REQUEST) {
-        client->n_bad++;
+        client->n_rejected++;
         rp_error("key-value store rejected a request: method=%s target=%s answer=%.200s",
                  call->method, call->target, answer->body);
     }
@@ -205,8 +214,8 @@
                      call->timeout_s, on_answer, call);
 }
 
-/* Refuses a request that has waited too long, and tells which budget is too small, at most once in
- * SHED_LOG_EVERY_S for each. */
+/* Refuses a request that has waited too long, and logs which budget is too small, at most once in
+ * SHED_LOG_INTERVAL_S for each budget. */
 static void shed(struct rp_kv_call *call) {
     struct rp_kv_client *client = call->client;
     struct rp_kv_queue *queue = &client->queues[call->budget];
@@ -214,7 +223,7 @@
     client->n_shed++;
     queue->n_shed_unlogged++;
     if (rp_ts_zero(queue->shed_logged_at) ||
-        rp_ts_since(now, queue->shed_logged_at) >= SHED_LOG_EVERY_S) {
+        rp_ts_since(now, queue->shed_logged_at) >= SHED_LOG_INTERVAL_S) {
         rp_info("requests shed, request budget exhausted: budget=%s n_requests=%lu",
                 rp_kv_budget_name(call->budget), queue->n_shed_unlogged);
         queue->n_shed_unlogged = 0;
@@ -223,13 +232,15 @@
     finish(call, RP_KV_REFUSED, NULL);
 }
 
-/* Sends or sheds from the front of the queue, up to the first request that has to wait on. */
+/* Sends or sheds requests from the front of the queue, up to the first one that has to wait longer.
+ */
 static void drain_queue(struct rp_kv_client *client, enum rp_kv_budget budget) {
     struct rp_kv_queue *queue = &client->queues[budget];
-    double patience_s = budget == RP_KV_BUDGET_LEADER ? QUEUE_LEADER_S : QUEUE_USERS_S;
+    double wait_max_s =
+        budget == RP_KV_BUDGET_LEADER ? LEADER_QUEUE_WAIT_MAX_S : USER_QUEUE_WAIT_MAX_S;
     while (queue->first) {
         double waited_s = rp_ts_since(rp_loop_now(client->loop), queue->first->queued_at);
-        if (waited_s > patience_s)
+        if (waited_s > wait_max_s)
             shed(queue_pop(queue));
         else if (can_send(client, queue->first))
             send_call(queue_pop(queue));
@@ -246,10 +257,11 @@
         is_waiting |= client->queues[i].first != NULL;
     }
     if (is_waiting)
-        rp_timer_set(client->loop, &client->queue_timer, QUEUE_CHECK_S);
+        rp_timer_set(client->loop, &client->queue_timer, QUEUE_CHECK_INTERVAL_S);
 }
 
-/* Sends a request, or lets it wait behind those that came before. */
+/* Sends a request, or appends it to the queue when its budget does not allow it now or earlier
+ * requests wait. */
 static void enqueue(struct rp_kv_call *call) {
     struct rp_kv_client *client = call->client;
     struct rp_kv_queue *queue = &client->queues[call->budget];
@@ -259,7 +271,7 @@
     }
     queue_push(queue, call);
     if (!client->queue_timer.heap_index)
-        rp_timer_set(client->loop, &client->queue_timer, QUEUE_CHECK_S);
+        rp_timer_set(client->loop, &client->queue_timer, QUEUE_CHECK_INTERVAL_S);
 }
 
 void rp_kv_client_close(struct rp_kv_client *client) {
@@ -271,7 +283,8 @@
 
 /* ---- requests ---- */
 
-/* What distinguishes one kind of request from another; `target` and `body` are taken over. */
+/* The properties of a request that depend on its kind. `start` takes ownership of `target` and
+ * `body`. */
 struct request {
     const char *method;
     char *target, *body;
@@ -296,7 +309,8 @@
     enqueue(call);
 }
 
-/* The formatted text, which the caller frees. Ends the process when memory is out. */
+/* Returns the formatted text, which the caller frees. Aborts the process when memory is exhausted.
+ */
 static char *format(const char *fmt, ...) __attribute__((format(printf, 1, 2)));
 static char *format(const char *fmt, ...) {
     char *text = NULL;
@@ -312,7 +326,7 @@
 void rp_kv_get(struct rp_kv_client *client, enum rp_kv_budget budget, const char *key, rp_kv_fn fn,
                void *arg) {
     struct request request = {
-        .method = "GET", .target = format("/kv/%s", key), .timeout_s = ANSWER_S};
+        .method = "GET", .target = format("/kv/%s", key), .timeout_s = ANSWER_TIMEOUT_S};
     start(client, budget, request, fn, arg);
 }
 
@@ -322,7 +336,7 @@
         .method = "GET",
         .target = after ? format("/kv?prefix=%s&from=%s&limit=%u", prefix, after, limit)
                         : format("/kv?prefix=%s&limit=%u", prefix, limit),
-        .timeout_s = LIST_ANSWER_S};
+        .timeout_s = LIST_TIMEOUT_S};
     start(client, budget, request, fn, arg);
 }
 
@@ -331,7 +345,7 @@
     struct request request = {.method = "POST",
                               .target = format("/txn"),
                               .body = rp_kv_txn_encode(txn),
-                              .timeout_s = ANSWER_S,
+                              .timeout_s = ANSWER_TIMEOUT_S,
                               .n_writes = (unsigned)rp_kv_txn_n_ops(txn)};
     rp_kv_txn_discard(txn);
     start(client, budget, request, fn, arg);
@@ -341,20 +355,21 @@
     struct request request = {.method = "POST",
                               .target = format("/leases"),
                               .body = rp_kv_codec_write_lease_request(ttl_s),
-                              .timeout_s = ANSWER_S};
+                              .timeout_s = ANSWER_TIMEOUT_S};
     start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
 
 void rp_kv_lease_renew(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg) {
     struct request request = {.method = "POST",
                               .target = format("/leases/%" PRIu64 "/touch", lease),
-                              .timeout_s = ANSWER_S};
+                              .timeout_s = ANSWER_TIMEOUT_S};
     start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
 
 void rp_kv_lease_revoke(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg) {
-    struct request request = {
-        .method = "DELETE", .target = format("/leases/%" PRIu64, lease), .timeout_s = ANSWER_S};
+    struct request request = {.method = "DELETE",
+                              .target = format("/leases/%" PRIu64, lease),
+                              .timeout_s = ANSWER_TIMEOUT_S};
     start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
 
@@ -363,6 +378,6 @@
     struct request request = {.method = "GET",
                               .target = format("/follow?prefix=%s&from=%" PRIu64 "&hold_ms=%d",
                                                prefix, from, (int)(hold_s * 1000)),
-                              .timeout_s = hold_s + ANSWER_S};
+                              .timeout_s = hold_s + ANSWER_TIMEOUT_S};
     start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
--- a/src/store/kv_client.h
+++ b/src/store/kv_client.h
@@ -1,11 +1,12 @@
 /** @file
- * The client of the key-value store: requests within the node's budgets.
+ * The client of the key-value store, which sends requests within the node's request budgets.
  *
  * Each function makes one request and calls `fn` exactly once with its result
- * (store/kv_result.h), never before it has returned. A request that its budget doesn't let through
- * waits in that budget's queue, in the order of arrival; what has waited too long is refused here,
- * and counted. A request that the store refuses as one too many (429) is queued again a few times
- * before its caller is told. Nothing else is repeated: whether that is safe only the caller knows.
+ * (store/kv_result.h), never before the function has returned. A request that exceeds its budget
+ * waits in that budget's queue, in the order of arrival; one that has waited too long is refused by
+ * the client and counted. A request that the store refuses for its rate limit (429) is queued again
+ * a few times before the refusal is returned. No other request is repeated, since only the caller
+ * can decide whether that is safe.
  *
  * Invariant: requests for RP_KV_BUDGET_LEADERSHIP are sent at once. */
 #ifndef RP_STORE_KV_CLIENT_H
@@ -18,20 +19,20 @@
 #include "store/kv_result.h"
 #include "store/kv_txn.h"
 
-/** Gets a request's result, which is valid during the call only. */
+/** Receives a request's result, which is valid during the call only. */
 typedef void (*rp_kv_fn)(void *arg, const struct rp_kv_result *result);
 
-/** A request that waits in a queue, or whose answer is awaited. */
+/** A request that waits in a queue or for its answer. */
 struct rp_kv_call;
 
 /** The requests that wait for one budget. */
 struct rp_kv_queue {
     struct rp_kv_call *first, *last;
-    unsigned long n_shed_unlogged;  /* requests shed since the last log line about it */
+    unsigned long n_shed_unlogged;  /* requests shed since the last log line about shedding */
     struct timespec shed_logged_at; /* zero: never */
 };
 
-/** A node's client. Others read the counters only. */
+/** A node's client. Other modules only read the counters. */
 struct rp_kv_client {
     struct rp_loop *loop;
     struct rp_net net;
@@ -39,52 +40,53 @@
     struct rp_kv_rate_limits limits;
     struct rp_kv_budgets budgets;
     struct rp_kv_queue queues[RP_KV_BUDGETS];
-    struct rp_timer queue_timer;   /* runs while requests wait */
-    struct timespec failing_since; /* the first of the failures without success since; zero: none */
-    unsigned long n_ok;            /* answers, whatever they say, except 503 */
+    struct rp_timer queue_timer;   /* is set while requests wait */
+    struct timespec failing_since; /* first failure since the last success; zero: no failure */
+    unsigned long n_ok;            /* answers of any known status except 503 */
     unsigned long n_refused, n_unknown;
-    unsigned long n_shed;     /* refused here, for lack of budget */
-    unsigned long n_too_fast; /* 429 */
-    unsigned long n_bad;      /* 400 */
+    unsigned long n_shed;         /* requests that this client refused for lack of budget */
+    unsigned long n_rate_limited; /* answers with status 429 */
+    unsigned long n_rejected;     /* answers with status 400 */
 };
 
-/** `addr` is borrowed, and has to live as long as the client. */
+/** `addr` is borrowed, and has to stay valid as long as the client is used. */
 void rp_kv_client_init(struct rp_kv_client *client, struct rp_loop *loop, struct rp_net net,
                        const char *addr, double rps, double write_rps, size_t n_nodes,
                        double leader_write_share);
-/** Other limits of the store hold from now on: requests and changes a second. */
+/** Applies new limits of the store: requests per second and changes per second. */
 void rp_kv_client_set_limits(struct rp_kv_client *client, double rps, double write_rps);
-/** Drops what waits, without calling back. The caller must see to it that no answer arrives any
- * more. */
+/** Discards the waiting requests without calling back. The caller must ensure that no answer
+ * arrives afterwards. */
 void rp_kv_client_close(struct rp_kv_client *client);
 
-/** Reads one key. RP_KV_NOT_FOUND when it doesn't exist. */
+/** Reads one key. RP_KV_NOT_FOUND when it does not exist. */
 void rp_kv_get(struct rp_kv_client *client, enum rp_kv_budget budget, const char *key, rp_kv_fn fn,
                void *arg);
-/** Lists at most `limit` keys that begin with `prefix`, in their order, from the first one behind
- * `after` on; NULL: from the first. */
+/** Lists at most `limit` keys that begin with `prefix`, in their order, starting with the first one
+ * after `after`, or with the first one of all if `after` is NULL. */
 void rp_kv_list(struct rp_kv_client *client, enum rp_kv_budget budget, const char *prefix,
                 const char *after, unsigned limit, rp_kv_fn fn, void *arg);
-/** Sends a transaction, and takes it over. RP_KV_CONDITION_FAILED when a condition failed. */
+/** Sends a transaction, and takes ownership of it. RP_KV_CONDITION_FAILED when a condition failed.
+ */
 void rp_kv_txn_submit(struct rp_kv_client *client, enum rp_kv_budget budget, struct rp_kv_txn *txn,
                       rp_kv_fn fn, void *arg);
-/** Asks for a lease that ends unless it is renewed within `ttl_s`. */
+/** Requests a lease that ends unless it is renewed within `ttl_s`. */
 void rp_kv_lease_grant(struct rp_kv_client *client, double ttl_s, rp_kv_fn fn, void *arg);
-/** Renews a lease from now on. RP_KV_NOT_FOUND when it has ended. */
+/** Renews a lease for its full length. RP_KV_NOT_FOUND when it has ended. */
 void rp_kv_lease_renew(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg);
-/** Ends a lease, and so deletes all keys attached to it. RP_KV_NOT_FOUND when it has ended. */
+/** Ends a lease, which deletes all keys attached to it. RP_KV_NOT_FOUND when it has ended. */
 void rp_kv_lease_revoke(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg);
-/** Asks for the changes of keys with `prefix` after revision `from`; the store waits up to `hold_s`
+/** Requests the changes of keys with `prefix` after revision `from`; the store waits up to `hold_s`
  * for one. RP_KV_COMPACTED when that revision is too old. */
 void rp_kv_watch(struct rp_kv_client *client, const char *prefix, uint64_t from, double hold_s,
                  rp_kv_fn fn, void *arg);
 
-/** The changes that the budget would let through now; 0 while requests wait for it. */
+/** The number of changes that the budget allows now; 0 while requests wait for it. */
 double rp_kv_write_headroom(struct rp_kv_client *client, enum rp_kv_budget budget);
 /** Whether a request without changes would have to wait for the budget. */
 bool rp_kv_must_wait(struct rp_kv_client *client, enum rp_kv_budget budget);
-/** For how long the store has not been answering; 0 when its last answer was good, or none was
- * awaited yet. */
+/** For how many seconds the store has not been answering; 0 when its last answer was good, or no
+ * answer has been due yet. */
 double rp_kv_failing_s(const struct rp_kv_client *client);
 
 #endif
--- a/src/store/kv_result.c
+++ b/src/store/kv_result.c
@@ -50,6 +50,6 @@
     return rp_kv_codec_read_lease(result->body);
 }
 
-bool rp_kv_result_failed_on(const struct rp_kv_result *result, const char *key) {
+bool rp_kv_result_has_failed_condition(const struct rp_kv_result *result, const char *key) {
     return rp_kv_codec_has_failed_condition(result->body, key);
 }
--- a/src/store/kv_txn.c
+++ b/src/store/kv_txn.c
@@ -5,7 +5,7 @@
 #include "protocol/kv_codec.h"
 
 struct rp_kv_txn {
-    json_t *body; /* of the request, as protocol/ builds it */
+    json_t *body; /* body of the request, as protocol/ builds it */
 };
 
 struct rp_kv_txn *rp_kv_txn_begin(void) {
--- a/src/store/records.c
+++ b/src/store/records.c
@@ -7,7 +7,8 @@
 #include "base/string_copy.h"
 #include "protocol/job_codec.h"
 
-#define PIECE_FRAME_BYTES 64 /* of a piece: the names and numbers around its text, rounded up */
+/* Bytes of a piece besides its text: the names and numbers around it, rounded up. */
+#define PIECE_FRAME_BYTES 64
 
 /* ---- formats ---- */
 
@@ -25,8 +26,8 @@
     return json_dumpb(value, NULL, 0, JSON_COMPACT);
 }
 
-/* The length of the longest beginning of `text`, which is plain ASCII, that takes at most
- * `max_bytes` within a JSON string. */
+/* The length of the longest prefix of `text`, which is plain ASCII, that takes at most `max_bytes`
+ * within a JSON string. */
 static size_t fitting_length(const char *text, size_t max_bytes) {
     size_t len = 0;
     size_t n_bytes = 0;
@@ -39,18 +40,18 @@
     return len;
 }
 
-size_t rp_record_cut(const json_t *record, size_t most, json_t **pieces, size_t max) {
+size_t rp_record_split(const json_t *record, size_t max_bytes, json_t **pieces, size_t max_pieces) {
     char *text = json_dumps(record, JSON_COMPACT | JSON_ENSURE_ASCII);
     const char *rest = text;
     size_t n = 0;
-    if (!text || most <= 2 * PIECE_FRAME_BYTES)
+    if (!text || max_bytes <= 2 * PIECE_FRAME_BYTES)
         goto out;
-    for (; *rest && n < max && n < RP_PARTS_MAX; n++) {
-        size_t len = fitting_length(rest, most - PIECE_FRAME_BYTES);
+    for (; *rest && n < max_pieces && n < RP_PARTS_MAX; n++) {
+        size_t len = fitting_length(rest, max_bytes - PIECE_FRAME_BYTES);
         pieces[n] = rp_record_mark(json_pack("{s:s%}", "text", rest, len));
         rest += len;
     }
-    if (*rest) { /* it takes more pieces than there may be */
+    if (*rest) { /* more pieces are needed than allowed */
         while (n > 0)
             json_decref(pieces[--n]);
         goto out;
@@ -61,7 +62,7 @@
     return n;
 }
 
-size_t rp_record_parts(const json_t *value) {
+size_t rp_record_n_parts(const json_t *value) {
     json_int_t n = json_integer_value(json_object_get(value, "parts"));
     return n > 0 && n < RP_PARTS_MAX ? (size_t)n : 0;
 }
@@ -87,7 +88,7 @@
 
 /* ---- the format's activation ---- */
 
-json_t *rp_record_version(const char *node) {
+json_t *rp_record_announcement(const char *node) {
     return rp_record_mark(json_pack("{s:s,s:s}", "node", node, "version", RP_VERSION));
 }
 
@@ -97,15 +98,16 @@
 
 /* ---- jobs ---- */
 
-json_t *rp_record_open(const struct rp_job_spec *spec, struct timespec accepted) {
-    return json_pack("{s:o,s:f}", "spec", rp_job_codec_write_spec(spec), "at", rp_ts_s(accepted));
+json_t *rp_record_open(const struct rp_job_spec *spec, struct timespec accepted_at) {
+    return json_pack("{s:o,s:f}", "spec", rp_job_codec_write_spec(spec), "at",
+                     rp_ts_s(accepted_at));
 }
 
-bool rp_record_open_read(json_t *value, struct rp_job_spec *spec, struct timespec *accepted) {
-    struct rp_codec_error error; /* not told: the record was checked before it was written */
+bool rp_record_open_read(json_t *value, struct rp_job_spec *spec, struct timespec *accepted_at) {
+    struct rp_codec_error error; /* not reported: the record was checked before it was written */
     if (rp_record_format(value) > RP_FORMAT)
         return false;
-    *accepted = rp_ts(json_number_value(json_object_get(value, "at")));
+    *accepted_at = rp_ts(json_number_value(json_object_get(value, "at")));
     return rp_job_codec_read_spec(json_object_get(value, "spec"), spec, &error);
 }
 
@@ -164,7 +166,8 @@
             json_pack("{s:I,s:f}", "lease", (json_int_t)lease->lease, "ttl", lease->ttl_s));
 }
 
-/* A lease without a positive time to live counts as none: nobody fails over from its holder. */
+/* Reads a lease. One without a positive time to live counts as none: no node fails over from its
+ * holder. */
 static struct rp_fenced_lease read_lease(const json_t *value, const char *name) {
     const json_t *object = json_object_get(value, name);
     json_int_t id = json_integer_value(json_object_get(object, "lease"));
@@ -191,7 +194,8 @@
     return true;
 }
 
-/* Not marked with a format: it is written whatever the other nodes know, and read by nobody. */
+/* Not marked with a format: it is written whichever format the other nodes support, and no node
+ * reads its value. */
 json_t *rp_record_fence(const char *node) {
     return json_pack("{s:s}", "node", node);
 }
--- a/src/upgrade/format_upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -4,15 +4,19 @@
 #include "base/log.h"
 #include "store/records.h"
 
-#define READ_PERIOD_S 0.5
-#define LEASE_TTL_S                                                                                \
-    10.0 /* a node that has ended counts as one that doesn't know the format after so long */
-#define RENEWAL_PERIOD_S 2.0
-#define ANNOUNCEMENTS_LIMIT                                                                        \
-    1000                    /* items that the store lists at once: more than there are nodes       \
-                             */
-#define CONDITIONS_PER_OP 4 /* the store takes so many times as many conditions as changes */
-#define OTHER_CONDITIONS 2  /* of the activation: leadership, and that it isn't active yet */
+#define ACTIVATION_READ_PERIOD_S 0.5
+/* Length of the lease of an announcement. A node that has terminated counts as one that does not
+ * support the format after this time. */
+#define ANNOUNCEMENT_TTL_S 10.0
+#define ANNOUNCEMENT_RENEWAL_PERIOD_S 2.0
+/* Most announcements that are listed at once: as many items as the store lists, and more than there
+ * are nodes. */
+#define ANNOUNCEMENTS_LIMIT 1000
+/* Number of conditions that the store accepts in a transaction for each change that it accepts. */
+#define CONDITIONS_PER_OP 4
+/* Conditions of the activation besides the announcements: leadership, and that no activation exists
+ * yet. */
+#define OTHER_CONDITIONS 2
 
 static void on_timer(void *arg);
 
@@ -50,12 +54,12 @@
     (void)result;
 }
 
-/* Whether the activation is known; that is final. */
+/* Whether the activation is known, which is final. */
 static bool is_decided(const struct rp_upgrade *upgrade) {
     return upgrade->state >= RP_UPGRADE_ACTIVE;
 }
 
-/* The announcement has served its purpose. */
+/* Ends the announcement, which is not needed any more once the activation is known. */
 static void withdraw_announcement(struct rp_upgrade *upgrade) {
     rp_timer_cancel(upgrade->loop, &upgrade->timer);
     if (upgrade->lease != RP_KV_NO_LEASE)
@@ -63,14 +67,17 @@
     upgrade->lease = RP_KV_NO_LEASE;
 }
 
-/* The one place where the upgrade changes its state:
- * UNANNOUNCED to ACQUIRING_LEASE: the store has answered that no format is active.
- * ACQUIRING_LEASE to ANNOUNCING: a lease was granted; to UNANNOUNCED: none was.
- * UNANNOUNCED to ANNOUNCING: the same with a lease from before, whose announcement wasn't answered.
- * ANNOUNCING to ANNOUNCED: the announcement stands; to UNANNOUNCED: that isn't known.
- * ANNOUNCED to UNANNOUNCED: its lease has ended, and with it the announcement.
- * Any to ACTIVE or TOO_OLD: the activation was read, or written by this node as leader. It is never
- * undone, and so is neither this. */
+/* Changes the state; no other function assigns it. The transitions are:
+ * UNANNOUNCED to ACQUIRING_LEASE: the store answered that no activation exists, and this node has
+ * no lease for its announcement. UNANNOUNCED to ANNOUNCING: the store answered the same, and this
+ * node still has a lease from an earlier announcement whose write was not confirmed.
+ * ACQUIRING_LEASE to ANNOUNCING: the store granted a lease.
+ * ACQUIRING_LEASE to UNANNOUNCED: the store granted none, or did not answer.
+ * ANNOUNCING to ANNOUNCED: the store confirmed that the announcement was written.
+ * ANNOUNCING to UNANNOUNCED: the store did not confirm it.
+ * ANNOUNCED to UNANNOUNCED: the lease has ended, which deleted the announcement.
+ * Any state to ACTIVE or TOO_OLD: the activation was read, or written by this node as leader. Both
+ * states are final, because the activation is never undone. */
 static void set_state(struct rp_upgrade *upgrade, enum rp_upgrade_state state) {
     if (upgrade->state == state || is_decided(upgrade))
         return;
@@ -99,15 +106,15 @@
     if (upgrade->state != RP_UPGRADE_ANNOUNCING)
         return;
     if (result->outcome == RP_KV_BAD_REQUEST)
-        upgrade->lease = RP_KV_NO_LEASE; /* it has ended meanwhile */
+        upgrade->lease = RP_KV_NO_LEASE; /* the lease has ended */
     set_state(upgrade, result->outcome == RP_KV_OK ? RP_UPGRADE_ANNOUNCED : RP_UPGRADE_UNANNOUNCED);
 }
 
 static void write_announcement(struct rp_upgrade *upgrade) {
     char key[RP_KEY_MAX];
     struct rp_kv_txn *txn = rp_kv_txn_begin();
-    rp_key(key, RP_KEY_VERSION, upgrade->settings->node);
-    rp_kv_txn_put(txn, key, rp_record_version(upgrade->settings->node), upgrade->lease);
+    rp_key(key, RP_KEY_ANNOUNCEMENT, upgrade->settings->node);
+    rp_kv_txn_put(txn, key, rp_record_announcement(upgrade->settings->node), upgrade->lease);
     set_state(upgrade, RP_UPGRADE_ANNOUNCING);
     rp_kv_txn_submit(upgrade->store, RP_KV_BUDGET_LEADERSHIP, txn, on_announcement_written,
                      upgrade);
@@ -135,15 +142,15 @@
     set_state(upgrade, RP_UPGRADE_UNANNOUNCED);
 }
 
-/* Brings the announcement one step further, or keeps it alive. */
+/* Starts the next step of the announcement, or renews its lease when that is due. */
 static void advance_announcement(struct rp_upgrade *upgrade, struct timespec now) {
     if (upgrade->state == RP_UPGRADE_UNANNOUNCED && upgrade->lease != RP_KV_NO_LEASE) {
         write_announcement(upgrade);
     } else if (upgrade->state == RP_UPGRADE_UNANNOUNCED) {
         set_state(upgrade, RP_UPGRADE_ACQUIRING_LEASE);
-        rp_kv_lease_grant(upgrade->store, LEASE_TTL_S, on_lease_granted, upgrade);
+        rp_kv_lease_grant(upgrade->store, ANNOUNCEMENT_TTL_S, on_lease_granted, upgrade);
     } else if (upgrade->state == RP_UPGRADE_ANNOUNCED &&
-               rp_ts_since(now, upgrade->renewed_at) >= RENEWAL_PERIOD_S) {
+               rp_ts_since(now, upgrade->renewed_at) >= ANNOUNCEMENT_RENEWAL_PERIOD_S) {
         upgrade->renewed_at = now;
         rp_kv_lease_renew(upgrade->store, upgrade->lease, on_lease_renewed, upgrade);
     }
@@ -160,12 +167,12 @@
     }
 }
 
-/* The revision of the node's announcement among those listed, or RP_KV_ABSENT: the node counts as
- * one that doesn't know the format. */
+/* The revision of the node's announcement in the list, or RP_KV_ABSENT if the node counts as one
+ * that does not support the format. */
 static uint64_t announcement_revision(const struct rp_kv_result *announcements, const char *node) {
     char key[RP_KEY_MAX];
     struct rp_kv_item item;
-    rp_key(key, RP_KEY_VERSION, node);
+    rp_key(key, RP_KEY_ANNOUNCEMENT, node);
     for (size_t i = 0; i < rp_kv_result_n_items(announcements); i++) {
         if (!rp_kv_result_item_at(announcements, i, &item) || strcmp(item.key, key) != 0)
             continue;
@@ -175,9 +182,9 @@
     return RP_KV_ABSENT;
 }
 
-/* The transaction that activates, on the condition that every node's announcement still stands, or
- * NULL while one doesn't. Where the store takes fewer conditions than there are nodes, the rest of
- * them is known from the list just read. */
+/* The transaction that activates the format, on the condition that every node's announcement still
+ * exists; NULL while one does not. If the store accepts fewer conditions than there are nodes, the
+ * remaining announcements are checked only in the list that was just read. */
 static struct rp_kv_txn *build_activation(struct rp_upgrade *upgrade,
                                           const struct rp_kv_result *announcements) {
     const struct rp_settings *settings = upgrade->settings;
@@ -185,26 +192,26 @@
     char key[RP_KEY_MAX];
     struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(upgrade->election, txn);
-    rp_kv_txn_if(txn, RP_KEY_FORMAT, RP_KV_ABSENT);
-    upgrade->n_known = 0;
+    rp_kv_txn_if(txn, RP_KEY_ACTIVATION, RP_KV_ABSENT);
+    upgrade->n_nodes_announced = 0;
     for (size_t i = 0; i <= settings->n_peers; i++) {
         const char *node = i < settings->n_peers ? settings->peers[i].name : settings->node;
         uint64_t revision = announcement_revision(announcements, node);
-        upgrade->n_known += revision != RP_KV_ABSENT;
+        upgrade->n_nodes_announced += revision != RP_KV_ABSENT;
         if (n_conditions_left > 0) {
-            rp_key(key, RP_KEY_VERSION, node);
+            rp_key(key, RP_KEY_ANNOUNCEMENT, node);
             rp_kv_txn_if(txn, key, revision);
             n_conditions_left--;
         }
     }
-    rp_kv_txn_put(txn, RP_KEY_FORMAT, rp_record_activation(), RP_KV_NO_LEASE);
-    if (upgrade->n_known == settings->n_peers + 1)
+    rp_kv_txn_put(txn, RP_KEY_ACTIVATION, rp_record_activation(), RP_KV_NO_LEASE);
+    if (upgrade->n_nodes_announced == settings->n_peers + 1)
         return txn;
     rp_kv_txn_discard(txn);
     return NULL;
 }
 
-/* Whether this node announces the format, and leads. */
+/* Whether this node has announced the format, and leads. */
 static bool can_activate(const struct rp_upgrade *upgrade) {
     return upgrade->state == RP_UPGRADE_ANNOUNCED &&
            rp_election_is_valid(upgrade->election, rp_loop_now(upgrade->loop));
@@ -224,8 +231,8 @@
 
 static void list_announcements(struct rp_upgrade *upgrade) {
     upgrade->is_activating = true;
-    rp_kv_list(upgrade->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_VERSION, NULL, ANNOUNCEMENTS_LIMIT,
-               on_announcements_listed, upgrade);
+    rp_kv_list(upgrade->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_ANNOUNCEMENT, NULL,
+               ANNOUNCEMENTS_LIMIT, on_announcements_listed, upgrade);
 }
 
 /* ---- reading the activation ---- */
@@ -233,18 +240,19 @@
 static void on_activation_read(void *arg, const struct rp_kv_result *result) {
     struct rp_upgrade *upgrade = arg;
     struct rp_kv_item item;
-    bool was_read = upgrade->activation_read;
+    bool was_read = upgrade->has_read_activation;
     if (is_decided(upgrade))
         return;
-    upgrade->activation_read |= result->outcome == RP_KV_OK || result->outcome == RP_KV_NOT_FOUND;
+    upgrade->has_read_activation |=
+        result->outcome == RP_KV_OK || result->outcome == RP_KV_NOT_FOUND;
     if (rp_kv_result_item(result, &item)) {
         rp_upgrade_on_activation_record(upgrade, item.value);
         return;
     }
-    if (upgrade->activation_read && !was_read)
+    if (upgrade->has_read_activation && !was_read)
         upgrade->on_change(upgrade->arg);
-    /* A node that keeps to the old forms announces nothing, and so counts as one that doesn't know
-     * the format. */
+    /* A node with the setting `keep_old_forms` announces nothing, and therefore counts as one that
+     * does not support the format. */
     if (result->outcome != RP_KV_NOT_FOUND || upgrade->settings->tuning.keep_old_forms)
         return;
     advance_announcement(upgrade, rp_loop_now(upgrade->loop));
@@ -254,8 +262,9 @@
 
 static void on_timer(void *arg) {
     struct rp_upgrade *upgrade = arg;
-    rp_timer_set(upgrade->loop, &upgrade->timer, READ_PERIOD_S);
-    rp_kv_get(upgrade->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_FORMAT, on_activation_read, upgrade);
+    rp_timer_set(upgrade->loop, &upgrade->timer, ACTIVATION_READ_PERIOD_S);
+    rp_kv_get(upgrade->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_ACTIVATION, on_activation_read,
+              upgrade);
 }
 
 void rp_upgrade_start(struct rp_upgrade *upgrade) {
--- a/tests/simulation/store.c
+++ b/tests/simulation/store.c
@@ -74,10 +74,10 @@
 /* Nothing that the version before doesn't read may be stored while any of its nodes is left, and
  * the activation neither; nor a service, which it would run as an array. */
 static void check_format(struct sim *sim, const char *key, const json_t *value) {
-    bool said = has_prefix(key, RP_KEY_VERSION) || strcmp(key, RP_KEY_FORMAT) == 0;
+    bool said = has_prefix(key, RP_KEY_ANNOUNCEMENT) || strcmp(key, RP_KEY_ACTIVATION) == 0;
     bool unit = has_prefix(key, RP_KEY_PROGRESS) && strstr(key, "/u");
     const char *kind = json_string_value(json_object_get(json_object_get(value, "spec"), "haul"));
-    if (strcmp(key, RP_KEY_FORMAT) == 0) {
+    if (strcmp(key, RP_KEY_ACTIVATION) == 0) {
         sim->format_active_at = sim->now;
         if (has_old_nodes(sim))
             sim_violated(sim, "activated_early");
@@ -244,7 +244,7 @@
 /* A node that stands for the version before sees nothing that it wouldn't ask for. */
 static bool is_hidden_from(const struct sim *sim, int node, const char *key) {
     return sim->nodes[node].is_old_version && !sim->nodes[node].old_node &&
-           (has_prefix(key, RP_KEY_VERSION) || strcmp(key, RP_KEY_FORMAT) == 0 ||
+           (has_prefix(key, RP_KEY_ANNOUNCEMENT) || strcmp(key, RP_KEY_ACTIVATION) == 0 ||
             has_prefix(key, RP_KEY_PART));
 }
 
--- a/tests/simulation/test_upgrade.c
+++ b/tests/simulation/test_upgrade.c
@@ -151,7 +151,7 @@
     (void)state;
     sim_run(sim, 5);
     assert_at_least(sim_leader(sim), 0);
-    sim_put_record(sim, RP_KEY_FORMAT, "{\"f\":3}");
+    sim_put_record(sim, RP_KEY_ACTIVATION, "{\"f\":3}");
     for (int i = 0; i < sim->n_nodes; i++)
         sim_crash(sim, i, 0.5);
     sim_run(sim, 20);
@@ -172,7 +172,7 @@
         char key[RP_KEY_MAX];
         char name[8];
         snprintf(name, sizeof name, "n%d", i);
-        rp_key(key, RP_KEY_VERSION, name);
+        rp_key(key, RP_KEY_ANNOUNCEMENT, name);
         sim_put_record(sim, key, "{\"f\":2}");
     }
     sim_run(sim, 5);
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -273,8 +273,8 @@
     assert_true(rp_record_open_read(value, &spec, &submitted_at));
     rp_job_spec_free(&spec);
     for (size_t most = 160; most < 1000; most += 37) {
-        size_t n = rp_record_cut(value, most, pieces, RP_PARTS_MAX);
-        assert_true(n > 0 && rp_record_parts(pieces[0]) == n - 1);
+        size_t n = rp_record_split(value, most, pieces, RP_PARTS_MAX);
+        assert_true(n > 0 && rp_record_n_parts(pieces[0]) == n - 1);
         for (size_t i = 0; i < n; i++)
             assert_true(rp_record_size(pieces[i]) <= most);
         json_t *whole = rp_record_join(pieces, n);
@@ -283,7 +283,7 @@
         for (size_t i = 0; i < n; i++)
             json_decref(pieces[i]);
     }
-    assert_int_equal(rp_record_cut(value, 160, pieces, 2), 0);
+    assert_int_equal(rp_record_split(value, 160, pieces, 2), 0);
     json_object_set_new(value, "f", json_integer(RP_FORMAT + 1));
     assert_false(rp_record_open_read(value, &spec, &submitted_at));
     json_decref(value);
