--- a/src/election/election.c
+++ b/src/election/election.c
@@ -19,8 +19,8 @@
 /* Time beyond the lease's length for which the leader read last is reported as the leader. One
  * whose key was read longer ago may have lost it since. */
 #define STALE_LEADER_SLACK_S 2.0
-/* Time beyond the lease's length for which a silent leader may have stopped. One that is silent for
- * longer and still has the key must be renewing its lease. */
+/* Time beyond the lease's length during which a silent leader is taken to have stopped. One that is
+ * silent for longer and still has the key must be renewing its lease. */
 #define SILENT_LEADER_SLACK_S 0.5
 /* Delay before the next attempt after a request has failed. */
 #define RETRY_DELAY_S 0.25
@@ -349,9 +349,9 @@
 
 static void note_leader(struct rp_election *election, const struct rp_leader_record *record,
                         uint64_t revision) {
+    /* The recorded silence was that of the previous leader. */
     if (strcmp(record->node, election->leader) != 0)
-        election->leader_silent_since =
-            (struct timespec){0}; /* was the silence of another leader */
+        election->leader_silent_since = (struct timespec){0};
     rp_string_copy(election->leader, sizeof election->leader, record->node);
     election->leader_key = *record;
     election->leader_key_revision = revision;
--- a/src/store/kv_budget.c
+++ b/src/store/kv_budget.c
@@ -50,22 +50,25 @@
 
 void rp_kv_budgets_set_limits(struct rp_kv_budgets *budgets, const struct rp_kv_rate_limits *limits,
                               struct timespec now) {
-    double rps = limits->requests_per_s;
-    double wps = limits->writes_per_s;
+    double requests_per_s = limits->requests_per_s;
+    double writes_per_s = limits->writes_per_s;
     double leader_share = limits->leader_write_share;
     double users_share = 1.0 - leader_share;
     double even_share = EVEN_SHARE_FACTOR / (double)limits->n_nodes;
     double submissions_share = users_share * EVEN_WRITE_SHARE_FACTOR / (double)limits->n_nodes;
-    set_rate(&budgets->requests[RP_KV_BUDGET_LEADER], rps * LEADER_REQUEST_SHARE,
-             rps * LEADER_REQUEST_BURST_S, now);
-    set_rate(&budgets->writes[RP_KV_BUDGET_LEADER], wps * leader_share * LEADER_WRITE_USED_SHARE,
-             fmax(wps * leader_share * LEADER_WRITE_BURST_S, LEADER_WRITE_BURST_MIN), now);
-    set_rate(&budgets->requests[RP_KV_BUDGET_QUERIES], rps * QUERIES_REQUEST_SHARE * even_share,
-             rps * QUERIES_REQUEST_BURST_S * even_share, now);
+    set_rate(&budgets->requests[RP_KV_BUDGET_LEADER], requests_per_s * LEADER_REQUEST_SHARE,
+             requests_per_s * LEADER_REQUEST_BURST_S, now);
+    set_rate(&budgets->writes[RP_KV_BUDGET_LEADER],
+             writes_per_s * leader_share * LEADER_WRITE_USED_SHARE,
+             fmax(writes_per_s * leader_share * LEADER_WRITE_BURST_S, LEADER_WRITE_BURST_MIN), now);
+    set_rate(&budgets->requests[RP_KV_BUDGET_QUERIES],
+             requests_per_s * QUERIES_REQUEST_SHARE * even_share,
+             requests_per_s * QUERIES_REQUEST_BURST_S * even_share, now);
     set_rate(&budgets->requests[RP_KV_BUDGET_SUBMISSIONS],
-             rps * SUBMISSIONS_REQUEST_SHARE * even_share, rps * SUBMISSIONS_REQUEST_BURST_S, now);
-    set_rate(&budgets->writes[RP_KV_BUDGET_SUBMISSIONS], wps * submissions_share,
-             wps * fmax(submissions_share, SUBMISSIONS_WRITE_BURST_S), now);
+             requests_per_s * SUBMISSIONS_REQUEST_SHARE * even_share,
+             requests_per_s * SUBMISSIONS_REQUEST_BURST_S, now);
+    set_rate(&budgets->writes[RP_KV_BUDGET_SUBMISSIONS], writes_per_s * submissions_share,
+             writes_per_s * fmax(submissions_share, SUBMISSIONS_WRITE_BURST_S), now);
 }
 
 bool rp_kv_budgets_can_send(struct rp_kv_budgets *budgets, enum rp_kv_budget budget,
--- a/src/upgrade/format_upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -68,16 +68,18 @@
 }
 
 /* Changes the state; no other function assigns it. The transitions are:
- * UNANNOUNCED to ACQUIRING_LEASE: the store answered that no activation exists, and this node has
- * no lease for its announcement. UNANNOUNCED to ANNOUNCING: the store answered the same, and this
- * node still has a lease from an earlier announcement whose write was not confirmed.
- * ACQUIRING_LEASE to ANNOUNCING: the store granted a lease.
- * ACQUIRING_LEASE to UNANNOUNCED: the store granted none, or did not answer.
- * ANNOUNCING to ANNOUNCED: the store confirmed that the announcement was written.
- * ANNOUNCING to UNANNOUNCED: the store did not confirm it.
- * ANNOUNCED to UNANNOUNCED: the lease has ended, which deleted the announcement.
- * Any state to ACTIVE or TOO_OLD: the activation was read, or written by this node as leader. Both
- * states are final, because the activation is never undone. */
+ * - UNANNOUNCED to ACQUIRING_LEASE: the store answered that no activation exists, and this node has
+ *   no lease for its announcement.
+ * - UNANNOUNCED to ANNOUNCING: the store answered that no activation exists, and this node still
+ *   has a lease from an earlier announcement whose write was not confirmed.
+ * - ACQUIRING_LEASE to ANNOUNCING: the store granted a lease.
+ * - ACQUIRING_LEASE to UNANNOUNCED: the store granted no lease, or did not answer.
+ * - ANNOUNCING to ANNOUNCED: the store confirmed that the announcement was written.
+ * - ANNOUNCING to UNANNOUNCED: the store did not confirm that the announcement was written.
+ * - ANNOUNCED to UNANNOUNCED: the lease has ended, which deleted the announcement.
+ * - Any state to ACTIVE or TOO_OLD: the activation was read, or written by this node as leader.
+ *
+ * ACTIVE and TOO_OLD are final, because the activation is never undone. */
 static void set_state(struct rp_upgrade *upgrade, enum rp_upgrade_state state) {
     if (upgrade->state == state || is_decided(upgrade))
         return;
--- a/src/upgrade/format_upgrade.h
+++ b/src/upgrade/format_upgrade.h
@@ -1,5 +1,5 @@
 /** @file
- * Format activation: decides from when on the service's nodes may write records of RP_FORMAT.
+ * Format activation: decides when the service's nodes may begin to write records of RP_FORMAT.
  *
  * A node that supports the format announces it in a record attached to a lease, which exists as
  * long as the node runs. Once every node of the settings has announced it, the leader writes the
@@ -7,7 +7,7 @@
  * undone. Until a node has read it, the node writes records that the previous version reads with
  * the same meaning.
  *
- * Invariant: once rp_upgrade_is_active has returned true, the format is active for ever, on every
+ * Invariant: once rp_upgrade_is_active has returned true, the format is active forever, on every
  * node. The controller starts this module; modules that write records call rp_upgrade_is_active. */
 #ifndef RP_UPGRADE_FORMAT_UPGRADE_H
 #define RP_UPGRADE_FORMAT_UPGRADE_H
@@ -31,7 +31,7 @@
     RP_UPGRADE_TOO_OLD
 };
 
-/** Called when this node has learned more about the activation. */
+/** Called when a read has shown whether the format is active. */
 typedef void (*rp_upgrade_fn)(void *arg);
 
 /** A node's view of the upgrade. Other modules only read `state`, `has_read_activation` and
