--- a/src/scheduler/candidate_list.c
+++ b/src/scheduler/candidate_list.c
@@ -4,9 +4,10 @@
 #include <stdlib.h>
 #include "scheduler/plan_resources.h"
 
-/* A machine that holds not even the least demanding task is looked at by no group. */
-static bool is_useful(const struct rp_packing *packing, const struct rp_candidate_list *list,
-                      enum rp_capacity_kind kind, size_t machine) {
+/* Whether the machine belongs on the list: its type is among the list's types, and it has capacity
+ * for the least demanding task of the list's groups. */
+static bool is_candidate(const struct rp_packing *packing, const struct rp_candidate_list *list,
+                         enum rp_capacity_kind kind, size_t machine) {
     const struct rp_bin *bin = &packing->bins[machine];
     const struct rp_resources *available = kind == RP_CAPACITY_NOW     ? &bin->free_now
                                            : kind == RP_CAPACITY_LATER ? &bin->free_later
@@ -21,14 +22,14 @@
     for (int kind = 0; kind < RP_CAPACITY_KINDS; kind++) {
         size_t n_kept = 0;
         for (size_t i = 0; i < list->n[kind]; i++)
-            if (is_useful(packing, list, (enum rp_capacity_kind)kind, list->machines[kind][i]))
+            if (is_candidate(packing, list, (enum rp_capacity_kind)kind, list->machines[kind][i]))
                 list->machines[kind][n_kept++] = list->machines[kind][i];
         list->n[kind] = n_kept;
     }
     list->is_stale = false;
 }
 
-static void note_smallest_need(struct rp_candidate_list *list, const struct rp_resources *each) {
+static void update_smallest_need(struct rp_candidate_list *list, const struct rp_resources *each) {
     list->smallest_need.cpus = fmin(list->smallest_need.cpus, each->cpus);
     list->smallest_need.gpus = fmin(list->smallest_need.gpus, each->gpus);
     list->smallest_need.memory_gb = fmin(list->smallest_need.memory_gb, each->memory_gb);
@@ -46,7 +47,7 @@
         packing->lists[packing->n_lists++] = (struct rp_candidate_list){
             .types = types, .is_stale = true, .smallest_need = {INFINITY, INFINITY, INFINITY}};
     }
-    note_smallest_need(&packing->lists[list], each);
+    update_smallest_need(&packing->lists[list], each);
     return list;
 }
 
@@ -70,7 +71,7 @@
                 return false;
             for (size_t i = 0; i < n; i++) {
                 size_t machine = kind == RP_CAPACITY_SPARE ? i : packing->machine_order[i];
-                if (is_useful(packing, list, (enum rp_capacity_kind)kind, machine))
+                if (is_candidate(packing, list, (enum rp_capacity_kind)kind, machine))
                     list->machines[kind][list->n[kind]++] = machine;
             }
         }
--- a/src/scheduler/candidate_list.h
+++ b/src/scheduler/candidate_list.h
@@ -1,21 +1,23 @@
 /** @file
- * Which machines a group of tasks has to be tried on: lists of the machines that still have
- * capacity, one for each set of allowed machine types. A group looks at its own lists only: with
- * one list for all, the plans' work grew with groups times machines, whether these were full, of
- * other types, or had nothing to spare. */
+ * The machines to examine for a group of tasks: lists of the machines that still have capacity, one
+ * for each set of allowed machine types. Each group uses its own lists only. With one list for all
+ * groups, the work of a plan grew with the number of groups times the number of machines, including
+ * those that were full, of other types, or without spare capacity. */
 #ifndef RP_SCHEDULER_CANDIDATE_LIST_H
 #define RP_SCHEDULER_CANDIDATE_LIST_H
 
 #include "scheduler/packing_state.h"
 
-/** Finds out which lists there are, and which of them each group uses. */
+/** Determines the lists that are needed, and for each group those that it uses. */
 void rp_candidate_lists_assign(struct rp_packing *packing);
-/** Fills the lists in the heuristic's order; spare capacity is tried in the machines' own order.
- * Caller has sorted the machines. Returns false when memory is short. */
+/** Fills the lists in the heuristic's order; the lists of spare capacity are in the order of the
+ * input's machines. The caller has sorted the machines (rp_machine_order_sort). Returns false when
+ * memory is short. */
 bool rp_candidate_lists_build(struct rp_packing *packing);
-/** Takes the machines out of the list that hold not even its least demanding task any more. */
+/** Removes the machines that no longer have capacity for even the least demanding task of the
+ * list's groups. Does nothing unless the list is stale. */
 void rp_candidate_list_refresh(struct rp_packing *packing, struct rp_candidate_list *list);
-/** Capacity of the machine was taken: the lists that it is on are to be refreshed. */
+/** Marks the lists that may contain the machine as stale, after some of its capacity was used. */
 void rp_candidate_lists_mark_stale(struct rp_packing *packing, size_t machine);
 /** Frees the lists' memory. */
 void rp_candidate_lists_free(struct rp_packing *packing);
--- a/src/scheduler/cycle_input.h
+++ b/src/scheduler/cycle_input.h
@@ -1,21 +1,22 @@
 /** @file
- * The leader's cluster state as the planner sees it. */
+ * The planner's input as it is built from the leader's state, with the memory that it refers to. */
 #ifndef RP_SCHEDULER_CYCLE_INPUT_H
 #define RP_SCHEDULER_CYCLE_INPUT_H
 
 #include "scheduler/scheduler.h"
 
-/** The planner's input with the memory that it refers to. `ref` of a machine is its rp_machine,
- * NULL for one that is only requested; `ref` of a group is its rp_job. */
+/** The planner's input and the arrays that it refers to. `ref` of a machine is its rp_machine, or
+ * NULL for a requested machine; `ref` of a group is its rp_job. */
 struct rp_cycle_input {
     struct rp_plan_input plan_input;
     struct rp_plan_offering *offerings;
     struct rp_plan_machine *machines;
     struct rp_plan_group *groups;
     struct rp_plan_team *teams;
-    struct rp_resources *guarantees_left; /* of each team: what is left of its CPUs and GPUs */
-    bool *has_image;                      /* for each image, which machines hold it */
-    uint64_t *images;                     /* hashes of the images' names */
+    struct rp_resources
+        *guarantees_left; /* for each team, CPUs and GPUs left of its guaranteed quota */
+    bool *has_image;      /* for each image, whether each machine has it */
+    uint64_t *images;     /* hashes of the images' names, sorted */
     size_t n_images;
     struct rp_plan_release *releases;
     size_t n_releases;
@@ -24,7 +25,7 @@
 /** Frees the arrays. */
 void rp_cycle_input_free(struct rp_cycle_input *input);
 
-/** The machine that a placement is on; NULL for one that is only requested, or new. */
+/** The machine of a placement; NULL for a requested or new machine. */
 static inline struct rp_machine *rp_cycle_input_machine(const struct rp_cycle_input *input,
                                                         const struct rp_placement *placement) {
     return placement->machine < input->plan_input.n_machines
--- a/src/scheduler/cycle_input_build.h
+++ b/src/scheduler/cycle_input_build.h
@@ -1,6 +1,7 @@
 /** @file
- * Builds the planner's input from what the leader knows: offerings of the cloud and teams here,
- * machines, groups of tasks and images in modules of their own. Called once for each cycle. */
+ * Builds the planner's input from the leader's state. This module builds the cloud's offerings and
+ * the teams; machine_input.h, group_input.h and image_input.h build the rest. Called once for each
+ * cycle. */
 #ifndef RP_SCHEDULER_CYCLE_INPUT_BUILD_H
 #define RP_SCHEDULER_CYCLE_INPUT_BUILD_H
 
--- a/src/scheduler/image_input.c
+++ b/src/scheduler/image_input.c
@@ -8,7 +8,7 @@
     return *left < *right ? -1 : *left > *right;
 }
 
-/* The image's index among those that the groups need, or n_images. */
+/* Index of the image in `images`, or n_images if no group needs it. */
 static size_t image_index(const struct rp_cycle_input *input, uint64_t hash) {
     const uint64_t *found =
         bsearch(&hash, input->images, input->n_images, sizeof hash, compare_hashes);
--- a/src/scheduler/machine_pool.c
+++ b/src/scheduler/machine_pool.c
@@ -27,12 +27,12 @@
     struct rp_pool_load load = {0};
     for (size_t i = 0; i < packing->n_pools; i++) {
         const struct rp_machine_pool *pool = &packing->pools[i];
-        double each = gpus ? pool->capacity->gpus : pool->capacity->cpus;
+        double capacity_per_machine = gpus ? pool->capacity->gpus : pool->capacity->cpus;
         if (!gpus && pool->capacity->gpus > 0)
             continue;
         load.n_machines += pool->n_machines;
-        load.capacity += pool->n_machines * each;
-        load.work += pool->work_s * each;
+        load.capacity += pool->n_machines * capacity_per_machine;
+        load.work += pool->work_s * capacity_per_machine;
     }
     return load;
 }
--- a/src/scheduler/machine_pool.h
+++ b/src/scheduler/machine_pool.h
@@ -1,22 +1,22 @@
 /** @file
- * The machines of one type, zone and kind (ordinary or spot) together, with the work under way on
- * them: what load shedding and the decision to wait compare the waiting work with. */
+ * Pools: all machines of one type, zone and kind (ordinary or spot), with the work in progress on
+ * them. Load shedding and the decision whether a group waits compare the waiting work with them. */
 #ifndef RP_SCHEDULER_MACHINE_POOL_H
 #define RP_SCHEDULER_MACHINE_POOL_H
 
 #include "scheduler/packing_state.h"
 
-/** What some pools can do, in units of their main resource (CPUs or GPUs). */
+/** Capacity and load of several pools, in units of their main resource (CPUs or GPUs). */
 struct rp_pool_load {
     double n_machines;
     double capacity;
-    double work; /* under way, in seconds of a unit */
+    double work; /* in progress, in seconds of one CPU or GPU */
 };
 
-/** Builds the pools from the machines at hand, in the order in which these first name them. A
- * machine that still boots has its boot to do. */
+/** Builds the pools from the existing machines, in the order in which the machines of each pool
+ * first occur. The remaining boot time of a machine counts as work. */
 void rp_machine_pools_build(struct rp_packing *packing);
-/** What the machines with GPUs, or those without, can do and have under way. */
+/** Returns the capacity and load of the pools with GPUs, or of those without. */
 struct rp_pool_load rp_machine_pools_load(const struct rp_packing *packing, bool gpus);
 
 #endif
--- a/src/scheduler/packing.c
+++ b/src/scheduler/packing.c
@@ -6,7 +6,8 @@
 #include "scheduler/candidate_list.h"
 #include "scheduler/plan_resources.h"
 
-#define PLACEMENTS_FIRST 64 /* memory for so many in a plan at first; doubled as needed */
+/* Number of placements that a plan's first allocation holds; doubled whenever it is full. */
+#define INITIAL_PLACEMENTS_CAPACITY 64
 
 static void fill_bins(struct rp_packing *packing) {
     const struct rp_plan_input *input = packing->input;
@@ -58,7 +59,7 @@
     free(packing->team_gpus_left);
 }
 
-static int compare_ranks(const void *a, const void *b) {
+static int compare_sort_entries(const void *a, const void *b) {
     const struct rp_sort_entry *left = a;
     const struct rp_sort_entry *right = b;
     if (left->rank != right->rank)
@@ -69,7 +70,7 @@
 }
 
 void rp_packing_sort_entries(struct rp_sort_entry *entries, size_t n) {
-    qsort(entries, n, sizeof *entries, compare_ranks);
+    qsort(entries, n, sizeof *entries, compare_sort_entries);
 }
 
 void rp_packing_sort(size_t *order, struct rp_sort_entry *entries, size_t n) {
@@ -91,7 +92,7 @@
                              uint32_t count, bool starts_now) {
     struct rp_plan *plan = packing->plan;
     if (plan->n_placements == plan->cap_placements) {
-        size_t cap = plan->cap_placements ? plan->cap_placements * 2 : PLACEMENTS_FIRST;
+        size_t cap = plan->cap_placements ? plan->cap_placements * 2 : INITIAL_PLACEMENTS_CAPACITY;
         struct rp_placement *placements = realloc(plan->placements, cap * sizeof *placements);
         if (!placements) {
             plan->failed = true;
@@ -105,7 +106,7 @@
     return true;
 }
 
-/* What kind of machine a bin is. */
+/* The type, zone and capacity of a bin's machine. */
 struct bin_kind {
     int type, zone;
     const struct rp_resources *capacity;
--- a/src/scheduler/plan.h
+++ b/src/scheduler/plan.h
@@ -1,5 +1,5 @@
 /** @file
- * A plan: what the planner makes, portfolio.h chooses and the scheduling cycle applies. */
+ * A plan, which the planner builds, portfolio.h selects and the scheduling cycle applies. */
 #ifndef RP_SCHEDULER_PLAN_H
 #define RP_SCHEDULER_PLAN_H
 
@@ -10,23 +10,24 @@
 /** Tasks of one group on one machine. */
 struct rp_placement {
     size_t group;
-    size_t machine; /* from n_machines on: new ones */
+    size_t machine; /* index of an existing machine; from n_machines on, of a new one */
     uint32_t count;
-    bool starts_now; /* false: it holds capacity that the machine hasn't free yet */
+    bool starts_now; /* false: it holds capacity that is not free on the machine yet */
 };
 
 /** A placement of tasks, and the machines to provision for it. */
 struct rp_plan {
     struct rp_placement *placements;
     size_t n_placements, cap_placements;
-    size_t *new_machines; /* offerings of the new machines */
+    size_t *new_machines; /* for each new machine, the index of its offering */
     size_t n_new_machines, cap_new_machines;
-    uint32_t n_starting, n_waiting; /* tasks placed */
-    bool short_of_capacity[2];      /* work without GPUs, and with: not all of it can be in time */
-    double unplaced_work;           /* work that found no capacity, weighed by priority */
-    double cost;                    /* formula (1) */
-    unsigned long n_machines_examined; /* over all groups */
-    bool failed;                       /* out of memory */
+    uint32_t n_starting, n_waiting; /* placed tasks that start now, and that wait for capacity */
+    bool short_of_capacity[2];      /* for work without GPUs, and with GPUs: not all of it can meet
+                                       its objectives */
+    double unplaced_work;           /* work without capacity, weighted by priority */
+    double cost;                    /* formula (1) of the paper */
+    unsigned long n_machines_examined; /* sum over all groups */
+    bool failed;                       /* out of memory; the plan must not be applied */
 };
 
 /** Frees the plan's arrays and empties it. */
--- a/src/scheduler/planner.c
+++ b/src/scheduler/planner.c
@@ -12,13 +12,15 @@
 #include "scheduler/plan_cost.h"
 #include "scheduler/plan_resources.h"
 
-#define CPUS_PER_GPU 8 /* in the weight of work without capacity */
-#define LEAST_SIZE                                                                                 \
-    0.01 /* a task that needs neither CPUs nor GPUs weighs as much as so many CPUs                 \
-          */
-#define PRIORITY_BASE 100 /* work of a priority weighs so many times that of the next lower one */
+/* Number of CPUs that a GPU counts as in the weight of unplaced work. */
+#define UNPLACED_WORK_CPUS_PER_GPU 8
+/* Number of CPUs that is added to each task's size in the weight of unplaced work. Without it,
+ * tasks that need neither CPUs nor GPUs would weigh nothing. */
+#define TASK_BASE_SIZE_CPUS 0.01
+/* Ratio of the weight of unplaced work of one priority to that of the next lower priority. */
+#define PRIORITY_WEIGHT_FACTOR 100
 
-/* How many of the group's tasks its team's limit allows. */
+/* Number of the group's tasks that its team's limit allows. */
 static uint32_t team_limit(const struct rp_packing *packing, const struct rp_plan_group *group) {
     uint32_t n_allowed = group->n_tasks;
     if (group->team < 0)
@@ -29,7 +31,8 @@
                                       n_allowed);
 }
 
-/* Counts what was placed of the group, and what was left without capacity. */
+/* Adds the group's placed tasks and its unplaced work to the plan's sums, and deducts the placed
+ * tasks from the team's limit. */
 static void account_group(struct rp_packing *packing, const struct rp_group_packing *current,
                           uint32_t n_placed) {
     const struct rp_plan_group *group = current->group;
@@ -39,8 +42,10 @@
         packing->team_gpus_left[group->team] -= n_placed * group->each.gpus;
     }
     double weight =
-        (group->each.cpus + CPUS_PER_GPU * group->each.gpus + LEAST_SIZE) * group->run_s;
-    plan->unplaced_work += current->n_left * weight * pow(PRIORITY_BASE, (double)group->priority);
+        (group->each.cpus + UNPLACED_WORK_CPUS_PER_GPU * group->each.gpus + TASK_BASE_SIZE_CPUS) *
+        group->run_s;
+    plan->unplaced_work +=
+        current->n_left * weight * pow(PRIORITY_WEIGHT_FACTOR, (double)group->priority);
     for (size_t i = current->first_placement; i < plan->n_placements; i++) {
         if (plan->placements[i].starts_now)
             plan->n_starting += plan->placements[i].count;
@@ -57,7 +62,7 @@
     const struct rp_plan_group *group = current.group;
     uint32_t n_wanted = team_limit(packing, group);
     if (group->kind == RP_JOB_GANG && n_wanted < group->n_tasks)
-        return; /* over the limit: the gang waits whole */
+        return; /* the whole gang exceeds the team's limit, and no part of it may start */
     current.n_left = n_wanted;
     if (group->kind == RP_JOB_GANG)
         rp_gang_packing_place(packing, &current);
--- a/src/scheduler/portfolio.c
+++ b/src/scheduler/portfolio.c
@@ -6,8 +6,8 @@
 bool rp_plan_is_better(const struct rp_plan *a, const struct rp_plan *b) {
     if (a->failed != b->failed)
         return b->failed;
-    /* Constraint (4) of the paper: every job has its room. Where machines run short, plans are
-     * compared first by what they leave without one. */
+    /* Constraint (4) of the paper requires capacity for every job. It cannot be met when machines
+     * are short, therefore plans are compared first by the work that they leave unplaced. */
     if (fabs(a->unplaced_work - b->unplaced_work) > RP_PLAN_EPSILON * (1 + fabs(b->unplaced_work)))
         return a->unplaced_work < b->unplaced_work;
     if (fabs(a->cost - b->cost) > RP_PLAN_EPSILON)
