--- a/src/scheduler/array_packing.c
+++ b/src/scheduler/array_packing.c
@@ -4,10 +4,15 @@
 #include "scheduler/packing.h"
 #include "scheduler/plan_resources.h"
 
-#define HOLDER_SHARE 1.0 /* of a fetch's time that capacity with the image is waited for */
-#define SPARE_SHARE 0.7  /* of a task's time that a machine must be in use for anyway */
+/* Share of the time of a fetch that a task may wait for capacity on a machine that has its image.
+ */
+#define IMAGE_WAIT_FETCH_TIME_SHARE 1.0
+/* Share of a task's time, including its fetch, for which a machine's GPU work must still run before
+ * the task may use the machine's spare capacity. */
+#define SPARE_TASK_TIME_SHARE 0.7
 
-/* Puts what fits on a machine now; `later`: into the room it will have. */
+/* Places as many tasks as fit on the machine's capacity now or, with `later`, on the capacity that
+ * it will have. */
 static void place_on_machine(struct rp_packing *packing, struct rp_group_packing *current,
                              size_t machine_index, bool later) {
     const struct rp_plan_machine *machine = &packing->input->machines[machine_index];
@@ -28,11 +33,14 @@
     rp_packing_place(packing, current, machine_index, n_fitting, !later, end_s);
 }
 
-/* Machines that have the image and will have room before a fetch elsewhere could be over: waiting
- * for them costs no time, and the fetch's time isn't paid for. */
-static void place_on_image_holders(struct rp_packing *packing, struct rp_group_packing *current) {
+/* Places tasks on machines that have the image and will have free capacity before a fetch on
+ * another machine could end. Waiting for them delays no task and avoids paying for the time of the
+ * fetch. */
+static void place_on_machines_with_image(struct rp_packing *packing,
+                                         struct rp_group_packing *current) {
     const struct rp_plan_group *group = current->group;
-    /* Urgent work has room made for it rather than wait (measured: it lost by waiting). */
+    /* Work of a high or critical priority does not wait, because it can get capacity by preemption;
+     * it did worse when it waited here. */
     if (group->priority >= RP_PRIORITY_HIGH)
         return;
     const struct rp_candidate_list *list = &packing->lists[packing->group_list[current->index]];
@@ -40,22 +48,23 @@
         size_t machine_index = list->machines[RP_CAPACITY_LATER][i];
         packing->plan->n_machines_examined++;
         const struct rp_plan_machine *machine = &packing->input->machines[machine_index];
-        /* The cheap look first: under overload nearly no machine has any room left. */
+        /* The cheap checks come first: under overload hardly any machine has free capacity. */
         if (group->has_image && group->has_image[machine_index] &&
             rp_plan_n_fitting(&group->each, &packing->bins[machine_index].free_later, 1) &&
             rp_plan_machine_fits_after_s(machine, &group->each) <
-                HOLDER_SHARE * rp_plan_fetch_s(group, machine->fetch_gb_per_s, false))
+                IMAGE_WAIT_FETCH_TIME_SHARE *
+                    rp_plan_fetch_s(group, machine->fetch_gb_per_s, false))
             place_on_machine(packing, current, machine_index, true);
     }
 }
 
-void rp_array_packing_place_at_hand(struct rp_packing *packing, struct rp_group_packing *current,
-                                    bool later) {
+void rp_array_packing_place_on_existing(struct rp_packing *packing,
+                                        struct rp_group_packing *current, bool later) {
     const struct rp_candidate_list *list = &packing->lists[packing->group_list[current->index]];
     enum rp_capacity_kind kind = later ? RP_CAPACITY_LATER : RP_CAPACITY_NOW;
     for (int with_image = 1; with_image >= 0; with_image--) {
         if (!later && !with_image)
-            place_on_image_holders(packing, current);
+            place_on_machines_with_image(packing, current);
         for (size_t i = 0; i < list->n[kind] && current->n_left > 0; i++) {
             size_t machine_index = list->machines[kind][i];
             packing->plan->n_machines_examined++;
@@ -73,13 +82,14 @@
     if (!is_allowed || machine->reserved_for)
         return false;
     double task_s = group->run_s + rp_plan_fetch_s(group, machine->fetch_gb_per_s, has_image);
-    return !(machine->own_busy_s < SPARE_SHARE * task_s);
+    return !(machine->gpu_busy_s < SPARE_TASK_TIME_SHARE * task_s);
 }
 
-/* What the GPU work on a machine leaves of its CPUs costs nothing more: work that has no use for
- * the GPUs may take that, where it is over before the machine's own work. (Measured by all work on
- * the machine, such work drew more of its like after it, and kept a third of the GPU machines for
- * minutes after the last GPU task had ended.) */
+/* The CPUs that a machine's GPU work leaves free cost nothing extra, which is why work that needs
+ * no GPUs may use them if the GPU work on the machine lasts for SPARE_TASK_TIME_SHARE of the task's
+ * time. Only the GPU work counts: when all work on the machine counted, work without GPUs kept the
+ * machine eligible for more such work, and a third of the GPU machines were kept for minutes after
+ * the last GPU task had ended. */
 static void place_on_spare_capacity(struct rp_packing *packing, struct rp_group_packing *current) {
     const struct rp_plan_group *group = current->group;
     const struct rp_candidate_list *list = &packing->lists[packing->spare_list[current->index]];
@@ -104,9 +114,9 @@
 }
 
 void rp_array_packing_place(struct rp_packing *packing, struct rp_group_packing *current) {
-    rp_array_packing_place_at_hand(packing, current, false);
+    rp_array_packing_place_on_existing(packing, current, false);
     place_on_spare_capacity(packing, current);
-    rp_array_packing_place_at_hand(packing, current, true);
+    rp_array_packing_place_on_existing(packing, current, true);
     rp_new_machine_packing_place(packing, current);
     if (current->n_left > 0 && !current->group->is_guaranteed &&
         rp_new_machine_packing_can_wait(packing, current))
--- a/src/scheduler/cycle_input_build.c
+++ b/src/scheduler/cycle_input_build.c
@@ -6,10 +6,13 @@
 #include "scheduler/image_input.h"
 #include "scheduler/machine_input.h"
 
-#define NO_LIMIT 1e15       /* CPUs or GPUs of a team without a limit */
-#define NEW_MACHINES_MAX 60 /* that one plan may provision */
-#define REQUESTED_MAX                                                                              \
-    8 /* machines of an offering requested, beyond which the answer is waited for */
+/* Number of CPUs or GPUs that is left to a team without a limit. */
+#define NO_TEAM_LIMIT 1e15
+/* Greatest number of machines that one plan may provision. */
+#define NEW_MACHINES_MAX 60
+/* When this many machines of an offering are requested, no more are requested until the cloud has
+ * answered. */
+#define REQUESTED_MACHINES_MAX 8
 
 static void build_offerings(struct rp_scheduler *scheduler, struct rp_cycle_input *input) {
     const struct rp_catalog *catalog = rp_scheduler_catalog(scheduler);
@@ -25,11 +28,12 @@
                     .type = (int)t,
                     .zone = (int)z,
                     .spot = spot,
-                    /* Until what is asked for is answered, nobody knows whether there is more. */
+                    /* Until the cloud has answered the outstanding requests, it is unknown whether
+                     * it has more machines of this offering. */
                     .refused = rp_fleet_is_zone_silent(scheduler->fleet, (int)z) ||
                                rp_fleet_is_refused(scheduler->fleet, (int)t, (int)z, spot) ||
                                rp_fleet_n_requested(scheduler->fleet, (int)t, (int)z, spot) >=
-                                   REQUESTED_MAX,
+                                   REQUESTED_MACHINES_MAX,
                     .price = rp_fleet_hourly_price(catalog, (int)t, spot),
                     .boot_s = type->boot_s,
                     .fetch_gb_per_s = type->fetch_gb_per_s,
@@ -45,11 +49,11 @@
         input->teams[i].cpus_left =
             settings->teams[i].cpus_max > 0
                 ? settings->teams[i].cpus_max - scheduler->cluster->team_cpus[i]
-                : NO_LIMIT;
+                : NO_TEAM_LIMIT;
         input->teams[i].gpus_left =
             settings->teams[i].gpus_max > 0
                 ? settings->teams[i].gpus_max - scheduler->cluster->team_gpus[i]
-                : NO_LIMIT;
+                : NO_TEAM_LIMIT;
     }
     input->plan_input.teams = input->teams;
     input->plan_input.n_teams = settings->n_teams;
@@ -58,7 +62,7 @@
 bool rp_cycle_input_build(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                           struct timespec now) {
     memset(input, 0, sizeof *input);
-    input->plan_input.unit_s = scheduler->settings->tuning.billing_unit_s;
+    input->plan_input.billing_unit_s = scheduler->settings->tuning.billing_unit_s;
     input->plan_input.seed = scheduler->n_cycles;
     input->plan_input.new_machines_max = NEW_MACHINES_MAX;
     build_offerings(scheduler, input);
--- a/src/scheduler/gang_packing.c
+++ b/src/scheduler/gang_packing.c
@@ -3,8 +3,8 @@
 #include "scheduler/array_packing.h"
 #include "scheduler/packing.h"
 
-/* A gang of one zone may fit in one zone and not in another: each is tried. True once all of it has
- * its room. */
+/* Tries each allowed zone for a gang that must be in one zone, because it may fit in some zones
+ * only. Returns whether the whole gang was placed. */
 static bool place_gang_by_zone(struct rp_packing *packing, struct rp_group_packing *current,
                                bool start_now) {
     size_t n_new_before = packing->plan->n_new_machines;
@@ -15,7 +15,7 @@
         if (zones > 1)
             current->zone = z;
         if (start_now)
-            rp_array_packing_place_at_hand(packing, current, false);
+            rp_array_packing_place_on_existing(packing, current, false);
         else
             rp_array_packing_place(packing, current);
         if (current->n_left == 0)
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -5,28 +5,42 @@
 #include "scheduler/packing.h"
 #include "scheduler/plan_resources.h"
 
-/* Work with fewer machines to choose from goes ahead of work that may use spot machines as well. */
-#define ESW_ORDINARY_ONLY_S 60.0
-#define ESW_FETCH 2.0     /* seconds of slack that a second of fetching weighs */
-#define ESW_RUN_TIME 0.75 /* of its run time that a job is drawn forward */
-#define ESW_WORK 6.0      /* seconds of slack that a second of the whole fleet's work weighs */
-/* How much more it weighs when not all jobs can be in time, and for each 100 machines as much
- * again: with the fleet grows the number of jobs that wait, and each is a smaller part of it. */
-#define ESW_SHORT 5.0
-#define ESW_SHORT_MACHINES 100.0
-#define ESW_RARE 3.0 /* seconds that a rare job is drawn forward for each of the fleet's work */
-
-/* A GPU counts as so many CPUs in a job's size, and so do so many GB of memory as one. */
+/* The weights of ESW (earliest slack, weighted by work). Its key is in seconds of slack, and the
+ * group with the least key is placed first. "Fleet work" is work in seconds of the whole fleet: a
+ * group's number of tasks times their run time times the share of the fleet that one task takes. */
+
+/* Seconds by which the key of a group that may not use spot machines is reduced: it has fewer
+ * machines to choose from, and precedes work that may use spot machines too. */
+#define ESW_NO_SPOT_ADVANCE_S 60.0
+/* Seconds of slack that are added to the key for each second of fetching the image. */
+#define ESW_SLACK_S_PER_FETCH_S 2.0
+/* Share of a task's run time by which the key is reduced. */
+#define ESW_RUN_TIME_ADVANCE_SHARE 0.75
+/* Seconds of slack that are added to the key for each second of fleet work. */
+#define ESW_SLACK_S_PER_FLEET_WORK_S 6.0
+/* Factor on ESW_SLACK_S_PER_FLEET_WORK_S for arrays while not all jobs can meet their objectives.
+ * In a fleet of more than 100 machines (ESW_SHORTAGE_N_MACHINES), it is multiplied by the number of
+ * machines divided by 100: in a larger fleet more jobs wait, and each is a smaller share of the
+ * fleet's work. */
+#define ESW_SHORTAGE_WORK_FACTOR 5.0
+#define ESW_SHORTAGE_N_MACHINES 100.0
+/* Seconds by which the key of the only job of a class is reduced for each second of fleet work
+ * while not all jobs can meet their objectives. For other jobs of rare classes, the class factor
+ * (load_shedding.h) blends this value with the weight during a shortage. */
+#define ESW_RARE_ADVANCE_S_PER_FLEET_WORK_S 3.0
+
+/* Number of CPUs that a GPU counts as, and number of GB of memory that count as one CPU, in a
+ * task's size. */
 #define SIZE_CPUS_PER_GPU 8
 #define SIZE_GB_PER_CPU 8
 
-/* What a criterion's formula may use; the first group in the order has the least key. */
+/* The values that a criterion's formula may use. Groups are sorted by ascending key. */
 struct job_key_input {
     const struct rp_plan_group *group;
-    size_t position;    /* in the planner's input */
+    size_t position;    /* index in the planner's input */
     double size;        /* of a task, in CPUs */
-    double fleet_share; /* of the fleet that a task takes */
-    double work_weight; /* of the group's work in ESW */
+    double fleet_share; /* share of the fleet that a task takes */
+    double work_weight; /* ESW: seconds of slack for each second of fleet work */
 };
 
 static double key_fcfs(const struct job_key_input *input) {
@@ -63,12 +77,12 @@
 
 static double key_esw(const struct job_key_input *input) {
     const struct rp_plan_group *group = input->group;
-    return group->slack_s - ESW_RUN_TIME * group->run_s +
+    return group->slack_s - ESW_RUN_TIME_ADVANCE_SHARE * group->run_s +
            input->work_weight * group->n_tasks * group->run_s * input->fleet_share;
 }
 
-/* The criteria with their formulas and sources; their names are those of the settings
- * (model/heuristic.c). */
+/* The criteria with their formulas and sources. Their names are those of the settings
+ * (model/heuristic.c). "Ours" marks the criteria that are not from the paper. */
 static double (*const criteria[])(const struct job_key_input *input) = {
     [RP_JOB_ORDER_FCFS] = key_fcfs, /* first-come-first-served: -age (paper, table 2) */
     [RP_JOB_ORDER_RR] = key_rr,     /* round-robin: position in the input (paper, table 2) */
@@ -79,7 +93,7 @@
     [RP_JOB_ORDER_EDF] = key_edf,   /* earliest due first: slack (ours) */
     [RP_JOB_ORDER_SRW] =
         key_srw, /* smallest remaining work first: size * tasks * run time (ours) */
-    [RP_JOB_ORDER_ESW] = key_esw, /* earliest slack, weighed by work: slack + work (ours) */
+    [RP_JOB_ORDER_ESW] = key_esw, /* earliest slack, weighted by work: slack + work (ours) */
 };
 
 static double fleet_share(const struct rp_resources *each, const struct rp_resources *fleet) {
@@ -89,11 +103,12 @@
     return share;
 }
 
-/* What a fetch would delay the group by: nothing if a machine with capacity holds its image. */
+/* Longest time, in seconds, that a fetch of the image would delay the group on a machine with free
+ * capacity; 0 if one of these machines has the image. */
 static double fetch_delay_s(const struct rp_packing *packing, size_t index) {
     const struct rp_plan_group *group = &packing->input->groups[index];
     const struct rp_candidate_list *list = &packing->lists[packing->group_list[index]];
-    double fetch = 0;
+    double longest_fetch_s = 0;
     for (size_t i = 0; i < list->n[RP_CAPACITY_NOW]; i++) {
         size_t machine_index = list->machines[RP_CAPACITY_NOW][i];
         const struct rp_plan_machine *machine = &packing->input->machines[machine_index];
@@ -102,16 +117,18 @@
             continue;
         if (group->has_image && group->has_image[machine_index])
             return 0;
-        fetch = fmax(fetch, group->image_gb / machine->fetch_gb_per_s);
+        longest_fetch_s = fmax(longest_fetch_s, group->image_gb / machine->fetch_gb_per_s);
     }
-    return fetch;
+    return longest_fetch_s;
 }
 
 static int group_rank(const struct rp_packing *packing, size_t index) {
     const struct rp_plan_group *group = &packing->input->groups[index];
     if (group->is_guaranteed)
         return -3 * (RP_PRIORITY_CRITICAL + 1);
-    /* Priority comes before every order: work never waits for work of a lower priority. */
+    /* The priority takes precedence over every criterion: work never waits for work of a lower
+     * priority. Within a priority, first tasks come first while capacity is short, and shed groups
+     * come last. */
     return -3 * (int)group->priority +
            (group->is_first_task &&
                     packing->plan->short_of_capacity[rp_plan_group_needs_gpus(group)]
@@ -120,12 +137,13 @@
                                       : 1);
 }
 
-/* The only job of a class isn't kept behind all smaller ones: on the contrary, its work has to be
- * begun earlier by the time that it takes, beside other work. */
-static double small_first_weight(const struct rp_packing *packing,
-                                 const struct rp_plan_group *group, double weight) {
+/* Weight of the group's work during a shortage. Without the class factor, the only job of a class
+ * would be placed after all smaller jobs. Its work must start earlier instead, by the time that it
+ * takes beside other work, and the weight becomes negative. */
+static double shortage_work_weight(const struct rp_packing *packing,
+                                   const struct rp_plan_group *group, double weight) {
     double factor = rp_load_shedding_class_factor(packing, group);
-    return weight * factor - ESW_RARE * (1 - factor);
+    return weight * factor - ESW_RARE_ADVANCE_S_PER_FLEET_WORK_S * (1 - factor);
 }
 
 static struct rp_resources fleet_capacity(const struct rp_packing *packing) {
@@ -135,14 +153,16 @@
     return fleet;
 }
 
-/* Seconds of slack that a second of the whole fleet's work weighs for the group. Gangs are never
- * shed: behind all smaller arrays they would wait too long. */
+/* Seconds of slack that are added to the group's key for each second of fleet work. Gangs keep the
+ * weight without a shortage: they are never shed, and behind all smaller arrays they would wait too
+ * long. */
 static double work_weight(const struct rp_packing *packing, const struct rp_plan_group *group) {
-    double short_weight =
-        ESW_WORK * ESW_SHORT * fmax(1, (double)packing->input->n_machines / ESW_SHORT_MACHINES);
-    bool small_first = group->kind == RP_JOB_ARRAY &&
-                       packing->plan->short_of_capacity[rp_plan_group_needs_gpus(group)];
-    return small_first ? small_first_weight(packing, group, short_weight) : ESW_WORK;
+    double shortage_weight = ESW_SLACK_S_PER_FLEET_WORK_S * ESW_SHORTAGE_WORK_FACTOR *
+                             fmax(1, (double)packing->input->n_machines / ESW_SHORTAGE_N_MACHINES);
+    bool small_jobs_first = group->kind == RP_JOB_ARRAY &&
+                            packing->plan->short_of_capacity[rp_plan_group_needs_gpus(group)];
+    return small_jobs_first ? shortage_work_weight(packing, group, shortage_weight)
+                            : ESW_SLACK_S_PER_FLEET_WORK_S;
 }
 
 void rp_job_order_sort(struct rp_packing *packing, enum rp_job_order order) {
@@ -162,7 +182,8 @@
                                       .work_weight = work_weight(packing, group)};
         double key = criteria[order](&input);
         if (order == RP_JOB_ORDER_ESW)
-            key += ESW_FETCH * fetch_delay_s(packing, i) - (group->spot ? 0 : ESW_ORDINARY_ONLY_S);
+            key += ESW_SLACK_S_PER_FETCH_S * fetch_delay_s(packing, i) -
+                   (group->spot ? 0 : ESW_NO_SPOT_ADVANCE_S);
         packing->sort_entries[i] =
             (struct rp_sort_entry){.item = i, .rank = group_rank(packing, i), .key = key};
     }
--- a/src/scheduler/load_shedding.c
+++ b/src/scheduler/load_shedding.c
@@ -5,41 +5,43 @@
 #include "scheduler/packing.h"
 #include "scheduler/plan_resources.h"
 
-/* Work is shed beyond so many times what can be done in time: estimates are rough, and the rougher
- * the fewer machines they are spread over. */
-#define SHED_LOAD 0.9
-#define SHED_LOAD_FEW_MACHINES 30.0 /* more, divided by the number of machines */
-#define RARE_JOBS 10.0 /* a class with fewer unfinished jobs is rare, where another has more */
+/* Work is shed when it exceeds the capacity up to its due time times SHED_CAPACITY_FACTOR plus
+ * SHED_CAPACITY_FACTOR_MACHINES divided by the number of machines. Estimates are rough, and the
+ * fewer machines the work is spread over, the rougher they are. */
+#define SHED_CAPACITY_FACTOR 0.9
+#define SHED_CAPACITY_FACTOR_MACHINES 30.0
+/* A class with at most this many unfinished jobs is rare if another class has more jobs. */
+#define RARE_CLASS_JOBS_MAX 10.0
 
 void rp_load_shedding_count_classes(struct rp_packing *packing) {
     for (size_t i = 0; i < packing->input->n_groups; i++) {
         const struct rp_plan_group *group = &packing->input->groups[i];
-        uint32_t *most =
-            &packing->most_class_jobs[group->priority][rp_plan_group_needs_gpus(group)];
-        if (group->kind == RP_JOB_ARRAY && group->slack_s < RP_NO_OBJECTIVE_S &&
-            group->class_jobs > *most)
-            *most = group->class_jobs;
+        uint32_t *max_jobs =
+            &packing->max_class_jobs[group->priority][rp_plan_group_needs_gpus(group)];
+        if (group->kind == RP_JOB_ARRAY && group->slack_s < RP_NO_OBJECTIVE_SLACK_S &&
+            group->class_jobs > *max_jobs)
+            *max_jobs = group->class_jobs;
     }
 }
 
 double rp_load_shedding_class_factor(const struct rp_packing *packing,
                                      const struct rp_plan_group *group) {
     if (group->class_jobs >=
-            packing->most_class_jobs[group->priority][rp_plan_group_needs_gpus(group)] ||
+            packing->max_class_jobs[group->priority][rp_plan_group_needs_gpus(group)] ||
         group->class_jobs == 0)
         return 1;
-    return fmin(1, (group->class_jobs - 1) / RARE_JOBS);
+    return fmin(1, (group->class_jobs - 1) / RARE_CLASS_JOBS_MAX);
 }
 
-/* The group's work, in seconds of a CPU or a GPU. */
+/* The group's work, in seconds of a CPU or, if it needs GPUs, of a GPU. */
 static double group_work(const struct rp_plan_group *group) {
     return group->n_tasks * group->run_s *
            (rp_plan_group_needs_gpus(group) ? group->each.gpus : group->each.cpus);
 }
 
-/* Of the first `n` groups in the order, the one that takes most work for its share of its class and
- * isn't given up. Gangs never are: what a whole gang gains isn't told by its work, and they are
- * few. */
+/* Among the first `n` sorted groups, returns the array with the most work, weighted by its class
+ * factor, that is not shed. Gangs are never shed: the work of a gang does not show what is gained
+ * by starting it whole, and gangs are few. */
 static const struct rp_plan_group *largest_admitted(const struct rp_packing *packing, size_t n) {
     const struct rp_plan_group *largest = NULL;
     double largest_work = 0;
@@ -55,13 +57,13 @@
     return largest;
 }
 
-/* Sorts the groups of the priority that have an objective by their due times; returns how many. */
+/* Sorts the groups of the priority that have an objective by due time; returns their number. */
 static size_t sort_by_due_time(struct rp_packing *packing, enum rp_priority priority, bool gpus) {
     size_t n = 0;
     for (size_t i = 0; i < packing->input->n_groups; i++) {
         const struct rp_plan_group *group = &packing->input->groups[i];
         if (group->priority == priority && rp_plan_group_needs_gpus(group) == gpus &&
-            group->slack_s < RP_NO_OBJECTIVE_S)
+            group->slack_s < RP_NO_OBJECTIVE_SLACK_S)
             packing->sort_entries[n++] =
                 (struct rp_sort_entry){.item = i, .key = group->slack_s, .rank = 0};
     }
@@ -69,9 +71,10 @@
     return n;
 }
 
-/* Moore's rule: in the order of due times, whenever the work taken so far can't be done by then,
- * its largest job is shed. So the most jobs are in time; without it, under a load that lasts, those
- * about to be late take the capacity of those that still can be in time, and all are late. */
+/* Moore's rule: groups are admitted by due time, and whenever the admitted work cannot be done by
+ * the due time, its largest job is shed. This maximizes the number of jobs that meet their
+ * objectives. Without it, under sustained overload, jobs that are about to be late take the
+ * capacity of those that could still meet their objectives, and all jobs are late. */
 static void shed_priority(struct rp_packing *packing, enum rp_priority priority, bool gpus,
                           struct rp_pool_load *load) {
     size_t n = sort_by_due_time(packing, priority, gpus);
@@ -100,7 +103,7 @@
     for (int gpus = 0; gpus < 2; gpus++) {
         struct rp_pool_load load = rp_machine_pools_load(packing, gpus);
         if (load.n_machines > 0)
-            load.capacity *= SHED_LOAD + SHED_LOAD_FEW_MACHINES / load.n_machines;
+            load.capacity *= SHED_CAPACITY_FACTOR + SHED_CAPACITY_FACTOR_MACHINES / load.n_machines;
         for (int p = RP_PRIORITY_CRITICAL; p >= RP_PRIORITY_LOW && load.capacity > 0; p--)
             shed_priority(packing, (enum rp_priority)p, gpus, &load);
     }
--- a/src/scheduler/machine_order.c
+++ b/src/scheduler/machine_order.c
@@ -4,14 +4,14 @@
 #include <math.h>
 #include "scheduler/packing.h"
 
-#define SIZE_CPUS_PER_GPU 8 /* a GPU counts as so many CPUs in a machine's size */
+#define SIZE_CPUS_PER_GPU 8 /* number of CPUs that a GPU counts as in a machine's size */
 
-/* What a criterion's formula may use; the first machine in the order has the least key. */
+/* The values that a criterion's formula may use. Machines are sorted by ascending key. */
 struct machine_key_input {
     const struct rp_plan_machine *machine;
-    double size;        /* in CPUs */
-    double into_unit_s; /* since its billing unit began */
-    gsl_rng *rng;       /* NULL for all but RP_MACHINE_ORDER_RND, and when memory is short */
+    double size;                   /* in CPUs */
+    double billing_unit_elapsed_s; /* since the machine's current billing unit began */
+    gsl_rng *rng; /* NULL except for RP_MACHINE_ORDER_RND, and when memory is short */
 };
 
 static double key_rnd(const struct machine_key_input *input) {
@@ -51,14 +51,14 @@
 }
 
 static double key_cfh(const struct machine_key_input *input) {
-    return -input->into_unit_s;
+    return -input->billing_unit_elapsed_s;
 }
 
 static double key_ffh(const struct machine_key_input *input) {
-    return input->into_unit_s;
+    return input->billing_unit_elapsed_s;
 }
 
-/* The part of the machine that is free, by its main resource. */
+/* Free share of the machine's main resource: GPUs if it has any, otherwise CPUs. */
 static double key_bf(const struct machine_key_input *input) {
     const struct rp_plan_machine *machine = input->machine;
     if (machine->capacity.gpus > 0)
@@ -70,9 +70,9 @@
     return input->machine->price / fmax(1, input->size);
 }
 
-/* The criteria with their formulas and sources; their names are those of the settings
- * (model/heuristic.c). Ages are
- * those of a machine's tasks: the latest arrival has the least age. */
+/* The criteria with their formulas and sources. Their names are those of the settings
+ * (model/heuristic.c). Ages are those of a machine's tasks: the task that arrived last has the
+ * least age. "Ours" marks the criteria that are not from the paper. */
 static double (*const criteria[])(const struct machine_key_input *input) = {
     [RP_MACHINE_ORDER_RND] = key_rnd, /* random (paper, table 3) */
     [RP_MACHINE_ORDER_LM] = key_lm,   /* largest capacity first: -size (paper, table 3) */
@@ -99,7 +99,7 @@
         struct machine_key_input input = {
             .machine = machine,
             .size = machine->capacity.cpus + SIZE_CPUS_PER_GPU * machine->capacity.gpus,
-            .into_unit_s = fmod(machine->age_s, packing->input->unit_s),
+            .billing_unit_elapsed_s = fmod(machine->age_s, packing->input->billing_unit_s),
             .rng = rng};
         packing->sort_entries[i] =
             (struct rp_sort_entry){.item = i, .key = criteria[order](&input)};
--- a/src/scheduler/new_machine_packing.c
+++ b/src/scheduler/new_machine_packing.c
@@ -4,8 +4,10 @@
 #include "scheduler/packing.h"
 #include "scheduler/plan_resources.h"
 
-#define WAIT_SHARE 0.4        /* of a job's time to spare that may pass in waiting */
-#define NEW_MACHINES_FIRST 16 /* memory for so many in a plan at first; doubled as needed */
+/* Share of a job's slack that it may spend waiting for existing machines. */
+#define WAIT_SLACK_SHARE 0.4
+/* Number of new machines that a plan's first allocation holds; doubled whenever it is full. */
+#define INITIAL_NEW_MACHINES_CAPACITY 16
 
 void rp_new_machine_packing_place(struct rp_packing *packing, struct rp_group_packing *current) {
     for (size_t i = 0; i < packing->plan->n_new_machines && current->n_left > 0; i++) {
@@ -24,25 +26,27 @@
     }
 }
 
-/* Capacity per price on the main resource: the one of which a task takes the largest part. */
+/* Capacity per price of the main resource: the one of which a task takes the largest share. */
 static double capacity_per_price(const struct rp_plan_group *group,
                                  const struct rp_plan_offering *offering) {
     const struct rp_resources *capacity_of_type = &offering->capacity;
-    double cpu = capacity_of_type->cpus > 0 ? group->each.cpus / capacity_of_type->cpus : 0;
-    double gpu = capacity_of_type->gpus > 0 ? group->each.gpus / capacity_of_type->gpus : 0;
-    double memory =
+    double cpu_share = capacity_of_type->cpus > 0 ? group->each.cpus / capacity_of_type->cpus : 0;
+    double gpu_share = capacity_of_type->gpus > 0 ? group->each.gpus / capacity_of_type->gpus : 0;
+    double memory_share =
         capacity_of_type->memory_gb > 0 ? group->each.memory_gb / capacity_of_type->memory_gb : 0;
-    double capacity = gpu >= cpu && gpu >= memory ? capacity_of_type->gpus
-                      : cpu >= memory             ? capacity_of_type->cpus
+    double capacity = gpu_share >= cpu_share && gpu_share >= memory_share ? capacity_of_type->gpus
+                      : cpu_share >= memory_share                         ? capacity_of_type->cpus
                                                   : capacity_of_type->memory_gb;
-    /* In tasks, so that types whose main resource differs can be compared. */
-    double need = gpu >= cpu && gpu >= memory ? group->each.gpus
-                  : cpu >= memory             ? group->each.cpus
-                                              : group->each.memory_gb;
+    /* The capacity is counted in tasks, so that types with different main resources can be
+     * compared. */
+    double need = gpu_share >= cpu_share && gpu_share >= memory_share ? group->each.gpus
+                  : cpu_share >= memory_share                         ? group->each.cpus
+                                                                      : group->each.memory_gb;
     return need > 0 && offering->price > 0 ? capacity / need / offering->price : capacity;
 }
 
-static int best_offering(const struct rp_packing *packing, const struct rp_group_packing *current) {
+static int find_best_offering(const struct rp_packing *packing,
+                              const struct rp_group_packing *current) {
     int best_offering = -1;
     double best_value = -1;
     for (size_t i = 0; i < packing->input->n_offerings; i++) {
@@ -67,13 +71,14 @@
     if (plan->n_new_machines == packing->input->new_machines_max)
         return false;
     if (plan->n_new_machines == plan->cap_new_machines) {
-        size_t cap = plan->cap_new_machines ? plan->cap_new_machines * 2 : NEW_MACHINES_FIRST;
-        size_t *fresh = realloc(plan->new_machines, cap * sizeof *fresh);
-        if (!fresh) {
+        size_t cap =
+            plan->cap_new_machines ? plan->cap_new_machines * 2 : INITIAL_NEW_MACHINES_CAPACITY;
+        size_t *new_machines = realloc(plan->new_machines, cap * sizeof *new_machines);
+        if (!new_machines) {
             plan->failed = true;
             return false;
         }
-        plan->new_machines = fresh;
+        plan->new_machines = new_machines;
         plan->cap_new_machines = cap;
     }
     struct rp_bin *bin = &packing->bins[packing->input->n_machines + plan->n_new_machines];
@@ -85,20 +90,20 @@
 void rp_new_machine_packing_place_rest(struct rp_packing *packing,
                                        struct rp_group_packing *current) {
     while (current->n_left > 0 && !packing->plan->failed) {
-        int offering = best_offering(packing, current);
-        uint32_t before = current->n_left;
+        int offering = find_best_offering(packing, current);
+        uint32_t n_left_before = current->n_left;
         if (offering < 0 || !provision_machine(packing, (size_t)offering))
             return;
         rp_new_machine_packing_place(packing, current);
-        if (current->n_left == before)
+        if (current->n_left == n_left_before)
             return;
     }
 }
 
-/* The machines that the group may use, at hand or provisioned by the plan. */
+/* Sums over the machines that the group may use, existing or provisioned by the plan. */
 struct usable_machines {
     double n_machines, work_s;
-    double share; /* of the last one that a task takes */
+    double share; /* share of the last of these machines that a task takes */
     uint32_t types;
 };
 
@@ -132,12 +137,12 @@
 bool rp_new_machine_packing_can_wait(struct rp_packing *packing,
                                      const struct rp_group_packing *current) {
     const struct rp_plan_group *group = current->group;
-    if (group->slack_s >= RP_NO_OBJECTIVE_S || WAIT_SHARE <= 0)
+    if (group->slack_s >= RP_NO_OBJECTIVE_SLACK_S || WAIT_SLACK_SHARE <= 0)
         return false;
     struct usable_machines usable = usable_machines(packing, group);
     double own_s = current->n_left * usable.share * group->run_s;
     if (usable.n_machines == 0 ||
-        (usable.work_s + own_s) / usable.n_machines > WAIT_SHARE * group->slack_s)
+        (usable.work_s + own_s) / usable.n_machines > WAIT_SLACK_SHARE * group->slack_s)
         return false;
     for (int type = 0; type < RP_TYPES_MAX; type++)
         if (usable.types >> type & 1) {
--- a/src/scheduler/packing_state.h
+++ b/src/scheduler/packing_state.h
@@ -1,58 +1,60 @@
 /** @file
- * The state in which one heuristic packs the groups of tasks onto machines. A machine is a bin, and
- * one that the plan provisions is a bin behind those of the machines at hand. The planner owns the
- * state for the time of one plan; the modules of its steps work on it: job_order.h,
- * machine_order.h, load_shedding.h, machine_pool.h, candidate_list.h, packing.h, array_packing.h,
- * gang_packing.h, provisioning.h, plan_cost.h.
+ * The state of the bin packing that one heuristic does. Each machine is a bin; the bins of new
+ * machines follow those of the existing machines. The planner owns the state while it builds one
+ * plan, and the modules of its steps modify it: job_order.h, machine_order.h, load_shedding.h,
+ * machine_pool.h, candidate_list.h, packing.h, array_packing.h, gang_packing.h,
+ * new_machine_packing.h, plan_cost.h.
  *
- * Invariants: what a placement takes of a bin is taken of `free_later`, and of `free_now` and
- * `free_spare` too if its tasks start now; every change of a bin at hand goes through packing.h. */
+ * Invariants: a placement's resources are deducted from the bin's `free_later`, and also from
+ * `free_now` and `free_spare` if its tasks start now; the bins of existing machines are changed
+ * only by packing.h. */
 #ifndef RP_SCHEDULER_PACKING_STATE_H
 #define RP_SCHEDULER_PACKING_STATE_H
 
 #include "scheduler/plan.h"
 #include "scheduler/plan_input.h"
 
-/** Sets of machine types that have a list of their own; the rest share the last list. Only the time
- * of planning depends on it. */
+/** Greatest number of candidate lists. Each set of machine types has a list of its own until this
+ * number is reached; further sets share the last list. Only the time of planning depends on it. */
 #define RP_CANDIDATE_LISTS_MAX 16
 
-/** Which capacity of a machine a list is about: what is free now, later (rp_plan_machine), or what
- * the machine's GPU work leaves. */
+/** Kinds of a machine's capacity, with a list for each: free now, free later (see rp_plan_machine),
+ * and spare capacity, which the machine's GPU work does not use. */
 enum rp_capacity_kind {
     RP_CAPACITY_NOW,
     RP_CAPACITY_LATER,
     RP_CAPACITY_SPARE,
-    RP_CAPACITY_KINDS /* how many kinds there are */
+    RP_CAPACITY_KINDS /* number of kinds */
 };
 
-/** A machine's capacity as the plan takes it. */
+/** A machine's capacity that the plan has not used yet. */
 struct rp_bin {
     struct rp_resources free_now, free_later, free_spare;
     double end_s; /* estimated end of the last task */
 };
 
-/** The machines, in the heuristic's order, that have capacity for some group among those that may
- * use the same types. */
+/** The machines, in the heuristic's order, that have capacity for at least one task of the groups
+ * that may use the same machine types. */
 struct rp_candidate_list {
     uint32_t types;
     bool is_stale; /* capacity has been taken since the lists were last refreshed */
     size_t *machines[RP_CAPACITY_KINDS], n[RP_CAPACITY_KINDS];
-    struct rp_resources smallest_need; /* of each resource: what the least demanding task needs */
+    struct rp_resources smallest_need; /* for each resource, the least amount that any task of the
+                                          list's groups needs */
 };
 
-/** The machines of one type, zone and kind together. */
+/** The machines of one type, zone and kind (ordinary or spot) together. */
 struct rp_machine_pool {
     int type, zone;
     bool spot;
-    double n_machines, work_s; /* without the parts that services hold */
+    double n_machines, work_s; /* both without the shares that services hold */
     const struct rp_resources *capacity;
 };
 
 /** An index of groups or machines that is being sorted. */
 struct rp_sort_entry {
     size_t item;
-    int rank; /* before the key */
+    int rank; /* compared before the key */
     double key;
 };
 
@@ -60,31 +62,35 @@
 struct rp_packing {
     const struct rp_plan_input *input;
     struct rp_plan *plan;
-    struct rp_bin *bins; /* machines, then new ones */
+    struct rp_bin *bins; /* of existing machines, then of new ones */
     size_t *group_order, *machine_order;
-    size_t *group_list, *spare_list; /* of each group: its indexes in `lists` */
+    size_t *group_list, *spare_list; /* for each group, the index in `lists` for its allowed types,
+                                        and for its spare types */
     struct rp_candidate_list lists[RP_CANDIDATE_LISTS_MAX];
     size_t n_lists;
-    bool *is_shed; /* groups that can't be in time, or aren't to be so that more others are */
-    /* Of the arrays' classes of a priority with objectives, without GPUs and with: the most
-     * unfinished jobs. Gangs don't count: they are never shed, and their size is no part of the
-     * order. */
-    uint32_t most_class_jobs[RP_PRIORITY_CRITICAL + 1][2];
+    bool *is_shed; /* for each group, whether it is placed after others of its priority: it is late,
+                      or was shed so that more jobs meet their objectives */
+    /* For each priority, without and with GPUs: the number of unfinished jobs of the most numerous
+     * class of arrays with an objective. Gangs are not counted, because they are never shed and
+     * their size does not affect the order. */
+    uint32_t max_class_jobs[RP_PRIORITY_CRITICAL + 1][2];
     struct rp_machine_pool *pools;
     size_t n_pools;
-    struct rp_sort_entry *sort_entries; /* scratch, for groups or machines */
+    struct rp_sort_entry *sort_entries; /* scratch memory for sorting groups or machines */
     double *team_cpus_left, *team_gpus_left;
-    double queued_s[RP_TYPES_MAX]; /* work given to a type's machines, and left to them */
+    double queued_s[RP_TYPES_MAX]; /* work, in seconds of a machine, that the plan has placed on a
+                                      type's machines or lets wait for them */
 };
 
-/** The group being placed: how many tasks are left, and what one_zone and spread still allow. */
+/** The group that is being placed: its tasks not placed yet, and what one_zone and spread still
+ * allow. */
 struct rp_group_packing {
     const struct rp_plan_group *group;
     size_t index; /* of the group */
     uint32_t n_left;
-    int zone; /* fixed zone, -1: free */
+    int zone; /* the zone that all its tasks must be in if it has one_zone; -1: not fixed yet */
     uint32_t zone_used[RP_ZONES_MAX];
-    size_t first_placement; /* of the plan's placements, the first of this group */
+    size_t first_placement; /* index of this group's first placement in the plan */
 };
 
 #endif
--- a/src/scheduler/plan_input.h
+++ b/src/scheduler/plan_input.h
@@ -1,8 +1,8 @@
 /** @file
- * What the planner is given: a snapshot of the cluster, the waiting work and the cloud's offerings.
+ * The planner's input: a snapshot of the cluster, of the waiting work and of the cloud's offerings.
  * cycle_input.h builds it for each scheduling cycle; the planner and the modules that act on its
- * plan only read it. Tasks of a job are alike, so work is planned by groups: a job's startable
- * tasks together. */
+ * plan only read it. All tasks of a job have the same requirements, which is why work is planned by
+ * groups: the startable tasks of a job together. */
 #ifndef RP_SCHEDULER_PLAN_INPUT_H
 #define RP_SCHEDULER_PLAN_INPUT_H
 
@@ -11,30 +11,30 @@
 #include "model/job_spec.h"
 
 /** Slack, in seconds, of jobs whose class has no service-level objective. */
-#define RP_NO_OBJECTIVE_S 1e6
+#define RP_NO_OBJECTIVE_SLACK_S 1e6
 
-/** What the cloud rents out: machines of one type, in one zone, ordinary or spot. */
+/** An offering of the cloud: machines of one type, in one zone, ordinary or spot. */
 struct rp_plan_offering {
     int type, zone;
     bool spot;
-    bool refused; /* the cloud has recently had none */
+    bool refused; /* must not be requested in this cycle, for example because the cloud has recently
+                     had no such machine */
     double price; /* per hour */
     double boot_s, fetch_gb_per_s;
     struct rp_resources capacity;
 };
 
-/** Resources that running work gives back at its estimated end. */
+/** Resources that running work releases at its estimated end. */
 struct rp_plan_release {
     double after_s;
     struct rp_resources released;
 };
 
-/** A machine at hand: up, booting, or requested. */
+/** An existing machine: up, booting, or requested. */
 struct rp_plan_machine {
-    void *ref;                              /* the caller's; NULL for a requested machine */
-    const void *reserved_for;               /* the only group, by its ref, that may use it; NULL:
-                                               any */
-    const struct rp_plan_release *releases; /* in the order of time */
+    void *ref;                              /* the caller's object; NULL for a requested machine */
+    const void *reserved_for;               /* `ref` of the only group that may use it; NULL: any */
+    const struct rp_plan_release *releases; /* sorted by time */
     size_t n_releases;
     int type, zone;
     bool spot;
@@ -42,48 +42,51 @@
     double fetch_gb_per_s;
     struct rp_resources capacity;
     struct rp_resources free_now;   /* nothing while it boots */
-    struct rp_resources free_later; /* by the time when another machine of its type would be up */
-    struct rp_resources free_spare; /* of what is free now: what work without the type's GPUs may
-                                       take */
-    double free_later_after_s;      /* until `free_later` holds */
-    double age_s;                   /* since it was requested */
-    double service_share;           /* the part of it that services hold */
-    double work_s;                  /* its tasks' remaining time, weighed by their part of it */
+    struct rp_resources free_later; /* free when another machine of its type would be up */
+    struct rp_resources free_spare; /* the part of `free_now` that work without GPUs may take from a
+                                       machine type with GPUs */
+    double free_later_after_s;      /* seconds until `free_later` is available */
+    double age_s;                   /* since the machine was requested */
+    double service_share;           /* share of the machine that services hold */
+    double work_s;                  /* sum of its tasks' remaining times, each weighted by the
+                                       task's share of the machine; without services */
     double busy_s;                  /* until its last task's estimated end */
-    double
-        own_busy_s; /* the same of its own kind of work alone, not of what takes spare capacity */
-    double first_arrival_s, last_arrival_s, mean_arrival_s; /* ages of its tasks */
+    double gpu_busy_s;              /* until the estimated end of its last task that needs GPUs */
+    double first_arrival_s, last_arrival_s, mean_arrival_s; /* greatest, least and mean age of its
+                                                               tasks */
 };
 
 /** Tasks of one job that can be started. */
 struct rp_plan_group {
-    void *ref; /* the caller's */
+    void *ref; /* the caller's object */
     enum rp_job_kind kind;
     enum rp_priority priority;
-    uint32_t n_tasks; /* that can be started */
-    struct rp_resources each;
-    double run_s; /* estimated run time of a task */
+    uint32_t n_tasks;         /* startable tasks */
+    struct rp_resources each; /* needed by one task */
+    double run_s;             /* estimated run time of a task */
     double image_gb;
     double age_s;          /* of the job */
-    double slack_s;        /* until the job is late; RP_NO_OBJECTIVE_S when it can't be */
-    bool is_late;          /* it can be in time for nothing any more */
-    uint32_t class_jobs;   /* unfinished jobs of its class, this one included */
-    bool is_first_task;    /* the first task of a job that has waited long: it doesn't wait for the
-                              rest */
-    int team;              /* index, -1: none */
-    uint32_t types, zones; /* bit sets of what is allowed */
-    uint32_t spare_types;  /* of these only what the machines' own work leaves */
+    double slack_s;        /* until the job is late; RP_NO_OBJECTIVE_SLACK_S without an objective */
+    bool is_late;          /* the job can no longer meet any of its objectives */
+    uint32_t class_jobs;   /* unfinished jobs of its class, including this one */
+    bool is_first_task;    /* the first task of a job that has waited long; it is started ahead of
+                              the job's other tasks */
+    int team;              /* index; -1: none */
+    uint32_t types, zones; /* bit sets of the allowed types and zones */
+    uint32_t spare_types;  /* bit set of types of which the group may use only `free_spare` */
     bool spot;
     bool one_zone, spread;
-    int fixed_zone;      /* the zone its placed tasks are in, -1: none yet */
-    uint32_t spread_max; /* of its tasks that one zone may have */
+    int fixed_zone;      /* zone of its placed tasks; -1: none yet */
+    uint32_t spread_max; /* greatest number of its tasks in one zone */
     uint32_t zone_used[RP_ZONES_MAX];
-    bool is_guaranteed;    /* fits its team's guaranteed quota: it waits for no other team's work */
-    bool has_reservation;  /* a machine is reserved for it: only capacity now is better */
-    const bool *has_image; /* for each machine; NULL: none has it */
+    bool is_guaranteed;    /* fits its team's guaranteed quota and is placed before the work of
+                              other teams */
+    bool has_reservation;  /* machines are reserved for it; capacity elsewhere is better only if it
+                              is free now */
+    const bool *has_image; /* for each machine; NULL: no machine has the image */
 };
 
-/** What a team may still use; large when it has no limit. */
+/** Resources that a team may still use; a very large number when the team has no limit. */
 struct rp_plan_team {
     double cpus_left, gpus_left;
 };
@@ -98,9 +101,9 @@
     size_t n_groups;
     const struct rp_plan_team *teams;
     size_t n_teams;
-    double unit_s;           /* the billing unit */
-    unsigned long seed;      /* of random orders */
-    size_t new_machines_max; /* machines that one plan may provision */
+    double billing_unit_s;
+    unsigned long seed;      /* of the random machine order */
+    size_t new_machines_max; /* greatest number of machines that one plan may provision */
 };
 
 #endif
--- a/tests/unit/test_cycle_example.c
+++ b/tests/unit/test_cycle_example.c
@@ -1,4 +1,5 @@
-/* The worked example of docs/scheduling-cycle.md: its numbers are those that the planner makes. */
+/* Checks that the numbers of the worked example in docs/scheduling-cycle.md are those that the
+ * planner calculates. */
 #include "test.h"
 
 #include "scheduler/portfolio.h"
@@ -6,7 +7,7 @@
 #define PAGE_MAX 16384
 #define N_HEURISTICS 3
 
-/* Two machines at hand, two jobs, and two types that the cloud rents. */
+/* The example has two existing machines, two jobs and two machine types that the cloud offers. */
 static const struct rp_plan_offering offerings[] = {
     {.type = 0, .price = 0.36, .boot_s = 35, .capacity = {8, 0, 32}},
     {.type = 1, .price = 3.11, .boot_s = 50, .capacity = {64, 0, 256}},
@@ -33,7 +34,8 @@
      .work_s = 76},
 };
 
-static struct rp_plan_group job(uint32_t n_tasks, double cpus, double run_s, double slack_s) {
+static struct rp_plan_group make_group(uint32_t n_tasks, double cpus, double run_s,
+                                       double slack_s) {
     return (struct rp_plan_group){.n_tasks = n_tasks,
                                   .kind = RP_JOB_ARRAY,
                                   .priority = RP_PRIORITY_NORMAL,
@@ -52,30 +54,30 @@
     {RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_CP},
     {RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM},
     {RP_JOB_ORDER_FCFS, RP_MACHINE_ORDER_LD}};
-static const char *const names[N_HEURISTICS] = {"ESW-CP", "ESW-SM", "FCFS-LD"};
+static const char *const heuristic_names[N_HEURISTICS] = {"ESW-CP", "ESW-SM", "FCFS-LD"};
 
-/* A row of the page's table: the heuristic, starting, waiting and unplaced work, new machines and
- * cost. */
-static void row_of(char *out, size_t size, const char *name, const struct rp_plan *plan) {
+/* Writes a row of the page's table: heuristic, starting and waiting tasks, unplaced work, new
+ * machines and cost. */
+static void format_row(char *out, size_t size, const char *name, const struct rp_plan *plan) {
     snprintf(out, size, "| %s | %u | %u | %.1f | %zu | %.4f |", name, plan->n_starting,
              plan->n_waiting, plan->unplaced_work, plan->n_new_machines, plan->cost);
 }
 
-static void expect_on_page(const char *page, const char *row) {
+static void assert_row_is_on_page(const char *page, const char *row) {
     if (!strstr(page, row))
         fail_msg("docs/scheduling-cycle.md has no row\n%s", row);
 }
 
-static void example_is_what_the_planner_does(void **state) {
+static void example_on_the_page_matches_the_planner(void **state) {
     static char page[PAGE_MAX];
-    struct rp_plan_group groups[] = {job(12, 1, 40, 60), job(6, 4, 30, 20)};
+    struct rp_plan_group groups[] = {make_group(12, 1, 40, 60), make_group(6, 4, 30, 20)};
     const struct rp_plan_input input = {.offerings = offerings,
                                         .n_offerings = 2,
                                         .machines = machines,
                                         .n_machines = 2,
                                         .groups = groups,
                                         .n_groups = 2,
-                                        .unit_s = 20,
+                                        .billing_unit_s = 20,
                                         .new_machines_max = 20};
     char row[128];
     struct rp_plan plan = {0};
@@ -86,24 +88,24 @@
     fclose(file);
     for (size_t i = 0; i < N_HEURISTICS; i++) {
         rp_plan_build(&input, heuristics[i], &plan);
-        row_of(row, sizeof row, names[i], &plan);
-        expect_on_page(page, row);
+        format_row(row, sizeof row, heuristic_names[i], &plan);
+        assert_row_is_on_page(page, row);
         rp_plan_free(&plan);
     }
     size_t winner = rp_plan_best(&input, heuristics, N_HEURISTICS, &plan);
-    snprintf(row, sizeof row, "The winner is %s.", names[winner]);
-    expect_on_page(page, row);
+    snprintf(row, sizeof row, "The winner is %s.", heuristic_names[winner]);
+    assert_row_is_on_page(page, row);
     for (size_t i = 0; i < plan.n_placements; i++) {
         const struct rp_placement *placement = &plan.placements[i];
         snprintf(row, sizeof row, "| job %zu | machine %zu | %u | %s |", placement->group + 1,
                  placement->machine + 1, placement->count, placement->starts_now ? "now" : "later");
-        expect_on_page(page, row);
+        assert_row_is_on_page(page, row);
     }
     rp_plan_free(&plan);
 }
 
 int main(int argc, char **argv) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(example_is_what_the_planner_does)};
+    const struct CMUnitTest tests[] = {cmocka_unit_test(example_on_the_page_matches_the_planner)};
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
