--- a/src/scheduler/new_machine_packing.c
+++ b/src/scheduler/new_machine_packing.c
@@ -4,7 +4,8 @@
 #include "scheduler/packing.h"
 #include "scheduler/plan_resources.h"
 
-/* Share of a job's slack that it may spend waiting for existing machines. */
+/* Share of a job's slack that it may spend waiting for existing machines, or for new ones that the
+ * plan already provisions. */
 #define WAIT_SLACK_SHARE 0.4
 /* Number of new machines that a plan's first allocation holds; doubled whenever it is full. */
 #define INITIAL_NEW_MACHINES_CAPACITY 16
--- a/src/scheduler/new_machine_packing.h
+++ b/src/scheduler/new_machine_packing.h
@@ -1,7 +1,7 @@
 /** @file
  * Selects the machines that a plan provisions: those of the offering with the most capacity per
  * price, which is the paper's Cost-Efficient criterion (section 3.3). Decides also whether a group
- * waits for existing machines instead. */
+ * waits for the machines that there are already instead. */
 #ifndef RP_SCHEDULER_NEW_MACHINE_PACKING_H
 #define RP_SCHEDULER_NEW_MACHINE_PACKING_H
 
