--- a/src/api/status.c
+++ b/src/api/status.c
@@ -36,16 +36,16 @@
 
 /* What went beyond a fixed bound, was put off or left out, and logged. */
 static unsigned long n_over_bounds(const struct rp_status_sources *sources) {
-    return sources->workers->context.counters.n_unknown_tasks_above +
+    return sources->workers->context.counters.n_unknown_tasks_over_limit +
            sources->scheduler->n_over_bounds + sources->jobs->run_time_estimator.n_unclassified +
            sources->catalog->n_left_out;
 }
 
 static void set_node_counters(json_t *object, const struct rp_status_sources *sources) {
     const struct rp_worker_counters *worker_counters = &sources->workers->context.counters;
-    const struct counter counters[] = {{"nodes_known", sources->upgrade->n_known},
-                                       {"state_too_fast", sources->store->n_too_fast},
-                                       {"state_too_large", sources->store->n_bad},
+    const struct counter counters[] = {{"nodes_known", sources->upgrade->n_nodes_announced},
+                                       {"state_too_fast", sources->store->n_rate_limited},
+                                       {"state_too_large", sources->store->n_rejected},
                                        {"state_shed", sources->store->n_shed},
                                        {"unreadable", sources->jobs->record_reader.n_unreadable},
                                        {"rounds", sources->scheduler->n_cycles},
@@ -108,7 +108,7 @@
     json_t *wins = json_object();
     for (size_t i = 0; i < tuning->n_heuristics; i++)
         json_object_set_new(wins, tuning->heuristics[i],
-                            json_integer((json_int_t)sources->scheduler->wins[i]));
+                            json_integer((json_int_t)sources->scheduler->n_wins[i]));
     return wins;
 }
 
@@ -125,7 +125,7 @@
     json_t *object = json_object();
     set_counters(object, placements, N_OF(placements));
     json_object_set_new(object, "reserve_cpus",
-                        json_real(rp_service_headroom_wanted_cpus(services)));
+                        json_real(rp_service_headroom_target_cpus(services)));
     json_object_set_new(object, "ready_cpus", json_real(ready_cpus));
     set_counters(object, commands, N_OF(commands));
     return object;
