--- a/src/api/submission_check.c
+++ b/src/api/submission_check.c
@@ -33,7 +33,7 @@
     int team = rp_settings_team(settings, spec->team);
     if (team < 0)
         return RP_REFUSAL_UNKNOWN_TEAM;
-    if (!catalog_source->known)
+    if (!catalog_source->is_known)
         return RP_REFUSAL_CATALOG_UNKNOWN;
     if (!has_fitting_type(catalog_source->catalog, cluster, spec))
         return RP_REFUSAL_NO_FITTING_TYPE;
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -6,8 +6,11 @@
 #include "protocol/kv_codec.h"
 #include "store/records.h"
 
+/* Seconds from a failed request of the catalog from the cloud to the next. */
 #define CLOUD_RETRY_S 0.5
-#define STORED_AFTER_S 0.7 /* the cloud's own answer is preferred, if it comes soon */
+/* Seconds from the start to the first read of the stored catalog, and between two reads of it. The
+ * delay gives preference to the cloud's own response, if it arrives soon. */
+#define STORED_CATALOG_DELAY_S 0.7
 #define STATUS_OK 200
 
 static void on_cloud_timer(void *arg);
@@ -30,27 +33,27 @@
 
 void rp_catalog_source_start(struct rp_catalog_source *source) {
     rp_timer_set(source->loop, &source->cloud_timer, 0);
-    rp_timer_set(source->loop, &source->stored_timer, STORED_AFTER_S);
+    rp_timer_set(source->loop, &source->stored_timer, STORED_CATALOG_DELAY_S);
 }
 
 void rp_catalog_source_close(struct rp_catalog_source *source) {
     rp_timer_cancel(source->loop, &source->cloud_timer);
     rp_timer_cancel(source->loop, &source->stored_timer);
-    json_decref(source->from_cloud);
-    source->from_cloud = NULL;
+    json_decref(source->cloud_catalog);
+    source->cloud_catalog = NULL;
 }
 
-/* ---- reading ---- */
+/* ---- obtaining the catalog ---- */
 
-/* Takes the machine types over if there are none yet, and `value` has some. Returns whether they
- * are known now. */
-static bool take_catalog(struct rp_catalog_source *source, const json_t *value,
-                         const char *origin) {
+/* Uses the machine types in `value`, if it is a catalog and none are known yet. Returns whether the
+ * machine types are known now. */
+static bool accept_catalog(struct rp_catalog_source *source, const json_t *value,
+                           const char *origin) {
     struct rp_catalog catalog;
-    if (source->known || !rp_cloud_codec_read_catalog(value, &catalog))
-        return source->known;
+    if (source->is_known || !rp_cloud_codec_read_catalog(value, &catalog))
+        return source->is_known;
     *source->catalog = catalog;
-    source->known = true;
+    source->is_known = true;
     rp_info("machine types known: n_types=%zu source=%s", catalog.n_types, origin);
     if (catalog.n_left_out > 0)
         rp_error("machine types left out, more than can be handled: n_left_out=%zu n_types_max=%d "
@@ -66,8 +69,8 @@
         answer->status == STATUS_OK ? rp_codec_parse_object(answer->body, answer->len) : NULL;
     struct rp_catalog catalog;
     if (rp_cloud_codec_read_catalog(value, &catalog)) {
-        source->from_cloud = json_incref(value);
-        (void)take_catalog(source, value, "cloud");
+        source->cloud_catalog = json_incref(value);
+        (void)accept_catalog(source, value, "cloud");
     } else {
         rp_timer_set(source->loop, &source->cloud_timer, CLOUD_RETRY_S);
     }
@@ -85,26 +88,27 @@
     struct rp_kv_item item;
     bool is_readable =
         rp_kv_result_item(result, &item) && rp_record_format(item.value) <= RP_FORMAT;
-    if (!is_readable || !take_catalog(source, item.value, "store"))
-        rp_timer_set(source->loop, &source->stored_timer, STORED_AFTER_S);
+    if (!is_readable || !accept_catalog(source, item.value, "store"))
+        rp_timer_set(source->loop, &source->stored_timer, STORED_CATALOG_DELAY_S);
 }
 
-/* A process that came back while the cloud was out took no part in elections and no submissions;
- * where it had been the leader, its key had to run out, and workers lost their leases. */
+/* Without the stored catalog, a process that restarts while the cloud does not respond takes no
+ * part in elections and accepts no submissions. If it was the leader, its key has to expire first,
+ * and workers lose their leases meanwhile. */
 static void on_stored_timer(void *arg) {
     struct rp_catalog_source *source = arg;
-    if (!source->known)
+    if (!source->is_known)
         rp_kv_get(source->store, RP_KV_BUDGET_LEADERSHIP, RP_KEY_CATALOG, on_stored_catalog_read,
                   source);
 }
 
-/* ---- storing ---- */
+/* ---- storing the catalog ---- */
 
 static void on_catalog_written(void *arg, const struct rp_kv_result *result) {
     (void)arg;
     if (result->outcome != RP_KV_OK)
-        rp_debug("machine types not stored: reason=%s", /* the next leader tries again */
-                 rp_kv_outcome_name(result->outcome));
+        /* There is no retry: the next leader stores them. */
+        rp_debug("machine types not stored: reason=%s", rp_kv_outcome_name(result->outcome));
 }
 
 static void store_catalog(struct rp_catalog_source *source, json_t *record, uint64_t revision) {
@@ -120,9 +124,9 @@
     struct rp_kv_item item = {0};
     bool is_stored = rp_kv_result_item(result, &item);
     bool is_known = is_stored || result->outcome == RP_KV_NOT_FOUND;
-    if (!is_known || source->election->state != RP_ELECTION_HOLDING_KEY || !source->from_cloud)
+    if (!is_known || source->election->state != RP_ELECTION_HOLDING_KEY || !source->cloud_catalog)
         return;
-    json_t *record = rp_record_mark(json_copy(source->from_cloud));
+    json_t *record = rp_record_mark(json_copy(source->cloud_catalog));
     bool is_same = is_stored && json_equal(record, item.value);
     bool is_too_large =
         rp_record_size(record) > (size_t)(source->settings->state_fit.value_kb * 1024);
@@ -132,9 +136,10 @@
         store_catalog(source, record, is_stored ? item.revision : RP_KV_ABSENT);
 }
 
-/* Before the activation nothing is written that the version before doesn't know. */
-void rp_catalog_source_lead(struct rp_catalog_source *source) {
-    if (source->from_cloud && rp_upgrade_is_active(source->upgrade))
+/* Before the activation of this version's format, nothing is written that the previous version
+ * cannot read. */
+void rp_catalog_source_store(struct rp_catalog_source *source) {
+    if (source->cloud_catalog && rp_upgrade_is_active(source->upgrade))
         rp_kv_get(source->store, RP_KV_BUDGET_LEADER, RP_KEY_CATALOG, on_stored_catalog_compared,
                   source);
 }
--- a/src/cloud/cloud_client.c
+++ b/src/cloud/cloud_client.c
@@ -4,17 +4,23 @@
 #include <string.h>
 #include "base/memory.h"
 
-#define ANSWER_S 5.0
-/* The rate is the cloud's for all nodes; all but the leader only read the catalog. */
+/* Timeout of a request, in seconds. */
+#define RESPONSE_TIMEOUT_S 5.0
+/* The share of the cloud's rate limit that this node uses. The limit is for all nodes together, and
+ * all nodes but the leader only read the catalog. */
 #define RATE_SHARE 0.8
-#define BURST_S 1.0 /* the cloud allows two seconds' worth at once */
-#define RATE_LIMIT_PAUSE_S 0.5
-#define QUEUE_CHECK_S 0.05 /* between looks whether a waiting request may go */
+/* Depth of the rate limiter, in seconds of the cloud's rate limit. The cloud permits bursts of two
+ * seconds of its limit. */
+#define BURST_S 1.0
+/* Seconds for which no request is sent after a response of status 429. */
+#define RATE_LIMIT_BACKOFF_S 0.5
+/* Seconds between two checks whether a waiting request may be sent. */
+#define QUEUE_CHECK_PERIOD_S 0.05
 #define STATUS_TOO_MANY_REQUESTS 429
 
 struct rp_cloud_call {
     struct rp_cloud_client *client;
-    struct rp_cloud_call *next; /* in its queue */
+    struct rp_cloud_call *next; /* in the same queue */
     char *method, *target, *body;
     rp_answer_fn fn;
     void *arg;
@@ -28,10 +34,10 @@
                                        .net = net,
                                        .addr = addr,
                                        .queue_timer = {.fn = on_queue_timer, .arg = client}};
-    rp_token_bucket_init(&client->requests, rps * RATE_SHARE, rps * BURST_S, rp_loop_now(loop));
+    rp_token_bucket_init(&client->rate_limiter, rps * RATE_SHARE, rps * BURST_S, rp_loop_now(loop));
 }
 
-static void call_free(struct rp_cloud_call *call) {
+static void free_call(struct rp_cloud_call *call) {
     free(call->method);
     free(call->target);
     free(call->body);
@@ -40,7 +46,7 @@
 
 /* ---- queues ---- */
 
-static void queue_push(struct rp_cloud_queue *queue, struct rp_cloud_call *call) {
+static void push_call(struct rp_cloud_queue *queue, struct rp_cloud_call *call) {
     if (queue->last)
         queue->last->next = call;
     else
@@ -48,7 +54,7 @@
     queue->last = call;
 }
 
-static struct rp_cloud_call *queue_pop(struct rp_cloud_queue *queue) {
+static struct rp_cloud_call *pop_call(struct rp_cloud_queue *queue) {
     struct rp_cloud_call *call = queue->first;
     queue->first = call->next;
     if (!queue->first)
@@ -60,7 +66,7 @@
     rp_timer_cancel(client->loop, &client->queue_timer);
     for (int i = 0; i < RP_CLOUD_URGENCIES; i++)
         while (client->queues[i].first)
-            call_free(queue_pop(&client->queues[i]));
+            free_call(pop_call(&client->queues[i]));
 }
 
 /* ---- requests ---- */
@@ -71,30 +77,30 @@
     rp_answer_fn callback = call->fn;
     void *callback_arg = call->arg;
     if (answer->status == STATUS_TOO_MANY_REQUESTS)
-        client->backoff_until = rp_ts_after(rp_loop_now(client->loop), RATE_LIMIT_PAUSE_S);
-    call_free(call);
+        client->backoff_until = rp_ts_after(rp_loop_now(client->loop), RATE_LIMIT_BACKOFF_S);
+    free_call(call);
     callback(callback_arg, answer);
 }
 
 static void send_call(struct rp_cloud_call *call) {
     struct rp_cloud_client *client = call->client;
-    rp_token_bucket_take(&client->requests, 1);
+    rp_token_bucket_take(&client->rate_limiter, 1);
     client->net.call(client->net.ctx, client->addr, call->method, call->target, call->body,
-                     ANSWER_S, on_answer, call);
+                     RESPONSE_TIMEOUT_S, on_answer, call);
 }
 
-/* Sends what the rate lets through, the urgent first. */
+/* Sends the waiting requests that the rate limit permits, urgent ones first. */
 static void drain_queues(struct rp_cloud_client *client) {
     struct timespec now = rp_loop_now(client->loop);
     for (int i = 0; i < RP_CLOUD_URGENCIES; i++)
         while (client->queues[i].first) {
             bool can_send = rp_ts_reached(now, client->backoff_until) &&
-                            rp_token_bucket_has(&client->requests, 1, now);
+                            rp_token_bucket_has(&client->rate_limiter, 1, now);
             if (!can_send) {
-                rp_timer_set(client->loop, &client->queue_timer, QUEUE_CHECK_S);
+                rp_timer_set(client->loop, &client->queue_timer, QUEUE_CHECK_PERIOD_S);
                 return;
             }
-            send_call(queue_pop(&client->queues[i]));
+            send_call(pop_call(&client->queues[i]));
         }
 }
 
@@ -111,6 +117,6 @@
                                    .body = body,
                                    .fn = fn,
                                    .arg = arg};
-    queue_push(&client->queues[urgency], call);
+    push_call(&client->queues[urgency], call);
     drain_queues(client);
 }
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -18,7 +18,7 @@
 /* A node takes part in elections once it knows the machine types, and that no later version's
  * format is active. */
 static void join_elections(struct rp_node *node) {
-    bool is_ready = node->catalog_source.known && node->upgrade.activation_read;
+    bool is_ready = node->catalog_source.is_known && node->upgrade.activation_read;
     if (!is_ready || node->is_electing || node->upgrade.state == RP_UPGRADE_TOO_OLD)
         return;
     node->is_electing = true;
@@ -37,7 +37,7 @@
     /* The store's next limits may come into force at any moment from now on. */
     rp_kv_client_set_limits(&node->store, settings->state_fit.rps, settings->state_fit.write_rps);
     if (node->state == RP_NODE_LEADING)
-        rp_catalog_source_lead(&node->catalog_source);
+        rp_catalog_source_store(&node->catalog_source);
 }
 
 static void on_format_change(void *arg) {
@@ -71,7 +71,7 @@
     rp_fleet_clear(&node->fleet);
     rp_cluster_reset(&node->cluster, 0);
     rp_jobs_clear(&node->jobs);
-    rp_standby_lost(&node->standby);
+    rp_standby_on_leadership_lost(&node->standby);
 }
 
 /* Reads the stored records, jobs first: on_jobs_loaded goes on with the machines. rp_jobs_load
@@ -80,7 +80,7 @@
     stop_scheduling(node);
     rp_fleet_clear(&node->fleet);
     rp_cluster_reset(&node->cluster, node->election.fencing_token);
-    rp_standby_elected(&node->standby);
+    rp_standby_on_elected(&node->standby);
     rp_jobs_load(&node->jobs);
 }
 
@@ -88,8 +88,8 @@
     rp_info("records read, node leads: n_jobs=%zu n_machines=%zu", node->jobs.table.n_jobs,
             node->cluster.n_machines);
     rp_image_index_restore(&node->image_index);
-    rp_standby_lead(&node->standby);
-    rp_catalog_source_lead(&node->catalog_source);
+    rp_standby_on_leading(&node->standby);
+    rp_catalog_source_store(&node->catalog_source);
     rp_service_controller_start(&node->services);
     rp_scheduler_start(&node->scheduler);
 }
@@ -334,6 +334,6 @@
 
 bool rp_node_is_healthy(const struct rp_node *node) {
     bool is_staying = !node->is_leaving && node->upgrade.state != RP_UPGRADE_TOO_OLD;
-    bool has_started = node->catalog_source.known && node->store.n_ok > 0;
+    bool has_started = node->catalog_source.is_known && node->store.n_ok > 0;
     return is_staying && has_started && !rp_peer_health_is_refused_alone(&node->peer_health);
 }
--- a/src/standby/change_log.c
+++ b/src/standby/change_log.c
@@ -31,8 +31,8 @@
     return true;
 }
 
-/* The index of the oldest change that is kept. */
-static uint64_t first_kept(const struct rp_change_log *log) {
+/* The index of the oldest change in the ring. */
+static uint64_t oldest_index(const struct rp_change_log *log) {
     return log->index >= RP_CHANGES_KEPT ? log->index - RP_CHANGES_KEPT + 1 : 1;
 }
 
@@ -42,14 +42,14 @@
 
 size_t rp_change_log_n_terminated(const struct rp_change_log *log) {
     size_t n = 0;
-    for (uint64_t i = first_kept(log); i <= log->index; i++)
+    for (uint64_t i = oldest_index(log); i <= log->index; i++)
         if (is_termination(log, i))
             n++;
     return n;
 }
 
-void rp_change_log_terminated(const struct rp_change_log *log, struct rp_change *out) {
-    for (uint64_t i = first_kept(log); i <= log->index; i++)
+void rp_change_log_copy_terminated(const struct rp_change_log *log, struct rp_change *out) {
+    for (uint64_t i = oldest_index(log); i <= log->index; i++)
         if (is_termination(log, i))
             *out++ = log->ring[i % RP_CHANGES_KEPT];
 }
--- a/src/standby/leader_suspicion.h
+++ b/src/standby/leader_suspicion.h
@@ -1,13 +1,13 @@
 /** @file
- * Failure suspicion: for how long the leader has been silent towards this node, and whether the
- * other nodes miss it, too. Silence is counted only while this node itself runs: one that stood
- * still, or lost the processor, must not take its own stall for the leader's.
+ * Failure suspicion: for how long the leader has not responded to this node, and whether it does
+ * not respond to the other nodes either. Silence is counted only while this node itself runs: a
+ * node that was paused or lost the processor must not take its own stall for the leader's.
  *
- * A silent leader is confirmed to be missing only if another node has missed it as well and none
- * has heard it. A node that all of a sudden hears nobody is rather cut off itself. The nodes that
- * follow confirm one after the other, by their names, so that mostly one of them fails over.
- *
- * standby.c owns the suspicion, passes the leader's answers on and acts on the verdict. */
+ * The leader's failure is confirmed only if another node reports it as silent and no node reports a
+ * response of it. A node that suddenly receives no response from any node is more likely
+ * partitioned itself. Followers confirm one after the other, in the order of their names, so that
+ * usually only one of them fails over. standby.c owns the suspicion, passes on the leader's
+ * responses, and fails over when the failure is confirmed. */
 #ifndef RP_STANDBY_LEADER_SUSPICION_H
 #define RP_STANDBY_LEADER_SUSPICION_H
 
@@ -17,50 +17,53 @@
 
 struct rp_leader_suspicion;
 
-/** What is known of another node, in the order of the settings. */
+/** The reachability of one peer. Peers are in the order of the settings. */
 struct rp_suspicion_peer {
     struct rp_leader_suspicion *suspicion;
-    struct timespec answered_at; /* when it last answered */
-    bool is_unreachable;         /* it didn't for long, while the leader did: down, or cut off */
+    struct timespec responded_at; /* when the peer last responded */
+    bool is_unreachable;          /* down or partitioned: silent while the leader responded */
 };
 
-/** The leader that is watched, and what speaks for its failure. */
+/** The followed leader, and the evidence of its failure. */
 struct rp_leader_suspicion {
     struct rp_loop *loop;
     const struct rp_settings *settings;
     struct rp_stream_client *client;
-    char leader[RP_TEXT_MAX]; /* whose silence is counted; "" for none */
-    double silent_s;          /* in which this node ran and the leader didn't answer */
-    struct timespec peers_asked_at;
-    struct timespec heard_by_peer_at;  /* another node said that it has heard the leader; 0: none */
-    struct timespec missed_by_peer_at; /* or that it hasn't */
+    char leader[RP_TEXT_MAX]; /* the node whose silence is counted; "" for none */
+    double silent_s;          /* time that this node has run without a response of the leader */
+    struct timespec peers_queried_at;
+    struct timespec reported_responsive_at; /* a peer last reported a response; 0: none did */
+    struct timespec reported_silent_at;     /* a peer last reported the silence; 0: none did */
     struct rp_suspicion_peer *peers;
 };
 
-/** Sets the suspicion up, without a leader. */
+/** Initializes the suspicion without a leader. */
 void rp_leader_suspicion_init(struct rp_leader_suspicion *suspicion, struct rp_loop *loop,
                               const struct rp_settings *settings, struct rp_stream_client *client);
-/** Frees what it knows of peers; no answer may arrive afterwards. */
+/** Frees the state of the peers; no response may arrive afterwards. */
 void rp_leader_suspicion_free(struct rp_leader_suspicion *suspicion);
-/** From now on the silence of this leader is counted, from zero; "" for none. */
+/** Sets the leader whose silence is counted, and resets the silence to 0; "" for none. */
 void rp_leader_suspicion_set_leader(struct rp_leader_suspicion *suspicion, const char *leader);
-/** The leader has answered. */
-void rp_leader_suspicion_note_answer(struct rp_leader_suspicion *suspicion);
-/** This node ran for `elapsed_s` more, and the leader hasn't answered. */
+/** Records a response of the leader, which ends its silence. */
+void rp_leader_suspicion_record_response(struct rp_leader_suspicion *suspicion);
+/** Adds the time since the last call, in which the leader has not responded, to its silence. The
+ * time added is bounded, since this node itself may have been stalled. */
 void rp_leader_suspicion_add_silence(struct rp_leader_suspicion *suspicion, double elapsed_s);
-/** Whether the silence is long enough to ask the other nodes about it. */
+/** Whether the silence is long enough to query the other nodes about the leader. */
 bool rp_leader_suspicion_is_suspected(const struct rp_leader_suspicion *suspicion);
-/** Forgets what other nodes said of the leader: the answers of now count. */
-void rp_leader_suspicion_begin(struct rp_leader_suspicion *suspicion);
-/** While nothing is suspected: asks the other nodes now and then, to know which are there. */
+/** Discards the other nodes' earlier reports about the leader: only reports received from now on
+ * count. */
+void rp_leader_suspicion_reset_reports(struct rp_leader_suspicion *suspicion);
+/** While the leader is not suspected: queries the other nodes at a low rate and records which of
+ * them are unreachable. */
 void rp_leader_suspicion_check_peers(struct rp_leader_suspicion *suspicion, struct timespec now);
-/** While the leader is suspected: asks the other nodes about it, often. */
-void rp_leader_suspicion_ask_peers(struct rp_leader_suspicion *suspicion, struct timespec now);
-/** Whether the leader has been silent for long enough, and the other nodes agree. A node that knows
- * less of the machines waits longer, by `handicap_s`. */
+/** While the leader is suspected: queries the other nodes about it at a high rate. */
+void rp_leader_suspicion_query_peers(struct rp_leader_suspicion *suspicion, struct timespec now);
+/** Whether the leader has been silent for long enough and the other nodes confirm it. `delay_s` is
+ * added to the silence required, for a node that has no copy of the machine directory. */
 bool rp_leader_suspicion_is_confirmed(const struct rp_leader_suspicion *suspicion,
-                                      struct timespec now, double handicap_s);
-/** A failover was not possible: the next one is tried a little later. */
+                                      struct timespec now, double delay_s);
+/** Delays the next attempt after a failover that was not possible or did not complete. */
 void rp_leader_suspicion_defer(struct rp_leader_suspicion *suspicion);
 
 #endif
--- a/src/standby/machine_directory.c
+++ b/src/standby/machine_directory.c
@@ -9,7 +9,7 @@
     return (size_t)(rp_hash_string(machine) % RP_DIRECTORY_BUCKETS);
 }
 
-/* Where the pointer to the machine is, or would be. */
+/* The pointer to the machine in its bucket, or the NULL at the end of the bucket. */
 static struct rp_directory_machine **link_of(struct rp_machine_directory *directory,
                                              const char *machine) {
     struct rp_directory_machine **link = &directory->buckets[bucket_of(machine)];
@@ -20,25 +20,25 @@
 
 const struct rp_directory_machine *
 rp_machine_directory_find(const struct rp_machine_directory *directory, const char *machine) {
-    const struct rp_directory_machine *known = directory->buckets[bucket_of(machine)];
-    while (known && strcmp(known->machine, machine) != 0)
-        known = known->next;
-    return known;
+    const struct rp_directory_machine *entry = directory->buckets[bucket_of(machine)];
+    while (entry && strcmp(entry->machine, machine) != 0)
+        entry = entry->next;
+    return entry;
 }
 
 static void put(struct rp_machine_directory *directory, const struct rp_change *change) {
     struct rp_directory_machine **link = link_of(directory, change->machine);
-    struct rp_directory_machine *known = *link;
-    if (!known) {
-        known = *link = rp_alloc(1, sizeof *known);
-        rp_string_copy(known->machine, sizeof known->machine, change->machine);
+    struct rp_directory_machine *entry = *link;
+    if (!entry) {
+        entry = *link = rp_alloc(1, sizeof *entry);
+        rp_string_copy(entry->machine, sizeof entry->machine, change->machine);
         directory->n_machines++;
     }
-    known->releasing = change->kind == RP_CHANGE_MACHINE_RELEASING;
-    if (known->releasing)
-        return; /* where it could be reached last stays known */
-    rp_string_copy(known->addr, sizeof known->addr, change->addr);
-    known->incarnation = change->incarnation;
+    entry->is_releasing = change->kind == RP_CHANGE_MACHINE_RELEASING;
+    if (entry->is_releasing)
+        return; /* the change carries no address: the last one is kept */
+    rp_string_copy(entry->addr, sizeof entry->addr, change->addr);
+    entry->incarnation = change->incarnation;
 }
 
 static void drop(struct rp_machine_directory *directory, const char *machine) {
@@ -82,16 +82,16 @@
     bool is_same_term = message->term == directory->term;
     bool is_not_newer = message->index <= directory->index && directory->index > 0;
     if (is_same_term && is_not_newer)
-        return RP_DIRECTORY_APPLIED; /* several questions were under way: known already */
+        return RP_DIRECTORY_APPLIED; /* several requests were in flight: already applied */
     uint64_t index_before = message->index - message->n_changes;
-    size_t n_known = 0;
-    if (message->snapshot)
+    size_t n_applied = 0;
+    if (message->is_snapshot)
         rp_machine_directory_clear(directory);
     else if (!is_same_term || index_before > directory->index)
         return RP_DIRECTORY_GAP;
     else
-        n_known = (size_t)(directory->index - index_before);
-    for (size_t i = n_known; i < message->n_changes; i++)
+        n_applied = (size_t)(directory->index - index_before);
+    for (size_t i = n_applied; i < message->n_changes; i++)
         apply_change(directory, &message->changes[i]);
     directory->term = message->term;
     directory->index = message->index;
--- a/src/standby/machine_fencing.c
+++ b/src/standby/machine_fencing.c
@@ -6,20 +6,20 @@
 #include "base/string_copy.h"
 #include "worker/worker_fencing.h"
 
-/* Machines asked at a time; docs/standby.md, "Leading". */
-#define WINDOW 128
-/* Seconds from the term's begin to the first pass: heartbeats that wait in this node are answered
- * before, which does the same. */
-#define FIRST_PASS_S 0.15
-/* Seconds from the first pass to the second, which asks the machines that were answered but haven't
- * shown the token since. */
-#define SECOND_PASS_S 1.2
+/* Maximum number of machines that are being fenced at a time; docs/standby.md, "Leading". */
+#define IN_FLIGHT_MAX 128
+/* Seconds from when this node leads to the first pass. In this time it responds to the heartbeats
+ * that wait at this node, which brings those machines the token as well. */
+#define FIRST_PASS_DELAY_S 0.15
+/* Seconds from the first pass to the second, which also fences the machines whose heartbeat was
+ * answered but which have not sent the token back since. */
+#define SECOND_PASS_DELAY_S 1.2
 
 static void fence_next(struct rp_machine_fencing *fencing);
 
 static void on_fenced(void *arg, bool is_fenced) {
     struct rp_machine_fencing *fencing = arg;
-    fencing->n_under_way--;
+    fencing->n_in_flight--;
     if (is_fenced)
         fencing->n_fenced++;
     else
@@ -27,26 +27,27 @@
     fence_next(fencing);
 }
 
-/* Asks the machine unless it has shown the token meanwhile, or can't be reached. */
+/* Sends the token to the machine, unless the machine has been removed or has sent the token back
+ * meanwhile (it is not unreconciled any more), or its address is not known. */
 static void fence_machine(struct rp_machine_fencing *fencing, const char *name) {
     struct rp_machine *machine = rp_machine_find(fencing->cluster, name);
-    const struct rp_directory_machine *known = rp_machine_directory_find(fencing->directory, name);
+    const struct rp_directory_machine *entry = rp_machine_directory_find(fencing->directory, name);
     bool is_needed = machine && machine->state == RP_MACHINE_UNRECONCILED;
-    bool is_reachable = known && *known->addr;
+    bool is_reachable = entry && *entry->addr;
     if (!is_needed || !is_reachable)
         return;
-    fencing->n_under_way++;
-    rp_worker_fence(&fencing->workers->context, machine, known->addr, known->incarnation, on_fenced,
+    fencing->n_in_flight++;
+    rp_worker_fence(&fencing->workers->context, machine, entry->addr, entry->incarnation, on_fenced,
                     fencing);
 }
 
 static void fence_next(struct rp_machine_fencing *fencing) {
-    while (fencing->n_under_way < WINDOW && fencing->next_machine < fencing->n_machines)
+    while (fencing->n_in_flight < IN_FLIGHT_MAX && fencing->next_machine < fencing->n_machines)
         fence_machine(fencing, fencing->machines[fencing->next_machine++]);
 }
 
-/* The first pass leaves machines out that have just been answered: they show the token with their
- * next heartbeat. */
+/* The first pass omits machines whose heartbeat has just been answered: they send the token back
+ * with their next heartbeat. */
 static bool is_in_pass(const struct rp_machine_fencing *fencing, const struct rp_machine *machine) {
     bool is_answered = !rp_ts_zero(machine->contact.first_answer);
     return machine->state == RP_MACHINE_UNRECONCILED && (fencing->is_second_pass || !is_answered);
@@ -72,7 +73,7 @@
              (unsigned long long)fencing->directory->term);
     fence_next(fencing);
     if (!fencing->is_second_pass)
-        rp_timer_set(fencing->loop, &fencing->timer, SECOND_PASS_S);
+        rp_timer_set(fencing->loop, &fencing->timer, SECOND_PASS_DELAY_S);
     fencing->is_second_pass = true;
 }
 
@@ -89,7 +90,7 @@
 void rp_machine_fencing_start(struct rp_machine_fencing *fencing) {
     fencing->n_fenced = fencing->n_unfenced = 0;
     fencing->is_second_pass = false;
-    rp_timer_set(fencing->loop, &fencing->timer, FIRST_PASS_S);
+    rp_timer_set(fencing->loop, &fencing->timer, FIRST_PASS_DELAY_S);
 }
 
 void rp_machine_fencing_stop(struct rp_machine_fencing *fencing) {
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -4,19 +4,22 @@
 #include "base/log.h"
 #include "base/string_copy.h"
 
-/* Seconds between two looks at the leader's silence. */
+/* Seconds between two checks of the leader's silence. */
 #define TICK_S 0.1
-/* Seconds between two questions to the leader, and for an answer: several are under way where it
- * stands still, so that the first answer after that comes at once. */
-#define ASK_PERIOD_S 0.25
-#define ANSWER_WAIT_S 2.0
-/* Seconds that a node without a copy of the leader's directory leaves to those that have one: they
- * lead sooner, since they can reach the machines. */
-#define NO_DIRECTORY_HANDICAP_S 0.7
-/* Seconds since this node last read the leader's key, at most, when it fails over: it must know
- * whom it fences. */
-#define KEY_FRESH_S 2.0
-/* Tasks of arrays that a new leader may start directly; docs/standby.md, "Leading". */
+/* Seconds between two requests for the stream, and the timeout of one. The timeout is longer than
+ * the period: while the leader is stalled, several requests are in flight, and this node receives a
+ * response as soon as the leader runs again. */
+#define STREAM_REQUEST_PERIOD_S 0.25
+#define STREAM_TIMEOUT_S 2.0
+/* Seconds by which a node without a copy of the leader's directory delays its failover. Nodes that
+ * have a copy lead sooner after their failover, because they can reach the machines. */
+#define NO_DIRECTORY_DELAY_S 0.7
+/* Maximum age, in seconds, of this node's last read of the leader's key when it fails over. The
+ * read identifies the leader to fence, and an older one may name a leader that has been replaced.
+ */
+#define KEY_AGE_MAX_S 2.0
+/* Maximum number of array tasks that a new leader starts by direct commands; docs/standby.md,
+ * "Leading". */
 #define DIRECT_STARTS_MAX 128
 
 /* ---- the state machine ---- */
@@ -31,17 +34,17 @@
     return state >= RP_STANDBY_CLAIMING && state < RP_STANDBY_LEADING;
 }
 
-static void on_suspicion_begun(struct rp_standby *standby, struct timespec now) {
+static void on_suspicion_started(struct rp_standby *standby, struct timespec now) {
     const struct rp_leader_suspicion *suspicion = &standby->suspicion;
     memset(standby->last_failover.stage_s, 0, sizeof standby->last_failover.stage_s);
-    standby->last_failover.suspected_at = rp_ts_sub(now, rp_ts(suspicion->silent_s));
+    standby->last_failover.silent_since = rp_ts_sub(now, rp_ts(suspicion->silent_s));
     rp_info("leader suspected: peer=%s silent_s=%.2f", suspicion->leader, suspicion->silent_s);
 }
 
 static void on_failover_completed(struct rp_standby *standby, struct timespec now) {
     struct rp_failover_times *failover = &standby->last_failover;
     standby->n_failovers++;
-    failover->total_s = rp_ts_since(now, failover->suspected_at);
+    failover->total_s = rp_ts_since(now, failover->silent_since);
     rp_info("failover completed: peer=%s total_s=%.2f", standby->suspicion.leader,
             failover->total_s);
 }
@@ -59,20 +62,24 @@
         rp_info("failover not completed: peer=%s", standby->suspicion.leader);
 }
 
-/* The only function that changes the state. Its edges:
- *   off        -> following   this node's terms may be ended by a failover (on_tick)
- *   following  -> suspecting  the leader has been silent for a while (watch_leader)
- *   suspecting -> following   withdrawn: the leader has answered (on_leader_response), another one
- *                             leads (follow), or this node was elected without a failover
- *   suspecting -> claiming    the silence is confirmed, the key is being written over (fail_over)
- *   claiming   -> fencing     the key is written (follow_election, rp_standby_elected)
+/* The only function that changes the state. Its transitions, with their causes:
+ *   off        -> following   this node may fence leaders and be fenced (on_tick)
+ *   following  -> suspecting  the leader has been silent for a share of suspect_after_s
+ *                             (check_leader)
+ *   suspecting -> following   suspicion withdrawn: the leader has responded (on_leader_response),
+ *                             another node leads or none does (follow_leader), or this node was
+ *                             elected without a failover (rp_standby_on_elected)
+ *   suspecting -> claiming    the silence is confirmed and the write that replaces the leader's key
+ *                             has been submitted (fail_over)
+ *   claiming   -> fencing     the key is overwritten (check_election, rp_standby_on_elected)
  *   claiming, fencing -> following
- *                             not completed: another node was first, or the store didn't answer
- *                             (follow_election)
- *   fencing    -> verifying   this node is elected (rp_standby_elected)
+ *                             failover not completed: another node wrote the key first, or the
+ *                             store did not respond (check_election)
+ *   fencing    -> verifying   this node is elected (rp_standby_on_elected)
  *   verifying, following -> leading
- *                             the records are read, after a failover or without (rp_standby_lead)
- *   any        -> following   this node's leadership has ended (rp_standby_lost) */
+ *                             the records are read, after a failover or after an election without
+ *                             one (rp_standby_on_leading)
+ *   any but off -> following  this node's term has ended (rp_standby_on_leadership_lost) */
 static void set_state(struct rp_standby *standby, enum rp_standby_state state) {
     struct timespec now = rp_loop_now(standby->loop);
     enum rp_standby_state previous = standby->state;
@@ -84,14 +91,14 @@
     standby->state = state;
     standby->state_since = now;
     if (state == RP_STANDBY_SUSPECTING)
-        on_suspicion_begun(standby, now);
+        on_suspicion_started(standby, now);
     if (state == RP_STANDBY_LEADING && is_failing_over(previous))
         on_failover_completed(standby, now);
 }
 
 /* ---- following ---- */
 
-static void apply(struct rp_standby *standby, const struct rp_stream_message *message) {
+static void apply_message(struct rp_standby *standby, const struct rp_stream_message *message) {
     if (message->term == 0)
         return;
     switch (rp_machine_directory_apply(&standby->directory, message)) {
@@ -102,37 +109,37 @@
         break;
     case RP_DIRECTORY_GAP:
         standby->n_gaps++;
-        /* An empty directory asks for a snapshot. */
+        /* The next request carries term and index 0, which makes the leader send a snapshot. */
         rp_machine_directory_clear(&standby->directory);
         break;
     }
 }
 
-/* Any answer shows that the leader's process runs; what it says is applied besides. */
+/* A response of any status shows that the leader's process runs, even if its body is refused. */
 static void on_leader_response(void *arg, const struct rp_answer *answer) {
     struct rp_standby *standby = arg;
     struct rp_stream_message message = {0};
     if (answer->status == 0 || standby->state > RP_STANDBY_SUSPECTING)
         return;
-    rp_leader_suspicion_note_answer(&standby->suspicion);
+    rp_leader_suspicion_record_response(&standby->suspicion);
     rp_election_note_leader_answer(standby->election, true);
     if (standby->state == RP_STANDBY_SUSPECTING)
         set_state(standby, RP_STANDBY_FOLLOWING);
     if (rp_stream_client_read(&standby->client, answer, &message)) {
-        apply(standby, &message);
+        apply_message(standby, &message);
         rp_stream_message_free(&message);
     }
 }
 
-static void ask_leader(struct rp_standby *standby, const struct rp_peer *leader,
-                       struct timespec now) {
+static void request_stream(struct rp_standby *standby, const struct rp_peer *leader,
+                           struct timespec now) {
     const struct rp_stream_request request = {.term = standby->directory.term,
                                               .index = standby->directory.index};
-    if (rp_ts_since(now, standby->leader_asked_at) < ASK_PERIOD_S)
+    if (rp_ts_since(now, standby->stream_requested_at) < STREAM_REQUEST_PERIOD_S)
         return;
-    standby->leader_asked_at = now;
-    rp_stream_client_ask(&standby->client, leader->addr, &request, ANSWER_WAIT_S,
-                         on_leader_response, standby);
+    standby->stream_requested_at = now;
+    rp_stream_client_request(&standby->client, leader->addr, &request, STREAM_TIMEOUT_S,
+                             on_leader_response, standby);
 }
 
 /* ---- failing over ---- */
@@ -141,10 +148,10 @@
     const struct rp_election *election = standby->election;
     bool has_directory = standby->directory.term == election->leader_key_revision;
     bool is_store_answering = rp_kv_failing_s(election->store) <= 0;
-    bool is_key_fresh = rp_ts_since(now, election->leader_key_read_at) < KEY_FRESH_S;
-    double handicap_s = has_directory ? 0 : NO_DIRECTORY_HANDICAP_S;
+    bool is_key_fresh = rp_ts_since(now, election->leader_key_read_at) < KEY_AGE_MAX_S;
+    double delay_s = has_directory ? 0 : NO_DIRECTORY_DELAY_S;
     return is_store_answering && is_key_fresh &&
-           rp_leader_suspicion_is_confirmed(&standby->suspicion, now, handicap_s);
+           rp_leader_suspicion_is_confirmed(&standby->suspicion, now, delay_s);
 }
 
 static void fail_over(struct rp_standby *standby) {
@@ -154,46 +161,48 @@
         rp_leader_suspicion_defer(&standby->suspicion);
 }
 
-/* Counts the leader's silence, and acts when it is long enough. */
-static void watch_leader(struct rp_standby *standby, struct timespec now) {
+/* Adds up the leader's silence, and begins the suspicion or the failover when it is long enough. */
+static void check_leader(struct rp_standby *standby, struct timespec now) {
     struct rp_leader_suspicion *suspicion = &standby->suspicion;
-    rp_leader_suspicion_add_silence(suspicion, rp_ts_since(now, standby->ticked_at));
+    rp_leader_suspicion_add_silence(suspicion, rp_ts_since(now, standby->last_tick_at));
     if (!rp_leader_suspicion_is_suspected(suspicion)) {
         rp_leader_suspicion_check_peers(suspicion, now);
         return;
     }
     if (standby->state == RP_STANDBY_FOLLOWING) {
-        rp_leader_suspicion_begin(suspicion);
+        rp_leader_suspicion_reset_reports(suspicion);
         set_state(standby, RP_STANDBY_SUSPECTING);
-        /* Heartbeats wait here from now on rather than being sent to the leader. */
+        /* From now on the election names no leader, and workers' heartbeats wait at this node
+         * rather than being redirected to the silent one. */
         rp_election_note_leader_answer(standby->election, false);
     }
-    rp_leader_suspicion_ask_peers(suspicion, now);
+    rp_leader_suspicion_query_peers(suspicion, now);
     if (may_fail_over(standby, now))
         fail_over(standby);
 }
 
-static const struct rp_peer *peer_named(const struct rp_standby *standby, const char *name) {
+static const struct rp_peer *find_peer(const struct rp_standby *standby, const char *name) {
     for (size_t i = 0; i < standby->settings->n_peers; i++)
         if (strcmp(standby->settings->peers[i].name, name) == 0)
             return &standby->settings->peers[i];
     return NULL;
 }
 
-static void follow(struct rp_standby *standby, struct timespec now) {
-    const struct rp_peer *leader = peer_named(standby, standby->election->leader);
+static void follow_leader(struct rp_standby *standby, struct timespec now) {
+    const struct rp_peer *leader = find_peer(standby, standby->election->leader);
     if (!leader || strcmp(leader->name, standby->suspicion.leader) != 0) {
         rp_leader_suspicion_set_leader(&standby->suspicion, leader ? leader->name : "");
         set_state(standby, RP_STANDBY_FOLLOWING);
     }
     if (!leader)
         return;
-    ask_leader(standby, leader, now);
-    watch_leader(standby, now);
+    request_stream(standby, leader, now);
+    check_leader(standby, now);
 }
 
-/* What the election does after rp_election_fence_leader, in the stages of a failover. */
-static void follow_election(struct rp_standby *standby) {
+/* Derives the stage of the failover from the state of the election, which rp_election_fence_leader
+ * has started. */
+static void check_election(struct rp_standby *standby) {
     switch (standby->election->state) {
     case RP_ELECTION_FOLLOWING:
         rp_leader_suspicion_defer(&standby->suspicion);
@@ -217,35 +226,35 @@
     case RP_STANDBY_FOLLOWING:
     case RP_STANDBY_SUSPECTING:
         if (standby->election->state == RP_ELECTION_FOLLOWING)
-            follow(standby, now);
+            follow_leader(standby, now);
         break;
     case RP_STANDBY_CLAIMING:
     case RP_STANDBY_FENCING:
-        follow_election(standby);
+        check_election(standby);
         break;
     default:
         break;
     }
-    standby->ticked_at = now;
+    standby->last_tick_at = now;
 }
 
 /* ---- leading ---- */
 
-/* What the leader before has released, or had begun to, may still stand in a record, and nothing
- * else would tell for seconds that it is terminated: the cloud's answer to the same request does.
- */
-static void release_again(struct rp_standby *standby) {
+/* Releases again the machines that the previous leader has released or was releasing. Their stored
+ * records may still exist, and for several seconds only the cloud's response to the same request
+ * shows that they are terminated. */
+static void release_machines_again(struct rp_standby *standby) {
     const struct rp_machine_directory *directory = &standby->directory;
     for (struct rp_machine *machine = standby->cluster->first; machine; machine = machine->next) {
-        const struct rp_directory_machine *known =
+        const struct rp_directory_machine *entry =
             rp_machine_directory_find(directory, machine->name);
-        bool is_releasing = known && known->releasing;
+        bool is_releasing = entry && entry->is_releasing;
         if (is_releasing || rp_tombstones_has(&directory->tombstones, machine->name))
             rp_fleet_scale_in(standby->workers->context.fleet, machine, "released_before_failover");
     }
 }
 
-void rp_standby_elected(struct rp_standby *standby) {
+void rp_standby_on_elected(struct rp_standby *standby) {
     rp_stream_server_begin_term(&standby->server, standby->election->fencing_token);
     if (standby->state == RP_STANDBY_OFF)
         return;
@@ -255,16 +264,16 @@
               standby->state == RP_STANDBY_FENCING ? RP_STANDBY_VERIFYING : RP_STANDBY_FOLLOWING);
 }
 
-void rp_standby_lead(struct rp_standby *standby) {
+void rp_standby_on_leading(struct rp_standby *standby) {
     if (standby->state == RP_STANDBY_OFF)
         return;
     set_state(standby, RP_STANDBY_LEADING);
     standby->workers->context.n_direct_array_starts_left = DIRECT_STARTS_MAX;
-    release_again(standby);
+    release_machines_again(standby);
     rp_machine_fencing_start(&standby->fencing);
 }
 
-void rp_standby_lost(struct rp_standby *standby) {
+void rp_standby_on_leadership_lost(struct rp_standby *standby) {
     rp_stream_server_begin_term(&standby->server, 0);
     rp_machine_fencing_stop(&standby->fencing);
     standby->workers->context.n_direct_array_starts_left = 0;
@@ -273,7 +282,7 @@
         set_state(standby, RP_STANDBY_FOLLOWING);
 }
 
-/* ---- what the node tells ---- */
+/* ---- responses and status ---- */
 
 char *rp_standby_answer(struct rp_standby *standby, const char *target) {
     const struct rp_leader_suspicion *suspicion = &standby->suspicion;
@@ -344,7 +353,7 @@
 }
 
 void rp_standby_start(struct rp_standby *standby) {
-    standby->ticked_at = rp_loop_now(standby->loop);
+    standby->last_tick_at = rp_loop_now(standby->loop);
     if (standby->settings->tuning.standby)
         rp_timer_set(standby->loop, &standby->timer, TICK_S);
 }
--- a/src/standby/stream_client.c
+++ b/src/standby/stream_client.c
@@ -4,9 +4,9 @@
 
 #define HTTP_OK 200
 
-void rp_stream_client_ask(const struct rp_stream_client *client, const char *addr,
-                          const struct rp_stream_request *request, double timeout_s,
-                          rp_answer_fn on_response, void *arg) {
+void rp_stream_client_request(const struct rp_stream_client *client, const char *addr,
+                              const struct rp_stream_request *request, double timeout_s,
+                              rp_answer_fn on_response, void *arg) {
     char target[RP_STREAM_TARGET_MAX];
     rp_stream_request_encode(request, target);
     client->net.call(client->net.ctx, addr, "GET", target, NULL, timeout_s, on_response, arg);
--- a/src/standby/stream_message.c
+++ b/src/standby/stream_message.c
@@ -7,15 +7,15 @@
 #include <zstd.h>
 #include "base/string_copy.h"
 
-/* Of zstd, the fastest: the leader's processor time costs more than a few KB. */
+/* The fastest of zstd's standard levels: the leader's processor time costs more than a few KB. */
 #define COMPRESSION_LEVEL 1
-/* Bytes of a machine's entry in an unpacked snapshot: two texts at most, each byte of which may
- * take six in JSON, and numbers. */
+/* Maximum size in bytes of a machine's entry in a decompressed snapshot: at most two texts, each
+ * byte of which may take six bytes in JSON, and numbers. */
 #define ENTRY_BYTES_MAX (2 * 6 * RP_TEXT_MAX + 64)
 
 const char *rp_stream_fault_name(enum rp_stream_fault fault) {
     static const char *const names[RP_STREAM_FAULTS] = {
-        "sound", "not JSON", "other version", "bad field", "too large", "bad compression"};
+        "none", "not JSON", "other version", "bad field", "too large", "bad compression"};
     return names[fault];
 }
 
@@ -46,12 +46,12 @@
     return (struct rp_stream_request){.term = term, .index = index};
 }
 
-/* ---- writing ---- */
+/* ---- encoding ---- */
 
 #define RETURNING "returning" /* on the wire, in place of an address */
 
-/* An array of one to three members: [machine], [machine, "returning"], [machine, addr,
- * incarnation]. */
+/* An array of one to three elements: [machine] for a terminated machine, [machine, "returning"] for
+ * one being released, [machine, addr, incarnation] for one that is up. */
 static json_t *change_json(const struct rp_change *change) {
     switch (change->kind) {
     case RP_CHANGE_MACHINE_UP:
@@ -83,12 +83,12 @@
     return text;
 }
 
-/* The list as JSON text, compressed, in hexadecimal digits; NULL when memory or the library fails.
- */
+/* The list as JSON text, compressed, in hexadecimal digits; NULL if out of memory or if a library
+ * fails. */
 static json_t *compress_list(json_t *list) {
     char *text = json_dumps(list, JSON_COMPACT);
     char *hex = NULL;
-    json_t *packed = NULL;
+    json_t *compressed = NULL;
     size_t len = text ? strlen(text) : 0;
     size_t size_max = ZSTD_compressBound(len);
     unsigned char *bytes = text ? malloc(size_max) : NULL;
@@ -98,12 +98,12 @@
     if (ZSTD_isError(n))
         goto out;
     hex = hex_encode(bytes, n);
-    packed = hex ? json_string(hex) : NULL;
+    compressed = hex ? json_string(hex) : NULL;
 out:
     free(hex);
     free(bytes);
     free(text);
-    return packed;
+    return compressed;
 }
 
 char *rp_stream_encode(const struct rp_stream_message *message) {
@@ -111,15 +111,15 @@
                               (json_int_t)message->term, "index", (json_int_t)message->index,
                               "leader", message->leader, "silent_s", message->silent_s);
     json_t *list = changes_json(message->changes, message->n_changes);
-    int rc = message->snapshot ? json_object_set_new(value, "snapshot", compress_list(list))
-                               : json_object_set(value, "changes", list);
+    int rc = message->is_snapshot ? json_object_set_new(value, "snapshot", compress_list(list))
+                                  : json_object_set(value, "changes", list);
     char *text = rc != 0 ? NULL : json_dumps(value, JSON_COMPACT);
     json_decref(list);
     json_decref(value);
     return text;
 }
 
-/* ---- reading ---- */
+/* ---- decoding ---- */
 
 static bool refuse(struct rp_stream_error *error, enum rp_stream_fault fault, const char *field) {
     *error = (struct rp_stream_error){.fault = fault, .field = field};
@@ -154,8 +154,8 @@
     if (out->kind == RP_CHANGE_MACHINE_TERMINATED)
         return true;
     if (out->kind == RP_CHANGE_MACHINE_RELEASING) {
-        const char *word = json_string_value(json_array_get(object, 1));
-        return (word && strcmp(word, RETURNING) == 0) ||
+        const char *marker = json_string_value(json_array_get(object, 1));
+        return (marker && strcmp(marker, RETURNING) == 0) ||
                refuse(error, RP_STREAM_BAD_FIELD, "returning");
     }
     if (!read_text(json_array_get(object, 1), out->addr, sizeof out->addr) || !*out->addr)
@@ -167,11 +167,11 @@
     return true;
 }
 
-static bool read_changes(const json_t *list, size_t most, struct rp_stream_message *out,
+static bool read_changes(const json_t *list, size_t n_max, struct rp_stream_message *out,
                          struct rp_stream_error *error) {
     if (!json_is_array(list))
         return refuse(error, RP_STREAM_BAD_FIELD, "changes");
-    if (json_array_size(list) > most)
+    if (json_array_size(list) > n_max)
         return refuse(error, RP_STREAM_TOO_LARGE, "changes");
     out->changes = calloc(json_array_size(list) + 1, sizeof *out->changes);
     if (!out->changes)
@@ -186,21 +186,22 @@
     return true;
 }
 
-#define NO_DIGIT (-1)
+#define NOT_A_DIGIT (-1)
 
 static int hex_digit(char digit) {
     if (digit >= '0' && digit <= '9')
         return digit - '0';
-    return digit >= 'a' && digit <= 'f' ? digit - 'a' + 10 : NO_DIGIT;
+    return digit >= 'a' && digit <= 'f' ? digit - 'a' + 10 : NOT_A_DIGIT;
 }
 
-/* The bytes that the 2 * n digits mean, which the caller frees; NULL when one is none. */
+/* The n bytes given by 2 * n hexadecimal digits, which the caller frees; NULL if a character is not
+ * a digit or out of memory. */
 static unsigned char *hex_decode(const char *hex, size_t n) {
     unsigned char *bytes = malloc(n + 1);
     for (size_t i = 0; bytes && i < n; i++) {
         int high = hex_digit(hex[2 * i]);
         int low = hex_digit(hex[2 * i + 1]);
-        if (high == NO_DIGIT || low == NO_DIGIT) {
+        if (high == NOT_A_DIGIT || low == NOT_A_DIGIT) {
             free(bytes);
             return NULL;
         }
@@ -209,7 +210,8 @@
     return bytes;
 }
 
-/* The length of the text that was compressed; 0 when it can't be told or no snapshot is so long. */
+/* The length of the text before compression; 0 if it is not stated or exceeds that of the largest
+ * snapshot. */
 static size_t text_len(const unsigned char *bytes, size_t n) {
     const unsigned long long len_max = (unsigned long long)RP_STREAM_MACHINES_MAX * ENTRY_BYTES_MAX;
     unsigned long long len = ZSTD_getFrameContentSize(bytes, n);
@@ -217,9 +219,10 @@
     return is_known && len <= len_max ? (size_t)len : 0;
 }
 
-/* The list in a snapshot, or NULL. The bound on its length is checked before memory is taken. */
-static json_t *decompress_list(const json_t *packed) {
-    const char *hex = json_string_value(packed);
+/* The list in a snapshot, or NULL. The bound on its length is checked before memory for it is
+ * allocated. */
+static json_t *decompress_list(const json_t *compressed) {
+    const char *hex = json_string_value(compressed);
     size_t n = hex ? strlen(hex) / 2 : 0;
     unsigned char *bytes = n > 0 ? hex_decode(hex, n) : NULL;
     char *text = NULL;
@@ -237,15 +240,15 @@
     return list;
 }
 
-static bool read_snapshot(const json_t *packed, struct rp_stream_message *out,
+static bool read_snapshot(const json_t *compressed, struct rp_stream_message *out,
                           struct rp_stream_error *error) {
-    json_t *list = decompress_list(packed);
+    json_t *list = decompress_list(compressed);
     if (!list)
         return refuse(error, RP_STREAM_BAD_COMPRESSION, "snapshot");
-    out->snapshot = true;
-    bool read = read_changes(list, RP_STREAM_MACHINES_MAX, out, error);
+    out->is_snapshot = true;
+    bool is_read = read_changes(list, RP_STREAM_MACHINES_MAX, out, error);
     json_decref(list);
-    return read;
+    return is_read;
 }
 
 static bool read_message(const json_t *value, struct rp_stream_message *out,
@@ -281,8 +284,8 @@
                       struct rp_stream_error *error) {
     json_t *value = json_loadb(text, len, 0, NULL);
     memset(out, 0, sizeof *out);
-    *error = (struct rp_stream_error){.fault = RP_STREAM_SOUND, .field = ""};
-    bool read = read_message(value, out, error);
+    *error = (struct rp_stream_error){.fault = RP_STREAM_NO_FAULT, .field = ""};
+    bool is_read = read_message(value, out, error);
     json_decref(value);
-    return read;
+    return is_read;
 }
--- a/src/standby/stream_server.c
+++ b/src/standby/stream_server.c
@@ -3,7 +3,7 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 
-/* What a standby has to know of the machine as it is now. */
+/* The change that describes the current state of the machine. */
 static struct rp_change change_of(const struct rp_machine *machine) {
     struct rp_change change = {.kind = RP_CHANGE_MACHINE_UP,
                                .incarnation = machine->contact.incarnation};
@@ -40,25 +40,27 @@
     rp_change_log_begin(&server->log, term);
 }
 
-/* A standby has to know of machines that it can reach, and of those that it must not count on. */
+/* Whether the machine is in snapshots: a standby needs the machines that it can reach, and those
+ * that are being released, which it must not count on. */
 static bool is_in_snapshot(const struct rp_machine *machine) {
     bool is_reachable = *machine->addr && machine->contact.incarnation > 0;
     return is_reachable || machine->state == RP_MACHINE_RELEASING;
 }
 
-/* Terminated machines first: their stored records may not be written yet. */
+/* Includes the terminated machines, first, because their stored records may not have been updated
+ * yet. */
 static void make_snapshot(const struct rp_stream_server *server, struct rp_stream_message *out) {
     const struct rp_cluster *cluster = server->cluster;
     size_t n_terminated = rp_change_log_n_terminated(&server->log);
     out->changes = rp_alloc(cluster->n_machines + n_terminated + 1, sizeof *out->changes);
-    rp_change_log_terminated(&server->log, out->changes);
+    rp_change_log_copy_terminated(&server->log, out->changes);
     out->n_changes = n_terminated;
     for (const struct rp_machine *machine = cluster->first; machine; machine = machine->next)
         if (is_in_snapshot(machine))
             out->changes[out->n_changes++] = change_of(machine);
     out->term = server->log.term;
     out->index = server->log.index;
-    out->snapshot = true;
+    out->is_snapshot = true;
 }
 
 void rp_stream_server_answer(struct rp_stream_server *server,
--- a/src/standby/stream_server.h
+++ b/src/standby/stream_server.h
@@ -1,11 +1,12 @@
 /** @file
- * The leader's side of the stream: notes each change of a machine in a log, and answers standbys
- * with the changes after the one that they know, or with a snapshot of all machines. The leader
- * waits for no standby and keeps no state of any. A node that doesn't lead answers as well: it
- * tells which leader it follows and for how long that one has been silent.
+ * The leader's side of the stream: records each change of a machine in a log, and responds to
+ * standbys with the changes after the last one that they have applied, or with a snapshot of all
+ * machines. The leader does not wait for standbys and keeps no state of them. A node that does not
+ * lead responds, too (standby.c): it reports which leader it follows and for how long that leader
+ * has been silent.
  *
- * standby.c begins and ends the terms and passes requests on; machines' changes come from
- * cluster/cluster.h. */
+ * standby.c begins and ends the terms and passes requests on. The cluster state (cluster/cluster.h)
+ * reports the changes of machines. */
 #ifndef RP_STANDBY_STREAM_SERVER_H
 #define RP_STANDBY_STREAM_SERVER_H
 
@@ -14,23 +15,24 @@
 #include "standby/change_log.h"
 #include "standby/stream_message.h"
 
-/** The server; the cluster state and the settings are the node's. */
+/** The server. It owns the log; the cluster state and the settings belong to the node. */
 struct rp_stream_server {
     const struct rp_settings *settings;
     struct rp_cluster *cluster;
-    struct rp_change_log log; /* empty, of term 0, unless this node leads */
-    unsigned long n_snapshots;
+    struct rp_change_log log;  /* empty, with term 0, unless this node leads */
+    unsigned long n_snapshots; /* snapshots sent */
 };
 
-/** Begins to listen to changes of the cluster's machines. */
+/** Initializes the server and subscribes it to changes of the cluster's machines. */
 void rp_stream_server_init(struct rp_stream_server *server, struct rp_cluster *cluster,
                            const struct rp_settings *settings);
-/** Stops listening, and frees the log. */
+/** Unsubscribes the server from changes and frees the log. */
 void rp_stream_server_close(struct rp_stream_server *server);
-/** This node's term begins, without any machine; 0: its term has ended. */
+/** Empties the log when this node's term begins, before any machine is known; `term` 0: when its
+ * term has ended. */
 void rp_stream_server_begin_term(struct rp_stream_server *server, uint64_t term);
-/** The leader's answer to a request: changes, or a snapshot where they aren't kept. The caller must
- * free it by rp_stream_message_free. */
+/** The leader's response to a request: changes, or a snapshot if some of them are no longer in the
+ * log or the request is of another term. The caller must free `out` by rp_stream_message_free. */
 void rp_stream_server_answer(struct rp_stream_server *server,
                              const struct rp_stream_request *request,
                              struct rp_stream_message *out);
--- a/tests/unit/test_stream.c
+++ b/tests/unit/test_stream.c
@@ -21,7 +21,7 @@
 
 static struct rp_stream_message snapshot_of(unsigned machines) {
     struct rp_stream_message message = {
-        .term = 7, .index = 3 * machines, .snapshot = true, .n_changes = machines};
+        .term = 7, .index = 3 * machines, .is_snapshot = true, .n_changes = machines};
     message.changes = calloc(machines + 1, sizeof *message.changes);
     assert_non_null(message.changes);
     for (unsigned i = 0; i < machines; i++)
@@ -45,7 +45,7 @@
         if (machines == 5000) /* compressed: far below its 50 bytes a machine */
             assert_less_than(strlen(text), 30 * (size_t)machines);
         read_back(text, &got);
-        assert_true(got.snapshot && got.term == sent.term && got.index == sent.index);
+        assert_true(got.is_snapshot && got.term == sent.term && got.index == sent.index);
         assert_int_equal(got.n_changes, machines);
         assert_memory_equal(got.changes, sent.changes, machines * sizeof *got.changes);
         rp_stream_message_free(&got);
@@ -58,7 +58,7 @@
     struct rp_stream_message got;
     char *text = rp_stream_encode(&sent);
     read_back(text, &got);
-    assert_false(got.snapshot);
+    assert_false(got.is_snapshot);
     assert_memory_equal(got.changes, changes, sizeof changes);
     rp_stream_message_free(&got);
     free(text);
@@ -117,7 +117,7 @@
     struct rp_stream_message got;
     struct rp_stream_error error;
     (void)state;
-    sent.snapshot = false;
+    sent.is_snapshot = false;
     char *text = rp_stream_encode(&sent);
     assert_false(rp_stream_decode(text, strlen(text), &got, &error));
     assert_int_equal(error.fault, RP_STREAM_TOO_LARGE);
@@ -138,7 +138,7 @@
         struct rp_stream_message sent = snapshot_of(1 + (unsigned)gsl_rng_uniform_int(rng, 5));
         struct rp_stream_message got;
         struct rp_stream_error error;
-        sent.snapshot = i % 2;
+        sent.is_snapshot = i % 2;
         char *text = rp_stream_encode(&sent);
         size_t len = strlen(text);
         for (unsigned long k = gsl_rng_uniform_int(rng, 3); k > 0; k--)
@@ -150,7 +150,7 @@
             rp_stream_message_free(&got);
             read++;
         } else {
-            assert_true(error.fault != RP_STREAM_SOUND);
+            assert_true(error.fault != RP_STREAM_NO_FAULT);
             refused++;
         }
         rp_stream_message_free(&sent);
