--- a/src/standby/machine_fencing.c
+++ b/src/standby/machine_fencing.c
@@ -9,7 +9,7 @@
 /* Maximum number of machines that are being fenced at a time; docs/standby.md, "Leading". */
 #define IN_FLIGHT_MAX 128
 /* Seconds from when this node leads to the first pass. In this time it responds to the heartbeats
- * that wait at this node, which brings those machines the token as well. */
+ * that wait at this node, which also gives those machines the token. */
 #define FIRST_PASS_DELAY_S 0.15
 /* Seconds from the first pass to the second, which also fences the machines whose heartbeat was
  * answered but which have not sent the token back since. */
--- a/tests/unit/test_stream.c
+++ b/tests/unit/test_stream.c
@@ -1,5 +1,5 @@
-/* The leader's stream: its messages, the log that it is served from, and the copy that follows it.
- */
+/* The leader's stream: its messages, the change log that serves it, and the machine directory that
+ * a standby builds from it. */
 #include "test.h"
 
 #include <gsl/gsl_rng.h>
@@ -8,11 +8,12 @@
 
 #define MUTATIONS 4000
 
-static struct rp_change change_of(unsigned machine, bool gone) {
-    struct rp_change change = {.kind = gone ? RP_CHANGE_MACHINE_TERMINATED : RP_CHANGE_MACHINE_UP,
+static struct rp_change change_of(unsigned machine, bool is_terminated) {
+    struct rp_change change = {.kind = is_terminated ? RP_CHANGE_MACHINE_TERMINATED
+                                                     : RP_CHANGE_MACHINE_UP,
                                .incarnation = machine % 7 + 1};
     snprintf(change.machine, sizeof change.machine, "vm-%06u", machine);
-    if (!gone)
+    if (!is_terminated)
         snprintf(change.addr, sizeof change.addr, "10.0.%u.%u:9000", machine / 250, machine % 250);
     else
         change.incarnation = 0;
@@ -29,22 +30,22 @@
     return message;
 }
 
-static void read_back(const char *text, struct rp_stream_message *out) {
+static void decode(const char *text, struct rp_stream_message *out) {
     struct rp_stream_error error;
     if (!rp_stream_decode(text, strlen(text), out, &error))
         fail_msg("%s, field=%s", rp_stream_fault_name(error.fault), error.field);
 }
 
-static void messages_come_back_whole(void **state) {
+static void encoded_messages_decode_unchanged(void **state) {
     (void)state;
     for (unsigned machines = 0; machines <= 5000; machines += 2500) {
         struct rp_stream_message sent = snapshot_of(machines);
         struct rp_stream_message got;
         char *text = rp_stream_encode(&sent);
         assert_non_null(text);
-        if (machines == 5000) /* compressed: far below its 50 bytes a machine */
+        if (machines == 5000) /* compressed: far below the 50 bytes of a machine in plain text */
             assert_less_than(strlen(text), 30 * (size_t)machines);
-        read_back(text, &got);
+        decode(text, &got);
         assert_true(got.is_snapshot && got.term == sent.term && got.index == sent.index);
         assert_int_equal(got.n_changes, machines);
         assert_memory_equal(got.changes, sent.changes, machines * sizeof *got.changes);
@@ -57,14 +58,14 @@
     struct rp_stream_message sent = {.term = 9, .index = 3, .changes = changes, .n_changes = 3};
     struct rp_stream_message got;
     char *text = rp_stream_encode(&sent);
-    read_back(text, &got);
+    decode(text, &got);
     assert_false(got.is_snapshot);
     assert_memory_equal(got.changes, changes, sizeof changes);
     rp_stream_message_free(&got);
     free(text);
 }
 
-/* Messages, each with the fault and the field that a reader names. */
+/* Faulty messages, each with the fault and the field that decoding must report. */
 static const struct {
     const char *text;
     enum rp_stream_fault fault;
@@ -98,7 +99,7 @@
      RP_STREAM_BAD_FIELD, "returning"},
 };
 
-static void faults_are_named(void **state) {
+static void faulty_messages_are_refused_with_fault_and_field(void **state) {
     (void)state;
     for (size_t i = 0; i < sizeof faulty_messages / sizeof faulty_messages[0]; i++) {
         struct rp_stream_message message;
@@ -125,12 +126,13 @@
     free(text);
 }
 
-/* Whatever comes is either read or refused; the sanitizers watch. */
-static void mutations_do_no_harm(void **state) {
+/* Messages with random bytes replaced, or cut short, are either decoded or refused. The sanitizers
+ * detect invalid memory accesses. */
+static void mutated_messages_are_decoded_or_refused(void **state) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     struct rp_machine_directory *directory = calloc(1, sizeof *directory);
-    unsigned long read = 0;
-    unsigned long refused = 0;
+    unsigned long n_decoded = 0;
+    unsigned long n_refused = 0;
     (void)state;
     assert_non_null(directory);
     gsl_rng_set(rng, 4);
@@ -148,23 +150,23 @@
         if (rp_stream_decode(text, len, &got, &error)) {
             (void)rp_machine_directory_apply(directory, &got);
             rp_stream_message_free(&got);
-            read++;
+            n_decoded++;
         } else {
             assert_true(error.fault != RP_STREAM_NO_FAULT);
-            refused++;
+            n_refused++;
         }
         rp_stream_message_free(&sent);
         free(text);
     }
-    assert_true(read > 100 && refused > 100);
+    assert_true(n_decoded > 100 && n_refused > 100);
     rp_machine_directory_free(directory);
     free(directory);
     gsl_rng_free(rng);
 }
 
-/* A copy that asks now and then, and loses some of the answers, ends up with what the leader has.
- */
-static void replica_catches_up(void **state) {
+/* A directory that requests changes after every 40th one, and loses a third of the responses, ends
+ * up with the same machines as the leader. */
+static void directory_catches_up_after_lost_responses(void **state) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     struct rp_change_log log = {0};
     struct rp_machine_directory *directory = calloc(1, sizeof *directory);
@@ -203,7 +205,7 @@
     gsl_rng_free(rng);
 }
 
-static void gaps_and_old_terms_are_told(void **state) {
+static void gaps_and_old_terms_are_reported(void **state) {
     struct rp_machine_directory *directory = calloc(1, sizeof *directory);
     struct rp_change_log log = {0};
     struct rp_stream_message message = {0};
@@ -213,7 +215,7 @@
     rp_change_log_begin(&log, 5);
     for (size_t i = 0; i < RP_CHANGES_KEPT + 10; i++)
         rp_change_log_add(&log, &change);
-    assert_false(rp_change_log_since(&log, 3, &message)); /* not kept any more */
+    assert_false(rp_change_log_since(&log, 3, &message)); /* no longer in the ring */
     assert_false(rp_change_log_since(&log, log.index + 1, &message));
     assert_true(rp_change_log_since(&log, log.index - 5, &message));
     assert_int_equal(rp_machine_directory_apply(directory, &message), RP_DIRECTORY_GAP);
@@ -231,12 +233,13 @@
 }
 
 int main(int argc, char **argv) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(messages_come_back_whole),
-                                       cmocka_unit_test(faults_are_named),
-                                       cmocka_unit_test(too_many_changes_are_refused),
-                                       cmocka_unit_test(mutations_do_no_harm),
-                                       cmocka_unit_test(replica_catches_up),
-                                       cmocka_unit_test(gaps_and_old_terms_are_told)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(encoded_messages_decode_unchanged),
+        cmocka_unit_test(faulty_messages_are_refused_with_fault_and_field),
+        cmocka_unit_test(too_many_changes_are_refused),
+        cmocka_unit_test(mutated_messages_are_decoded_or_refused),
+        cmocka_unit_test(directory_catches_up_after_lost_responses),
+        cmocka_unit_test(gaps_and_old_terms_are_reported)};
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
