--- a/src/api/status.c
+++ b/src/api/status.c
@@ -121,7 +121,7 @@
                                          {"moved", services->n_moved}};
     const struct counter commands[] = {{"direct", worker_counters->n_direct_commands},
                                        {"direct_unanswered", worker_counters->n_direct_unanswered}};
-    double ready_cpus = sources->leading ? rp_service_headroom_ready_cpus(services) : 0.0;
+    double ready_cpus = sources->is_leading ? rp_service_headroom_ready_cpus(services) : 0.0;
     json_t *object = json_object();
     set_counters(object, placements, N_OF(placements));
     json_object_set_new(object, "reserve_cpus",
--- a/src/api/status.h
+++ b/src/api/status.h
@@ -16,7 +16,7 @@
     struct rp_loop *loop;
     const struct rp_settings *settings;
     const char *node_state; /* "following", "recovering", "leading" */
-    bool leading;
+    bool is_leading;
     const struct rp_catalog *catalog;
     const struct rp_kv_client *store;
     const struct rp_election *election;
--- a/src/api/submission_check.c
+++ b/src/api/submission_check.c
@@ -1,10 +1,10 @@
 #include "api/submission_check.h"
 
 /* Sums of decimal fractions are rounded: a need that equals its limit is within it. */
-#define ROUNDING 1e-9
+#define ROUNDING_TOLERANCE 1e-9
 
 static bool is_over(double need, double limit) {
-    return limit > 0 && need > limit + ROUNDING; /* 0: the team has no limit */
+    return limit > 0 && need > limit + ROUNDING_TOLERANCE; /* 0: the team has no limit */
 }
 
 /* Whether some machine type in some zone of it fits a task of the job. */
--- a/src/api/submission_record.c
+++ b/src/api/submission_record.c
@@ -18,17 +18,17 @@
 
 /* Takes out repeated types and those that no machine is of: the job means the same, and its record
  * is much shorter where somebody lists a thousand. */
-static void drop_useless_types(const struct rp_catalog *catalog, struct rp_job_spec *spec) {
-    size_t n_useful = 0;
+static void remove_redundant_types(const struct rp_catalog *catalog, struct rp_job_spec *spec) {
+    size_t n_kept = 0;
     for (size_t i = 0; i < spec->n_types; i++) {
         const char *type = spec->types[i];
-        if (!is_in_catalog(catalog, type) || is_among_first(spec, n_useful, type))
+        if (!is_in_catalog(catalog, type) || is_among_first(spec, n_kept, type))
             continue;
-        if (n_useful != i)
-            memcpy(spec->types[n_useful], type, sizeof spec->types[i]);
-        n_useful++;
+        if (n_kept != i)
+            memcpy(spec->types[n_kept], type, sizeof spec->types[i]);
+        n_kept++;
     }
-    spec->n_types = n_useful;
+    spec->n_types = n_kept;
 }
 
 static json_t *marked_record(const struct rp_upgrade *upgrade, const struct rp_job_spec *spec,
@@ -49,7 +49,7 @@
     json_t *record = marked_record(upgrade, spec, accepted_at);
     if (rp_record_size(record) > value_max_bytes) {
         json_decref(record);
-        drop_useless_types(catalog, spec);
+        remove_redundant_types(catalog, spec);
         record = marked_record(upgrade, spec, accepted_at);
     }
     *out = (struct rp_submission_pieces){.n = 0};
--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -41,7 +41,7 @@
     struct rp_refusal refusal; /* what a submission gets if its id isn't known */
     uint64_t open_revision;    /* of the open job's record, as last read */
     unsigned n_writes_failed;
-    bool is_from_lookup;    /* that the job isn't open was told by a lookup, not by a read */
+    bool is_absence_from_lookup; /* that the job isn't open was told by a lookup, not by a read */
     size_t value_max_bytes; /* once the store has refused a larger value; 0: as the settings say */
     struct timespec received_at;
 };
@@ -93,12 +93,12 @@
 
 /* The job's end, as the store has it: it stays so, and this node answers by itself next time. */
 static void respond_terminal_state(struct user_request *request, enum rp_job_phase phase) {
-    rp_terminal_states_note(request->api->terminal_states, request->id, phase);
+    rp_terminal_states_record(request->api->terminal_states, request->id, phase);
     respond_phase(request, RP_RESPONSE_OK, phase);
 }
 
 /* Responds if this node knows by itself that the job has ended; returns whether it did. */
-static bool respond_known_terminal_state(struct user_request *request) {
+static bool respond_cached_terminal_state(struct user_request *request) {
     enum rp_job_phase phase;
     if (!rp_terminal_states_find(request->api->terminal_states, request->id, &phase))
         return false;
@@ -108,11 +108,11 @@
 
 /* ---- events ---- */
 
-static void on_job_unknown(struct user_request *request) {
-    if (request->is_from_lookup) {
+static void on_job_not_found(struct user_request *request) {
+    if (request->is_absence_from_lookup) {
         /* Nobody is told that a job doesn't exist on the word of a lookup alone: a store that names
          * only some of the conditions that failed would make accepted jobs unknown. */
-        request->is_from_lookup = false;
+        request->is_absence_from_lookup = false;
         set_state(request, REQUEST_READING_OPEN);
     } else if (request->kind != REQUEST_SUBMIT) {
         respond(request, RP_RESPONSE_NOT_FOUND, rp_codec_write_error("no such job"),
@@ -131,21 +131,21 @@
     struct rp_kv_item item;
     enum rp_job_phase phase;
     if (result->outcome == RP_KV_NOT_FOUND)
-        on_job_unknown(request);
+        on_job_not_found(request);
     else if (rp_kv_result_item(result, &item) && rp_record_terminal_read(item.value, &phase))
         respond_terminal_state(request, phase);
     else
         respond_unavailable(request);
 }
 
-static void on_looked_up(void *arg, enum rp_lookup_result result) {
+static void on_lookup_result(void *arg, enum rp_lookup_result result) {
     struct user_request *request = arg;
     switch (result) {
     case RP_LOOKUP_OPEN:
         respond_phase(request, RP_RESPONSE_OK, RP_JOB_QUEUED);
         break;
     case RP_LOOKUP_NOT_OPEN:
-        request->is_from_lookup = true;
+        request->is_absence_from_lookup = true;
         set_state(request, REQUEST_READING_TERMINAL);
         break;
     case RP_LOOKUP_UNAVAILABLE:
@@ -303,7 +303,7 @@
     request->state = state;
     switch (state) {
     case REQUEST_LOOKING_UP:
-        rp_job_lookup_add(request->api->job_lookup, request->id, on_looked_up, request);
+        rp_job_lookup_add(request->api->job_lookup, request->id, on_lookup_result, request);
         break;
     case REQUEST_READING_OPEN:
         rp_key(key, RP_KEY_OPEN, request->id);
@@ -363,7 +363,7 @@
         respond_refusal(request);
         return;
     }
-    if (respond_known_terminal_state(request))
+    if (respond_cached_terminal_state(request))
         return;
     read_submission(request);
     bool is_service = request->spec.kind == RP_JOB_SERVICE;
@@ -377,14 +377,14 @@
 
 void rp_user_api_query(struct rp_user_api *api, struct rp_request *req, const char *id) {
     struct user_request *request = request_new(api, req, REQUEST_QUERY, id);
-    if (respond_known_terminal_state(request))
+    if (respond_cached_terminal_state(request))
         return;
-    set_state(request, rp_job_lookup_must_batch(api->job_lookup) ? REQUEST_LOOKING_UP
-                                                                 : REQUEST_READING_OPEN);
+    set_state(request, rp_job_lookup_should_batch(api->job_lookup) ? REQUEST_LOOKING_UP
+                                                                   : REQUEST_READING_OPEN);
 }
 
 void rp_user_api_cancel(struct rp_user_api *api, struct rp_request *req, const char *id) {
     struct user_request *request = request_new(api, req, REQUEST_CANCEL, id);
-    if (!respond_known_terminal_state(request))
+    if (!respond_cached_terminal_state(request))
         set_state(request, REQUEST_READING_OPEN);
 }
--- a/src/cluster/allocation.c
+++ b/src/cluster/allocation.c
@@ -10,7 +10,7 @@
     struct rp_job *job = allocation->job;
     rp_job_count_allocation(job, allocation->task, sign);
     if (machine->zone >= 0)
-        job->zone_count[machine->zone] += (uint32_t)sign;
+        job->n_allocated_by_zone[machine->zone] += (uint32_t)sign;
     if (job->team >= 0) {
         cluster->team_cpus[job->team] += sign * job->spec.each.cpus;
         cluster->team_gpus[job->team] += sign * job->spec.each.gpus;
--- a/src/cluster/start_permission.c
+++ b/src/cluster/start_permission.c
@@ -132,9 +132,9 @@
 static bool is_zone_allowed(const struct rp_job *job, int zone) {
     if (job->spec.one_zone)
         for (int i = 0; i < RP_ZONES_MAX; i++)
-            if (i != zone && job->zone_count[i])
+            if (i != zone && job->n_allocated_by_zone[i])
                 return false;
-    return !job->spec.spread || job->zone_count[zone] + 1 <= (job->spec.n_tasks + 1) / 2;
+    return !job->spec.spread || job->n_allocated_by_zone[zone] + 1 <= (job->spec.n_tasks + 1) / 2;
 }
 
 /* ---- the permission ---- */
--- a/src/controller/node_requests.c
+++ b/src/controller/node_requests.c
@@ -51,7 +51,7 @@
     const struct rp_status_sources sources = {.loop = node->loop,
                                               .settings = node->settings,
                                               .node_state = rp_node_state_name(node->state),
-                                              .leading = node->state == RP_NODE_LEADING,
+                                              .is_leading = node->state == RP_NODE_LEADING,
                                               .catalog = &node->catalog,
                                               .store = &node->store,
                                               .election = &node->election,
--- a/src/controller/peer_health.c
+++ b/src/controller/peer_health.c
@@ -17,7 +17,7 @@
 
 static void note_refused_alone(struct rp_peer_health *health) {
     health->refused_until = rp_ts_after(rp_loop_now(health->loop), REFUSAL_S);
-    rp_jobs_note_store_refusal(health->jobs);
+    rp_jobs_record_store_isolation(health->jobs);
 }
 
 static void on_health_response(void *arg, const struct rp_answer *answer) {
--- a/src/jobs/garbage_collector.c
+++ b/src/jobs/garbage_collector.c
@@ -99,9 +99,9 @@
     rp_election_guard(context->election, txn);
     rp_key(key, RP_KEY_OPEN, garbage->job_id);
     rp_kv_txn_if(txn, key, RP_KV_ABSENT);
-    struct rp_stored_records left = garbage->records;
-    rp_stored_records_delete(txn, garbage->job_id, &left, max_changes);
-    rp_stored_records_remove(&deletion->records, &left);
+    struct rp_stored_records remaining = garbage->records;
+    rp_stored_records_delete(txn, garbage->job_id, &remaining, max_changes);
+    rp_stored_records_remove(&deletion->records, &remaining);
     collector->is_deleting = true;
     rp_kv_txn_submit(context->store, RP_KV_BUDGET_LEADER, txn, on_deletion_response, deletion);
 }
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -38,7 +38,7 @@
     uint32_t n_allocated;            /* allocations whose task may be on a machine */
     uint32_t n_refs;                 /* allocations that point here */
     uint8_t *task_allocation_counts; /* in how many allocations each task may be; NULL: in none */
-    uint32_t zone_count[RP_ZONES_MAX];
+    uint32_t n_allocated_by_zone[RP_ZONES_MAX];
     uint32_t first_startable_task; /* no task below it can be started */
     struct rp_job_progress progress;
     struct rp_stored_records stored; /* records besides its own, deleted once it has ended */
@@ -57,7 +57,7 @@
     double run_sum_s;
     unsigned n_runs;
     double run_floor_s;               /* some task has run this long */
-    bool interrupted;                 /* later run times are of parts of tasks */
+    bool was_interrupted;             /* later run times are of parts of tasks */
     unsigned consecutive_early_exits; /* services: replicas that ended by themselves soon, one after
                                          the other */
     struct rp_job *hash_next;         /* in the table's bucket */
--- a/src/jobs/job_finisher.c
+++ b/src/jobs/job_finisher.c
@@ -10,7 +10,7 @@
     struct rp_job_finisher *finisher;
     unsigned long generation;
     char job_id[RP_ID_MAX];
-    struct rp_stored_records left; /* records that the transaction doesn't delete */
+    struct rp_stored_records remaining; /* records that the transaction doesn't delete */
 };
 
 void rp_job_finisher_init(struct rp_job_finisher *finisher, const struct rp_jobs_context *context,
@@ -20,10 +20,10 @@
 }
 
 static void on_job_finished(struct rp_job_finisher *finisher, struct rp_job *job,
-                            const struct rp_stored_records *left) {
+                            const struct rp_stored_records *remaining) {
     rp_info("job done: job=%s n_tasks=%u age_s=%.1f", job->spec.id, job->spec.n_tasks,
             rp_job_age_s(job, rp_loop_now(finisher->context->loop)));
-    rp_garbage_collector_add(finisher->collector, job->spec.id, left);
+    rp_garbage_collector_add(finisher->collector, job->spec.id, remaining);
     rp_job_table_set_state(finisher->table, job, RP_JOB_CLOSED);
 }
 
@@ -37,7 +37,7 @@
     if (!job || job->state != RP_JOB_FINISHING)
         goto out;
     if (result->outcome == RP_KV_OK) {
-        on_job_finished(finisher, job, &request->left);
+        on_job_finished(finisher, job, &request->remaining);
         goto out;
     }
     rp_job_table_set_state(finisher->table, job, RP_JOB_COMPLETE);
@@ -76,8 +76,8 @@
                   RP_KV_NO_LEASE);
     /* The move itself is atomic; the records that nobody reads any more go as they fit, with it or
      * after it. */
-    request->left = job->stored;
-    rp_garbage_collector_delete_within(finisher->collector, txn, job->spec.id, &request->left);
+    request->remaining = job->stored;
+    rp_garbage_collector_delete_within(finisher->collector, txn, job->spec.id, &request->remaining);
     rp_job_table_set_state(finisher->table, job, RP_JOB_FINISHING);
     rp_kv_txn_submit(context->store, RP_KV_BUDGET_LEADER, txn, on_finish_response, request);
 }
--- a/src/jobs/job_loader.c
+++ b/src/jobs/job_loader.c
@@ -57,7 +57,7 @@
         return;
     uint8_t *bits = job->progress.durable + rp_progress_record_offset(record);
     if (!rp_record_progress_read(item->value, bits, n_bytes)) {
-        rp_record_reader_note_unreadable(loader->reader, item->key, item->value);
+        rp_record_reader_report_unreadable(loader->reader, item->key, item->value);
         return;
     }
     rp_job_progress_set_revision(&job->progress, record, item->revision);
@@ -166,7 +166,7 @@
     loader->is_loading = false;
 }
 
-void rp_job_loader_on_parts(struct rp_job_loader *loader, enum rp_parts_outcome outcome) {
+void rp_job_loader_on_parts_result(struct rp_job_loader *loader, enum rp_parts_outcome outcome) {
     if (!loader->is_loading)
         return;
     if (outcome == RP_PARTS_FAILED)
--- a/src/jobs/job_loader.h
+++ b/src/jobs/job_loader.h
@@ -34,6 +34,6 @@
 /** Forgets a load under way without calling back; the caller changes the context's generation. */
 void rp_job_loader_stop(struct rp_job_loader *loader);
 /** The reader has read the parts of one record, or failed to. */
-void rp_job_loader_on_parts(struct rp_job_loader *loader, enum rp_parts_outcome outcome);
+void rp_job_loader_on_parts_result(struct rp_job_loader *loader, enum rp_parts_outcome outcome);
 
 #endif
--- a/src/jobs/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -45,7 +45,7 @@
     lookup->collecting = NULL;
 }
 
-bool rp_job_lookup_must_batch(struct rp_job_lookup *lookup) {
+bool rp_job_lookup_should_batch(struct rp_job_lookup *lookup) {
     return lookup->collecting || rp_kv_must_wait(lookup->store, RP_KV_BUDGET_QUERIES);
 }
 
--- a/src/jobs/job_lookup.h
+++ b/src/jobs/job_lookup.h
@@ -40,7 +40,7 @@
 void rp_job_lookup_close(struct rp_job_lookup *lookup);
 /** Whether a query that comes now should share a request: one of its own had to wait for the
  * budget, or others wait already. */
-bool rp_job_lookup_must_batch(struct rp_job_lookup *lookup);
+bool rp_job_lookup_should_batch(struct rp_job_lookup *lookup);
 /** Looks up whether the job is open, and calls `on_result` once, later. The result is never older
  * than this call. */
 void rp_job_lookup_add(struct rp_job_lookup *lookup, const char *job_id, rp_lookup_fn on_result,
--- a/src/jobs/job_progress.c
+++ b/src/jobs/job_progress.c
@@ -156,7 +156,7 @@
     return progress->dirty_units & units && !(progress->in_flight_units & units);
 }
 
-void rp_job_progress_note_durable(struct rp_job_progress *progress,
+void rp_job_progress_mark_durable(struct rp_job_progress *progress,
                                   struct rp_progress_record record, const uint8_t *bits) {
     size_t offset = rp_progress_record_offset(record);
     size_t n_bytes = rp_job_progress_record_bytes(progress, record);
--- a/src/jobs/job_progress.h
+++ b/src/jobs/job_progress.h
@@ -87,7 +87,7 @@
 bool rp_job_progress_can_write(const struct rp_job_progress *progress,
                                struct rp_progress_record record);
 /** Marks as durable the bits that a successful write of the record carried. */
-void rp_job_progress_note_durable(struct rp_job_progress *progress,
+void rp_job_progress_mark_durable(struct rp_job_progress *progress,
                                   struct rp_progress_record record, const uint8_t *bits);
 /** Whether writes may be sent: the store hasn't refused one a moment ago. */
 bool rp_job_progress_may_write(const struct rp_job_progress *progress, struct timespec now);
--- a/src/jobs/job_watch.c
+++ b/src/jobs/job_watch.c
@@ -12,7 +12,7 @@
 /* A start needs a fresher table than an answer to a heartbeat. */
 #define START_STALENESS_MAX_S 9.0
 /* For the first watch, once the leader's lease is provable again. */
-#define CATCH_UP_S 3.0
+#define WATCH_CATCH_UP_S 3.0
 /* For so long the others may claim the key that a leader without a watch gives up. */
 #define RESIGN_BACKOFF_S 5.0
 
@@ -32,13 +32,13 @@
 }
 
 void rp_job_watch_stop(struct rp_job_watch *watch) {
-    watch->is_running = watch->must_return_at_once = watch->is_refused_alone = false;
-    watch->provable_since = (struct timespec){0};
+    watch->is_running = watch->should_return_at_once = watch->is_isolated_from_store = false;
+    watch->lease_provable_since = (struct timespec){0};
 }
 
 void rp_job_watch_on_load_start(struct rp_job_watch *watch) {
     watch->revision = 0;
-    watch->has_covered_load = true;
+    watch->has_caught_up_with_load = true;
     watch->synced_at = rp_loop_now(watch->context->loop);
 }
 
@@ -49,8 +49,8 @@
         watch->revision = revision;
     /* A later page may hold jobs that were accepted after a failover from this leader, whose fence
      * came too late for the first page: the watch shows it. */
-    watch->must_return_at_once |= has_more;
-    watch->has_covered_load &= !has_more;
+    watch->should_return_at_once |= has_more;
+    watch->has_caught_up_with_load &= !has_more;
 }
 
 void rp_job_watch_start(struct rp_job_watch *watch) {
@@ -67,15 +67,15 @@
     struct rp_election *election = watch->context->election;
     struct timespec now = rp_loop_now(watch->context->loop);
     if (!rp_election_is_valid(election, now)) {
-        watch->provable_since = (struct timespec){0};
+        watch->lease_provable_since = (struct timespec){0};
         return false;
     }
-    if (rp_ts_zero(watch->provable_since))
-        watch->provable_since = now;
+    if (rp_ts_zero(watch->lease_provable_since))
+        watch->lease_provable_since = now;
     /* A leader whose lease is renewed but who hears of no cancellation answers no worker: somebody
      * else has to lead. After an outage it has a moment to catch up. */
-    bool had_time_to_catch_up = rp_ts_since(now, watch->provable_since) > CATCH_UP_S;
-    if (had_time_to_catch_up && !rp_job_watch_may_answer_heartbeats(watch)) {
+    bool is_catch_up_over = rp_ts_since(now, watch->lease_provable_since) > WATCH_CATCH_UP_S;
+    if (is_catch_up_over && !rp_job_watch_may_answer_heartbeats(watch)) {
         rp_election_resign(election, RESIGN_BACKOFF_S);
         return false;
     }
@@ -93,13 +93,13 @@
 bool rp_job_watch_may_start_tasks(const struct rp_job_watch *watch) {
     bool is_fresh = rp_job_watch_staleness_s(watch) < START_STALENESS_MAX_S &&
                     rp_job_watch_may_answer_heartbeats(watch);
-    return is_fresh && watch->has_covered_load && !watch->is_refused_alone;
+    return is_fresh && watch->has_caught_up_with_load && !watch->is_isolated_from_store;
 }
 
-void rp_job_watch_note_store_refusal(struct rp_job_watch *watch) {
-    if (watch->is_running && !watch->is_refused_alone)
+void rp_job_watch_record_store_isolation(struct rp_job_watch *watch) {
+    if (watch->is_running && !watch->is_isolated_from_store)
         rp_info("no more starts: reason=store_refuses_this_node_alone");
-    watch->is_refused_alone = watch->is_running;
+    watch->is_isolated_from_store = watch->is_running;
 }
 
 bool rp_job_watch_is_fence(const struct rp_kv_item *item) {
@@ -136,8 +136,8 @@
     }
 }
 
-static void note_fences(struct rp_job_watch *watch, const struct rp_kv_result *result,
-                        size_t n_events) {
+static void record_fences(struct rp_job_watch *watch, const struct rp_kv_result *result,
+                          size_t n_events) {
     for (size_t i = 0; i < n_events; i++) {
         struct rp_kv_item event;
         if (rp_kv_result_event_at(result, i, &event) && rp_job_watch_is_fence(&event))
@@ -160,21 +160,21 @@
     }
 }
 
-static void take_answer(struct rp_job_watch *watch, unsigned long generation,
-                        const struct rp_kv_result *result) {
+static void process_response(struct rp_job_watch *watch, unsigned long generation,
+                             const struct rp_kv_result *result) {
     size_t n_events = rp_kv_result_n_events(result);
     /* Before anything else of the answer: jobs that come with a fence are the next leader's. */
-    note_fences(watch, result, n_events);
+    record_fences(watch, result, n_events);
     if (!rp_jobs_context_is_current(watch->context, generation))
         return;
     apply_events(watch, result, n_events);
-    watch->has_covered_load = true;
+    watch->has_caught_up_with_load = true;
     rp_record_reader_read_next_parts(watch->reader);
     uint64_t revision = rp_kv_result_revision(result);
     if (revision > watch->revision)
         watch->revision = revision;
     watch->synced_at = watch->sent_at;
-    watch->must_return_at_once = watch->is_refused_alone = false;
+    watch->should_return_at_once = watch->is_isolated_from_store = false;
     send_watch(watch);
     if (n_events > 0)
         watch->on_jobs_changed(watch->arg);
@@ -186,7 +186,7 @@
     if (!rp_jobs_context_is_current(watch->context, request->generation) || !watch->is_running)
         goto out;
     if (result->outcome == RP_KV_OK && result->body) {
-        take_answer(watch, request->generation, result);
+        process_response(watch, request->generation, result);
     } else if (result->outcome == RP_KV_COMPACTED) {
         /* The watch fell too far behind: the table has to be read again, and with it the cluster
          * state of who may be where. Under the same fencing token old copies of heartbeats would
@@ -194,7 +194,7 @@
         rp_election_resign(watch->context->election, 0);
     } else {
         watch->sent_at = (struct timespec){0}; /* the tick sends it again */
-        watch->must_return_at_once = true;
+        watch->should_return_at_once = true;
     }
 out:
     free(request);
@@ -205,7 +205,7 @@
 static void send_watch(struct rp_job_watch *watch) {
     const struct rp_jobs_context *context = watch->context;
     double max_staleness_s = rp_settings_max_staleness_s(context->settings);
-    double hold_s = watch->must_return_at_once
+    double hold_s = watch->should_return_at_once
                         ? 0
                         : fmin(WATCH_HOLD_MAX_S, WATCH_HOLD_STALENESS_SHARE * max_staleness_s);
     struct watch_request *request = rp_alloc(1, sizeof *request);
--- a/src/jobs/job_watch.h
+++ b/src/jobs/job_watch.h
@@ -21,14 +21,15 @@
     struct rp_job_table *table;
     struct rp_record_reader *reader;
     struct rp_garbage_collector *collector;
-    uint64_t revision;              /* the table holds everything up to here; 0: nothing listed */
-    struct timespec synced_at;      /* when the newest answered watch, or the load, was sent */
-    struct timespec sent_at;        /* when the watch under way was sent; zero: none is */
-    struct timespec provable_since; /* since when the leader's lease is provable without a gap */
-    bool is_running;                /* the load is done, and nothing was cleared since */
-    bool has_covered_load;          /* what a list of several pages may have missed has come */
-    bool must_return_at_once;       /* the next watch doesn't wait for changes */
-    bool is_refused_alone;          /* the store answers other nodes but not this one */
+    uint64_t revision;         /* the table holds everything up to here; 0: nothing listed */
+    struct timespec synced_at; /* when the newest answered watch, or the load, was sent */
+    struct timespec sent_at;   /* when the watch under way was sent; zero: none is */
+    struct timespec
+        lease_provable_since;     /* since when the leader's lease is provable without a gap */
+    bool is_running;              /* the load is done, and nothing was cleared since */
+    bool has_caught_up_with_load; /* what a list of several pages may have missed has come */
+    bool should_return_at_once;   /* the next watch doesn't wait for changes */
+    bool is_isolated_from_store;  /* the store answers other nodes but not this one */
     rp_job_watch_fn on_jobs_changed;
     void *arg; /* for the call-back */
 };
@@ -57,7 +58,7 @@
 /** And for tasks to be started. */
 bool rp_job_watch_may_start_tasks(const struct rp_job_watch *watch);
 /** The store answers other nodes, but not this one. */
-void rp_job_watch_note_store_refusal(struct rp_job_watch *watch);
+void rp_job_watch_record_store_isolation(struct rp_job_watch *watch);
 /** Whether the item is the fence of a failover, which lies among the open jobs but is none. */
 bool rp_job_watch_is_fence(const struct rp_kv_item *item);
 
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -39,9 +39,9 @@
         jobs->on_open_jobs_changed(jobs->arg);
 }
 
-static void on_parts(void *arg, enum rp_parts_outcome outcome) {
+static void on_parts_result(void *arg, enum rp_parts_outcome outcome) {
     struct rp_jobs *jobs = arg;
-    rp_job_loader_on_parts(&jobs->loader, outcome);
+    rp_job_loader_on_parts_result(&jobs->loader, outcome);
     if (outcome == RP_PARTS_READ && jobs->watch.is_running)
         on_jobs_changed(jobs);
 }
@@ -58,7 +58,7 @@
     rp_progress_writer_init(&jobs->progress_writer, context, table, collector);
     rp_job_finisher_init(&jobs->finisher, context, table, collector);
     table->on_job_closed = on_job_closed;
-    jobs->record_reader.on_parts = on_parts;
+    jobs->record_reader.on_parts_result = on_parts_result;
     jobs->watch.on_jobs_changed = on_jobs_changed;
     jobs->loader.on_loaded = on_loaded;
     table->arg = jobs->record_reader.arg = jobs->watch.arg = jobs->loader.arg = jobs;
@@ -108,11 +108,11 @@
     return rp_job_watch_may_start_tasks(&jobs->watch);
 }
 
-void rp_jobs_note_store_refusal(struct rp_jobs *jobs) {
-    rp_job_watch_note_store_refusal(&jobs->watch);
+void rp_jobs_record_store_isolation(struct rp_jobs *jobs) {
+    rp_job_watch_record_store_isolation(&jobs->watch);
 }
 
-void rp_jobs_task_done(struct rp_jobs *jobs, struct rp_job *job, uint32_t task) {
+void rp_jobs_on_task_done(struct rp_jobs *jobs, struct rp_job *job, uint32_t task) {
     /* A service's replica is never done, whatever it says when it ends. */
     if (job->state != RP_JOB_OPEN || job->spec.kind == RP_JOB_SERVICE)
         return;
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -22,7 +22,7 @@
 #include "jobs/run_time_estimator.h"
 
 /** The outcome of rp_jobs_load: whether the table is complete. */
-typedef void (*rp_jobs_ready_fn)(void *arg, bool is_complete);
+typedef void (*rp_jobs_loaded_fn)(void *arg, bool is_complete);
 
 /** All that belongs to the jobs. The owner sets the call-backs after rp_jobs_init; the last two may
  * be NULL. */
@@ -37,7 +37,7 @@
     struct rp_job_finisher finisher;
     struct rp_run_time_estimator run_time_estimator;
     struct rp_timer tick_timer;
-    rp_jobs_ready_fn on_loaded;
+    rp_jobs_loaded_fn on_loaded;
     rp_job_closed_fn on_job_closed; /* its allocations have to be dropped */
     rp_job_watch_fn on_open_jobs_changed;
     void *arg; /* for the call-backs */
@@ -64,9 +64,9 @@
 bool rp_jobs_may_start_tasks(const struct rp_jobs *jobs);
 /** The key-value store answers other nodes, but not this one: they may be confirming cancellations.
  */
-void rp_jobs_note_store_refusal(struct rp_jobs *jobs);
+void rp_jobs_record_store_isolation(struct rp_jobs *jobs);
 /** A worker has reported the task done (of a gang: any task). */
-void rp_jobs_task_done(struct rp_jobs *jobs, struct rp_job *job, uint32_t task);
+void rp_jobs_on_task_done(struct rp_jobs *jobs, struct rp_job *job, uint32_t task);
 /** An allocation no longer refers to the job. Frees a closed job with its last reference. */
 void rp_jobs_release(struct rp_jobs *jobs, struct rp_job *job);
 /** One of the job's tasks was done after running for `run_s` seconds. */
--- a/src/jobs/progress_writer.c
+++ b/src/jobs/progress_writer.c
@@ -14,7 +14,7 @@
 #define FINISH_RESERVE_CHANGES 3.0
 #define FINISH_RESERVE_SHARE 0.1
 /* Bytes of a stored progress record besides its digits. */
-#define PROGRESS_FRAME_BYTES 16
+#define PROGRESS_RECORD_OVERHEAD_BYTES 16
 
 /* A record that a write carries. */
 struct written_record {
@@ -53,7 +53,7 @@
     return job && job->state != RP_JOB_CLOSED ? job : NULL;
 }
 
-static void note_stored(struct rp_job *job, struct rp_progress_record record) {
+static void add_stored_record(struct rp_job *job, struct rp_progress_record record) {
     struct rp_stored_records stored = rp_progress_record_as_set(record);
     rp_stored_records_add(&job->stored, &stored);
 }
@@ -74,7 +74,7 @@
         rp_job_progress_set_revision(&job->progress, read->record, RP_KV_ABSENT);
     else if (rp_kv_result_item(result, &item))
         rp_job_progress_set_revision(&job->progress, read->record, item.revision);
-    note_stored(job, read->record);
+    add_stored_record(job, read->record);
     job->progress.dirty_since = (struct timespec){0}; /* it has waited long enough */
 out:
     free(read);
@@ -97,8 +97,8 @@
 
 /* A record was refused for its size, or a transaction for its length, though all should fit: the
  * limits are lower than told. Less at a time, and never the same again at once. */
-static void note_refused_as_large(struct rp_progress_writer *writer,
-                                  const struct progress_write *write) {
+static void reduce_write_size(struct rp_progress_writer *writer,
+                              const struct progress_write *write) {
     if (write->n_records > 1) {
         writer->max_records = write->n_records / 2;
         return;
@@ -109,8 +109,8 @@
 }
 
 /* The job ended while the write was under way: the record may stand although nobody needs it. */
-static void note_late_write(struct rp_progress_writer *writer, const struct written_record *written,
-                            enum rp_kv_outcome outcome) {
+static void collect_late_write(struct rp_progress_writer *writer,
+                               const struct written_record *written, enum rp_kv_outcome outcome) {
     struct rp_stored_records stored = rp_progress_record_as_set(written->record);
     if (outcome == RP_KV_OK || outcome == RP_KV_UNKNOWN)
         rp_garbage_collector_add(writer->collector, written->job_id, &stored);
@@ -119,8 +119,8 @@
 /* Each write carries the revision of what it replaces: carried out seconds late, after a newer one,
  * it took results away whose workers had forgotten them. After a lost answer, or a conflict with a
  * write whose answer was lost, the revision has to be read. */
-static void note_write_failed(struct rp_job *job, struct rp_progress_record record,
-                              const struct rp_kv_result *result) {
+static void on_record_write_failed(struct rp_job *job, struct rp_progress_record record,
+                                   const struct rp_kv_result *result) {
     char key[RP_KEY_MAX];
     rp_progress_record_key(key, job->spec.id, record);
     bool may_be_written = result->outcome == RP_KV_UNKNOWN;
@@ -130,15 +130,15 @@
     if (may_be_written || has_other_revision)
         rp_job_progress_set_revision(&job->progress, record, RP_PROGRESS_REVISION_UNKNOWN);
     if (may_be_written)
-        note_stored(job, record);
+        add_stored_record(job, record);
 }
 
-static void note_written(struct rp_job *job, const struct written_record *written,
-                         uint64_t revision) {
+static void on_record_written(struct rp_job *job, const struct written_record *written,
+                              uint64_t revision) {
     rp_job_progress_apply(&job->progress, written->record, RP_PROGRESS_WRITE_SUCCEEDED);
     rp_job_progress_set_revision(&job->progress, written->record, revision);
-    rp_job_progress_note_durable(&job->progress, written->record, written->bits);
-    note_stored(job, written->record);
+    rp_job_progress_mark_durable(&job->progress, written->record, written->bits);
+    add_stored_record(job, written->record);
 }
 
 static void on_write_response(void *arg, const struct rp_kv_result *result) {
@@ -150,16 +150,16 @@
         const struct written_record *written = &write->records[i];
         struct rp_job *job = find_unclosed_job(writer, written->job_id);
         if (!job)
-            note_late_write(writer, written, result->outcome);
+            collect_late_write(writer, written, result->outcome);
         else if (result->outcome == RP_KV_OK)
-            note_written(job, written, rp_kv_result_revision(result));
+            on_record_written(job, written, rp_kv_result_revision(result));
         else
-            note_write_failed(job, written->record, result);
+            on_record_write_failed(job, written->record, result);
     }
     if (result->outcome == RP_KV_CONDITION_FAILED && rp_kv_result_failed_on(result, RP_KEY_LEADER))
         rp_election_verify(writer->context->election);
     if (result->outcome == RP_KV_BAD_REQUEST)
-        note_refused_as_large(writer, write);
+        reduce_write_size(writer, write);
     else if (result->outcome == RP_KV_OK && writer->max_records < TXN_RECORDS_MAX)
         writer->max_records++;
 out:
@@ -190,7 +190,8 @@
 static bool fits_chunk(const struct rp_progress_writer *writer, const struct rp_job *job) {
     struct rp_progress_record first_chunk = {0};
     size_t n_bytes = rp_job_progress_record_bytes(&job->progress, first_chunk);
-    double value_bytes = (double)(2 * n_bytes + PROGRESS_FRAME_BYTES); /* two digits for a byte */
+    double value_bytes =
+        (double)(2 * n_bytes + PROGRESS_RECORD_OVERHEAD_BYTES); /* two digits for a byte */
     return value_bytes <= writer->context->settings->state.value_kb * 1024;
 }
 
--- a/src/jobs/record_reader.c
+++ b/src/jobs/record_reader.c
@@ -31,8 +31,8 @@
     reader->is_reading = false;
 }
 
-void rp_record_reader_note_unreadable(struct rp_record_reader *reader, const char *key,
-                                      const json_t *value) {
+void rp_record_reader_report_unreadable(struct rp_record_reader *reader, const char *key,
+                                        const json_t *value) {
     reader->n_unreadable++;
     if (rp_record_format(value) > RP_FORMAT)
         rp_error("record left alone: reason=later_format key=%s format=%u known_format=%d", key,
@@ -69,7 +69,7 @@
         rp_debug("job known: job=%s class=%s n_tasks=%u", job->spec.id, job->spec.class_name,
                  job->spec.n_tasks);
     else
-        rp_record_reader_note_unreadable(reader, item->key, item->value);
+        rp_record_reader_report_unreadable(reader, item->key, item->value);
 }
 
 struct rp_partial_record *rp_record_reader_find(const struct rp_record_reader *reader,
@@ -124,11 +124,11 @@
     }
     char key[RP_KEY_MAX];
     rp_key(key, RP_KEY_OPEN, partial->job_id);
-    rp_record_reader_note_unreadable(reader, key, partial->record);
+    rp_record_reader_report_unreadable(reader, key, partial->record);
 }
 
-static enum rp_parts_outcome take_parts(struct rp_record_reader *reader,
-                                        const struct rp_kv_result *result) {
+static enum rp_parts_outcome process_parts(struct rp_record_reader *reader,
+                                           const struct rp_kv_result *result) {
     if (result->outcome != RP_KV_OK)
         return RP_PARTS_FAILED;
     struct rp_partial_record *partial = reader->first_partial;
@@ -146,7 +146,7 @@
     struct rp_record_reader *reader = request->reader;
     if (rp_jobs_context_is_current(reader->context, request->generation)) {
         reader->is_reading = false;
-        reader->on_parts(reader->arg, take_parts(reader, result));
+        reader->on_parts_result(reader->arg, process_parts(reader, result));
     }
     free(request);
 }
--- a/src/jobs/record_reader.h
+++ b/src/jobs/record_reader.h
@@ -34,7 +34,7 @@
     struct rp_partial_record *first_partial;
     bool is_reading; /* a request for parts is under way */
     unsigned long n_unreadable;
-    rp_parts_fn on_parts;
+    rp_parts_fn on_parts_result;
     void *arg; /* for the call-back */
 };
 
@@ -54,7 +54,7 @@
 /** Asks for the parts of the first partial record, unless a request is under way. */
 void rp_record_reader_read_next_parts(struct rp_record_reader *reader);
 /** Logs and counts a record that can't be read, or is of a later format. */
-void rp_record_reader_note_unreadable(struct rp_record_reader *reader, const char *key,
-                                      const json_t *value);
+void rp_record_reader_report_unreadable(struct rp_record_reader *reader, const char *key,
+                                        const json_t *value);
 
 #endif
--- a/src/jobs/run_time_estimator.c
+++ b/src/jobs/run_time_estimator.c
@@ -5,11 +5,11 @@
 #include "base/string_copy.h"
 
 /* Observations beyond this many make the older ones fade: estimates of a class change. */
-#define CLASS_WEIGHT_MAX 20.0
+#define CLASS_OBSERVATIONS_MAX 20.0
 /* The owner's estimate counts as much as this many observations of the class. */
-#define ESTIMATE_WEIGHT 2.0
+#define OWNER_ESTIMATE_WEIGHT 2.0
 /* A run of the job itself counts as much as this many estimates by its class. */
-#define OWN_RUN_WEIGHT 2.0
+#define JOB_RUN_WEIGHT 2.0
 
 static const struct rp_class_stats *find_class(const struct rp_run_time_estimator *estimator,
                                                const char *name) {
@@ -40,7 +40,7 @@
 void rp_run_time_estimator_record(struct rp_run_time_estimator *estimator, struct rp_job *job,
                                   double run_s) {
     struct rp_class_stats *stats = find_or_add_class(estimator, job->spec.class_name);
-    if (job->interrupted || job->spec.kind == RP_JOB_SERVICE)
+    if (job->was_interrupted || job->spec.kind == RP_JOB_SERVICE)
         return;
     job->run_sum_s += run_s;
     job->n_runs++;
@@ -50,8 +50,8 @@
     double share = 1.0 / (job->spec.kind == RP_JOB_GANG ? 1 : job->spec.n_tasks);
     stats->ratio = (stats->ratio * stats->weight + run_s / job->spec.estimate_s * share) /
                    (stats->weight + share);
-    stats->weight =
-        stats->weight + share > CLASS_WEIGHT_MAX ? CLASS_WEIGHT_MAX : stats->weight + share;
+    stats->weight = stats->weight + share > CLASS_OBSERVATIONS_MAX ? CLASS_OBSERVATIONS_MAX
+                                                                   : stats->weight + share;
 }
 
 static double class_expectation_s(const struct rp_run_time_estimator *estimator,
@@ -59,8 +59,8 @@
     const struct rp_class_stats *stats = find_class(estimator, job->spec.class_name);
     if (!stats)
         return job->spec.estimate_s;
-    return job->spec.estimate_s * (stats->ratio * stats->weight + ESTIMATE_WEIGHT) /
-           (stats->weight + ESTIMATE_WEIGHT);
+    return job->spec.estimate_s * (stats->ratio * stats->weight + OWNER_ESTIMATE_WEIGHT) /
+           (stats->weight + OWNER_ESTIMATE_WEIGHT);
 }
 
 double rp_run_time_estimator_expected_s(const struct rp_run_time_estimator *estimator,
@@ -70,6 +70,6 @@
     double expected_s = class_expectation_s(estimator, job);
     if (job->n_runs > 0)
         expected_s =
-            (expected_s + job->run_sum_s * OWN_RUN_WEIGHT) / (1 + job->n_runs * OWN_RUN_WEIGHT);
+            (expected_s + job->run_sum_s * JOB_RUN_WEIGHT) / (1 + job->n_runs * JOB_RUN_WEIGHT);
     return expected_s > job->run_floor_s ? expected_s : job->run_floor_s;
 }
--- a/src/jobs/terminal_states.h
+++ b/src/jobs/terminal_states.h
@@ -24,8 +24,8 @@
 };
 
 /** Notes how a job ended. `phase` must be RP_JOB_DONE or RP_JOB_CANCELLED, and durable. */
-void rp_terminal_states_note(struct rp_terminal_states *terminal_states, const char *job_id,
-                             enum rp_job_phase phase);
+void rp_terminal_states_record(struct rp_terminal_states *terminal_states, const char *job_id,
+                               enum rp_job_phase phase);
 /** Finds how a job ended. Returns false, and leaves `phase` alone, when this node doesn't know of
  * an end of the job. */
 bool rp_terminal_states_find(const struct rp_terminal_states *terminal_states, const char *job_id,
--- a/src/scheduler/group_input.c
+++ b/src/scheduler/group_input.c
@@ -126,8 +126,8 @@
     for (size_t z = 0; z < catalog->n_zones; z++) {
         if (!*spec->zone || strcmp(spec->zone, catalog->zones[z]) == 0)
             group->zones |= 1u << z;
-        group->zone_used[z] = job->zone_count[z];
-        if (job->zone_count[z])
+        group->zone_used[z] = job->n_allocated_by_zone[z];
+        if (job->n_allocated_by_zone[z])
             group->fixed_zone = (int)z;
     }
 }
--- a/src/scheduler/replica_placement.c
+++ b/src/scheduler/replica_placement.c
@@ -56,7 +56,7 @@
 /* How many more of the job's replicas the zone would have than an even part of them. */
 static double zone_excess(const struct rp_services *services, const struct rp_job *job, int zone) {
     double even = ceil((double)job->spec.n_tasks / fmax(1, (double)services->catalog->n_zones));
-    return fmin(fmax(0, job->zone_count[zone] + 1 - even), SAME_MOST);
+    return fmin(fmax(0, job->n_allocated_by_zone[zone] + 1 - even), SAME_MOST);
 }
 
 /* The replicas that the machine holds. */
--- a/src/scheduler/task_moves.c
+++ b/src/scheduler/task_moves.c
@@ -56,7 +56,8 @@
                                    const struct rp_job *job) {
     if (from->zone == target->zone || (!job->spec.one_zone && !job->spec.spread))
         return true;
-    return !job->spec.one_zone && job->zone_count[target->zone] + 1 <= (job->spec.n_tasks + 1) / 2;
+    return !job->spec.one_zone &&
+           job->n_allocated_by_zone[target->zone] + 1 <= (job->spec.n_tasks + 1) / 2;
 }
 
 /* Whether the task could go on at once on the other machine, whose free capacity is given. */
--- a/src/worker/command_batch.c
+++ b/src/worker/command_batch.c
@@ -88,7 +88,7 @@
 
 static void note_stop_sent(struct rp_allocation *allocation, struct timespec now) {
     allocation->stop_sent_at = now;
-    allocation->job->interrupted = true;
+    allocation->job->was_interrupted = true;
 }
 
 static void add_requested_stop(struct rp_command_batch *batch, struct rp_allocation *allocation,
--- a/src/worker/heartbeat_reader.c
+++ b/src/worker/heartbeat_reader.c
@@ -156,7 +156,7 @@
         bool is_done = status->state == RP_TASK_EXITED && status->exit_reason == RP_EXIT_DONE;
         struct rp_job *job = is_done ? rp_task_reader_find_job(context, status) : NULL;
         if (job)
-            rp_jobs_task_done(context->jobs, job, status->task);
+            rp_jobs_on_task_done(context->jobs, job, status->task);
     }
 }
 
--- a/src/worker/task_exit.c
+++ b/src/worker/task_exit.c
@@ -59,7 +59,7 @@
     if (!rp_ts_zero(allocation->running_since))
         rp_jobs_record_run_time(context->jobs, job,
                                 rp_ts_since(rp_loop_now(context->loop), allocation->running_since));
-    rp_jobs_task_done(context->jobs, job, allocation->task);
+    rp_jobs_on_task_done(context->jobs, job, allocation->task);
     rp_quarantine_on_task_success(context->cluster, job, machine);
 }
 
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -54,7 +54,7 @@
     world->loop.virtual_now = rp_ts(100);
     rp_kv_client_init(&world->state, &world->loop, net, "state", RPS, 10, 1, 0.6);
     rp_job_lookup_init(&world->lookup, &world->loop, &world->state, &world->settings);
-    while (!rp_job_lookup_must_batch(&world->lookup))
+    while (!rp_job_lookup_should_batch(&world->lookup))
         rp_token_bucket_take(&world->state.budgets.requests[RP_KV_BUDGET_QUERIES], 1);
 }
 
@@ -69,7 +69,7 @@
 }
 
 /* Questions wait for the budget together, and one request answers them all. */
-static void questions_share_a_request(void **state) {
+static void queries_waiting_for_the_budget_share_one_request(void **state) {
     struct world world;
     int results[3] = {-1, -1, -1};
     (void)state;
@@ -90,7 +90,7 @@
 
 /* A question that comes when a request is under way isn't answered by it: that answer may be older
  * than the question. */
-static void answers_are_never_older(void **state) {
+static void query_added_during_a_request_gets_a_newer_result(void **state) {
     struct world world;
     int early = -1;
     int late = -1;
@@ -111,7 +111,7 @@
 }
 
 /* What a transaction can't hold goes with the next; refusals and silence say nothing of a job. */
-static void bounds_and_failures(void **state) {
+static void batch_over_the_bound_is_split_and_failures_are_unavailable(void **state) {
     struct world world;
     int results[9];
     char id[RP_ID_MAX];
@@ -133,14 +133,14 @@
     world_close(&world);
 }
 
-static void final_states_are_kept(void **state) {
+static void recorded_terminal_states_are_found_and_never_confused(void **state) {
     struct rp_terminal_states *terminal_states = calloc(1, sizeof *terminal_states);
     enum rp_job_phase phase;
     (void)state;
     assert_non_null(terminal_states);
     assert_false(rp_terminal_states_find(terminal_states, "j-000001", &phase));
-    rp_terminal_states_note(terminal_states, "j-000001", RP_JOB_DONE);
-    rp_terminal_states_note(terminal_states, "j-000002", RP_JOB_CANCELLED);
+    rp_terminal_states_record(terminal_states, "j-000001", RP_JOB_DONE);
+    rp_terminal_states_record(terminal_states, "j-000002", RP_JOB_CANCELLED);
     assert_true(rp_terminal_states_find(terminal_states, "j-000001", &phase) &&
                 phase == RP_JOB_DONE);
     assert_true(rp_terminal_states_find(terminal_states, "j-000002", &phase) &&
@@ -150,15 +150,17 @@
         char id[RP_ID_MAX];
         snprintf(id, sizeof id, "j-%06d", 100 + i);
         assert_false(rp_terminal_states_find(terminal_states, id, &phase));
-        rp_terminal_states_note(terminal_states, id, RP_JOB_DONE);
+        rp_terminal_states_record(terminal_states, id, RP_JOB_DONE);
     }
     free(terminal_states);
 }
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(questions_share_a_request), cmocka_unit_test(answers_are_never_older),
-        cmocka_unit_test(bounds_and_failures), cmocka_unit_test(final_states_are_kept)};
+        cmocka_unit_test(queries_waiting_for_the_budget_share_one_request),
+        cmocka_unit_test(query_added_during_a_request_gets_a_newer_result),
+        cmocka_unit_test(batch_over_the_bound_is_split_and_failures_are_unavailable),
+        cmocka_unit_test(recorded_terminal_states_are_found_and_never_confused)};
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
