--- a/src/api/status.c
+++ b/src/api/status.c
@@ -5,7 +5,7 @@
 
 #define N_OF(array) (sizeof(array) / sizeof((array)[0]))
 
-/* A field of the status page and its number. */
+/* A field of the status and its value. */
 struct counter {
     const char *name;
     unsigned long value;
@@ -23,7 +23,7 @@
     }
 }
 
-/* Which node this is, what it does, and which version it is of. */
+/* The node's name, version, state and leadership. */
 static json_t *identity(const struct rp_status_sources *sources) {
     const struct rp_election *election = sources->election;
     bool is_valid = rp_election_is_valid(election, rp_loop_now(sources->loop));
@@ -34,7 +34,8 @@
                      "lease_proven", is_valid);
 }
 
-/* What went beyond a fixed bound, was put off or left out, and logged. */
+/* The number of logged events in which something exceeded a fixed bound and was deferred or left
+ * out. */
 static unsigned long n_over_bounds(const struct rp_status_sources *sources) {
     return sources->workers->context.counters.n_unknown_tasks_above +
            sources->scheduler->n_over_bounds + sources->jobs->run_time_estimator.n_unclassified +
@@ -60,7 +61,7 @@
     set_counters(object, counters, N_OF(counters));
 }
 
-/* The counts of a class, made when its first job is met. */
+/* The counters of a class; added, all zero, for its first job. */
 static json_t *class_entry(json_t *classes, const char *name) {
     static const struct counter zeros[] = {
         {"jobs", 0}, {"waiting", 0}, {"placed", 0}, {"running", 0}};
@@ -76,7 +77,7 @@
 static json_t *class_counts(const struct rp_status_sources *sources) {
     json_t *classes = json_object();
     for (const struct rp_job *job = sources->jobs->table.first; job; job = job->next) {
-        /* What is over stays in the table while machines still list some of it. */
+        /* A closed job stays in the table while machines still list tasks of it. */
         if (job->state == RP_JOB_CLOSED)
             continue;
         const struct counter counters[] = {
--- a/src/api/status.h
+++ b/src/api/status.h
@@ -1,7 +1,7 @@
 /** @file
- * What a node tells of itself on its peers' port (`GET /status`), for operators and their tools.
- * docs/operations.md lists the fields; their names are read by the users' tools and stay as they
- * are, also where the code calls the same thing by another name.
+ * What a node reports about itself on its peers' port (`GET /status`), for operators and their
+ * tools. docs/operations.md lists the fields. Users' tools read the fields by name: the names must
+ * not change, even where the code uses another name for the same value.
  *
  * The module owns nothing: controller/node_requests.c collects the sources for each request. */
 #ifndef RP_API_STATUS_H
@@ -11,7 +11,7 @@
 #include "scheduler/scheduler.h"
 #include "standby/standby.h"
 
-/** The parts of a node that the status is read from. */
+/** The parts of a node from which the status is read. */
 struct rp_status_sources {
     struct rp_loop *loop;
     const struct rp_settings *settings;
--- a/src/api/submission_check.c
+++ b/src/api/submission_check.c
@@ -1,13 +1,14 @@
 #include "api/submission_check.h"
 
-/* Sums of decimal fractions are rounded: a need that equals its limit is within it. */
+/* Amount by which a need may exceed a limit: sums of decimal fractions are rounded, and a need that
+ * equals its limit is within it. */
 #define ROUNDING_TOLERANCE 1e-9
 
 static bool is_over(double need, double limit) {
     return limit > 0 && need > limit + ROUNDING_TOLERANCE; /* 0: the team has no limit */
 }
 
-/* Whether some machine type in some zone of it fits a task of the job. */
+/* Whether a machine type fits a task of the job in at least one zone that offers the type. */
 static bool has_fitting_type(const struct rp_catalog *catalog, const struct rp_cluster *cluster,
                              const struct rp_job_spec *spec) {
     for (size_t type = 0; type < catalog->n_types; type++)
@@ -19,7 +20,8 @@
     return false;
 }
 
-/* An array needs one task's resources to make progress; a gang or a service needs all at once. */
+/* Whether the job needs more than the team's limit. An array makes progress with the resources of
+ * one task; a gang or a service needs those of all its tasks at once. */
 static bool is_over_team_limit(const struct rp_team *team, const struct rp_job_spec *spec) {
     double n_concurrent = spec->kind == RP_JOB_ARRAY ? 1 : spec->n_tasks;
     return is_over(n_concurrent * spec->each.cpus, team->cpus_max) ||
--- a/src/api/submission_check.h
+++ b/src/api/submission_check.h
@@ -1,7 +1,7 @@
 /** @file
- * Whether a well-formed submission could ever run here. What can't is refused at once instead of
- * waiting for ever. The users' interface asks before it writes a job; jobs that were accepted
- * earlier are not checked again. */
+ * Checks whether a well-formed submission could ever run here. A job that never could is refused at
+ * once, so that it does not wait forever. The users' API calls this before it writes a job; jobs
+ * that were accepted earlier are not checked again. */
 #ifndef RP_API_SUBMISSION_CHECK_H
 #define RP_API_SUBMISSION_CHECK_H
 
@@ -9,7 +9,7 @@
 #include "cloud/catalog_source.h"
 #include "cluster/cluster.h"
 
-/** The first reason that speaks against the submission, or RP_REFUSAL_NONE. */
+/** Returns the first reason to refuse the submission, or RP_REFUSAL_NONE. */
 enum rp_refusal_reason rp_submission_check(const struct rp_settings *settings,
                                            const struct rp_catalog_source *catalog_source,
                                            const struct rp_cluster *cluster,
--- a/src/api/submission_record.c
+++ b/src/api/submission_record.c
@@ -16,8 +16,8 @@
     return false;
 }
 
-/* Takes out repeated types and those that no machine is of: the job means the same, and its record
- * is much shorter where somebody lists a thousand. */
+/* Removes repeated machine types and those that are not in the catalog: the job means the same
+ * without them, and its record is much shorter if its user listed a thousand. */
 static void remove_redundant_types(const struct rp_catalog *catalog, struct rp_job_spec *spec) {
     size_t n_kept = 0;
     for (size_t i = 0; i < spec->n_types; i++) {
@@ -44,7 +44,7 @@
 void rp_submission_record(const struct rp_upgrade *upgrade, const struct rp_catalog *catalog,
                           struct rp_job_spec *spec, size_t value_max_bytes,
                           struct rp_submission_pieces *out) {
-    struct timespec accepted_at; /* time of day */
+    struct timespec accepted_at; /* wall-clock time */
     clock_gettime(CLOCK_REALTIME, &accepted_at);
     json_t *record = marked_record(upgrade, spec, accepted_at);
     if (rp_record_size(record) > value_max_bytes) {
--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -12,21 +12,21 @@
 #include "protocol/kv_codec.h"
 #include "protocol/user_codec.h"
 
-/* Writes of one request before its user is told to come again: a conflict or a lost answer mostly
- * happens once. */
+/* Failed writes after which a request is answered with 503, so that its user repeats it: a conflict
+ * or a lost response mostly happens once. */
 #define WRITES_MAX 4
-/* What `Retry-After` tells a user whose request can't be answered now. */
+/* Seconds in the `Retry-After` header of a response to a request that cannot be answered now. */
 #define RETRY_AFTER_S 1
 #define NO_RETRY_AFTER 0
 
 enum request_kind { REQUEST_SUBMIT, REQUEST_QUERY, REQUEST_CANCEL };
 
 enum request_state {
-    REQUEST_LOOKING_UP,       /* is the job open? asked together with other users' queries */
-    REQUEST_READING_OPEN,     /* the same, by a read of its own */
-    REQUEST_READING_TERMINAL, /* has it ended? */
-    REQUEST_READING_FORMAT,   /* does every node know services by now? */
-    REQUEST_WRITING,          /* the submission's or the cancellation's transaction */
+    REQUEST_LOOKING_UP,       /* is the job open? looked up together with other users' queries */
+    REQUEST_READING_OPEN,     /* is the job open? read by a request of its own */
+    REQUEST_READING_TERMINAL, /* has the job ended? */
+    REQUEST_READING_FORMAT,   /* do all nodes support services by now? */
+    REQUEST_WRITING, /* the transaction of the submission or the cancellation is in flight */
     REQUEST_ANSWERED
 };
 
@@ -38,11 +38,12 @@
     enum request_state state;
     char id[RP_ID_MAX];
     struct rp_job_spec spec;   /* of a submission */
-    struct rp_refusal refusal; /* what a submission gets if its id isn't known */
-    uint64_t open_revision;    /* of the open job's record, as last read */
+    struct rp_refusal refusal; /* the reason to refuse a submission if its job does not exist */
+    uint64_t open_revision;    /* revision of the open job's record, as last read */
     unsigned n_writes_failed;
-    bool is_absence_from_lookup; /* that the job isn't open was told by a lookup, not by a read */
-    size_t value_max_bytes; /* once the store has refused a larger value; 0: as the settings say */
+    bool is_absence_from_lookup; /* a lookup, not a read, has shown that the job is not open */
+    size_t value_max_bytes; /* lowered after the store has refused a larger value; 0: the limit of
+                               the settings */
     struct timespec received_at;
 };
 
@@ -71,8 +72,9 @@
     respond(request, status, rp_codec_write_error(text), NO_RETRY_AFTER);
 }
 
-/* A malformed submission needs no look at the store: whoever accepted the job before has read the
- * same body, and found it well-formed. */
+/* Responds that the request cannot be answered now. A malformed submission is refused instead,
+ * although the store could not be read: it cannot repeat an accepted one, since the node that
+ * accepted a job has read the same body and found it well-formed. */
 static void respond_unavailable(struct user_request *request) {
     bool is_malformed = rp_refusal_status(&request->refusal) == RP_RESPONSE_MALFORMED;
     if (request->kind == REQUEST_SUBMIT && is_malformed)
@@ -91,13 +93,14 @@
     respond(request, status, rp_user_codec_write_job_status(&job), NO_RETRY_AFTER);
 }
 
-/* The job's end, as the store has it: it stays so, and this node answers by itself next time. */
+/* Responds with the terminal state that was read from the store or written to it. It never changes:
+ * this node caches it, and answers later requests without the store. */
 static void respond_terminal_state(struct user_request *request, enum rp_job_phase phase) {
     rp_terminal_states_record(request->api->terminal_states, request->id, phase);
     respond_phase(request, RP_RESPONSE_OK, phase);
 }
 
-/* Responds if this node knows by itself that the job has ended; returns whether it did. */
+/* Responds if this node has cached the job's terminal state; returns whether it did. */
 static bool respond_cached_terminal_state(struct user_request *request) {
     enum rp_job_phase phase;
     if (!rp_terminal_states_find(request->api->terminal_states, request->id, &phase))
@@ -110,8 +113,8 @@
 
 static void on_job_not_found(struct user_request *request) {
     if (request->is_absence_from_lookup) {
-        /* Nobody is told that a job doesn't exist on the word of a lookup alone: a store that names
-         * only some of the conditions that failed would make accepted jobs unknown. */
+        /* A lookup alone is not enough to answer that a job does not exist: with a store that names
+         * only some of the failed conditions, accepted jobs would be reported as unknown. */
         request->is_absence_from_lookup = false;
         set_state(request, REQUEST_READING_OPEN);
     } else if (request->kind != REQUEST_SUBMIT) {
@@ -170,8 +173,8 @@
     }
 }
 
-/* A node of the version before would run a service like an array, and call it done: it is accepted
- * only once there is none left. */
+/* A node of the version before would run a service like an array, and report it as done: a service
+ * is accepted only once no such node is left. */
 static void on_format_read(void *arg, const struct rp_kv_result *result) {
     struct user_request *request = arg;
     struct rp_upgrade *upgrade = request->api->upgrade;
@@ -218,9 +221,9 @@
         request->value_max_bytes = value_max_bytes(request) / 2;
         set_state(request, REQUEST_WRITING);
     } else {
-        /* A conflict: the job is known, or has changed meanwhile. No answer: only a read tells
-         * whether the write was carried out; if it was not, it still may be, and writing again is
-         * harmless since both carry the same conditions. */
+        /* A conflict: the job exists, or has changed in the meantime. No response: only a read
+         * shows whether the write was carried out. If it was not, it may still be, and a second
+         * write is harmless since both carry the same conditions. */
         set_state(request, REQUEST_READING_OPEN);
     }
 }
@@ -231,9 +234,9 @@
     rp_kv_txn_submit(request->api->store, RP_KV_BUDGET_SUBMISSIONS, txn, on_write_ended, request);
 }
 
-/* What is too large for one value is written in parts, all in one transaction: so the job is there
- * entirely or not at all. Before the activation nobody reads parts, and the user has to come again.
- */
+/* Writes the submission. A record that is too large for one value is written in parts, all in one
+ * transaction, so that the job is stored entirely or not at all. Before the activation no node
+ * reads parts, and the user has to repeat the submission later. */
 static void write_submission(struct user_request *request) {
     struct rp_user_api *api = request->api;
     struct rp_submission_pieces pieces;
@@ -282,21 +285,24 @@
     rp_kv_get(request->api->store, budget, key, on_read, request);
 }
 
-/* The one place where a request changes its state. The first state depends on the request:
- * - a submission is written, or reads the format if it is of a service, or reads the open record if
- *   something is wrong with it, since a known job is answered first;
+/* The only place where a request changes its state. The first state depends on the request:
+ * - a submission is written; one of a service reads the format first, unless the format is known to
+ *   be active; one with a reason for refusal reads the open record first, since a job that exists
+ *   already is answered with its state;
  * - a query is looked up together with others, or reads the open record;
  * - a cancellation reads the open record.
  * The changes after that:
- * - looking up -> reading terminal: the job isn't open;
- * - reading open -> reading terminal: the job isn't open;
+ * - looking up -> reading terminal: the lookup showed that the job is not open;
+ * - reading open -> reading terminal: the read showed that the job is not open;
  * - reading open -> writing: the job is open and is to be cancelled;
- * - reading terminal -> reading open: the job isn't known, but only by a lookup's word;
- * - reading terminal -> writing: the job isn't known, and is to be accepted;
- * - reading format -> writing: every node knows services;
- * - reading format -> reading open: not yet, only a known job is answered;
- * - writing -> writing: the store refused the size, in smaller pieces;
- * - writing -> reading open: a conflict, or no answer, or it can't be stored;
+ * - reading terminal -> reading open: the job has no terminal record, and only a lookup has shown
+ *   that it is not open;
+ * - reading terminal -> writing: the job does not exist, and is to be accepted;
+ * - reading format -> writing: every node supports services;
+ * - reading format -> reading open: not every node supports services, and only a job that exists
+ *   already is answered with its state;
+ * - writing -> writing: the store refused the size, and the record is written in smaller pieces;
+ * - writing -> reading open: a conflict, or no response, or the submission cannot be stored;
  * - any -> answered: the response has been sent, and the request is freed. */
 static void set_state(struct user_request *request, enum request_state state) {
     char key[RP_KEY_MAX];
@@ -329,7 +335,7 @@
 
 /* ---- requests ---- */
 
-/* `id` "": not known yet. */
+/* Creates a request. `id` is "" if it is not known yet. */
 static struct user_request *request_new(struct rp_user_api *api, struct rp_request *req,
                                         enum request_kind kind, const char *id) {
     struct user_request *request = rp_alloc(1, sizeof *request);
@@ -341,7 +347,7 @@
     return request;
 }
 
-/* Reads the submission and checks it; what is wrong is noted in its refusal. */
+/* Parses the submission and checks it; a reason to refuse it is stored in its refusal. */
 static void read_submission(struct user_request *request) {
     const struct rp_user_api *api = request->api;
     struct rp_refusal *refusal = &request->refusal;
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -1,9 +1,9 @@
 /** @file
  * The users' interface: submissions, queries and cancellations of jobs. Every node serves it
  * directly from the key-value store, whose reads and conditional writes are linearizable, so no
- * node can give an older answer than another. The leader learns of jobs from the store, too.
+ * node can give an older answer than another. The leader reads the jobs from the store, too.
  *
- * The module keeps nothing but the requests that are under way. The node routes requests to it
+ * The module keeps no state but the requests in flight. The node routes requests to it
  * (controller/node_requests.h). */
 #ifndef RP_API_USER_API_H
 #define RP_API_USER_API_H
@@ -15,32 +15,34 @@
 #include "jobs/job_lookup.h"
 #include "jobs/terminal_states.h"
 
-/** What the users' interface needs of a node; all of it is the node's and outlives this. */
+/** The parts of a node that the users' interface uses. The node owns all of them, and they outlive
+ * this. */
 struct rp_user_api {
     struct rp_loop *loop;
     const struct rp_settings *settings;
     struct rp_kv_client *store;
     struct rp_upgrade *upgrade;
     const struct rp_catalog_source *catalog_source;
-    const struct rp_cluster *cluster; /* asked only what its catalog allows */
+    const struct rp_cluster *cluster; /* used only to check what its catalog allows */
     struct rp_job_lookup *job_lookup;
     struct rp_terminal_states *terminal_states;
     struct rp_metrics *metrics;
-    /** Fills in the counts of an open job's tasks, as far as this node knows them, for display. */
+    /** Fills in the counts of an open job's tasks, as far as this node has them, for display. */
     void (*fill_running_counts)(void *arg, struct rp_job_status *status);
     void *arg;
-    unsigned long n_accepted; /* submissions that this node has written */
+    unsigned long n_accepted; /* submissions that this node has written to the store */
 };
 
 /** Submits the job in the request's body. Answers `req` exactly once, now or later: 201 once the
- * job is stored, 200 with its state if it was known before, 400 or 422 if it isn't accepted, 503 if
- * nothing is certain yet and the same submission should be repeated. */
+ * job is stored, 200 with its state if it existed before, 400 or 422 if it is refused, 503 if the
+ * outcome is not certain yet and the same submission should be repeated. */
 void rp_user_api_submit(struct rp_user_api *api, struct rp_request *req);
-/** Tells the state of a job. Answers `req` exactly once, now or later: 200, 404 or 503. The caller
+/** Reads the state of a job. Answers `req` exactly once, now or later: 200, 404 or 503. The caller
  * must have checked `id` by rp_job_codec_is_id. */
 void rp_user_api_query(struct rp_user_api *api, struct rp_request *req, const char *id);
 /** Cancels a job. Answers `req` exactly once, now or later: 200 with the terminal state, which is
- * durable then, 404, or 503 if nothing is certain yet. The caller must have checked `id`. */
+ * durable by then, 404, or 503 if the outcome is not certain yet. The caller must have checked
+ * `id`. */
 void rp_user_api_cancel(struct rp_user_api *api, struct rp_request *req, const char *id);
 
 #endif
--- a/src/jobs/garbage_collector.c
+++ b/src/jobs/garbage_collector.c
@@ -6,7 +6,7 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 
-/* A transaction of deletions under way. */
+/* A transaction of deletions, in flight. */
 struct deletion {
     struct rp_garbage_collector *collector;
     unsigned long generation;
@@ -52,11 +52,13 @@
     rp_stored_records_delete(txn, job_id, records, collector->max_changes);
 }
 
-/* What has to be atomic, a job's move to its terminal state, takes two changes, and always goes. */
+/* A job's move to its terminal state, which must be atomic, takes two changes and is sent whatever
+ * this limit is. */
 void rp_garbage_collector_on_txn_refused(struct rp_garbage_collector *collector) {
     collector->max_changes = collector->max_changes > 2 ? collector->max_changes / 2 : 1;
-    rp_error("key-value store takes fewer changes at once than configured: n_changes=%zu",
-             collector->max_changes);
+    rp_error(
+        "key-value store accepts fewer changes in a transaction than configured: n_changes=%zu",
+        collector->max_changes);
 }
 
 static void on_deletion_response(void *arg, const struct rp_kv_result *result) {
@@ -73,7 +75,7 @@
     else if (result->outcome == RP_KV_BAD_REQUEST)
         rp_garbage_collector_on_txn_refused(collector);
     else if (result->outcome == RP_KV_CONDITION_FAILED)
-        /* The job is there after all, or somebody else leads: nothing of it may go. */
+        /* The job is open after all, or another node leads: none of its records may be deleted. */
         garbage->records = (struct rp_stored_records){0};
     if (rp_stored_records_is_empty(&garbage->records))
         drop_first(collector);
--- a/src/jobs/job.c
+++ b/src/jobs/job.c
@@ -4,7 +4,7 @@
 #include "base/memory.h"
 #include "protocol/job_codec.h"
 
-/* The accepting node's clock and ours may differ: a job is never younger than nothing. */
+/* The clocks of the accepting node and of this node may differ: a job's age is never negative. */
 static double age_at_first_seen_s(const struct rp_jobs_context *context, const struct rp_job *job) {
     struct timespec wall_now;
     if (context->loop->is_virtual)
@@ -58,7 +58,7 @@
         job->task_allocation_counts = rp_alloc(1, job->spec.n_tasks);
     job->task_allocation_counts[task] = (uint8_t)(job->task_allocation_counts[task] + sign);
     job->n_allocated += (uint32_t)sign;
-    /* Jobs that wait may have 100,000 tasks each, and there may be many of them. */
+    /* Waiting jobs hold no counts: there may be many of them, with up to 100,000 tasks each. */
     if (job->n_allocated == 0) {
         free(job->task_allocation_counts);
         job->task_allocation_counts = NULL;
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,10 +1,10 @@
 /** @file
- * One job that has not ended, as the leader knows it: its specification, its progress, and what the
- * cluster and the scheduler note about it. A job belongs to the job table (job_table.h), which
- * alone changes its state and frees it; allocations hold references that keep it until the last is
- * dropped.
+ * A job that has not ended, as known to the leader: its specification, its progress, and the state
+ * that the cluster and the scheduler keep for it. The job table (job_table.h) owns the job, and
+ * alone changes its state and frees it; allocations hold references that keep a closed job until
+ * the last reference is dropped.
  *
- * Instants are on the steady clock; one on the clock of the day says `wall` in its name. */
+ * Instants are on the steady clock; an instant in wall-clock time has `wall` in its name. */
 #ifndef RP_JOBS_JOB_H
 #define RP_JOBS_JOB_H
 
@@ -13,73 +13,79 @@
 #include "model/catalog.h"
 #include "model/job_spec.h"
 
-/** How far a job is; changed by rp_job_table_set_state only. */
+/** The state of a job; changed only by rp_job_table_set_state. */
 enum rp_job_state {
     RP_JOB_OPEN,      /* tasks may be started */
-    RP_JOB_COMPLETE,  /* all tasks are done; the terminal state is still to be written */
-    RP_JOB_FINISHING, /* the transaction that writes the terminal state is under way */
-    RP_JOB_CLOSED     /* ended by the store's word, done or cancelled: kept for its references */
+    RP_JOB_COMPLETE,  /* all tasks are done; the terminal state has not been written */
+    RP_JOB_FINISHING, /* the transaction that writes the terminal state is in flight */
+    RP_JOB_CLOSED /* the store shows that it ended, done or cancelled; kept for its references */
 };
 
-/** Machines that a job remembers having failed on. */
+/** How many of the machines on which its tasks failed a job records at most. */
 #define RP_JOB_FAILED_MACHINES_MAX 4
 
-/** A job. Members without a comment are counts or bits that their names explain. */
+/** A job. Members without a comment are counts or flags that their names explain. */
 struct rp_job {
     struct rp_job_spec spec;
     enum rp_job_state state;
-    uint64_t record_revision;         /* of its record among the open jobs, for compare-and-swap */
-    uint64_t accepted_revision;       /* the revision at which it was accepted */
-    struct timespec accepted_wall_at; /* clock of the day, as the accepting node had it */
-    struct timespec first_seen_at;    /* when this leader first knew it */
+    uint64_t record_revision; /* revision of its record among the open jobs, for compare-and-swap */
+    uint64_t accepted_revision;       /* store revision at which it was accepted */
+    struct timespec accepted_wall_at; /* wall-clock time of the accepting node */
+    struct timespec first_seen_at;    /* when this leader first read its record */
     double age_at_first_seen_s;
-    int team; /* index into the settings' teams */
+    int team; /* index of its team in the settings */
     uint32_t n_done, n_running;
     uint32_t n_allocated;            /* allocations whose task may be on a machine */
-    uint32_t n_refs;                 /* allocations that point here */
-    uint8_t *task_allocation_counts; /* in how many allocations each task may be; NULL: in none */
+    uint32_t n_refs;                 /* references, mostly of allocations */
+    uint8_t *task_allocation_counts; /* for each task, the number of allocations in which it may be;
+                                        NULL: none */
     uint32_t n_allocated_by_zone[RP_ZONES_MAX];
     uint32_t first_startable_task; /* no task below it can be started */
     struct rp_job_progress progress;
-    struct rp_stored_records stored; /* records besides its own, deleted once it has ended */
+    struct rp_stored_records stored; /* stored records besides its own; deleted after its end */
     uint64_t image_hash;
-    unsigned long reserved_in_cycle; /* the last cycle in which machines were reserved for it */
-    /* Of a gang that hasn't begun: its attempt, when that was first seen incomplete, and since when
-     * there has been no machine for what it misses; zero: there is one, or it is complete. */
+    unsigned long reserved_in_cycle; /* last scheduling cycle that reserved machines for it */
+    /* Only for a gang that has not begun: its attempt number, when that attempt was first seen
+     * incomplete, and since when no machine has been available for its missing tasks (zero: a
+     * machine is available, or the gang is complete). */
     uint64_t gang_attempt;
     struct timespec gang_incomplete_since, machine_missing_since;
-    /* Errors: a job that fails on several machines is itself at fault. */
+    /* Errors of tasks. A job that fails on several machines is itself at fault, not the machines.
+     */
     char failed_machines[RP_JOB_FAILED_MACHINES_MAX][RP_TEXT_MAX];
     unsigned n_failed_machines;
-    unsigned n_start_backoffs; /* it failed wherever it was started: so many backoffs in a row */
+    unsigned n_start_backoffs; /* consecutive backoffs while it failed on every machine where it was
+                                  started */
     struct timespec start_backoff_until;
-    /* A job's tasks run about equally long, whatever its owner guessed. */
+    /* Observed run times. The tasks of one job run for about the same time, whatever run time its
+     * owner estimated. */
     double run_sum_s;
     unsigned n_runs;
-    double run_floor_s;               /* some task has run this long */
-    bool was_interrupted;             /* later run times are of parts of tasks */
-    unsigned consecutive_early_exits; /* services: replicas that ended by themselves soon, one after
-                                         the other */
-    struct rp_job *hash_next;         /* in the table's bucket */
-    struct rp_job *prev, *next;       /* all jobs in the table, in order of acceptance */
+    double run_floor_s;   /* longest time for which one of its tasks has been seen running */
+    bool was_interrupted; /* a task was stopped: run times observed afterwards may cover only parts
+                             of tasks */
+    unsigned consecutive_early_exits; /* of a service: consecutive replicas that ended by themselves
+                                         soon after their start */
+    struct rp_job *hash_next;         /* next job in the same bucket of the table */
+    struct rp_job *prev, *next;       /* neighbours in the table, in order of acceptance */
 };
 
-/** A job from its record, first seen now; NULL when the record can't be read. The caller hands it
- * to a table or frees it with rp_job_free. */
+/** Creates a job from its record, first seen now; NULL when the record cannot be read. The caller
+ * passes the job's ownership to a table or frees it with rp_job_free. */
 struct rp_job *rp_job_create(const struct rp_jobs_context *context, json_t *record,
                              uint64_t revision);
-/** Frees a job that no table holds. */
+/** Frees a job that is in no table. */
 void rp_job_free(struct rp_job *job);
 /** Seconds since the job was accepted. */
 double rp_job_age_s(const struct rp_job *job, struct timespec now);
-/** Whether a worker has reported the task done, now or before this leader's term. */
+/** Whether a worker has reported the task as done, in this leader's term or before it. */
 bool rp_job_is_task_done(const struct rp_job *job, uint32_t task);
-/** Whether the task's result can't be lost any more: a worker may forget it. */
+/** Whether the task's result can no longer be lost, so that a worker may forget it. */
 bool rp_job_is_task_durable(const struct rp_job *job, uint32_t task);
-/** In how many allocations the task may be. */
+/** Returns in how many allocations the task may be. */
 unsigned rp_job_n_task_allocations(const struct rp_job *job, uint32_t task);
-/** Counts one allocation of the task more (`sign` 1) or less (-1); memory is taken only while some
- * task has one. */
+/** Counts one allocation of the task more (`sign` 1) or less (-1). The counts of single tasks take
+ * memory only while some task of the job has an allocation. */
 void rp_job_count_allocation(struct rp_job *job, uint32_t task, int sign);
 
 #endif
--- a/src/jobs/job_finisher.c
+++ b/src/jobs/job_finisher.c
@@ -5,12 +5,12 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 
-/* A finishing transaction under way. */
+/* A finishing transaction in flight. */
 struct finish_request {
     struct rp_job_finisher *finisher;
     unsigned long generation;
     char job_id[RP_ID_MAX];
-    struct rp_stored_records remaining; /* records that the transaction doesn't delete */
+    struct rp_stored_records remaining; /* records that the transaction does not delete */
 };
 
 void rp_job_finisher_init(struct rp_job_finisher *finisher, const struct rp_jobs_context *context,
@@ -48,8 +48,9 @@
         rp_garbage_collector_on_txn_refused(finisher->collector);
         rp_job_progress_back_off(&job->progress, rp_loop_now(context->loop));
     }
-    /* Another conflict means that the job was cancelled, or that an unanswered try went through:
-     * the watch tells. Anything else is tried again by the tick. */
+    /* Another conflict means that the job was cancelled, or that an earlier transaction without a
+     * response was carried out: the watch shows which. After any other outcome the tick sends the
+     * transaction again. */
 out:
     free(request);
 }
@@ -74,8 +75,8 @@
     rp_kv_txn_put(txn, key,
                   rp_upgrade_mark_record(context->upgrade, rp_record_terminal(RP_JOB_DONE)),
                   RP_KV_NO_LEASE);
-    /* The move itself is atomic; the records that nobody reads any more go as they fit, with it or
-     * after it. */
+    /* The move to the terminal state is atomic. The records that no node reads any more are deleted
+     * as they fit, in this transaction or after it. */
     request->remaining = job->stored;
     rp_garbage_collector_delete_within(finisher->collector, txn, job->spec.id, &request->remaining);
     rp_job_table_set_state(finisher->table, job, RP_JOB_FINISHING);
--- a/src/jobs/job_loader.c
+++ b/src/jobs/job_loader.c
@@ -4,9 +4,9 @@
 #include <string.h>
 #include "base/memory.h"
 
-#define LIST_PAGE_ITEMS 1000 /* the store's maximum for one list */
+#define LIST_PAGE_ITEMS 1000 /* items; the store's maximum for one list */
 
-/* A request for a page of a list. */
+/* A request for a page of a list, in flight. */
 struct list_request {
     struct rp_job_loader *loader;
     unsigned long generation;
@@ -28,11 +28,12 @@
 }
 
 static void fail(struct rp_job_loader *loader) {
-    loader->context->generation++; /* what is still under way of this load is void */
+    loader->context->generation++; /* responses to requests of this load are ignored */
     loader->on_loaded(loader->arg, false);
 }
 
-/* Whether a page of a list came, and is still wanted. */
+/* Whether the response holds a page of a list for the current load. Fails the load if the request
+ * failed. */
 static bool has_page(const struct list_request *request, const struct rp_kv_result *result) {
     if (!rp_jobs_context_is_current(request->loader->context, request->generation))
         return false;
@@ -66,7 +67,8 @@
 
 static void restore_progress(struct rp_job_loader *loader) {
     for (struct rp_job *job = loader->table->first; job; job = job->next) {
-        /* A replica is never done, whatever a node of the first format has written. */
+        /* A replica of a service is never done, whatever progress a node of the first format has
+         * written. */
         if (job->spec.kind == RP_JOB_SERVICE)
             continue;
         job->n_done = rp_job_progress_restore(&job->progress);
@@ -75,7 +77,7 @@
     }
 }
 
-/* Reads a page of a list item by item. Returns whether another page follows, after `last_key`,
+/* Passes each item of a page to `read_item`. Returns whether another page follows after `last_key`,
  * which is borrowed from the result. */
 static bool read_page(struct rp_job_loader *loader, const struct rp_kv_result *result,
                       item_fn read_item, const char **last_key) {
@@ -126,7 +128,7 @@
     if (!has_page(request, result))
         goto out;
     bool has_next = read_page(loader, result, read_open_item, &last_key);
-    /* A fence may have ended this term. */
+    /* A fence on the page may have ended this term. */
     if (!rp_jobs_context_is_current(loader->context, request->generation))
         goto out;
     rp_job_watch_on_list_page(loader->watch, rp_kv_result_revision(result),
--- a/src/jobs/job_loader.h
+++ b/src/jobs/job_loader.h
@@ -1,7 +1,8 @@
 /** @file
- * The load at the beginning of a term: all records of open jobs, with the parts of long ones, then
- * all progress records. Each step begins when the one before is complete: a job that isn't known
- * when its machines report has its tasks stopped. Called by struct rp_jobs. */
+ * Loads the jobs at the beginning of a term: all records of open jobs, with the further parts of
+ * long ones, then all progress records. Each step begins when the step before it is complete: a job
+ * that is missing from the table when its machines send heartbeats has its tasks stopped. Called by
+ * struct rp_jobs. */
 #ifndef RP_JOBS_JOB_LOADER_H
 #define RP_JOBS_JOB_LOADER_H
 
@@ -9,10 +10,11 @@
 #include "jobs/job_watch.h"
 #include "jobs/record_reader.h"
 
-/** The outcome of a load, told once for each: whether the table is complete. */
+/** Called once at the end of each load. `is_complete`: the table contains all open jobs; false: the
+ * load failed. */
 typedef void (*rp_job_loader_fn)(void *arg, bool is_complete);
 
-/** The loader. */
+/** The state of the loader. */
 struct rp_job_loader {
     struct rp_jobs_context *context;
     struct rp_job_table *table;
@@ -21,19 +23,20 @@
     struct rp_garbage_collector *collector;
     bool is_loading;
     rp_job_loader_fn on_loaded;
-    void *arg; /* for the call-back */
+    void *arg; /* passed to the call-back */
 };
 
-/** A loader that fills `table`, and tells `watch` where to go on. All pointers are borrowed; the
- * caller sets the call-back. */
+/** Initializes a loader that fills `table` and gives `watch` the revision to start at. All pointers
+ * are borrowed; the caller sets the call-back. */
 void rp_job_loader_init(struct rp_job_loader *loader, struct rp_jobs_context *context,
                         struct rp_job_table *table, struct rp_record_reader *reader,
                         struct rp_job_watch *watch, struct rp_garbage_collector *collector);
-/** Begins a load into the empty table. */
+/** Starts a load into the empty table. */
 void rp_job_loader_start(struct rp_job_loader *loader);
-/** Forgets a load under way without calling back; the caller changes the context's generation. */
+/** Abandons a load in progress without calling back; the caller changes the context's generation.
+ */
 void rp_job_loader_stop(struct rp_job_loader *loader);
-/** The reader has read the parts of one record, or failed to. */
+/** The reader has read the further parts of one record, or has failed to. */
 void rp_job_loader_on_parts_result(struct rp_job_loader *loader, enum rp_parts_outcome outcome);
 
 #endif
--- a/src/jobs/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -6,14 +6,14 @@
 #include "base/string_copy.h"
 #include "store/records.h"
 
-/* The store takes this many conditions for each change that it allows in a transaction (PROTOCOL).
- */
+/* Conditions that the store accepts in a transaction for each change that it allows (PROTOCOL). */
 #define CONDITIONS_PER_CHANGE 4
-/* Bounds the memory of a batch and the users who wait for one answer. */
+/* Queries in a batch at most: bounds the memory of a batch and the number of users who wait for one
+ * response. */
 #define BATCH_QUERIES_MAX 64
-/* Between two checks whether the budget has headroom again. */
+/* Seconds between two checks whether the budget has headroom again. */
 #define POLL_PERIOD_S 0.02
-/* After that long the batch queues for the budget, whatever is in it. */
+/* Seconds after which a batch is queued for the budget, however few queries it has. */
 #define COLLECT_MAX_S 0.3
 
 struct lookup_query {
@@ -68,7 +68,7 @@
     free(batch);
 }
 
-/* Whether an earlier query of the batch asks for the same job. */
+/* Whether an earlier query of the batch is for the same job. */
 static bool is_repeated(const struct rp_lookup_batch *batch, size_t index) {
     for (size_t i = 0; i < index; i++)
         if (strcmp(batch->queries[i].job_id, batch->queries[index].job_id) == 0)
@@ -76,7 +76,7 @@
     return false;
 }
 
-/* The conditions say that none of the jobs is open: those that fail name the open ones. */
+/* The conditions are that none of the jobs is open: those that fail name the open ones. */
 static void send_batch(struct rp_job_lookup *lookup) {
     struct rp_lookup_batch *batch = lookup->collecting;
     struct rp_kv_txn *txn = rp_kv_txn_begin();
--- a/src/jobs/job_progress.c
+++ b/src/jobs/job_progress.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include "base/memory.h"
 
-/* After the store has refused a write as too large. */
+/* Seconds without writes of a job's progress after the store has refused one as too large. */
 #define REFUSED_BACKOFF_S 5.0
 
 static size_t bit_set_bytes(const struct rp_job_progress *progress) {
@@ -102,7 +102,7 @@
     return is_dirty ? RP_PROGRESS_DIRTY : RP_PROGRESS_CLEAN;
 }
 
-/* The one place where a unit changes its state. */
+/* The only place where the state of a unit changes. */
 static void set_unit_state(struct rp_job_progress *progress, unsigned unit,
                            enum rp_progress_unit_state state) {
     uint64_t bit = UINT64_C(1) << unit;
@@ -118,16 +118,18 @@
     bool is_dirty = state == RP_PROGRESS_DIRTY || state == RP_PROGRESS_IN_FLIGHT_DIRTY;
     bool is_in_flight = state == RP_PROGRESS_IN_FLIGHT || state == RP_PROGRESS_IN_FLIGHT_DIRTY;
     switch (event) {
-    case RP_PROGRESS_TASK_DONE: /* a request under way was sent without the task */
+    case RP_PROGRESS_TASK_DONE: /* a request in flight was sent without the task */
         return is_in_flight ? RP_PROGRESS_IN_FLIGHT_DIRTY : RP_PROGRESS_DIRTY;
-    case RP_PROGRESS_WRITE_SENT: /* it carries all that is done; also clean units of a chunk */
+    case RP_PROGRESS_WRITE_SENT: /* it carries all done tasks; also applies to clean units of a
+                                    chunk */
         return RP_PROGRESS_IN_FLIGHT;
-    case RP_PROGRESS_READ_SENT: /* it carries nothing; no write before the revision is known */
+    case RP_PROGRESS_READ_SENT: /* it carries no tasks; no write is sent before the revision is
+                                   known */
         return is_dirty ? RP_PROGRESS_IN_FLIGHT_DIRTY : RP_PROGRESS_IN_FLIGHT;
-    case RP_PROGRESS_WRITE_SUCCEEDED: /* what was done since it was sent is still to be written */
+    case RP_PROGRESS_WRITE_SUCCEEDED: /* tasks done since it was sent are still to be written */
     case RP_PROGRESS_READ_RETURNED:
         return is_dirty ? RP_PROGRESS_DIRTY : RP_PROGRESS_CLEAN;
-    case RP_PROGRESS_WRITE_FAILED: /* what it carried has to be written again */
+    case RP_PROGRESS_WRITE_FAILED: /* the tasks that it carried have to be written again */
         return RP_PROGRESS_DIRTY;
     }
     return state;
@@ -137,13 +139,15 @@
                            enum rp_progress_event event) {
     unsigned first = record.is_unit ? record.index : record.index * RP_CHUNK_UNITS;
     unsigned end = record.is_unit ? first + 1 : first + RP_CHUNK_UNITS;
-    /* A chunk covers units that a small job doesn't have: written as such after the activation,
-     * they were read and written beyond the job's memory. */
+    /* A chunk covers units that a small job does not have. Without the check against n_units, such
+     * units would be marked dirty and, written as units after the activation, be read and written
+     * beyond the job's memory. */
     for (unsigned i = first; i < end && i < n_units(progress); i++)
         set_unit_state(progress, i, next_state(unit_state(progress, i), event));
 }
 
-/* The units that a record covers. There are at most RP_UNITS_MAX, so they fit a bit set. */
+/* The bit set of the units that a record covers. There are at most RP_UNITS_MAX units, so they fit
+ * a 64-bit set. */
 static uint64_t units_of(struct rp_progress_record record) {
     return record.is_unit
                ? UINT64_C(1) << record.index
--- a/src/jobs/job_table.c
+++ b/src/jobs/job_table.c
@@ -42,20 +42,22 @@
     table->n_jobs--;
 }
 
-/* The edges:
- * OPEN -> COMPLETE       the last task was reported done, or the stored progress says so on loading
- * COMPLETE -> FINISHING  the finishing transaction was sent
- * FINISHING -> COMPLETE  it failed or got no answer: it is sent again
- * FINISHING -> CLOSED    it succeeded
- * any other -> CLOSED    the watch shows that the job's record is gone: it was cancelled, or a
- *                        finishing transaction without an answer has gone through */
+/* The edges, with their events:
+ *  OPEN -> COMPLETE       the last task was reported done, or the stored progress shows on loading
+ *                         that all tasks are done
+ *  COMPLETE -> FINISHING  the finishing transaction was sent
+ *  FINISHING -> COMPLETE  the finishing transaction failed or got no response: it is sent again
+ *  FINISHING -> CLOSED    the finishing transaction succeeded
+ *  any other -> CLOSED    the watch shows that the job's record was deleted: the job was cancelled,
+ * or a finishing transaction that got no response was carried out */
 void rp_job_table_set_state(struct rp_job_table *table, struct rp_job *job,
                             enum rp_job_state state) {
     job->state = state;
     if (state != RP_JOB_CLOSED)
         return;
     table->n_services -= job->spec.kind == RP_JOB_SERVICE;
-    /* Dropping the last allocation frees a closed job: held until the stops are through. */
+    /* The call-back drops the job's allocations, and dropping the last reference frees a closed
+     * job: this reference keeps the job valid until the call-back has returned. */
     job->n_refs++;
     table->on_job_closed(table->arg, job);
     rp_job_table_release(table, job);
--- a/src/jobs/job_watch.c
+++ b/src/jobs/job_watch.c
@@ -5,18 +5,21 @@
 #include "base/log.h"
 #include "base/memory.h"
 
-/* How long the store may hold a watch back while nothing changes: an answer renews the table's
- * freshness, so that it has to come several times within the allowed staleness. */
+/* Bounds on how long the store may hold a watch request while nothing changes: seconds, and a share
+ * of the allowed staleness. Each response renews the table's freshness, so several must arrive
+ * within the allowed staleness. */
 #define WATCH_HOLD_MAX_S 3.0
 #define WATCH_HOLD_STALENESS_SHARE 0.3
-/* A start needs a fresher table than an answer to a heartbeat. */
+/* Maximum staleness of the table in seconds at which tasks are started: a start needs a fresher
+ * table than an answer to a heartbeat. */
 #define START_STALENESS_MAX_S 9.0
-/* For the first watch, once the leader's lease is provable again. */
+/* Seconds for the first watch to be answered after the leader's lease has become provable again. */
 #define WATCH_CATCH_UP_S 3.0
-/* For so long the others may claim the key that a leader without a watch gives up. */
+/* Seconds for which a leader that resigns because its watch is not answered leaves the leader key
+ * to the other nodes. */
 #define RESIGN_BACKOFF_S 5.0
 
-/* A watch under way. */
+/* A watch request in flight. */
 struct watch_request {
     struct rp_job_watch *watch;
     unsigned long generation;
@@ -43,12 +46,12 @@
 }
 
 void rp_job_watch_on_list_page(struct rp_job_watch *watch, uint64_t revision, bool has_more) {
-    /* The watch starts at the first page's revision: what changes between the pages comes again
-     * through it, in order. */
+    /* The watch starts at the first page's revision, so it returns, in order, all changes made
+     * between the pages. */
     if (watch->revision == 0)
         watch->revision = revision;
-    /* A later page may hold jobs that were accepted after a failover from this leader, whose fence
-     * came too late for the first page: the watch shows it. */
+    /* A later page may contain jobs that were accepted after a failover from this leader, whose
+     * fence was written too late for the first page: the watch returns the fence. */
     watch->should_return_at_once |= has_more;
     watch->has_caught_up_with_load &= !has_more;
 }
@@ -72,8 +75,8 @@
     }
     if (rp_ts_zero(watch->lease_provable_since))
         watch->lease_provable_since = now;
-    /* A leader whose lease is renewed but who hears of no cancellation answers no worker: somebody
-     * else has to lead. After an outage it has a moment to catch up. */
+    /* A leader whose lease is renewed but that receives no cancellations answers no worker: another
+     * node has to lead. After an outage the watch has WATCH_CATCH_UP_S to catch up. */
     bool is_catch_up_over = rp_ts_since(now, watch->lease_provable_since) > WATCH_CATCH_UP_S;
     if (is_catch_up_over && !rp_job_watch_may_answer_heartbeats(watch)) {
         rp_election_resign(election, RESIGN_BACKOFF_S);
@@ -98,7 +101,7 @@
 
 void rp_job_watch_record_store_isolation(struct rp_job_watch *watch) {
     if (watch->is_running && !watch->is_isolated_from_store)
-        rp_info("no more starts: reason=store_refuses_this_node_alone");
+        rp_info("task starts suspended: reason=node_isolated_from_store");
     watch->is_isolated_from_store = watch->is_running;
 }
 
@@ -129,7 +132,8 @@
     } else if (job && job->state != RP_JOB_CLOSED) {
         rp_info("job closed: job=%s reason=%s", job->spec.id,
                 job->state == RP_JOB_OPEN ? "cancelled" : "finished");
-        /* What was about to be written of its progress may still arrive. */
+        /* A cancellation deletes only the job's own record, and a write of its progress that is in
+         * flight may still be carried out. */
         if (job->state == RP_JOB_OPEN)
             rp_garbage_collector_add(watch->collector, job->spec.id, &job->stored);
         rp_job_table_set_state(watch->table, job, RP_JOB_CLOSED);
@@ -163,7 +167,8 @@
 static void process_response(struct rp_job_watch *watch, unsigned long generation,
                              const struct rp_kv_result *result) {
     size_t n_events = rp_kv_result_n_events(result);
-    /* Before anything else of the answer: jobs that come with a fence are the next leader's. */
+    /* Fences are processed before all other events: jobs that arrive together with a fence belong
+     * to the next leader. */
     record_fences(watch, result, n_events);
     if (!rp_jobs_context_is_current(watch->context, generation))
         return;
@@ -188,20 +193,21 @@
     if (result->outcome == RP_KV_OK && result->body) {
         process_response(watch, request->generation, result);
     } else if (result->outcome == RP_KV_COMPACTED) {
-        /* The watch fell too far behind: the table has to be read again, and with it the cluster
-         * state of who may be where. Under the same fencing token old copies of heartbeats would
-         * pass for new ones there, and so would attempt numbers: another term begins. */
+        /* The store no longer keeps the changes after the watched revision: the table has to be
+         * loaded again, and with it the cluster's state of which task may be on which machine. With
+         * the same fencing token, old copies of heartbeats and old attempt numbers would be
+         * accepted as new ones there, so another term has to begin. */
         rp_election_resign(watch->context->election, 0);
     } else {
-        watch->sent_at = (struct timespec){0}; /* the tick sends it again */
+        watch->sent_at = (struct timespec){0}; /* zero: the next tick sends the request again */
         watch->should_return_at_once = true;
     }
 out:
     free(request);
 }
 
-/* After a failure the first watch is answered at once, with all that was written meanwhile: workers
- * wait for it. */
+/* After a failure the first watch request returns immediately, with all changes made in the
+ * meantime: answers to workers wait for it. */
 static void send_watch(struct rp_job_watch *watch) {
     const struct rp_jobs_context *context = watch->context;
     double max_staleness_s = rp_settings_max_staleness_s(context->settings);
--- a/src/jobs/jobs.c
+++ b/src/jobs/jobs.c
@@ -3,7 +3,8 @@
 
 #include <string.h>
 
-/* How often progress is looked through for what is due. */
+/* Seconds between two ticks. Each tick resumes the watch after a failure and sends the writes,
+ * deletions and reads that are due. */
 #define TICK_PERIOD_S 0.25
 
 static void on_tick(void *arg) {
@@ -113,7 +114,7 @@
 }
 
 void rp_jobs_on_task_done(struct rp_jobs *jobs, struct rp_job *job, uint32_t task) {
-    /* A service's replica is never done, whatever it says when it ends. */
+    /* A replica of a service is never done, whatever its worker reports when it ends. */
     if (job->state != RP_JOB_OPEN || job->spec.kind == RP_JOB_SERVICE)
         return;
     struct timespec now = rp_loop_now(jobs->context.loop);
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -1,15 +1,15 @@
 /** @file
- * The leader's jobs that have not ended. This facade owns the parts, connects them, and gives the
- * rest of the node one interface:
+ * The leader's jobs that have not ended. Struct rp_jobs owns and connects the parts, and is their
+ * interface to the rest of the node:
  *
- * - job_table: the jobs by id and in order of acceptance, their states
+ * - job_table: the jobs by id and in order of acceptance, and their states
  * - job_loader, record_reader: the load at the beginning of a term
- * - job_watch: what changes afterwards, and how old the table's picture may be
- * - progress_writer, job_finisher: what makes results durable
+ * - job_watch: the changes after the load, and how stale the table may be
+ * - progress_writer, job_finisher: durable storage of progress and terminal states
  * - garbage_collector: deletion of stored records that no job needs
  * - run_time_estimator: expected run times
  *
- * Invariants: a job is in the table only while this node leads or is about to; an answer to a
+ * Invariants: the table holds jobs only while this node leads or is about to lead; a response to a
  * request of an earlier leadership changes nothing; every write carries the condition that this
  * node leads. */
 #ifndef RP_JOBS_JOBS_H
@@ -21,11 +21,12 @@
 #include "jobs/progress_writer.h"
 #include "jobs/run_time_estimator.h"
 
-/** The outcome of rp_jobs_load: whether the table is complete. */
+/** Called when a load that rp_jobs_load started has ended. `is_complete`: the table holds all open
+ * jobs; false: the load failed. */
 typedef void (*rp_jobs_loaded_fn)(void *arg, bool is_complete);
 
-/** All that belongs to the jobs. The owner sets the call-backs after rp_jobs_init; the last two may
- * be NULL. */
+/** The parts, their shared context and the owner's call-backs. The owner sets the call-backs after
+ * rp_jobs_init; on_job_closed and on_open_jobs_changed may be NULL. */
 struct rp_jobs {
     struct rp_jobs_context context;
     struct rp_job_table table;
@@ -38,38 +39,41 @@
     struct rp_run_time_estimator run_time_estimator;
     struct rp_timer tick_timer;
     rp_jobs_loaded_fn on_loaded;
-    rp_job_closed_fn on_job_closed; /* its allocations have to be dropped */
+    rp_job_closed_fn on_job_closed; /* must drop the job's allocations */
     rp_job_watch_fn on_open_jobs_changed;
-    void *arg; /* for the call-backs */
+    void *arg; /* passed to the call-backs */
 };
 
-/** An empty table that does nothing. The pointers are borrowed and must outlive it; `jobs` must not
- * be moved. */
+/** Initializes an empty table; no request is sent before rp_jobs_load. The pointers are borrowed
+ * and must outlive `jobs`, which must not be moved. */
 void rp_jobs_init(struct rp_jobs *jobs, struct rp_loop *loop, struct rp_kv_client *store,
                   struct rp_election *election, const struct rp_upgrade *upgrade,
                   const struct rp_settings *settings);
-/** Empties the table and loads everything; `on_loaded` tells the outcome. From then on the table is
- * kept up to date and written back. */
+/** Clears the table and loads all open jobs from the key-value store; `on_loaded` receives the
+ * outcome. After a complete load the table is kept up to date, and progress and terminal states are
+ * written back. */
 void rp_jobs_load(struct rp_jobs *jobs);
-/** Empties the table and stops; every allocation must have been dropped before. */
+/** Clears the table, and stops loading, watching and writing. Every allocation must have been
+ * dropped before. */
 void rp_jobs_clear(struct rp_jobs *jobs);
-/** Finds a job by its id; NULL when it isn't known. */
+/** Finds a job by its id; NULL when the table does not contain it. */
 struct rp_job *rp_jobs_find(const struct rp_jobs *jobs, const char *id);
-/** Seconds since the last moment of which the table is known to hold all changes. */
+/** Seconds since the latest instant of which the table is known to contain all changes. */
 double rp_jobs_staleness_s(const struct rp_jobs *jobs);
-/** Whether cancellations are heard of fast enough for workers to be answered: every answer renews a
- * worker's lease. */
+/** Whether this node receives cancellations fast enough to answer workers' heartbeats. Every answer
+ * renews the worker's lease. */
 bool rp_jobs_may_answer_heartbeats(const struct rp_jobs *jobs);
-/** Whether they are heard of fast enough for tasks to be started. */
+/** Whether this node receives cancellations fast enough to start tasks. */
 bool rp_jobs_may_start_tasks(const struct rp_jobs *jobs);
-/** The key-value store answers other nodes, but not this one: they may be confirming cancellations.
- */
+/** Records that the key-value store answers other nodes but not this one: the other nodes may be
+ * confirming cancellations that this node does not receive. */
 void rp_jobs_record_store_isolation(struct rp_jobs *jobs);
-/** A worker has reported the task done (of a gang: any task). */
+/** A worker has reported the task as done. One report for a gang marks all tasks of the gang as
+ * done. */
 void rp_jobs_on_task_done(struct rp_jobs *jobs, struct rp_job *job, uint32_t task);
-/** An allocation no longer refers to the job. Frees a closed job with its last reference. */
+/** Drops an allocation's reference to the job. Frees a closed job with its last reference. */
 void rp_jobs_release(struct rp_jobs *jobs, struct rp_job *job);
-/** One of the job's tasks was done after running for `run_s` seconds. */
+/** Records that one of the job's tasks was done after running for `run_s` seconds. */
 void rp_jobs_record_run_time(struct rp_jobs *jobs, struct rp_job *job, double run_s);
 /** The expected run time of one of the job's tasks in seconds; 0 for a service. */
 double rp_jobs_expected_run_s(const struct rp_jobs *jobs, const struct rp_job *job);
--- a/src/jobs/progress_writer.c
+++ b/src/jobs/progress_writer.c
@@ -5,25 +5,27 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 
-/* Records of some 2.2 KB each: a transaction may have 64 KiB. */
+/* Progress records in a transaction at most: a record has some 2.2 KB, and a transaction may have
+ * 64 KiB. */
 #define TXN_RECORDS_MAX 24
-/* Progress waits this long for company; a finished job never does. */
+/* Seconds for which progress waits so that more progress shares its transaction. The end of a
+ * finished job is written without this delay. */
 #define WRITE_BACK_DELAY_S 2.0
-/* Changes of the write budget that are left for finishing jobs; where few changes a second are
- * allowed, this share of them. */
+/* The part of the write budget that progress leaves to finishing jobs: so many changes, or this
+ * share of the allowed changes per second if that is less. */
 #define FINISH_RESERVE_CHANGES 3.0
 #define FINISH_RESERVE_SHARE 0.1
 /* Bytes of a stored progress record besides its digits. */
 #define PROGRESS_RECORD_OVERHEAD_BYTES 16
 
-/* A record that a write carries. */
+/* A progress record as carried by a write. */
 struct written_record {
     char job_id[RP_ID_MAX];
     struct rp_progress_record record;
     uint8_t bits[RP_CHUNK_BYTES];
 };
 
-/* A transaction under way. */
+/* A transaction of progress records, in flight. */
 struct progress_write {
     struct rp_progress_writer *writer;
     unsigned long generation;
@@ -31,7 +33,7 @@
     struct written_record records[];
 };
 
-/* A read of a record's revision under way. */
+/* A read of a progress record's revision, in flight. */
 struct revision_read {
     struct rp_progress_writer *writer;
     unsigned long generation;
@@ -46,7 +48,7 @@
         .context = context, .table = table, .collector = collector, .max_records = TXN_RECORDS_MAX};
 }
 
-/* The job as long as it is not closed; NULL afterwards. */
+/* Finds the job unless it is closed; NULL when it is closed or not in the table. */
 static struct rp_job *find_unclosed_job(const struct rp_progress_writer *writer,
                                         const char *job_id) {
     struct rp_job *job = rp_job_table_find(writer->table, job_id);
@@ -75,7 +77,8 @@
     else if (rp_kv_result_item(result, &item))
         rp_job_progress_set_revision(&job->progress, read->record, item.revision);
     add_stored_record(job, read->record);
-    job->progress.dirty_since = (struct timespec){0}; /* it has waited long enough */
+    job->progress.dirty_since =
+        (struct timespec){0}; /* zero: it is due at once, since it has waited already */
 out:
     free(read);
 }
@@ -93,10 +96,11 @@
     rp_kv_get(writer->context->store, RP_KV_BUDGET_LEADER, key, on_revision_response, read);
 }
 
-/* ---- answers to writes ---- */
+/* ---- responses to writes ---- */
 
-/* A record was refused for its size, or a transaction for its length, though all should fit: the
- * limits are lower than told. Less at a time, and never the same again at once. */
+/* The store refused a record for its size or a transaction for its length although all of them
+ * should fit: its limits are lower than configured. The next transactions carry fewer records; a
+ * record refused alone backs off, so that the same write is never sent again at once. */
 static void reduce_write_size(struct rp_progress_writer *writer,
                               const struct progress_write *write) {
     if (write->n_records > 1) {
@@ -108,7 +112,8 @@
         rp_job_progress_back_off(&job->progress, rp_loop_now(writer->context->loop));
 }
 
-/* The job ended while the write was under way: the record may stand although nobody needs it. */
+/* The job ended while the write was in flight: its record may be stored although no job needs it.
+ */
 static void collect_late_write(struct rp_progress_writer *writer,
                                const struct written_record *written, enum rp_kv_outcome outcome) {
     struct rp_stored_records stored = rp_progress_record_as_set(written->record);
@@ -116,9 +121,10 @@
         rp_garbage_collector_add(writer->collector, written->job_id, &stored);
 }
 
-/* Each write carries the revision of what it replaces: carried out seconds late, after a newer one,
- * it took results away whose workers had forgotten them. After a lost answer, or a conflict with a
- * write whose answer was lost, the revision has to be read. */
+/* Each write carries the condition that the record still has the revision that it replaces. Without
+ * it, a write that is carried out seconds late, after a newer one, removes results that their
+ * workers have already forgotten. After a lost response, or a conflict with a write whose response
+ * was lost, the revision has to be read. */
 static void on_record_write_failed(struct rp_job *job, struct rp_progress_record record,
                                    const struct rp_kv_result *result) {
     char key[RP_KEY_MAX];
@@ -186,17 +192,17 @@
     rp_job_progress_apply(&job->progress, record, RP_PROGRESS_WRITE_SENT);
 }
 
-/* Whether the store takes a value as long as the job's longest chunk. */
+/* Whether the store accepts a value as long as the job's longest chunk. */
 static bool fits_chunk(const struct rp_progress_writer *writer, const struct rp_job *job) {
     struct rp_progress_record first_chunk = {0};
     size_t n_bytes = rp_job_progress_record_bytes(&job->progress, first_chunk);
     double value_bytes =
-        (double)(2 * n_bytes + PROGRESS_RECORD_OVERHEAD_BYTES); /* two digits for a byte */
+        (double)(2 * n_bytes + PROGRESS_RECORD_OVERHEAD_BYTES); /* two digits per byte */
     return value_bytes <= writer->context->settings->state.value_kb * 1024;
 }
 
-/* Until every node reads units, progress goes into the chunks that all of them know; where one
- * doesn't fit, it waits for the activation. */
+/* Until every node reads units, progress is written in chunks, which all nodes can read; the
+ * progress of a job whose chunk does not fit into a value waits for the activation. */
 static void write_job(struct progress_write *write, struct rp_kv_txn *txn, struct rp_job *job) {
     struct rp_progress_writer *writer = write->writer;
     bool is_unit = rp_upgrade_is_active(writer->context->upgrade);
@@ -221,7 +227,7 @@
            rp_ts_since(now, progress->dirty_since) >= WRITE_BACK_DELAY_S;
 }
 
-/* How many records the next transaction may have; 0: the budget has no headroom. */
+/* How many records the next transaction may have; 0: the write budget has no headroom. */
 static size_t txn_capacity(const struct rp_progress_writer *writer) {
     const struct rp_jobs_context *context = writer->context;
     double reserve =
--- a/src/jobs/record_reader.c
+++ b/src/jobs/record_reader.c
@@ -6,7 +6,7 @@
 #include "base/log.h"
 #include "base/memory.h"
 
-/* A request for the parts of the first partial record. */
+/* A request for the parts of the first partial record, in flight. */
 struct parts_request {
     struct rp_record_reader *reader;
     unsigned long generation;
@@ -35,10 +35,10 @@
                                         const json_t *value) {
     reader->n_unreadable++;
     if (rp_record_format(value) > RP_FORMAT)
-        rp_error("record left alone: reason=later_format key=%s format=%u known_format=%d", key,
+        rp_error("record skipped: reason=later_format key=%s format=%u known_format=%d", key,
                  rp_record_format(value), RP_FORMAT);
     else
-        rp_error("record left alone: reason=unreadable key=%s", key);
+        rp_error("record skipped: reason=unreadable key=%s", key);
 }
 
 static struct rp_job *add_job(struct rp_record_reader *reader, json_t *record, uint64_t revision) {
@@ -66,7 +66,7 @@
     }
     const struct rp_job *job = add_job(reader, item->value, item->revision);
     if (job)
-        rp_debug("job known: job=%s class=%s n_tasks=%u", job->spec.id, job->spec.class_name,
+        rp_debug("job added: job=%s class=%s n_tasks=%u", job->spec.id, job->spec.class_name,
                  job->spec.n_tasks);
     else
         rp_record_reader_report_unreadable(reader, item->key, item->value);
@@ -84,7 +84,8 @@
     return reader->first_partial != NULL;
 }
 
-/* The number of the part that an item holds; 0 when it isn't one of the job's `n_parts`. */
+/* The number of the part that an item holds; 0 when the item is none of the job's `n_parts` parts.
+ */
 static unsigned part_number(const struct rp_kv_item *item, const char *job_id, size_t n_parts) {
     char id[RP_ID_MAX];
     unsigned part;
@@ -92,8 +93,8 @@
     return is_of_job && part <= n_parts ? part : 0;
 }
 
-/* The whole record from its first piece and the parts listed, or NULL when one is missing. The
- * caller drops its reference. */
+/* Joins the first piece and the listed parts to the whole record; returns NULL when a part is
+ * missing. The caller drops its reference to the record. */
 static json_t *join_record(const struct rp_partial_record *partial,
                            const struct rp_kv_result *result) {
     json_t *pieces[RP_PARTS_MAX] = {partial->record};
--- a/src/jobs/run_time_estimator.c
+++ b/src/jobs/run_time_estimator.c
@@ -4,11 +4,12 @@
 #include "base/log.h"
 #include "base/string_copy.h"
 
-/* Observations beyond this many make the older ones fade: estimates of a class change. */
+/* Upper bound of a class's decayed number of observations. Once it is reached, older observations
+ * lose weight, because the estimates of a class change over time. */
 #define CLASS_OBSERVATIONS_MAX 20.0
-/* The owner's estimate counts as much as this many observations of the class. */
+/* Weight of the owner's estimate, in observations of the class. */
 #define OWNER_ESTIMATE_WEIGHT 2.0
-/* A run of the job itself counts as much as this many estimates by its class. */
+/* Weight of one run of the job itself, in estimates by its class. */
 #define JOB_RUN_WEIGHT 2.0
 
 static const struct rp_class_stats *find_class(const struct rp_run_time_estimator *estimator,
@@ -26,7 +27,7 @@
         return &estimator->classes[known - estimator->classes];
     if (estimator->n_classes == RP_CLASSES_MAX) {
         if (estimator->n_unclassified++ == 0)
-            rp_error("too many classes, run times of further ones aren't learned: n_classes=%d "
+            rp_error("too many job classes, further ones get no run time statistics: n_classes=%d "
                      "class=%s",
                      RP_CLASSES_MAX, name);
         return NULL;
@@ -46,7 +47,7 @@
     job->n_runs++;
     if (!stats || job->spec.estimate_s <= 0)
         return;
-    /* Each job counts once, however many tasks it has. */
+    /* Each job counts as one observation, however many tasks it has. */
     double share = 1.0 / (job->spec.kind == RP_JOB_GANG ? 1 : job->spec.n_tasks);
     stats->ratio = (stats->ratio * stats->weight + run_s / job->spec.estimate_s * share) /
                    (stats->weight + share);
--- a/src/jobs/run_time_estimator.h
+++ b/src/jobs/run_time_estimator.h
@@ -1,29 +1,31 @@
 /** @file
- * Expected run times of tasks: the owner's estimate, corrected by what was observed of the job's
- * class and of the job itself. It lives as long as the process; nothing of it is stored. */
+ * Expected run times of tasks: the owner's estimate, corrected by the observed run times of the
+ * job's class and of the job itself. Kept in memory as long as the process runs; nothing of it is
+ * stored. */
 #ifndef RP_JOBS_RUN_TIME_ESTIMATOR_H
 #define RP_JOBS_RUN_TIME_ESTIMATOR_H
 
 #include "jobs/job.h"
 
-/** Classes that are learned of. The run times of further ones are counted in /status and logged. */
+/** Classes of which run times are recorded. Run times of further classes are counted in /status and
+ * logged. */
 #define RP_CLASSES_MAX 256
 
-/** How the real run times of a class relate to its owners' estimates. */
+/** The ratio of the real run times of a class to its owners' estimates. */
 struct rp_class_stats {
     char name[RP_TEXT_MAX];
     double ratio;  /* decayed mean of run time / estimate */
     double weight; /* decayed number of observations */
 };
 
-/** The estimator. */
+/** The estimator and its statistics by class. */
 struct rp_run_time_estimator {
     struct rp_class_stats classes[RP_CLASSES_MAX];
     size_t n_classes;
     unsigned long n_unclassified; /* run times of classes beyond RP_CLASSES_MAX */
 };
 
-/** One of the job's tasks was done after running for `run_s` seconds. */
+/** Records that one of the job's tasks was done after running for `run_s` seconds. */
 void rp_run_time_estimator_record(struct rp_run_time_estimator *estimator, struct rp_job *job,
                                   double run_s);
 /** The expected run time of one of the job's tasks in seconds; 0 for a service, which has no end.
--- a/src/jobs/terminal_states.h
+++ b/src/jobs/terminal_states.h
@@ -1,15 +1,15 @@
 /** @file
- * The terminal states of jobs, as this node has read or written them in the key-value store. A job
- * that is done or cancelled stays so, and its record is never written again: a cached state is as
- * good as a new read, costs no request, and is known during an outage as well. Called by the users'
- * API. */
+ * A cache of the terminal states of jobs that this node has read from the key-value store or
+ * written to it. A job that is done or cancelled stays in that state, and its record is never
+ * written again: a cached state is as good as a new read, costs no request, and is available during
+ * an outage of the store. Used by the users' API. */
 #ifndef RP_JOBS_TERMINAL_STATES_H
 #define RP_JOBS_TERMINAL_STATES_H
 
 #include <stdbool.h>
 #include "model/job_status.h"
 
-/** Entries of the cache; a later job takes the entry of one with the same hash. */
+/** Entries of the cache; a job replaces an earlier one whose id has the same hash. */
 #define RP_TERMINAL_STATES_MAX 4096
 
 /** An entry of the cache. */
@@ -23,11 +23,11 @@
     struct rp_terminal_state entries[RP_TERMINAL_STATES_MAX];
 };
 
-/** Notes how a job ended. `phase` must be RP_JOB_DONE or RP_JOB_CANCELLED, and durable. */
+/** Records how a job ended. `phase` must be RP_JOB_DONE or RP_JOB_CANCELLED, and durable. */
 void rp_terminal_states_record(struct rp_terminal_states *terminal_states, const char *job_id,
                                enum rp_job_phase phase);
-/** Finds how a job ended. Returns false, and leaves `phase` alone, when this node doesn't know of
- * an end of the job. */
+/** Finds how a job ended. Returns false, and leaves `phase` unchanged, when the cache has no
+ * terminal state of the job. */
 bool rp_terminal_states_find(const struct rp_terminal_states *terminal_states, const char *job_id,
                              enum rp_job_phase *phase);
 
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -1,4 +1,4 @@
-/* Questions that share a request to the key-value store, and final states that need none. */
+/* Queries that share a request to the key-value store, and terminal states that need no request. */
 #include "test.h"
 
 #include <jansson.h>
@@ -6,10 +6,11 @@
 #include "jobs/terminal_states.h"
 
 #define CALLS_MAX 16
-#define RPS 10.0 /* on one node: 5.4 questions a second, the first 4 at once */
+#define RPS 10.0 /* on one node: 5.4 queries per second, the first 4 at once */
 
-/* A key-value store that keeps what it is asked, and answers when told. */
-struct service {
+/* A fake key-value store that records its requests, and answers them when the test calls `answer`.
+ */
+struct fake_store {
     size_t n;
     struct {
         json_t *body;
@@ -18,119 +19,123 @@
     } calls[CALLS_MAX];
 };
 
-static void keep_call(void *ctx, const char *addr, const char *method, const char *target,
-                      const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
-    struct service *service = ctx;
+static void record_call(void *ctx, const char *addr, const char *method, const char *target,
+                        const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
+    struct fake_store *fake_store = ctx;
     (void)addr, (void)method, (void)target, (void)timeout_s;
-    assert_less_than(service->n, CALLS_MAX);
-    service->calls[service->n].body = body ? json_loads(body, 0, NULL) : NULL;
-    service->calls[service->n].fn = fn;
-    service->calls[service->n++].arg = arg;
+    assert_less_than(fake_store->n, CALLS_MAX);
+    fake_store->calls[fake_store->n].body = body ? json_loads(body, 0, NULL) : NULL;
+    fake_store->calls[fake_store->n].fn = fn;
+    fake_store->calls[fake_store->n++].arg = arg;
 }
 
-static void answer(struct service *service, size_t call, int status, const char *body) {
-    json_decref(service->calls[call].body);
-    service->calls[call].fn(service->calls[call].arg,
-                            &(struct rp_answer){status, false, body, strlen(body)});
+static void answer(struct fake_store *fake_store, size_t call, int status, const char *body) {
+    json_decref(fake_store->calls[call].body);
+    fake_store->calls[call].fn(fake_store->calls[call].arg,
+                               &(struct rp_answer){status, false, body, strlen(body)});
 }
 
-static size_t n_conditions(const struct service *service, size_t call) {
-    return json_array_size(json_object_get(service->calls[call].body, "when"));
+static size_t n_conditions(const struct fake_store *fake_store, size_t call) {
+    return json_array_size(json_object_get(fake_store->calls[call].body, "when"));
 }
 
-struct world {
+struct fixture {
     struct rp_loop loop;
-    struct service service;
-    struct rp_kv_client state;
+    struct fake_store fake_store;
+    struct rp_kv_client store;
     struct rp_settings settings;
     struct rp_job_lookup lookup;
 };
 
-static void world_open(struct world *world) {
-    struct rp_net net = {.ctx = &world->service, .call = keep_call};
-    memset(world, 0, sizeof *world);
-    world->settings.state_fit.txn_ops = 2;
-    assert_int_equal(rp_loop_init(&world->loop, true), 0);
-    world->loop.virtual_now = rp_ts(100);
-    rp_kv_client_init(&world->state, &world->loop, net, "state", RPS, 10, 1, 0.6);
-    rp_job_lookup_init(&world->lookup, &world->loop, &world->state, &world->settings);
-    while (!rp_job_lookup_should_batch(&world->lookup))
-        rp_token_bucket_take(&world->state.budgets.requests[RP_KV_BUDGET_QUERIES], 1);
+static void fixture_open(struct fixture *fixture) {
+    struct rp_net net = {.ctx = &fixture->fake_store, .call = record_call};
+    memset(fixture, 0, sizeof *fixture);
+    fixture->settings.state_fit.txn_ops = 2;
+    assert_int_equal(rp_loop_init(&fixture->loop, true), 0);
+    fixture->loop.virtual_now = rp_ts(100);
+    rp_kv_client_init(&fixture->store, &fixture->loop, net, "state", RPS, 10, 1, 0.6);
+    rp_job_lookup_init(&fixture->lookup, &fixture->loop, &fixture->store, &fixture->settings);
+    while (!rp_job_lookup_should_batch(&fixture->lookup))
+        rp_token_bucket_take(&fixture->store.budgets.requests[RP_KV_BUDGET_QUERIES], 1);
 }
 
-static void world_close(struct world *world) {
-    rp_job_lookup_close(&world->lookup);
-    rp_kv_client_close(&world->state);
-    rp_loop_close(&world->loop);
+static void fixture_close(struct fixture *fixture) {
+    rp_job_lookup_close(&fixture->lookup);
+    rp_kv_client_close(&fixture->store);
+    rp_loop_close(&fixture->loop);
 }
 
-static void keep_result(void *arg, enum rp_lookup_result result) {
+static void record_result(void *arg, enum rp_lookup_result result) {
     *(int *)arg = (int)result;
 }
 
-/* Questions wait for the budget together, and one request answers them all. */
+/* Queries that wait for the budget together are answered by one request. */
 static void queries_waiting_for_the_budget_share_one_request(void **state) {
-    struct world world;
+    struct fixture fixture;
     int results[3] = {-1, -1, -1};
     (void)state;
-    world_open(&world);
-    rp_job_lookup_add(&world.lookup, "j-000001", keep_result, &results[0]);
-    rp_job_lookup_add(&world.lookup, "j-000002", keep_result, &results[1]);
-    rp_job_lookup_add(&world.lookup, "j-000001", keep_result, &results[2]);
-    assert_int_equal(world.service.n, 0);
-    rp_loop_advance(&world.loop, rp_ts(101));
-    assert_int_equal(world.service.n, 1);
-    assert_int_equal(n_conditions(&world.service, 0), 2); /* a job asked about twice stands once */
-    answer(&world.service, 0, 409, "{\"failed\":[\"rp/main/open/j-000001\"],\"ledger_rev\":7}");
+    fixture_open(&fixture);
+    rp_job_lookup_add(&fixture.lookup, "j-000001", record_result, &results[0]);
+    rp_job_lookup_add(&fixture.lookup, "j-000002", record_result, &results[1]);
+    rp_job_lookup_add(&fixture.lookup, "j-000001", record_result, &results[2]);
+    assert_int_equal(fixture.fake_store.n, 0);
+    rp_loop_advance(&fixture.loop, rp_ts(101));
+    assert_int_equal(fixture.fake_store.n, 1);
+    /* Two queries for the same job share one condition. */
+    assert_int_equal(n_conditions(&fixture.fake_store, 0), 2);
+    answer(&fixture.fake_store, 0, 409,
+           "{\"failed\":[\"rp/main/open/j-000001\"],\"ledger_rev\":7}");
     assert_int_equal(results[0], RP_LOOKUP_OPEN);
     assert_int_equal(results[1], RP_LOOKUP_NOT_OPEN);
     assert_int_equal(results[2], RP_LOOKUP_OPEN);
-    world_close(&world);
+    fixture_close(&fixture);
 }
 
-/* A question that comes when a request is under way isn't answered by it: that answer may be older
- * than the question. */
+/* A query that arrives while a request is in flight is not answered by it: the response of that
+ * request may be older than the query. */
 static void query_added_during_a_request_gets_a_newer_result(void **state) {
-    struct world world;
+    struct fixture fixture;
     int early = -1;
     int late = -1;
     (void)state;
-    world_open(&world);
-    rp_job_lookup_add(&world.lookup, "j-000001", keep_result, &early);
-    rp_loop_advance(&world.loop, rp_ts(101));
-    assert_int_equal(world.service.n, 1);
-    rp_job_lookup_add(&world.lookup, "j-000001", keep_result, &late);
-    answer(&world.service, 0, 200, "{\"ledger_rev\":7}");
+    fixture_open(&fixture);
+    rp_job_lookup_add(&fixture.lookup, "j-000001", record_result, &early);
+    rp_loop_advance(&fixture.loop, rp_ts(101));
+    assert_int_equal(fixture.fake_store.n, 1);
+    rp_job_lookup_add(&fixture.lookup, "j-000001", record_result, &late);
+    answer(&fixture.fake_store, 0, 200, "{\"ledger_rev\":7}");
     assert_int_equal(early, RP_LOOKUP_NOT_OPEN);
     assert_int_equal(late, -1);
-    rp_loop_advance(&world.loop, rp_ts(102));
-    assert_int_equal(world.service.n, 2);
-    answer(&world.service, 1, 409, "{\"failed\":[\"rp/main/open/j-000001\"]}");
+    rp_loop_advance(&fixture.loop, rp_ts(102));
+    assert_int_equal(fixture.fake_store.n, 2);
+    answer(&fixture.fake_store, 1, 409, "{\"failed\":[\"rp/main/open/j-000001\"]}");
     assert_int_equal(late, RP_LOOKUP_OPEN);
-    world_close(&world);
+    fixture_close(&fixture);
 }
 
-/* What a transaction can't hold goes with the next; refusals and silence say nothing of a job. */
+/* Queries that do not fit into a transaction are sent in the next one. A refused request, or one
+ * without a response, gives no information about any job. */
 static void batch_over_the_bound_is_split_and_failures_are_unavailable(void **state) {
-    struct world world;
+    struct fixture fixture;
     int results[9];
     char id[RP_ID_MAX];
     (void)state;
-    world_open(&world);
+    fixture_open(&fixture);
     for (int i = 0; i < 9; i++) {
         results[i] = -1;
         snprintf(id, sizeof id, "j-%06d", i);
-        rp_job_lookup_add(&world.lookup, id, keep_result, &results[i]);
+        rp_job_lookup_add(&fixture.lookup, id, record_result, &results[i]);
     }
-    rp_loop_advance(&world.loop, rp_ts(101));
-    assert_int_equal(world.service.n, 2);
-    assert_int_equal(n_conditions(&world.service, 0), 8); /* four for each of the two changes */
-    assert_int_equal(n_conditions(&world.service, 1), 1);
-    answer(&world.service, 0, 503, "{}");
-    answer(&world.service, 1, 0, "");
+    rp_loop_advance(&fixture.loop, rp_ts(101));
+    assert_int_equal(fixture.fake_store.n, 2);
+    /* Four conditions for each of the two changes of a transaction. */
+    assert_int_equal(n_conditions(&fixture.fake_store, 0), 8);
+    assert_int_equal(n_conditions(&fixture.fake_store, 1), 1);
+    answer(&fixture.fake_store, 0, 503, "{}");
+    answer(&fixture.fake_store, 1, 0, "");
     for (int i = 0; i < 9; i++)
         assert_int_equal(results[i], RP_LOOKUP_UNAVAILABLE);
-    world_close(&world);
+    fixture_close(&fixture);
 }
 
 static void recorded_terminal_states_are_found_and_never_confused(void **state) {
@@ -145,7 +150,8 @@
                 phase == RP_JOB_DONE);
     assert_true(rp_terminal_states_find(terminal_states, "j-000002", &phase) &&
                 phase == RP_JOB_CANCELLED);
-    /* Beyond the bound old ones go; none is ever mistaken for another. */
+    /* Beyond the bound, entries replace older ones; the state of one job is never returned for
+     * another. */
     for (int i = 0; i < 3 * RP_TERMINAL_STATES_MAX; i++) {
         char id[RP_ID_MAX];
         snprintf(id, sizeof id, "j-%06d", 100 + i);
