--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -35,8 +35,8 @@
     double age_at_first_seen_s;
     int team; /* index of its team in the settings */
     uint32_t n_done, n_running;
-    uint32_t n_allocated;            /* allocations whose task may be on a machine */
-    uint32_t n_refs;                 /* references, mostly of allocations */
+    uint32_t n_allocated; /* allocations whose task may be on a machine */
+    uint32_t n_refs;      /* references of allocations, and one held while it is being closed */
     uint8_t *task_allocation_counts; /* for each task, the number of allocations in which it may be;
                                         NULL: none */
     uint32_t n_allocated_by_zone[RP_ZONES_MAX];
--- a/src/jobs/job_progress.h
+++ b/src/jobs/job_progress.h
@@ -43,13 +43,11 @@
 /** A job's progress. Instants are on the steady clock. */
 struct rp_job_progress {
     uint32_t n_tasks;
-    uint8_t *done,
-        *durable; /* bit sets over the tasks; after the load, durable is a subset of done */
+    uint8_t *done, *durable; /* bit sets over the tasks; once loaded, durable is a subset of done */
     uint64_t dirty_units, in_flight_units; /* bit sets over the units */
     uint64_t *revisions; /* of the progress records: first of the chunks, then of the units */
     struct timespec dirty_since; /* time of the oldest change that no request has carried */
-    struct timespec
-        write_back_backoff_until; /* no write before this instant, after the store refused one */
+    struct timespec write_back_backoff_until; /* no write before, after the store refused one */
 };
 
 /** Writes the key of a job's progress record to `key`. */
--- a/src/jobs/job_table.c
+++ b/src/jobs/job_table.c
@@ -43,13 +43,13 @@
 }
 
 /* The edges, with their events:
- *  OPEN -> COMPLETE       the last task was reported done, or the stored progress shows on loading
- *                         that all tasks are done
- *  COMPLETE -> FINISHING  the finishing transaction was sent
- *  FINISHING -> COMPLETE  the finishing transaction failed or got no response: it is sent again
- *  FINISHING -> CLOSED    the finishing transaction succeeded
- *  any other -> CLOSED    the watch shows that the job's record was deleted: the job was cancelled,
- * or a finishing transaction that got no response was carried out */
+ * OPEN -> COMPLETE       the last task was reported done, or the stored progress shows on loading
+ *                        that all tasks are done
+ * COMPLETE -> FINISHING  the finishing transaction was sent
+ * FINISHING -> COMPLETE  the finishing transaction failed or got no response: it is sent again
+ * FINISHING -> CLOSED    the finishing transaction succeeded
+ * any other -> CLOSED    the watch shows that the record was deleted: the job was cancelled, or a
+ *                        finishing transaction that got no response was carried out */
 void rp_job_table_set_state(struct rp_job_table *table, struct rp_job *job,
                             enum rp_job_state state) {
     job->state = state;
--- a/src/jobs/progress_writer.c
+++ b/src/jobs/progress_writer.c
@@ -77,8 +77,8 @@
     else if (rp_kv_result_item(result, &item))
         rp_job_progress_set_revision(&job->progress, read->record, item.revision);
     add_stored_record(job, read->record);
-    job->progress.dirty_since =
-        (struct timespec){0}; /* zero: it is due at once, since it has waited already */
+    /* The progress has waited long enough: zero makes its write due at once. */
+    job->progress.dirty_since = (struct timespec){0};
 out:
     free(read);
 }
@@ -192,12 +192,12 @@
     rp_job_progress_apply(&job->progress, record, RP_PROGRESS_WRITE_SENT);
 }
 
-/* Whether the store accepts a value as long as the job's longest chunk. */
+/* Whether the store accepts a value as long as the job's longest chunk, which has two digits per
+ * byte. */
 static bool fits_chunk(const struct rp_progress_writer *writer, const struct rp_job *job) {
     struct rp_progress_record first_chunk = {0};
     size_t n_bytes = rp_job_progress_record_bytes(&job->progress, first_chunk);
-    double value_bytes =
-        (double)(2 * n_bytes + PROGRESS_RECORD_OVERHEAD_BYTES); /* two digits per byte */
+    double value_bytes = (double)(2 * n_bytes + PROGRESS_RECORD_OVERHEAD_BYTES);
     return value_bytes <= writer->context->settings->state.value_kb * 1024;
 }
 
