--- a/src/api/submission_check.c
+++ b/src/api/submission_check.c
@@ -22,8 +22,8 @@
 /* An array needs one task's resources to make progress; a gang or a service needs all at once. */
 static bool is_over_team_limit(const struct rp_team *team, const struct rp_job_spec *spec) {
     double n_concurrent = spec->kind == RP_JOB_ARRAY ? 1 : spec->n_tasks;
-    return is_over(n_concurrent * spec->each.cpus, team->cpus_max) ||
-           is_over(n_concurrent * spec->each.gpus, team->gpus_max);
+    return is_over(n_concurrent * spec->task_resources.cpus, team->cpus_max) ||
+           is_over(n_concurrent * spec->task_resources.gpus, team->gpus_max);
 }
 
 enum rp_refusal_reason rp_submission_check(const struct rp_settings *settings,
--- a/src/api/submission_record.c
+++ b/src/api/submission_record.c
@@ -37,7 +37,7 @@
 }
 
 static size_t n_pieces_max(const struct rp_upgrade *upgrade) {
-    size_t txn_ops = upgrade->settings->state_fit.txn_ops;
+    size_t txn_ops = upgrade->settings->kv_limits_lowest.txn_ops;
     return txn_ops < RP_PARTS_MAX ? txn_ops : RP_PARTS_MAX;
 }
 
@@ -65,5 +65,7 @@
 size_t rp_submission_value_max_bytes(const struct rp_upgrade *upgrade) {
     const struct rp_settings *settings = upgrade->settings;
     bool is_active = rp_upgrade_is_active(upgrade);
-    return (size_t)((is_active ? settings->state_fit : settings->state).value_kb * 1024);
+    return (
+        size_t)((is_active ? settings->kv_limits_lowest : settings->kv_limits_current).value_kb *
+                1024);
 }
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -125,7 +125,7 @@
     json_t *record = rp_record_mark(json_copy(source->from_cloud));
     bool is_same = is_stored && json_equal(record, item.value);
     bool is_too_large =
-        rp_record_size(record) > (size_t)(source->settings->state_fit.value_kb * 1024);
+        rp_record_size(record) > (size_t)(source->settings->kv_limits_lowest.value_kb * 1024);
     if (is_same || is_too_large)
         json_decref(record);
     else
--- a/src/cluster/allocation.c
+++ b/src/cluster/allocation.c
@@ -12,8 +12,8 @@
     if (machine->zone >= 0)
         job->zone_count[machine->zone] += (uint32_t)sign;
     if (job->team >= 0) {
-        cluster->team_cpus[job->team] += sign * job->spec.each.cpus;
-        cluster->team_gpus[job->team] += sign * job->spec.each.gpus;
+        cluster->team_cpus[job->team] += sign * job->spec.task_resources.cpus;
+        cluster->team_gpus[job->team] += sign * job->spec.task_resources.gpus;
     }
     /* What was handed back may be started again from the first such task on. */
     if (sign < 0 && allocation->task < job->first_startable_task)
--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -34,7 +34,7 @@
 void rp_provisioning_init(struct rp_provisioning *provisioning, struct rp_fleet_context *context) {
     memset(provisioning, 0, sizeof *provisioning);
     provisioning->context = context;
-    provisioning->record_max_bytes = (size_t)(context->settings->state_fit.value_kb * 1024);
+    provisioning->record_max_bytes = (size_t)(context->settings->kv_limits_lowest.value_kb * 1024);
 }
 
 void rp_provisioning_clear(struct rp_provisioning *provisioning) {
--- a/src/cluster/start_permission.c
+++ b/src/cluster/start_permission.c
@@ -82,9 +82,9 @@
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (!rp_allocation_is_counted(allocation))
             continue;
-        capacity.cpus -= allocation->job->spec.each.cpus;
-        capacity.gpus -= allocation->job->spec.each.gpus;
-        capacity.memory_gb -= allocation->job->spec.each.memory_gb;
+        capacity.cpus -= allocation->job->spec.task_resources.cpus;
+        capacity.gpus -= allocation->job->spec.task_resources.gpus;
+        capacity.memory_gb -= allocation->job->spec.task_resources.memory_gb;
     }
     return capacity;
 }
@@ -98,11 +98,11 @@
     if (!team || (has_limit(team) && cluster->n_with_unknown_live > 0))
         return (struct rp_resources){INFINITY, INFINITY, INFINITY};
     if (team->cpus_max > 0)
-        over.cpus =
-            cluster->team_cpus[job->team] + job->spec.each.cpus - team->cpus_max - QUOTA_TOLERANCE;
+        over.cpus = cluster->team_cpus[job->team] + job->spec.task_resources.cpus - team->cpus_max -
+                    QUOTA_TOLERANCE;
     if (team->gpus_max > 0)
-        over.gpus =
-            cluster->team_gpus[job->team] + job->spec.each.gpus - team->gpus_max - QUOTA_TOLERANCE;
+        over.gpus = cluster->team_gpus[job->team] + job->spec.task_resources.gpus - team->gpus_max -
+                    QUOTA_TOLERANCE;
     return over;
 }
 
@@ -120,7 +120,7 @@
         return false;
     if (*spec->zone && strcmp(spec->zone, cluster->catalog->zones[zone]) != 0)
         return false;
-    if (exceeds(&spec->each, &cluster->catalog->types[type].capacity))
+    if (exceeds(&spec->task_resources, &cluster->catalog->types[type].capacity))
         return false;
     for (size_t i = 0; i < spec->n_types; i++)
         if (strcmp(spec->types[i], cluster->catalog->types[type].name) == 0)
@@ -170,5 +170,5 @@
     struct rp_resources over = rp_cluster_over_quota(cluster, job);
     rp_resources_add(&capacity, &freed->capacity);
     bool is_within_quota = over.cpus <= freed->quota.cpus && over.gpus <= freed->quota.gpus;
-    return rp_resources_fit(&job->spec.each, &capacity) && is_within_quota;
+    return rp_resources_fit(&job->spec.task_resources, &capacity) && is_within_quota;
 }
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -4,19 +4,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A worker drops a response to a heartbeat that comes later than this (worker protocol). */
-#define LATE_COMMANDS_S 4.0
-/* Four times what the clocks of two hosts may drift apart. */
-#define LEASE_DRIFT 1.002
-#define LEASE_MARGIN_S 0.25
-/* What a leader knows of jobs is never older than this while its watch works: a watch's hold and
- * the time of its response. */
-#define WATCH_DELAY_S 4.5
+/* Seconds after a heartbeat within which its response must arrive. A worker drops a later response
+ * (worker protocol). */
+#define HEARTBEAT_RESPONSE_MAX_DELAY_S 4.0
+/* Factor by which a worker's lease may appear longer on a node's clock. The excess of 0.002 is four
+ * times the drift that is possible between the clocks of two hosts. */
+#define WORKER_LEASE_DRIFT_FACTOR 1.002
+/* Seconds that are added to a worker's lease as a safety margin. */
+#define WORKER_LEASE_MARGIN_S 0.25
+/* Maximum age in seconds of a leader's copy of the jobs while its watch works: the time for which
+ * the store holds a watch, and the time of its response. */
+#define WATCH_MAX_STALENESS_S 4.5
 
-/* The leadership lease that rp_settings_complete chooses. */
+/* Bounds in seconds of the leadership lease that rp_settings_complete computes. */
 #define LEADER_TTL_MIN_S 1.0
 #define LEADER_TTL_MAX_S 10.0
-#define LEADER_TTL_SHARE_OF_LEASE 0.72
+/* Maximum leadership lease as a share of a worker's lease. */
+#define LEADER_TTL_SHARE_OF_WORKER_LEASE 0.72
+/* Maximum leadership lease as a share of the time that cancel_s leaves after a worker's lease and
+ * the maximum delay of a heartbeat's response. */
 #define LEADER_TTL_SHARE_OF_CANCELLATION 0.9
 
 void rp_settings_free(struct rp_settings *settings) {
@@ -34,55 +40,59 @@
     return RP_UNKNOWN_TEAM;
 }
 
-/* A cancellation is confirmed by any node. A leader that can't learn of it (the key-value store
- * refuses this node alone, then there is an outage in which no other node can take over) renews the
- * leases of the cancelled tasks for at most this long; what it renewed last ends lease_s later, and
- * that is within cancel_s of the confirmation. Longer than the leader's own lease isn't needed. */
+/* Any node may confirm a cancellation. A leader may be unable to read it: the key-value store
+ * rejects the requests of the leader's node alone, and then has an outage in which no other node
+ * can take over. Such a leader renews the leases of the cancelled tasks for at most the time
+ * returned here. The last renewed lease expires lease_s later, which is within cancel_s of the
+ * confirmation. A bound above the leader's own lease and the staleness of a working watch is not
+ * needed. */
 double rp_settings_max_staleness_s(const struct rp_settings *settings) {
-    double most_s = settings->cancel_s - settings->lease_s * LEASE_DRIFT - LATE_COMMANDS_S;
-    return fmin(settings->tuning.leader_ttl_s + WATCH_DELAY_S, most_s);
+    double max_s = settings->cancel_s - settings->lease_s * WORKER_LEASE_DRIFT_FACTOR -
+                   HEARTBEAT_RESPONSE_MAX_DELAY_S;
+    return fmin(settings->tuning.leader_ttl_s + WATCH_MAX_STALENESS_S, max_s);
 }
 
 void rp_settings_complete(struct rp_settings *settings) {
     struct rp_tuning *tuning = &settings->tuning;
     if (tuning->leader_ttl_s > 0)
         return;
-    /* Long, since a leader that can't renew its lease must stop answering workers, and an outage of
-     * the key-value store must not cost them theirs; but never so long that a change of leader
-     * would endanger the workers' leases, or a cancellation's time. */
-    double most_s = fmin(LEADER_TTL_SHARE_OF_LEASE * settings->lease_s,
-                         LEADER_TTL_SHARE_OF_CANCELLATION *
-                             (settings->cancel_s - settings->lease_s - LATE_COMMANDS_S));
-    tuning->leader_ttl_s = fmax(LEADER_TTL_MIN_S, fmin(LEADER_TTL_MAX_S, most_s));
+    /* A long lease is preferred. A leader that cannot renew its lease must stop responding to
+     * workers, and an outage of the key-value store must not make the workers' leases expire. The
+     * lease must still be short enough that the workers' leases and cancel_s are kept when another
+     * node takes over. */
+    double max_s = fmin(LEADER_TTL_SHARE_OF_WORKER_LEASE * settings->lease_s,
+                        LEADER_TTL_SHARE_OF_CANCELLATION * (settings->cancel_s - settings->lease_s -
+                                                            HEARTBEAT_RESPONSE_MAX_DELAY_S));
+    tuning->leader_ttl_s = fmax(LEADER_TTL_MIN_S, fmin(LEADER_TTL_MAX_S, max_s));
 }
 
-int rp_settings_check(const struct rp_settings *settings, FILE *errors) {
+int rp_settings_check(const struct rp_settings *settings, FILE *error_output) {
     const struct rp_tuning *tuning = &settings->tuning;
-    int n_mistakes = 0;
+    int n_errors = 0;
     if (tuning->return_margin_s >= tuning->billing_unit_s) {
-        fprintf(errors, "return_margin_s must be below billing_unit_s\n");
-        n_mistakes++;
+        fprintf(error_output, "return_margin_s must be below billing_unit_s\n");
+        n_errors++;
     }
     if (tuning->leader_check_s >= tuning->leader_ttl_s) {
-        fprintf(errors, "leader_check_s must be below leader_ttl_s\n");
-        n_mistakes++;
+        fprintf(error_output, "leader_check_s must be below leader_ttl_s\n");
+        n_errors++;
     }
     if (tuning->leader_ttl_s >= settings->lease_s) {
-        fprintf(errors, "leader_ttl_s must be below the workers' lease_s (%g)\n",
+        fprintf(error_output, "leader_ttl_s must be below the workers' lease_s (%g)\n",
                 settings->lease_s);
-        n_mistakes++;
+        n_errors++;
     }
-    /* A cancelled task on a machine that can't be reached ends only with the machine's lease. */
+    /* A cancelled task on an unreachable machine runs until the machine's lease expires. */
     if (rp_settings_max_staleness_s(settings) <= tuning->leader_ttl_s) {
-        fprintf(errors,
-                "cancel_s (%g) must exceed lease_s + leader_ttl_s + 4 s, or a cancellation can't "
-                "be kept through a change of leader\n",
+        fprintf(error_output,
+                "cancel_s (%g) must exceed 1.002 * lease_s + leader_ttl_s + 4 s, since otherwise "
+                "a failover can delay the end of cancelled tasks beyond cancel_s\n",
                 settings->cancel_s);
-        n_mistakes++;
+        n_errors++;
     }
-    return n_mistakes;
+    return n_errors;
 }
 
 double rp_settings_worker_lease_s(const struct rp_settings *settings) {
-    return settings->lease_s * LEASE_DRIFT + LEASE_MARGIN_S;
+    return settings->lease_s * WORKER_LEASE_DRIFT_FACTOR + WORKER_LEASE_MARGIN_S;
 }
--- a/src/config/tuning.c
+++ b/src/config/tuning.c
@@ -7,31 +7,31 @@
 #include "model/heuristic.h"
 #include "operator.pb-c.h"
 
-/* The least that a standby may wait: a leader may stand still for two seconds, and its answer be
- * under way, without losing its term. */
-#define LEAST_SUSPECT_AFTER_S 2.5
+/* Minimum silence in seconds after which a standby may take over. A leader that pauses for two
+ * seconds, and whose response is then still in transit, must not lose its term. */
+#define SUSPECT_AFTER_MIN_S 2.5
 
 enum field_kind {
     FIELD_AMOUNT, /* a double */
     FIELD_COUNT,  /* an unsigned int */
-    FIELD_FLAG    /* a bool; its range is that of false and true */
+    FIELD_FLAG    /* a bool; its range is from false to true */
 };
 
-/* A field of the operators' file. What the file says to its type is text_format.c's to check. */
+/* A field of the operators' file. text_format.c checks that a value is of the field's type. */
 struct field {
     const char *name;
     enum field_kind kind;
-    size_t given_offset;  /* in the protobuf message: whether the file gives it */
-    size_t source_offset; /* in the protobuf message: its value */
-    size_t target_offset; /* in struct rp_tuning */
+    size_t presence_offset; /* of the protobuf message's flag that the file contains the field */
+    size_t source_offset;   /* of the value in the protobuf message */
+    size_t target_offset;   /* of the member of struct rp_tuning */
     double default_value;
-    double min, max; /* inclusive */
+    double min, max; /* inclusive bounds of the value */
 };
 
 #define FIELD(member, kind_, default_, min_, max_)                                                 \
     {                                                                                              \
         .name = #member, .kind = (kind_),                                                          \
-        .given_offset = offsetof(Ridgepulley__OperatorSettings, has_##member),                     \
+        .presence_offset = offsetof(Ridgepulley__OperatorSettings, has_##member),                  \
         .source_offset = offsetof(Ridgepulley__OperatorSettings, member),                          \
         .target_offset = offsetof(struct rp_tuning, member), .default_value = (default_),          \
         .min = (min_), .max = (max_)                                                               \
@@ -40,12 +40,12 @@
 #define COUNT(member, default_, min_, max_) FIELD(member, FIELD_COUNT, default_, min_, max_)
 #define FLAG(member, default_) FIELD(member, FIELD_FLAG, default_, false, true)
 
-/* All fields but the list of heuristics. Mistakes are told in this order. */
+/* All fields except the list of heuristics. Errors are reported in this order. */
 static const struct field fields[] = {
     AMOUNT(round_period_s, 10, 0.5, 60),
     AMOUNT(billing_unit_s, 20, 1, 86400),
     AMOUNT(return_margin_s, 10, 0, 3600),
-    AMOUNT(leader_ttl_s, 0, 1, 600), /* the default is none: rp_settings_complete chooses it */
+    AMOUNT(leader_ttl_s, 0, 1, 600), /* 0 is no value: rp_settings_complete computes the lease */
     AMOUNT(leader_check_s, 0.5, 0.1, 10),
     AMOUNT(boot_patience, 3.5, 1, 100),
     AMOUNT(refused_pause_s, 15, 0, 3600),
@@ -55,7 +55,7 @@
     FLAG(keep_old_forms, false),
     AMOUNT(service_reserve, 1, 0, 100),
     FLAG(standby, false),
-    AMOUNT(suspect_after_s, 2.75, LEAST_SUSPECT_AFTER_S, 60),
+    AMOUNT(suspect_after_s, 2.75, SUSPECT_AFTER_MIN_S, 60),
 };
 static const size_t n_fields = sizeof fields / sizeof fields[0];
 
@@ -81,12 +81,13 @@
     }
 }
 
-static bool is_given(const struct field *field, const Ridgepulley__OperatorSettings *message) {
-    const void *given = (const char *)message + field->given_offset;
-    return *(const protobuf_c_boolean *)given != 0;
+static bool is_present(const struct field *field, const Ridgepulley__OperatorSettings *message) {
+    const void *presence = (const char *)message + field->presence_offset;
+    return *(const protobuf_c_boolean *)presence != 0;
 }
 
-static double given_value(const struct field *field, const Ridgepulley__OperatorSettings *message) {
+static double value_in_message(const struct field *field,
+                               const Ridgepulley__OperatorSettings *message) {
     const void *source = (const char *)message + field->source_offset;
     switch (field->kind) {
     case FIELD_COUNT:
@@ -107,60 +108,65 @@
         add_heuristic(tuning, default_heuristics[i]);
 }
 
-/* Returns the number of mistakes, as the function below. */
-static int take_heuristics(struct rp_tuning *tuning, const Ridgepulley__OperatorSettings *message,
-                           const char *file, FILE *errors) {
-    int n_mistakes = 0;
+/* Replaces the default heuristics by those of the message, if there are any. Returns the number of
+ * errors. */
+static int apply_heuristics(struct rp_tuning *tuning, const Ridgepulley__OperatorSettings *message,
+                            const char *file, FILE *error_output) {
+    int n_errors = 0;
     if (message->n_heuristic == 0)
         return 0;
     if (message->n_heuristic > RP_HEURISTICS_MAX) {
-        fprintf(errors, "%s: heuristic: at most %d\n", file, RP_HEURISTICS_MAX);
+        fprintf(error_output, "%s: heuristic: at most %d heuristics are allowed\n", file,
+                RP_HEURISTICS_MAX);
         return 1;
     }
     tuning->n_heuristics = 0;
     for (size_t i = 0; i < message->n_heuristic; i++) {
         const char *name = message->heuristic[i];
         struct rp_heuristic heuristic;
-        if (rp_heuristic_named(name, &heuristic)) {
+        if (rp_heuristic_from_name(name, &heuristic)) {
             add_heuristic(tuning, name);
         } else {
-            fprintf(errors, "%s: heuristic: '%s' is not known\n", file, name);
-            n_mistakes++;
+            fprintf(error_output, "%s: heuristic: '%s' is not a known heuristic\n", file, name);
+            n_errors++;
         }
     }
-    return n_mistakes;
+    return n_errors;
 }
 
-static int take_fields(struct rp_tuning *tuning, const Ridgepulley__OperatorSettings *message,
-                       const char *file, FILE *errors) {
-    int n_mistakes = 0;
+/* Sets the members of `tuning` whose fields are present in the message. Returns the number of
+ * errors. */
+static int apply_fields(struct rp_tuning *tuning, const Ridgepulley__OperatorSettings *message,
+                        const char *file, FILE *error_output) {
+    int n_errors = 0;
     for (size_t i = 0; i < n_fields; i++) {
         const struct field *field = &fields[i];
-        if (!is_given(field, message))
+        if (!is_present(field, message))
             continue;
-        double value = given_value(field, message);
+        double value = value_in_message(field, message);
         set_field(field, tuning, value);
         if (value >= field->min && value <= field->max)
             continue;
-        fprintf(errors, "%s: %s: must lie between %g and %g\n", file, field->name, field->min,
+        fprintf(error_output, "%s: %s: must be between %g and %g\n", file, field->name, field->min,
                 field->max);
-        n_mistakes++;
+        n_errors++;
     }
-    return n_mistakes;
+    return n_errors;
 }
 
-int rp_tuning_parse(struct rp_tuning *tuning, const char *text, const char *file, FILE *errors) {
+int rp_tuning_parse(struct rp_tuning *tuning, const char *text, const char *file,
+                    FILE *error_output) {
     Ridgepulley__OperatorSettings *message = rp_alloc(1, sizeof *message);
     struct rp_text_format_error error;
-    int n_mistakes = 0;
+    int n_errors = 0;
     ridgepulley__operator_settings__init(message);
     if (rp_text_format_read(text, &message->base, &error)) {
-        n_mistakes += take_heuristics(tuning, message, file, errors);
-        n_mistakes += take_fields(tuning, message, file, errors);
+        n_errors += apply_heuristics(tuning, message, file, error_output);
+        n_errors += apply_fields(tuning, message, file, error_output);
     } else {
-        fprintf(errors, "%s:%d:%d: %s\n", file, error.line, error.column, error.text);
-        n_mistakes++;
+        fprintf(error_output, "%s:%d:%d: %s\n", file, error.line, error.column, error.text);
+        n_errors++;
     }
     protobuf_c_message_free_unpacked(&message->base, NULL);
-    return n_mistakes;
+    return n_errors;
 }
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -35,7 +35,8 @@
     const struct rp_settings *settings = node->settings;
     node->election.check_s = settings->tuning.leader_check_s;
     /* The store's next limits may come into force at any moment from now on. */
-    rp_kv_client_set_limits(&node->store, settings->state_fit.rps, settings->state_fit.write_rps);
+    rp_kv_client_set_limits(&node->store, settings->kv_limits_lowest.rps,
+                            settings->kv_limits_lowest.write_rps);
     if (node->state == RP_NODE_LEADING)
         rp_catalog_source_lead(&node->catalog_source);
 }
@@ -181,9 +182,9 @@
 
 static void init_clients(struct rp_node *node) {
     const struct rp_settings *settings = node->settings;
-    rp_kv_client_init(&node->store, node->loop, node->net, settings->state_addr,
-                      settings->state.rps, settings->state.write_rps, settings->n_nodes,
-                      settings->tuning.leader_write_share);
+    rp_kv_client_init(&node->store, node->loop, node->net, settings->kv_addr,
+                      settings->kv_limits_current.rps, settings->kv_limits_current.write_rps,
+                      settings->n_nodes, settings->tuning.leader_write_share);
     rp_job_lookup_init(&node->job_lookup, node->loop, &node->store, settings);
     rp_cloud_client_init(&node->cloud, node->loop, node->net, settings->cloud_addr,
                          settings->cloud_rps);
--- a/src/jobs/garbage_collector.c
+++ b/src/jobs/garbage_collector.c
@@ -16,8 +16,8 @@
 
 void rp_garbage_collector_init(struct rp_garbage_collector *collector,
                                const struct rp_jobs_context *context) {
-    *collector = (struct rp_garbage_collector){.context = context,
-                                               .max_changes = context->settings->state_fit.txn_ops};
+    *collector = (struct rp_garbage_collector){
+        .context = context, .max_changes = context->settings->kv_limits_lowest.txn_ops};
 }
 
 static void drop_first(struct rp_garbage_collector *collector) {
--- a/src/jobs/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -31,7 +31,7 @@
 
 void rp_job_lookup_init(struct rp_job_lookup *lookup, struct rp_loop *loop,
                         struct rp_kv_client *store, const struct rp_settings *settings) {
-    size_t n_conditions = CONDITIONS_PER_CHANGE * settings->state_fit.txn_ops;
+    size_t n_conditions = CONDITIONS_PER_CHANGE * settings->kv_limits_lowest.txn_ops;
     memset(lookup, 0, sizeof *lookup);
     lookup->loop = loop;
     lookup->store = store;
--- a/src/jobs/progress_writer.c
+++ b/src/jobs/progress_writer.c
@@ -191,7 +191,7 @@
     struct rp_progress_record first_chunk = {0};
     size_t n_bytes = rp_job_progress_record_bytes(&job->progress, first_chunk);
     double value_bytes = (double)(2 * n_bytes + PROGRESS_FRAME_BYTES); /* two digits for a byte */
-    return value_bytes <= writer->context->settings->state.value_kb * 1024;
+    return value_bytes <= writer->context->settings->kv_limits_current.value_kb * 1024;
 }
 
 /* Until every node reads units, progress goes into the chunks that all of them know; where one
@@ -223,10 +223,10 @@
 /* How many records the next transaction may have; 0: the budget has no headroom. */
 static size_t txn_capacity(const struct rp_progress_writer *writer) {
     const struct rp_jobs_context *context = writer->context;
-    double reserve =
-        fmin(FINISH_RESERVE_CHANGES, context->settings->state_fit.write_rps * FINISH_RESERVE_SHARE);
+    double reserve = fmin(FINISH_RESERVE_CHANGES,
+                          context->settings->kv_limits_lowest.write_rps * FINISH_RESERVE_SHARE);
     double headroom = rp_kv_write_headroom(context->store, RP_KV_BUDGET_LEADER) - reserve;
-    size_t limit = context->settings->state_fit.txn_ops;
+    size_t limit = context->settings->kv_limits_lowest.txn_ops;
     size_t capacity = limit < writer->max_records ? limit : writer->max_records;
     if (headroom < 1)
         return 0;
--- a/src/jobs/run_time_estimator.c
+++ b/src/jobs/run_time_estimator.c
@@ -44,11 +44,11 @@
         return;
     job->run_sum_s += run_s;
     job->n_runs++;
-    if (!stats || job->spec.estimate_s <= 0)
+    if (!stats || job->spec.run_time_estimate_s <= 0)
         return;
     /* Each job counts once, however many tasks it has. */
     double share = 1.0 / (job->spec.kind == RP_JOB_GANG ? 1 : job->spec.n_tasks);
-    stats->ratio = (stats->ratio * stats->weight + run_s / job->spec.estimate_s * share) /
+    stats->ratio = (stats->ratio * stats->weight + run_s / job->spec.run_time_estimate_s * share) /
                    (stats->weight + share);
     stats->weight =
         stats->weight + share > CLASS_WEIGHT_MAX ? CLASS_WEIGHT_MAX : stats->weight + share;
@@ -58,8 +58,8 @@
                                   const struct rp_job *job) {
     const struct rp_class_stats *stats = find_class(estimator, job->spec.class_name);
     if (!stats)
-        return job->spec.estimate_s;
-    return job->spec.estimate_s * (stats->ratio * stats->weight + ESTIMATE_WEIGHT) /
+        return job->spec.run_time_estimate_s;
+    return job->spec.run_time_estimate_s * (stats->ratio * stats->weight + ESTIMATE_WEIGHT) /
            (stats->weight + ESTIMATE_WEIGHT);
 }
 
--- a/src/main.c
+++ b/src/main.c
@@ -1,6 +1,6 @@
 /** @file
- * The program: reads options and settings, sets the process up and runs one node until it is asked
- * to end. */
+ * The program's entry point: parses the options, loads the settings, sets up the process and runs
+ * one node until the process receives SIGTERM or SIGINT. */
 #include <errno.h>
 #include <getopt.h>
 #include <signal.h>
@@ -16,51 +16,60 @@
 #include "http/client.h"
 #include "http/server.h"
 
-#define OPERATOR_FILE "/etc/ridgepulley/operator.txtpb"
+/* Path of the operators' settings when --operator is not given. */
+#define DEFAULT_OPERATOR_FILE "/etc/ridgepulley/operator.txtpb"
 
-/* Bytes read of a settings file at a time, and about as many at most. */
-#define READ_BYTES 65536
+/* Bytes that one read of a settings file requests. */
+#define READ_CHUNK_BYTES 65536
+/* Size in bytes at which reading a settings file stops. The text may be up to one chunk longer. */
 #define SETTINGS_MAX_BYTES (4U << 20)
 
-/* Seconds from the request to end until the process does: for the last answers, and for giving the
- * leader's key up. */
-#define LEAVE_S 0.5
+/* Seconds from the termination signal until the event loop stops. In this time the last responses
+ * are sent and the leader's key is deleted. */
+#define SHUTDOWN_GRACE_S 0.5
 
-/* Connections for calls of this node's own: as many as this, and with many allowed in all, */
-#define OWN_CONNECTIONS_FEW 64
-/* up to this. With thousands of machines a new leader asks them all at once, and those that don't
- * answer hold a connection each until their time is over. */
-#define OWN_CONNECTIONS_MANY 512
-/* Connections for calls of this node's own to one host. */
-#define HOST_CONNECTIONS_MAX 24
-/* Connections of other nodes, and those that stay free for anything else, at most. */
+/* Upper bound of the eighth of the allowed connections that is reserved for outbound calls. */
+#define OUTBOUND_CONNECTIONS_BASE_MAX 64
+/* Upper bound of the sixteenth of the allowed connections that is reserved for outbound calls where
+ * it exceeds the eighth above. With thousands of machines a new leader sends requests to all of
+ * them at once, and each machine that does not respond occupies a connection until its request
+ * times out. */
+#define OUTBOUND_CONNECTIONS_MAX 512
+/* Maximum number of outbound connections to one host. */
+#define CONNECTIONS_PER_HOST_MAX 24
+/* Maximum number of inbound connections from other nodes. */
 #define PEER_CONNECTIONS_MAX 64
+/* Maximum number of connections that are left unassigned, for any other use. */
 #define SPARE_CONNECTIONS_MAX 32
 
-/* Bytes of the body of a response to this node: the cloud's list of machines is the largest. */
+/* Maximum size in bytes of the body of a response to this node. The cloud's list of machines is the
+ * largest. */
 #define RESPONSE_MAX_BYTES (16U << 20)
-/* Bytes of the body of a request to this node. */
+/* Maximum size in bytes of the body of a request to this node. */
 #define REQUEST_MAX_BYTES 65536
-/* Seconds: a connection without a request, a request's first to last byte, taking a response. */
+/* Seconds after which a server closes a connection without a request. */
 #define IDLE_TIMEOUT_S 120
+/* Seconds that a request may take from its first to its last byte. */
 #define RECEIVE_TIMEOUT_S 10
+/* Seconds that the peer may take to receive a response. */
 #define SEND_TIMEOUT_S 10
 
-/* As --help tells them. */
-enum exit_code { EXIT_CODE_OK = 0, EXIT_CODE_TROUBLE = 1, EXIT_CODE_USAGE = 2 };
+/* Exit codes of the process, as documented by --help. */
+enum exit_code { EXIT_CODE_OK = 0, EXIT_CODE_FAILURE = 1, EXIT_CODE_USAGE = 2 };
 
 /* ---- options ---- */
 
 struct options {
-    const char *config;
+    const char *platform_file;
     const char *operator_file;
-    bool operator_given, check;
+    bool is_operator_file_given; /* by --operator; if not, the default file may be absent */
+    bool is_check_only;          /* --check */
 };
 
 enum option_outcome {
-    OPTIONS_RUN,  /* all options are read */
-    OPTIONS_DONE, /* the option's whole work was to print something */
-    OPTIONS_WRONG /* wrong usage, which has been told */
+    OPTIONS_VALID,  /* the program continues with the parsed options */
+    OPTIONS_DONE,   /* --help or --version has printed its text, and the program exits */
+    OPTIONS_INVALID /* wrong usage, which has been reported on standard error */
 };
 
 static void print_usage(FILE *to) {
@@ -68,35 +77,37 @@
           "A controller node of the ridgepulley cluster scheduler.\n\n"
           "  -c, --config FILE    the platform's settings (JSON)\n"
           "  -o, --operator FILE  the operators' settings (protobuf text format);\n"
-          "                       default " OPERATOR_FILE ", may be absent\n"
-          "      --check          check both files, report every mistake, and exit\n"
+          "                       default " DEFAULT_OPERATOR_FILE ", may be absent\n"
+          "      --check          check both files, report all errors, and exit\n"
           "  -h, --help           print this and exit\n"
           "  -V, --version        print the version and exit\n\n"
           "LOG_LEVEL in the environment: error, info (default) or debug.\n"
-          "Exit codes: 0 well, 1 trouble while running, 2 wrong usage or settings.\n",
+          "Exit codes: 0 success, 1 failure at run time, 2 invalid usage or settings.\n",
           to);
 }
 
-static enum option_outcome refuse_usage(const char *message) {
+/* Prints the message, if there is one, and the usage. */
+static enum option_outcome report_usage_error(const char *message) {
     if (message)
         fprintf(stderr, "ridgepulley: %s\n", message);
     print_usage(stderr);
-    return OPTIONS_WRONG;
+    return OPTIONS_INVALID;
 }
 
-/* Takes the option in; `letter` '?': unknown, or without its argument, as getopt has told. */
-static enum option_outcome take_option(int letter, struct options *options) {
+/* Applies one option. `letter` is '?' for an unknown option or one without its argument, which
+ * getopt_long has reported on standard error. */
+static enum option_outcome apply_option(int letter, struct options *options) {
     switch (letter) {
     case 'c':
-        options->config = optarg;
-        return OPTIONS_RUN;
+        options->platform_file = optarg;
+        return OPTIONS_VALID;
     case 'o':
         options->operator_file = optarg;
-        options->operator_given = true;
-        return OPTIONS_RUN;
+        options->is_operator_file_given = true;
+        return OPTIONS_VALID;
     case 'k':
-        options->check = true;
-        return OPTIONS_RUN;
+        options->is_check_only = true;
+        return OPTIONS_VALID;
     case 'h':
         print_usage(stdout);
         return OPTIONS_DONE;
@@ -104,7 +115,7 @@
         puts("ridgepulley " RP_VERSION);
         return OPTIONS_DONE;
     default:
-        return refuse_usage(NULL);
+        return report_usage_error(NULL);
     }
 }
 
@@ -114,22 +125,23 @@
         {"check", no_argument, NULL, 'k'},        {"help", no_argument, NULL, 'h'},
         {"version", no_argument, NULL, 'V'},      {NULL, 0, NULL, 0}};
     int letter;
-    *options = (struct options){.operator_file = OPERATOR_FILE};
+    *options = (struct options){.operator_file = DEFAULT_OPERATOR_FILE};
     while ((letter = getopt_long(argc, argv, "c:o:hV", long_options, NULL)) != -1) {
-        enum option_outcome outcome = take_option(letter, options);
-        if (outcome != OPTIONS_RUN)
+        enum option_outcome outcome = apply_option(letter, options);
+        if (outcome != OPTIONS_VALID)
             return outcome;
     }
-    if (!options->config)
-        return refuse_usage("--config FILE is needed");
+    if (!options->platform_file)
+        return report_usage_error("--config FILE is required");
     if (optind < argc)
-        return refuse_usage("unexpected argument");
-    return OPTIONS_RUN;
+        return report_usage_error("unexpected argument after the options");
+    return OPTIONS_VALID;
 }
 
 /* ---- settings ---- */
 
-/* The file's text, which the caller frees; NULL, with errno set, when it can't be opened. */
+/* Returns the file's text, which the caller frees, or NULL with errno set when the file cannot be
+ * opened. */
 static char *read_file(const char *path) {
     FILE *file = fopen(path, "rb");
     char *text = NULL;
@@ -138,8 +150,8 @@
     if (!file)
         return NULL;
     do {
-        text = rp_realloc(text, len + READ_BYTES + 1, 1);
-        n = fread(text + len, 1, READ_BYTES, file);
+        text = rp_realloc(text, len + READ_CHUNK_BYTES + 1, 1);
+        n = fread(text + len, 1, READ_CHUNK_BYTES, file);
         len += n;
         text[len] = '\0';
     } while (n > 0 && len < SETTINGS_MAX_BYTES);
@@ -151,64 +163,65 @@
     fprintf(stderr, "%s: %s\n", path, strerror(errno));
 }
 
-/* Reads the operators' settings, which may be absent unless they were asked for. Returns the number
- * of mistakes. */
+/* Reads the operators' settings. The file may be absent unless --operator names it. Returns the
+ * number of errors found. */
 static int load_tuning(const struct options *options, struct rp_settings *settings) {
     errno = 0;
     char *text = read_file(options->operator_file);
     if (text) {
-        int n_mistakes = rp_tuning_parse(&settings->tuning, text, options->operator_file, stderr);
+        int n_errors = rp_tuning_parse(&settings->tuning, text, options->operator_file, stderr);
         free(text);
-        return n_mistakes;
+        return n_errors;
     }
-    if (!options->operator_given && errno == ENOENT)
+    if (!options->is_operator_file_given && errno == ENOENT)
         return 0;
     print_file_error(options->operator_file);
     return 1;
 }
 
-/* Reads both files and tells every mistake. */
+/* Reads both files and reports every error on standard error. */
 static enum exit_code load_settings(const struct options *options, struct rp_settings *settings) {
-    char *text = read_file(options->config);
+    char *text = read_file(options->platform_file);
     if (!text) {
-        print_file_error(options->config);
+        print_file_error(options->platform_file);
         return EXIT_CODE_USAGE;
     }
-    int n_mistakes = rp_platform_file_parse(settings, text, options->config, stderr);
+    int n_errors = rp_platform_file_parse(settings, text, options->platform_file, stderr);
     free(text);
-    n_mistakes += load_tuning(options, settings);
+    n_errors += load_tuning(options, settings);
     rp_settings_complete(settings);
-    if (n_mistakes == 0)
-        n_mistakes = rp_settings_check(settings, stderr);
-    return n_mistakes > 0 ? EXIT_CODE_USAGE : EXIT_CODE_OK;
+    if (n_errors == 0)
+        n_errors = rp_settings_check(settings, stderr);
+    return n_errors > 0 ? EXIT_CODE_USAGE : EXIT_CODE_OK;
 }
 
 /* ---- the process ---- */
 
-/* All that the process runs on; the parts refer to each other. */
+/* The event loop, the network and the node. They refer to each other by address. */
 struct process {
     struct rp_loop loop;
     struct rp_http_client client;
-    struct rp_http_server users, peers;
+    struct rp_http_server user_server; /* for users and workers */
+    struct rp_http_server peer_server; /* for the other nodes */
     struct rp_node *node;
-    struct rp_watch signals;
-    struct rp_timer leave_timer;
+    struct rp_watch signal_watch; /* of the descriptor that reports SIGTERM and SIGINT */
+    struct rp_timer shutdown_timer;
 };
 
-static void on_leave_due(void *arg) {
+static void on_shutdown_timer(void *arg) {
     struct process *process = arg;
     rp_loop_stop(&process->loop);
 }
 
-/* A process that is asked to end gives the leader's key up first, so that nobody waits for its
- * lease. */
+/* Begins the shutdown. The node first deletes its leader key, if it leads, so that the other nodes
+ * need not wait for its lease to expire. */
 static void on_signal(void *arg, uint32_t events) {
     struct process *process = arg;
     (void)events;
-    rp_info("asked to end");
-    rp_watch_remove(&process->loop, &process->signals);
+    rp_info("shutdown requested");
+    rp_watch_remove(&process->loop, &process->signal_watch);
     rp_node_leave(process->node);
-    rp_timer_set(&process->loop, &process->leave_timer, LEAVE_S);
+    rp_timer_set(&process->loop, &process->shutdown_timer, SHUTDOWN_GRACE_S);
 }
 
 static void watch_signals(struct process *process) {
@@ -216,34 +229,38 @@
     sigemptyset(&set);
     sigaddset(&set, SIGTERM);
     sigaddset(&set, SIGINT);
-    process->signals = (struct rp_watch){.fd = -1, .fn = on_signal, .arg = process};
-    process->leave_timer = (struct rp_timer){.fn = on_leave_due, .arg = process};
+    process->signal_watch = (struct rp_watch){.fd = -1, .fn = on_signal, .arg = process};
+    process->shutdown_timer = (struct rp_timer){.fn = on_shutdown_timer, .arg = process};
     if (sigprocmask(SIG_BLOCK, &set, NULL) == 0)
-        process->signals.fd = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
-    /* Where signals can't be watched they keep their old effect, which nodes survive as well. */
-    bool is_open = process->signals.fd >= 0;
-    if (!is_open || rp_watch_add(&process->loop, &process->signals, EPOLLIN) < 0)
+        process->signal_watch.fd = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
+    /* Where the signals cannot be watched they are unblocked, so that they terminate the process at
+     * once. A node tolerates an abrupt termination as well. */
+    bool is_open = process->signal_watch.fd >= 0;
+    if (!is_open || rp_watch_add(&process->loop, &process->signal_watch, EPOLLIN) < 0)
         sigprocmask(SIG_UNBLOCK, &set, NULL);
 }
 
-/* How the allowed connections are divided: calls of this node's own and the other nodes get a part
- * each, a few stay free, and users and workers get the rest, since after a failover all workers may
- * come to one node. */
+/* How the allowed connections are divided. Outbound calls and the other nodes get a share each, and
+ * a few connections remain unassigned. Users and workers get the rest, since after a failover all
+ * workers may connect to one node. */
 struct connection_budget {
-    size_t own, peers, users;
+    size_t n_outbound;
+    size_t n_from_peers;
+    size_t n_from_users; /* and from workers */
 };
 
-static size_t smaller(size_t a, size_t b) {
+static size_t min_size(size_t a, size_t b) {
     return a < b ? a : b;
 }
 
 static struct connection_budget divide_connections(size_t n_allowed) {
-    size_t few = smaller(n_allowed / 8, OWN_CONNECTIONS_FEW);
-    size_t many = smaller(n_allowed / 16, OWN_CONNECTIONS_MANY);
-    size_t spare = smaller(n_allowed / 16, SPARE_CONNECTIONS_MAX);
-    struct connection_budget budget = {.own = many > few ? many : few,
-                                       .peers = smaller(n_allowed / 16, PEER_CONNECTIONS_MAX)};
-    budget.users = n_allowed - budget.own - budget.peers - spare;
+    size_t n_outbound_base = min_size(n_allowed / 8, OUTBOUND_CONNECTIONS_BASE_MAX);
+    size_t n_outbound_large = min_size(n_allowed / 16, OUTBOUND_CONNECTIONS_MAX);
+    size_t n_spare = min_size(n_allowed / 16, SPARE_CONNECTIONS_MAX);
+    struct connection_budget budget = {
+        .n_outbound = n_outbound_large > n_outbound_base ? n_outbound_large : n_outbound_base,
+        .n_from_peers = min_size(n_allowed / 16, PEER_CONNECTIONS_MAX)};
+    budget.n_from_users = n_allowed - budget.n_outbound - budget.n_from_peers - n_spare;
     return budget;
 }
 
@@ -255,18 +272,18 @@
                                    .send_timeout_s = SEND_TIMEOUT_S};
 }
 
-/* Opens both ports, serves them until the process is asked to end, and closes them. Returns 0 or
+/* Opens both servers, runs the event loop until the shutdown and closes the servers. Returns 0 or
  * -errno. */
-static int serve_ports(struct process *process, const struct rp_settings *settings,
+static int run_servers(struct process *process, const struct rp_settings *settings,
                        const struct connection_budget *budget) {
-    struct rp_http_limits user_limits = server_limits(budget->users);
-    struct rp_http_limits peer_limits = server_limits(budget->peers);
-    int rc = rp_http_server_open(&process->users, &process->loop, settings->client_listen,
+    struct rp_http_limits user_limits = server_limits(budget->n_from_users);
+    struct rp_http_limits peer_limits = server_limits(budget->n_from_peers);
+    int rc = rp_http_server_open(&process->user_server, &process->loop, settings->client_listen,
                                  &user_limits, rp_node_client_request, process->node);
     if (rc < 0)
         return rc;
-    rc = rp_http_server_open(&process->peers, &process->loop, settings->peer_listen, &peer_limits,
-                             rp_node_peer_request, process->node);
+    rc = rp_http_server_open(&process->peer_server, &process->loop, settings->peer_listen,
+                             &peer_limits, rp_node_peer_request, process->node);
     if (rc < 0)
         goto out;
     rp_info("ridgepulley " RP_VERSION " serves users on %s, peers on %s", settings->client_listen,
@@ -274,22 +291,22 @@
     watch_signals(process);
     rp_node_start(process->node);
     rc = rp_loop_run(&process->loop);
-    rp_http_server_close(&process->peers);
+    rp_http_server_close(&process->peer_server);
 out:
-    rp_http_server_close(&process->users);
+    rp_http_server_close(&process->user_server);
     return rc;
 }
 
-/* Runs a node, whose network is the HTTP client. Returns 0 or -errno. */
+/* Runs a node that uses the HTTP client as its network. Returns 0 or -errno. */
 static int run_node(struct process *process, const struct rp_settings *settings) {
     struct connection_budget budget = divide_connections(settings->max_connections);
-    rp_http_client_init(&process->client, &process->loop, HOST_CONNECTIONS_MAX, budget.own,
-                        RESPONSE_MAX_BYTES);
+    rp_http_client_init(&process->client, &process->loop, CONNECTIONS_PER_HOST_MAX,
+                        budget.n_outbound, RESPONSE_MAX_BYTES);
     int rc =
         rp_node_init(process->node, &process->loop, rp_http_client_net(&process->client), settings);
     if (rc < 0)
         return rc;
-    rc = serve_ports(process, settings, &budget);
+    rc = run_servers(process, settings, &budget);
     rp_node_close(process->node);
     rp_http_client_close(&process->client);
     return rc;
@@ -305,18 +322,18 @@
 out:
     free(process.node);
     if (rc < 0)
-        rp_error("ended: %s", strerror(-rc));
-    return rc < 0 ? EXIT_CODE_TROUBLE : EXIT_CODE_OK;
+        rp_error("node failed: error=%s", strerror(-rc));
+    return rc < 0 ? EXIT_CODE_FAILURE : EXIT_CODE_OK;
 }
 
 int main(int argc, char **argv) {
     struct options options;
     struct rp_settings settings;
     enum option_outcome outcome = parse_options(argc, argv, &options);
-    if (outcome != OPTIONS_RUN)
+    if (outcome != OPTIONS_VALID)
         return outcome == OPTIONS_DONE ? EXIT_CODE_OK : EXIT_CODE_USAGE;
     enum exit_code code = load_settings(&options, &settings);
-    if (code == EXIT_CODE_OK && options.check) {
+    if (code == EXIT_CODE_OK && options.is_check_only) {
         puts("settings are good");
     } else if (code == EXIT_CODE_OK) {
         signal(SIGPIPE, SIG_IGN);
--- a/src/model/command.h
+++ b/src/model/command.h
@@ -1,13 +1,14 @@
 /** @file
- * What workers are told to do (PROTOCOL, "POST /checkin"). Chosen by worker/, encoded by the
- * protocol layer. */
+ * Commands to workers (PROTOCOL, "POST /checkin"). Created by worker/ and encoded by the protocol
+ * layer. */
 #ifndef RP_MODEL_COMMAND_H
 #define RP_MODEL_COMMAND_H
 
 #include <stdint.h>
 #include "model/names.h"
 
-/** Every command can be repeated, but a start after a forget begins the attempt anew. */
+/** The kinds of commands. A repeated command has no further effect, except that a start after a
+ * forget begins the attempt anew. */
 enum rp_command_kind {
     RP_COMMAND_START,
     RP_COMMAND_STOP,
@@ -20,7 +21,7 @@
     char job[RP_ID_MAX];
     uint32_t task;
     uint64_t attempt;
-    double grace_s; /* of a stop: time to save; 0: the task ends at once */
+    double grace_s; /* for a stop: time to save a checkpoint; 0: the task ends at once */
 };
 
 #endif
--- a/src/model/heuristic.c
+++ b/src/model/heuristic.c
@@ -3,14 +3,14 @@
 #include <stddef.h>
 #include <string.h>
 
-/* In the order of enum rp_job_order. */
+/* Names of the job orders, in the order of enum rp_job_order. */
 static const char *const job_order_names[] = {"FCFS", "RR",  "LJF", "SJF", "LTJF",
                                               "STJF", "EDF", "SRW", "ESW"};
-/* In the order of enum rp_machine_order. */
+/* Names of the machine orders, in the order of enum rp_machine_order. */
 static const char *const machine_order_names[] = {"RND", "LM",  "SM",  "LA",  "EA", "LD", "ED",
                                                   "LAA", "EAA", "CFH", "FFH", "BF", "CP"};
 
-/* -1: none. */
+/* Returns the index of the name, or -1 when `names` does not contain it. */
 static int name_index(const char *name, size_t len, const char *const *names, size_t n) {
     for (size_t i = 0; i < n; i++)
         if (strlen(names[i]) == len && strncmp(names[i], name, len) == 0)
@@ -18,7 +18,7 @@
     return -1;
 }
 
-bool rp_heuristic_named(const char *name, struct rp_heuristic *out) {
+bool rp_heuristic_from_name(const char *name, struct rp_heuristic *out) {
     const char *dash = strchr(name, '-');
     if (!dash)
         return false;
--- a/src/model/heuristic.h
+++ b/src/model/heuristic.h
@@ -1,13 +1,13 @@
 /** @file
- * The heuristics of the scheduler's portfolio: each is an order of jobs and an order of machines,
- * as tables 2 and 3 of the paper in docs/design.md call them. Named in the settings, carried out by
- * scheduler/planner.c. */
+ * The heuristics of the scheduler's portfolio. Each consists of an order of jobs and an order of
+ * machines, which are named as in tables 2 and 3 of the paper in docs/design.md. The settings
+ * select heuristics by name, and scheduler/planner.c executes them. */
 #ifndef RP_MODEL_HEURISTIC_H
 #define RP_MODEL_HEURISTIC_H
 
 #include <stdbool.h>
 
-/** Which job is placed next. */
+/** Order in which jobs are placed. */
 enum rp_job_order {
     RP_JOB_ORDER_FCFS, /* first come, first served */
     RP_JOB_ORDER_RR,   /* round robin over the teams */
@@ -15,36 +15,37 @@
     RP_JOB_ORDER_SJF,  /* smallest task first */
     RP_JOB_ORDER_LTJF, /* longest run time first */
     RP_JOB_ORDER_STJF, /* shortest run time first */
-    RP_JOB_ORDER_EDF,  /* earliest deadline first: least time to spare */
+    RP_JOB_ORDER_EDF,  /* earliest deadline first, by the time left to spare */
     RP_JOB_ORDER_SRW,  /* smallest remaining work first */
-    RP_JOB_ORDER_ESW   /* earliest deadline, weighed against the job's work: the default */
+    RP_JOB_ORDER_ESW   /* earliest deadline first, weighed against the job's work; the default */
 };
 
-/** Which machine is tried first. */
+/** Order in which machines are considered for a task. */
 enum rp_machine_order {
     RP_MACHINE_ORDER_RND, /* random */
     RP_MACHINE_ORDER_LM,  /* largest first */
     RP_MACHINE_ORDER_SM,  /* smallest first */
     RP_MACHINE_ORDER_LA,  /* latest arrival of a task first */
-    RP_MACHINE_ORDER_EA,  /* earliest arrival first */
-    RP_MACHINE_ORDER_LD,  /* latest end of its work first */
-    RP_MACHINE_ORDER_ED,  /* earliest end first */
-    RP_MACHINE_ORDER_LAA, /* latest mean arrival first */
-    RP_MACHINE_ORDER_EAA, /* earliest mean arrival first */
+    RP_MACHINE_ORDER_EA,  /* earliest arrival of a task first */
+    RP_MACHINE_ORDER_LD,  /* latest end of the machine's work first */
+    RP_MACHINE_ORDER_ED,  /* earliest end of the machine's work first */
+    RP_MACHINE_ORDER_LAA, /* latest mean arrival of tasks first */
+    RP_MACHINE_ORDER_EAA, /* earliest mean arrival of tasks first */
     RP_MACHINE_ORDER_CFH, /* closest to the full billing unit first */
     RP_MACHINE_ORDER_FFH, /* furthest from the full billing unit first */
     RP_MACHINE_ORDER_BF,  /* best fit: least free capacity first */
     RP_MACHINE_ORDER_CP   /* cheapest capacity first */
 };
 
-/** A heuristic. */
+/** A heuristic of the portfolio. */
 struct rp_heuristic {
     enum rp_job_order job_order;
     enum rp_machine_order machine_order;
 };
 
-/** Finds the heuristic of a name such as "FCFS-SM": the paper's {job selection}-{machine
- * selection}. Returns false when there is none; `out` is unchanged then. */
-bool rp_heuristic_named(const char *name, struct rp_heuristic *out);
+/** Parses the name of a heuristic, such as "FCFS-SM". A name has the paper's form {job
+ * selection}-{machine selection}. Returns false and leaves `out` unchanged when there
+ * is no such heuristic. */
+bool rp_heuristic_from_name(const char *name, struct rp_heuristic *out);
 
 #endif
--- a/src/model/listed_machine.h
+++ b/src/model/listed_machine.h
@@ -1,17 +1,17 @@
 /** @file
- * A machine as the cloud lists it, which lags behind (PROTOCOL, "GET /machines"). Decoded by the
- * protocol layer, read by cluster/. */
+ * A machine as an entry of the cloud's list, which lags behind the actual state (PROTOCOL, "GET
+ * /machines"). Decoded by the protocol layer, read by cluster/. */
 #ifndef RP_MODEL_LISTED_MACHINE_H
 #define RP_MODEL_LISTED_MACHINE_H
 
 #include <stdbool.h>
 #include "model/names.h"
 
-/** The state that the cloud lists. */
+/** State of a machine in the cloud's list. */
 enum rp_listed_state {
-    RP_LISTED_BOOTING, /* may be up, and run tasks, already */
+    RP_LISTED_BOOTING, /* may already be up and run tasks */
     RP_LISTED_RUNNING,
-    RP_LISTED_FAILED /* has stopped by itself; no longer charged, listed until deleted */
+    RP_LISTED_FAILED /* stopped without a request; no longer billed, listed until it is deleted */
 };
 
 /** An entry of the cloud's list. */
@@ -22,7 +22,7 @@
     char zone[RP_TEXT_MAX];
     bool spot;
     enum rp_listed_state state;
-    double age_s; /* since the rental request, at the time that the list describes */
+    double age_s; /* time from the provision request to the moment that the list describes */
 };
 
 #endif
--- a/src/model/resources.h
+++ b/src/model/resources.h
@@ -1,6 +1,6 @@
 /** @file
- * Amounts of what tasks take of machines, and arithmetic on them. Used wherever capacity, usage or
- * quotas are reckoned. */
+ * Amounts of the resources that tasks occupy on machines, and arithmetic on them. Used by all
+ * computations of capacity, usage and quotas. */
 #ifndef RP_MODEL_RESOURCES_H
 #define RP_MODEL_RESOURCES_H
 
@@ -14,29 +14,30 @@
     double memory_gb;
 };
 
-/** Amounts are sums of decimal numbers: so little more than the capacity still fits. */
+/** Amount by which a sum may exceed the capacity and still fit. Amounts are sums of decimal
+ * numbers, which have rounding errors. */
 #define RP_RESOURCES_TOLERANCE 1e-9
 
-/** Adds the amount to the sum. */
+/** Adds `amount` to `sum`. */
 static inline void rp_resources_add(struct rp_resources *sum, const struct rp_resources *amount) {
     sum->cpus += amount->cpus;
     sum->gpus += amount->gpus;
     sum->memory_gb += amount->memory_gb;
 }
 
-/** Subtracts the amount from the sum, of each kind at most down to 0. */
+/** Subtracts `amount` from `sum`. The result of each kind is at least 0. */
 static inline void rp_resources_sub(struct rp_resources *sum, const struct rp_resources *amount) {
     sum->cpus = fmax(0, sum->cpus - amount->cpus);
     sum->gpus = fmax(0, sum->gpus - amount->gpus);
     sum->memory_gb = fmax(0, sum->memory_gb - amount->memory_gb);
 }
 
-/** Whether what is needed fits the capacity, of each kind. */
-static inline bool rp_resources_fit(const struct rp_resources *need,
+/** Whether the required amount of each kind is at most the capacity. */
+static inline bool rp_resources_fit(const struct rp_resources *required,
                                     const struct rp_resources *capacity) {
-    return need->cpus <= capacity->cpus + RP_RESOURCES_TOLERANCE &&
-           need->gpus <= capacity->gpus + RP_RESOURCES_TOLERANCE &&
-           need->memory_gb <= capacity->memory_gb + RP_RESOURCES_TOLERANCE;
+    return required->cpus <= capacity->cpus + RP_RESOURCES_TOLERANCE &&
+           required->gpus <= capacity->gpus + RP_RESOURCES_TOLERANCE &&
+           required->memory_gb <= capacity->memory_gb + RP_RESOURCES_TOLERANCE;
 }
 
 #endif
--- a/src/protocol/cloud_codec.c
+++ b/src/protocol/cloud_codec.c
@@ -3,17 +3,18 @@
 #include <string.h>
 #include "base/memory.h"
 
-/* What zone_index returns for a zone beyond the model's bounds. */
+/* Returned by zone_index for a zone that the catalog cannot hold. */
 #define NO_ZONE (-1)
 
-static const char *const listed_state_words[] = {
+static const char *const listed_state_names[] = {
     [RP_LISTED_BOOTING] = "booting",
     [RP_LISTED_RUNNING] = "running",
     [RP_LISTED_FAILED] = "failed",
 };
-static const struct rp_codec_words listed_states = RP_CODEC_WORDS(listed_state_words);
+static const struct rp_codec_enum_names listed_states = RP_CODEC_ENUM_NAMES(listed_state_names);
 
-/* The zone's index in the catalog, which gets it if it is new. */
+/* Returns the index of a zone in the catalog, to which a new zone is added. Returns NO_ZONE, and
+ * counts the zone as left out, when the catalog is full or the name is too long. */
 static int zone_index(struct rp_catalog *catalog, const char *zone) {
     for (size_t i = 0; i < catalog->n_zones; i++)
         if (strcmp(catalog->zones[i], zone) == 0)
@@ -103,26 +104,28 @@
     return rp_codec_write(json_pack("{s:o}", "sheaves", list));
 }
 
-/* Returns false when its name, type or zone is missing or too long. */
+/* Returns false when the machine's name, type or zone is missing or too long. An unknown state is
+ * read as running. */
 static bool read_listed_machine(const json_t *object, struct rp_listed_machine *out) {
-    int state = rp_codec_find_word(object, "tension", listed_states);
+    int state = rp_codec_find_enum_value(object, "tension", listed_states);
     const char *addr = json_string_value(json_object_get(object, "address"));
-    out->state = state == RP_CODEC_NO_WORD ? RP_LISTED_RUNNING : (enum rp_listed_state)state;
+    out->state = state == RP_CODEC_NO_ENUM_VALUE ? RP_LISTED_RUNNING : (enum rp_listed_state)state;
     out->spot = json_is_true(json_object_get(object, "loaners"));
     out->age_s = json_number_value(json_object_get(object, "age_s"));
-    (void)rp_codec_copy_text(out->addr, RP_TEXT_MAX, addr ? addr : ""); /* may be unknown yet */
+    /* The address may still be unknown. It is then left empty. */
+    (void)rp_codec_copy_text(out->addr, RP_TEXT_MAX, addr ? addr : "");
     return rp_codec_copy_string(object, "ref", out->machine, RP_TEXT_MAX) &&
            rp_codec_copy_string(object, "frame", out->type, RP_TEXT_MAX) &&
            rp_codec_copy_string(object, "yard", out->zone, RP_TEXT_MAX);
 }
 
 struct rp_listed_machine *rp_cloud_codec_parse_machine_list(const char *body, size_t len, size_t *n,
-                                                            bool *more) {
+                                                            bool *has_more) {
     json_t *value = rp_codec_parse_object(body, len);
     const json_t *list = json_object_get(value, "sheaves");
     struct rp_listed_machine *out = NULL;
     *n = 0;
-    *more = json_is_true(json_object_get(value, "has_next"));
+    *has_more = json_is_true(json_object_get(value, "has_next"));
     if (json_is_array(list))
         out = rp_alloc(json_array_size(list) + 1, sizeof *out);
     for (size_t i = 0; out && i < json_array_size(list); i++)
--- a/src/protocol/codec.c
+++ b/src/protocol/codec.c
@@ -5,7 +5,8 @@
 #include <string.h>
 #include "base/string_copy.h"
 
-/* Beyond any amount of the protocol, and far within what a double counts exactly. */
+/* Maximum of the amounts that are read. It is above any amount of the protocol, and far below the
+ * largest integers that a double represents exactly. */
 #define AMOUNT_MAX 1e12
 
 static const char *const reason_texts[] = {
@@ -16,7 +17,7 @@
     [RP_CODEC_TOO_LONG] = "too long",
     [RP_CODEC_AMOUNT_NEEDED] = "an amount from 0 on is needed",
     [RP_CODEC_BOOLEAN_NEEDED] = "true or false is needed",
-    [RP_CODEC_UNKNOWN_WORD] = "not one of the known words",
+    [RP_CODEC_UNKNOWN_ENUM_NAME] = "not one of the known words",
     [RP_CODEC_TYPES_NEEDED] = "a list of machine types is needed",
     [RP_CODEC_N_TASKS_NEEDED] = "a whole number from 1 to 100000 is needed",
     [RP_CODEC_ZONE_NEEDED] = "a zone or null is needed",
@@ -69,12 +70,13 @@
     return true;
 }
 
-int rp_codec_find_word(const json_t *object, const char *name, struct rp_codec_words words) {
-    const char *word = json_string_value(json_object_get(object, name));
-    for (size_t i = 0; word && i < words.n; i++)
-        if (strcmp(word, words.words[i]) == 0)
+int rp_codec_find_enum_value(const json_t *object, const char *name,
+                             struct rp_codec_enum_names names) {
+    const char *enum_name = json_string_value(json_object_get(object, name));
+    for (size_t i = 0; enum_name && i < names.n; i++)
+        if (strcmp(enum_name, names.names[i]) == 0)
             return (int)i;
-    return RP_CODEC_NO_WORD;
+    return RP_CODEC_NO_ENUM_VALUE;
 }
 
 void rp_codec_reader_fail(struct rp_codec_reader *reader, const char *name,
@@ -116,11 +118,11 @@
         rp_codec_reader_fail(reader, name, RP_CODEC_BOOLEAN_NEEDED);
 }
 
-int rp_codec_reader_word(struct rp_codec_reader *reader, const char *name,
-                         struct rp_codec_words words) {
-    int value = rp_codec_find_word(reader->object, name, words);
-    if (value != RP_CODEC_NO_WORD)
+int rp_codec_reader_enum_value(struct rp_codec_reader *reader, const char *name,
+                               struct rp_codec_enum_names names) {
+    int value = rp_codec_find_enum_value(reader->object, name, names);
+    if (value != RP_CODEC_NO_ENUM_VALUE)
         return value;
-    rp_codec_reader_fail(reader, name, RP_CODEC_UNKNOWN_WORD);
+    rp_codec_reader_fail(reader, name, RP_CODEC_UNKNOWN_ENUM_NAME);
     return 0;
 }
--- a/src/protocol/job_codec.c
+++ b/src/protocol/job_codec.c
@@ -6,23 +6,25 @@
 #include "base/memory.h"
 
 #define ID_PREFIX "j-"
-#define ID_DIGITS_MAX 20       /* of 2^64 - 1 */
-#define ALLOWED_TYPES_MAX 1000 /* a bound on what a submission makes a node allocate */
+#define ID_DIGITS_MAX 20 /* digits of 2^64 - 1 */
+/* Maximum length of a submission's list of allowed machine types. It bounds the memory that a
+ * submission makes a node allocate. */
+#define ALLOWED_TYPES_MAX 1000
 
-static const char *const kind_words[] = {
+static const char *const kind_names[] = {
     [RP_JOB_ARRAY] = "sweep",
     [RP_JOB_GANG] = "ensemble",
     [RP_JOB_SERVICE] = "service",
 };
-static const struct rp_codec_words kinds = RP_CODEC_WORDS(kind_words);
+static const struct rp_codec_enum_names kinds = RP_CODEC_ENUM_NAMES(kind_names);
 
-static const char *const priority_words[] = {
+static const char *const priority_names[] = {
     [RP_PRIORITY_LOW] = "low",
     [RP_PRIORITY_NORMAL] = "normal",
     [RP_PRIORITY_HIGH] = "urgent",
     [RP_PRIORITY_CRITICAL] = "critical",
 };
-static const struct rp_codec_words priorities = RP_CODEC_WORDS(priority_words);
+static const struct rp_codec_enum_names priorities = RP_CODEC_ENUM_NAMES(priority_names);
 
 bool rp_job_codec_is_id(const char *text) {
     size_t n_digits = 0;
@@ -69,11 +71,12 @@
         rp_codec_reader_fail(reader, "yard", RP_CODEC_ZONE_NEEDED);
 }
 
+/* Reads the number of tasks and what each of them requires. */
 static void read_tasks(struct rp_codec_reader *reader, struct rp_job_spec *out) {
     read_n_tasks(reader, out);
-    rp_codec_reader_amount(reader, "vcpus", &out->each.cpus);
-    rp_codec_reader_amount(reader, "cards", &out->each.gpus);
-    rp_codec_reader_amount(reader, "memory_gb", &out->each.memory_gb);
+    rp_codec_reader_amount(reader, "vcpus", &out->task_resources.cpus);
+    rp_codec_reader_amount(reader, "cards", &out->task_resources.gpus);
+    rp_codec_reader_amount(reader, "memory_gb", &out->task_resources.memory_gb);
     rp_codec_reader_text(reader, "payload", out->image, sizeof out->image);
     rp_codec_reader_amount(reader, "image_gb", &out->image_gb);
     read_allowed_types(reader, out);
@@ -92,15 +95,15 @@
         rp_codec_reader_fail(&reader, "ref", RP_CODEC_NOT_A_JOB_ID);
     rp_codec_reader_text(&reader, "rig", out->class_name, sizeof out->class_name);
     rp_codec_reader_text(&reader, "crew", out->team, sizeof out->team);
-    out->kind = (enum rp_job_kind)rp_codec_reader_word(&reader, "haul", kinds);
-    out->priority = (enum rp_priority)rp_codec_reader_word(&reader, "precedence", priorities);
+    out->kind = (enum rp_job_kind)rp_codec_reader_enum_value(&reader, "haul", kinds);
+    out->priority = (enum rp_priority)rp_codec_reader_enum_value(&reader, "precedence", priorities);
     read_tasks(&reader, out);
     rp_codec_reader_flag(&reader, "one_zone", &out->one_zone);
     rp_codec_reader_flag(&reader, "spread", &out->spread);
     rp_codec_reader_flag(&reader, "loaners", &out->spot);
-    rp_codec_reader_amount(&reader, "run_guess_s", &out->estimate_s);
-    rp_codec_reader_amount(&reader, "brace_every_s", &out->checkpoint_s);
-    rp_codec_reader_amount(&reader, "brace_s", &out->save_s);
+    rp_codec_reader_amount(&reader, "run_guess_s", &out->run_time_estimate_s);
+    rp_codec_reader_amount(&reader, "brace_every_s", &out->checkpoint_interval_s);
+    rp_codec_reader_amount(&reader, "brace_s", &out->save_duration_s);
     if (rp_codec_reader_optional(&reader, "due_s"))
         rp_codec_reader_amount(&reader, "due_s", &out->deadline_s);
     *error = reader.error;
@@ -126,11 +129,11 @@
     return json_pack(
         "{s:s,s:s,s:s,s:s,s:s,s:i,s:f,s:f,s:f,s:s,s:f,s:o*,s:s*,s:b,s:b,s:b,s:f,s:f,s:f,s:o*}",
         "ref", spec->id, "rig", spec->class_name, "crew", spec->team, "haul",
-        kind_words[spec->kind], "precedence", priority_words[spec->priority], "lifts",
-        (int)spec->n_tasks, "vcpus", spec->each.cpus, "cards", spec->each.gpus, "memory_gb",
-        spec->each.memory_gb, "payload", spec->image, "image_gb", spec->image_gb, "frames", types,
-        "yard", *spec->zone ? spec->zone : NULL, "one_zone", spec->one_zone, "spread", spec->spread,
-        "loaners", spec->spot, "run_guess_s", spec->estimate_s, "brace_every_s", spec->checkpoint_s,
-        "brace_s", spec->save_s, "due_s",
-        spec->deadline_s > 0 ? json_real(spec->deadline_s) : NULL);
+        kind_names[spec->kind], "precedence", priority_names[spec->priority], "lifts",
+        (int)spec->n_tasks, "vcpus", spec->task_resources.cpus, "cards", spec->task_resources.gpus,
+        "memory_gb", spec->task_resources.memory_gb, "payload", spec->image, "image_gb",
+        spec->image_gb, "frames", types, "yard", *spec->zone ? spec->zone : NULL, "one_zone",
+        spec->one_zone, "spread", spec->spread, "loaners", spec->spot, "run_guess_s",
+        spec->run_time_estimate_s, "brace_every_s", spec->checkpoint_interval_s, "brace_s",
+        spec->save_duration_s, "due_s", spec->deadline_s > 0 ? json_real(spec->deadline_s) : NULL);
 }
--- a/src/protocol/kv_codec.c
+++ b/src/protocol/kv_codec.c
@@ -21,8 +21,8 @@
     return out->key && out->value;
 }
 
-size_t rp_kv_codec_n_items(const json_t *body, bool *more) {
-    *more = json_is_true(json_object_get(body, "has_next"));
+size_t rp_kv_codec_n_items(const json_t *body, bool *has_more) {
+    *has_more = json_is_true(json_object_get(body, "has_next"));
     return json_array_size(json_object_get(body, "rows"));
 }
 
@@ -36,10 +36,10 @@
 
 bool rp_kv_codec_read_event_at(const json_t *body, size_t index, struct rp_kv_item *out) {
     const json_t *event = json_array_get(json_object_get(body, "log"), index);
-    const char *changed = json_string_value(json_object_get(event, "write"));
-    const char *deleted = json_string_value(json_object_get(event, "delete"));
-    out->key = changed ? changed : deleted;
-    out->value = changed ? json_object_get(event, "v") : NULL;
+    const char *written_key = json_string_value(json_object_get(event, "write"));
+    const char *deleted_key = json_string_value(json_object_get(event, "delete"));
+    out->key = written_key ? written_key : deleted_key;
+    out->value = written_key ? json_object_get(event, "v") : NULL;
     out->revision = read_number(event, "key_rev");
     out->lease = 0;
     return out->key != NULL;
--- a/src/protocol/user_codec.c
+++ b/src/protocol/user_codec.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-static const char *const phase_words[] = {
+static const char *const phase_names[] = {
     [RP_JOB_QUEUED] = "pending",
     [RP_JOB_RUNNING] = "running",
     [RP_JOB_DONE] = "done",
@@ -31,7 +31,7 @@
 }
 
 char *rp_user_codec_write_job_status(const struct rp_job_status *status) {
-    const char *phase = phase_words[status->phase];
+    const char *phase = phase_names[status->phase];
     if (status->phase == RP_JOB_DONE || status->phase == RP_JOB_CANCELLED)
         return rp_codec_write(json_pack("{s:s,s:s}", "ref", status->id, "tension", phase));
     return rp_codec_write(json_pack("{s:s,s:s,s:i,s:i}", "ref", status->id, "tension", phase,
--- a/src/protocol/worker_codec.c
+++ b/src/protocol/worker_codec.c
@@ -7,16 +7,16 @@
 #include "base/memory.h"
 #include "model/job_spec.h"
 
-/* Bytes of "JOB/TASK" with its NUL. */
-#define TASK_NAME_MAX (RP_ID_MAX + 16)
+/* Bytes of a task's name, "JOB/TASK", with its NUL. */
+#define TASK_NAME_BYTES (RP_ID_MAX + 16)
 
-static const char *const task_state_words[] = {
+static const char *const task_state_names[] = {
     [RP_TASK_FETCHING] = "fetching", [RP_TASK_WAITING] = "waiting", [RP_TASK_RUNNING] = "running",
     [RP_TASK_SAVING] = "flushing",   [RP_TASK_EXITED] = "exited",
 };
-static const struct rp_codec_words task_states = RP_CODEC_WORDS(task_state_words);
+static const struct rp_codec_enum_names task_states = RP_CODEC_ENUM_NAMES(task_state_names);
 
-static const char *const exit_reason_words[] = {
+static const char *const exit_reason_names[] = {
     [RP_EXIT_NONE] = "",
     [RP_EXIT_DONE] = "done",
     [RP_EXIT_STOPPED] = "halted",
@@ -27,15 +27,15 @@
     [RP_EXIT_ALREADY_PRESENT] = "in_use",
     [RP_EXIT_UNKNOWN_TASK] = "no_such",
 };
-static const struct rp_codec_words exit_reasons = RP_CODEC_WORDS(exit_reason_words);
+static const struct rp_codec_enum_names exit_reasons = RP_CODEC_ENUM_NAMES(exit_reason_names);
 
-static const char *const command_words[] = {
+static const char *const command_names[] = {
     [RP_COMMAND_START] = "run",
     [RP_COMMAND_STOP] = "halt",
     [RP_COMMAND_FORGET] = "forget",
 };
 
-/* Reads "j-000412/3". */
+/* Splits a task's name such as "j-000412/3" into the job's id and the task's index. */
 static bool read_task_name(const char *text, char job[RP_ID_MAX], uint32_t *task) {
     const char *slash = text ? strrchr(text, '/') : NULL;
     if (!slash || (size_t)(slash - text) >= RP_ID_MAX || !isdigit((unsigned char)slash[1]))
@@ -50,16 +50,16 @@
     return true;
 }
 
-/* A reason that this version doesn't know, or that is missing, is RP_EXIT_OTHER. */
+/* Returns RP_EXIT_OTHER for a reason that is missing or unknown to this version. */
 static enum rp_exit_reason read_exit_reason(const json_t *object) {
-    int reason = rp_codec_find_word(object, "slack_reason", exit_reasons);
+    int reason = rp_codec_find_enum_value(object, "slack_reason", exit_reasons);
     return reason > RP_EXIT_NONE ? (enum rp_exit_reason)reason : RP_EXIT_OTHER;
 }
 
 static bool read_task_status(const json_t *object, struct rp_task_status *out) {
     const char *name = json_string_value(json_object_get(object, "lift"));
-    int state = rp_codec_find_word(object, "tension", task_states);
-    if (state == RP_CODEC_NO_WORD || !read_task_name(name, out->job, &out->task) ||
+    int state = rp_codec_find_enum_value(object, "tension", task_states);
+    if (state == RP_CODEC_NO_ENUM_VALUE || !read_task_name(name, out->job, &out->task) ||
         !rp_codec_read_count(object, "pull", &out->attempt))
         return false;
     out->state = (enum rp_task_state)state;
@@ -75,7 +75,7 @@
            rp_codec_copy_string(value, "yard", out->zone, RP_TEXT_MAX) && *out->machine;
 }
 
-static bool read_numbers(const json_t *value, struct rp_heartbeat *out) {
+static bool read_sequence_numbers(const json_t *value, struct rp_heartbeat *out) {
     return rp_codec_read_count(value, "stint", &out->incarnation) &&
            rp_codec_read_count(value, "tick", &out->seq) &&
            rp_codec_read_count(value, "warrant", &out->fencing_token);
@@ -84,7 +84,7 @@
 static bool read_heartbeat(const json_t *value, struct rp_heartbeat *out) {
     const json_t *tasks = json_object_get(value, "lifts");
     const json_t *notice = json_object_get(value, "recall_s");
-    if (!read_machine(value, out) || !read_numbers(value, out) || !json_is_array(tasks))
+    if (!read_machine(value, out) || !read_sequence_numbers(value, out) || !json_is_array(tasks))
         return false;
     out->spot = json_is_true(json_object_get(value, "loaners"));
     out->has_notice = json_is_number(notice);
@@ -114,9 +114,9 @@
 }
 
 static json_t *write_command(const struct rp_command *command) {
-    char task[TASK_NAME_MAX];
+    char task[TASK_NAME_BYTES];
     snprintf(task, sizeof task, "%s/%u", command->job, command->task);
-    json_t *value = json_pack("{s:s,s:s,s:I}", "signal", command_words[command->kind], "lift", task,
+    json_t *value = json_pack("{s:s,s:s,s:I}", "signal", command_names[command->kind], "lift", task,
                               "pull", (json_int_t)command->attempt);
     if (command->kind == RP_COMMAND_STOP)
         json_object_set_new(value, "ease_s", json_real(command->grace_s));
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -36,8 +36,8 @@
     scheduler->settings = settings;
     scheduler->timer = (struct rp_timer){.fn = on_cycle_timer, .arg = scheduler};
     for (size_t i = 0; i < settings->tuning.n_heuristics; i++)
-        if (rp_heuristic_named(settings->tuning.heuristics[i],
-                               &scheduler->heuristics[scheduler->n_heuristics]))
+        if (rp_heuristic_from_name(settings->tuning.heuristics[i],
+                                   &scheduler->heuristics[scheduler->n_heuristics]))
             scheduler->n_heuristics++;
 }
 
@@ -204,7 +204,7 @@
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state != RP_ALLOCATION_EXITED)
             use->by_task_state[allocation->task_state] +=
-                main_resource(capacity, &allocation->job->spec.each);
+                main_resource(capacity, &allocation->job->spec.task_resources);
     }
 }
 
--- a/src/scheduler/gang_reservation.c
+++ b/src/scheduler/gang_reservation.c
@@ -39,7 +39,8 @@
         return false;
     return rp_cluster_is_allowed(scheduler->cluster, &job->spec, machine->type, machine->zone,
                                  machine->spot) &&
-           !(rp_plan_share_of_machine(&job->spec.each, &machine->capacity) <= EXCLUSIVE_SHARE);
+           !(rp_plan_share_of_machine(&job->spec.task_resources, &machine->capacity) <=
+             EXCLUSIVE_SHARE);
 }
 
 static bool find_candidate(struct rp_scheduler *scheduler, const struct rp_job *job,
@@ -48,7 +49,7 @@
     *candidate = (struct candidate){.machine = machine->ref};
     if (!may_reserve(scheduler, job, machine))
         return false;
-    candidate->free_after_s = rp_plan_machine_fits_after_s(machine, &job->spec.each);
+    candidate->free_after_s = rp_plan_machine_fits_after_s(machine, &job->spec.task_resources);
     if (candidate->free_after_s > RP_FREE_SOON_S && job->spec.priority >= RP_PRIORITY_HIGH &&
         scheduler->settings->tuning.preemption &&
         rp_preemption_cost(scheduler, machine->ref, job, now) >= 0) {
--- a/src/scheduler/group_input.c
+++ b/src/scheduler/group_input.c
@@ -37,7 +37,7 @@
             }
     /* Work without GPUs stays off the machines that have them: it would sit where whole-machine
      * work has to go, at many times the price. It only takes what that leaves. */
-    bool keep_off = spec->each.gpus <= 0 && plain;
+    bool keep_off = spec->task_resources.gpus <= 0 && plain;
     group->types = keep_off ? plain : types;
     group->spare_types = keep_off && spec->kind == RP_JOB_ARRAY ? types & ~plain : 0;
 }
@@ -107,7 +107,7 @@
         .kind = spec->kind,
         .priority = spec->priority,
         .n_tasks = n,
-        .each = spec->each,
+        .each = spec->task_resources,
         .run_s = spec->kind == RP_JOB_SERVICE ? scheduler->settings->tuning.billing_unit_s : run,
         .image_gb = spec->image_gb,
         .age_s = rp_job_age_s(job, now),
@@ -137,7 +137,7 @@
     if (job->team < 0)
         return 0;
     struct rp_resources *left = &input->guarantees_left[job->team];
-    const struct rp_resources *each = &job->spec.each;
+    const struct rp_resources *each = &job->spec.task_resources;
     if (left->cpus <= 0 && left->gpus <= 0)
         return 0;
     uint32_t most = job->spec.kind == RP_JOB_GANG ? 1 : n;
@@ -169,7 +169,7 @@
         return;
     /* Large jobs that are given up so that more small ones are in time begin all the same: the
      * users want the first task of every job within four minutes. */
-    if (scheduler->short_of_capacity[job->spec.each.gpus > 0] && !begun && n > 1 &&
+    if (scheduler->short_of_capacity[job->spec.task_resources.gpus > 0] && !begun && n > 1 &&
         job->spec.kind == RP_JOB_ARRAY && input->plan_input.n_groups + 1 < most &&
         rp_job_age_s(job, now) > BEGIN_AFTER_S) {
         build_group(scheduler, job, 1, &input->groups[input->plan_input.n_groups], now);
--- a/src/scheduler/machine_draining.c
+++ b/src/scheduler/machine_draining.c
@@ -54,7 +54,8 @@
         work.busy_s =
             fmax(work.busy_s, rp_task_moves_occupied_s(scheduler, machine, allocation, now));
         if (allocation->job->spec.kind == RP_JOB_SERVICE)
-            work.replica_share += rp_plan_share_of_machine(&allocation->job->spec.each, capacity);
+            work.replica_share +=
+                rp_plan_share_of_machine(&allocation->job->spec.task_resources, capacity);
     }
     return work;
 }
--- a/src/scheduler/machine_input.c
+++ b/src/scheduler/machine_input.c
@@ -30,7 +30,7 @@
         double age = rp_ts_since(now, allocation->planned_at);
         bool service = allocation->job->spec.kind == RP_JOB_SERVICE;
         out->busy_s = fmax(out->busy_s, left);
-        if (allocation->job->spec.each.gpus > 0)
+        if (allocation->job->spec.task_resources.gpus > 0)
             out->own_busy_s = fmax(out->own_busy_s, left);
         out->first_arrival_s = fmax(out->first_arrival_s, age);
         out->last_arrival_s = sum == 0 ? age : fmin(out->last_arrival_s, age);
@@ -39,13 +39,14 @@
          * nothing can count on the room. */
         if (service) {
             out->service_share +=
-                rp_plan_share_of_machine(&allocation->job->spec.each, &out->capacity);
+                rp_plan_share_of_machine(&allocation->job->spec.task_resources, &out->capacity);
             continue;
         }
-        out->work_s += left * rp_plan_share_of_machine(&allocation->job->spec.each, &out->capacity);
-        insert_release(ends, &out->n_releases, left, &allocation->job->spec.each);
+        out->work_s +=
+            left * rp_plan_share_of_machine(&allocation->job->spec.task_resources, &out->capacity);
+        insert_release(ends, &out->n_releases, left, &allocation->job->spec.task_resources);
         if (left <= out->free_later_after_s)
-            rp_resources_add(&out->free_later, &allocation->job->spec.each);
+            rp_resources_add(&out->free_later, &allocation->job->spec.task_resources);
     }
     out->mean_arrival_s = machine->n_allocations ? sum / (double)machine->n_allocations : 0;
 }
@@ -66,8 +67,8 @@
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state == RP_ALLOCATION_EXITED)
             continue;
-        if (allocation->job->spec.each.gpus <= 0)
-            rp_resources_sub(&spare, &allocation->job->spec.each);
+        if (allocation->job->spec.task_resources.gpus <= 0)
+            rp_resources_sub(&spare, &allocation->job->spec.task_resources);
         else if (allocation->task_state == RP_TASK_FETCHING)
             return (struct rp_resources){0};
     }
@@ -104,8 +105,8 @@
     if (job && rp_reservation_is_exclusive(job)) {
         out->reserved_for = job;
     } else if (job) {
-        rp_resources_sub(&out->free_now, &job->spec.each);
-        rp_resources_sub(&out->free_later, &job->spec.each);
+        rp_resources_sub(&out->free_now, &job->spec.task_resources);
+        rp_resources_sub(&out->free_later, &job->spec.task_resources);
     }
 }
 
@@ -129,7 +130,7 @@
     struct rp_resources sum = {0};
     double n_sum = 0;
     for (const struct rp_job *job = scheduler->jobs->table.first; job; job = job->next) {
-        const struct rp_resources *each = &job->spec.each;
+        const struct rp_resources *each = &job->spec.task_resources;
         if (each->gpus <= 0 || !rp_resources_fit(each, all))
             continue;
         double n = floor(all->gpus / each->gpus + 1e-9);
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -10,13 +10,14 @@
 #define PROGRESS_LOST_S 5.0 /* what a task that saves is taken to lose at most */
 
 double rp_preemption_grace_s(const struct rp_job_spec *spec) {
-    return spec->checkpoint_s > 0 ? spec->save_s * GRACE_FACTOR + GRACE_MARGIN_S : 0;
+    return spec->checkpoint_interval_s > 0 ? spec->save_duration_s * GRACE_FACTOR + GRACE_MARGIN_S
+                                           : 0;
 }
 
 double rp_preemption_lost_s(const struct rp_allocation *allocation, struct timespec now) {
     double ran_s =
         rp_ts_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
-    return allocation->job->spec.checkpoint_s > 0 ? fmin(ran_s, PROGRESS_LOST_S) : ran_s;
+    return allocation->job->spec.checkpoint_interval_s > 0 ? fmin(ran_s, PROGRESS_LOST_S) : ran_s;
 }
 
 static bool may_preempt_task(const struct rp_allocation *allocation, enum rp_priority above) {
@@ -28,18 +29,19 @@
                           const struct rp_job *job, struct timespec now) {
     struct rp_resources available = rp_machine_free_resources(scheduler->cluster, machine);
     double cost = 1;
-    for (size_t i = 0; i < machine->n_allocations && !rp_resources_fit(&job->spec.each, &available);
+    for (size_t i = 0;
+         i < machine->n_allocations && !rp_resources_fit(&job->spec.task_resources, &available);
          i++) {
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (!may_preempt_task(allocation, job->spec.priority))
             continue;
-        rp_resources_add(&available, &allocation->job->spec.each);
+        rp_resources_add(&available, &allocation->job->spec.task_resources);
         /* What is being stopped already costs nothing more: so a second probe chooses the same
          * machine again, and not one more. */
         if (!allocation->stop_requested)
             cost += rp_preemption_lost_s(allocation, now);
     }
-    return rp_resources_fit(&job->spec.each, &available) ? cost : -1;
+    return rp_resources_fit(&job->spec.task_resources, &available) ? cost : -1;
 }
 
 /* What the machine has free once the lower tasks that are being stopped there have ended. */
@@ -50,7 +52,7 @@
     for (size_t i = 0; i < machine->n_allocations; i++)
         if (machine->allocations[i].stop_requested &&
             may_preempt_task(&machine->allocations[i], job->spec.priority))
-            rp_resources_add(&available, &machine->allocations[i].job->spec.each);
+            rp_resources_add(&available, &machine->allocations[i].job->spec.task_resources);
     return available;
 }
 
@@ -60,11 +62,11 @@
     unsigned n_stopped = 0;
     double longest_grace_s = 0;
     for (size_t i = machine->n_allocations;
-         i-- > 0 && !rp_resources_fit(&job->spec.each, &available);) {
+         i-- > 0 && !rp_resources_fit(&job->spec.task_resources, &available);) {
         struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->stop_requested || !may_preempt_task(allocation, job->spec.priority))
             continue;
-        rp_resources_add(&available, &allocation->job->spec.each);
+        rp_resources_add(&available, &allocation->job->spec.task_resources);
         n_stopped++;
         if (allocation->state == RP_ALLOCATION_PLANNED) {
             rp_allocation_remove(scheduler->cluster, machine, i);
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -31,7 +31,7 @@
         for (size_t i = 0; i < machine->n_allocations; i++)
             if (is_counted(&machine->allocations[i]))
                 rp_resources_add(&surplus->of[machine->allocations[i].job->team],
-                                 &machine->allocations[i].job->spec.each);
+                                 &machine->allocations[i].job->spec.task_resources);
     return true;
 }
 
@@ -42,7 +42,7 @@
         allocation->job->spec.kind != RP_JOB_ARRAY)
         return false;
     const struct rp_resources *over = &surplus->of[allocation->job->team];
-    const struct rp_resources *each = &allocation->job->spec.each;
+    const struct rp_resources *each = &allocation->job->spec.task_resources;
     return over->cpus >= each->cpus - EPSILON && over->gpus >= each->gpus - EPSILON;
 }
 
@@ -53,7 +53,7 @@
     for (size_t i = 0; i < machine->n_allocations; i++)
         if (machine->allocations[i].state != RP_ALLOCATION_EXITED &&
             machine->allocations[i].stop_requested)
-            rp_resources_add(&available, &machine->allocations[i].job->spec.each);
+            rp_resources_add(&available, &machine->allocations[i].job->spec.task_resources);
     return available;
 }
 
@@ -73,10 +73,10 @@
         struct rp_resources soon = free_after_stops(scheduler, machine);
         if (!is_usable_for(scheduler, machine, job))
             continue;
-        for (; rp_resources_fit(&job->spec.each, &soon); tasks++)
-            rp_resources_sub(&soon, &job->spec.each);
-        for (; tasks > 0 && rp_resources_fit(&job->spec.each, &now); tasks--)
-            rp_resources_sub(&now, &job->spec.each);
+        for (; rp_resources_fit(&job->spec.task_resources, &soon); tasks++)
+            rp_resources_sub(&soon, &job->spec.task_resources);
+        for (; tasks > 0 && rp_resources_fit(&job->spec.task_resources, &now); tasks--)
+            rp_resources_sub(&now, &job->spec.task_resources);
     }
     return tasks;
 }
@@ -88,31 +88,32 @@
                                 struct timespec now) {
     struct rp_resources available = free_after_stops(scheduler, machine);
     double cost = 0;
-    if (rp_resources_fit(&job->spec.each, &available))
+    if (rp_resources_fit(&job->spec.task_resources, &available))
         return -1; /* it has room already, or will have */
-    for (size_t i = 0; i < machine->n_allocations && !rp_resources_fit(&job->spec.each, &available);
+    for (size_t i = 0;
+         i < machine->n_allocations && !rp_resources_fit(&job->spec.task_resources, &available);
          i++) {
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (!may_stop(surplus, allocation, job))
             continue;
         cost += rp_preemption_lost_s(allocation, now);
-        rp_resources_add(&available, &allocation->job->spec.each);
+        rp_resources_add(&available, &allocation->job->spec.task_resources);
     }
-    return rp_resources_fit(&job->spec.each, &available) ? cost : -1;
+    return rp_resources_fit(&job->spec.task_resources, &available) ? cost : -1;
 }
 
 static void stop_tasks(struct rp_scheduler *scheduler, struct surplus *surplus,
                        struct rp_machine *machine, const struct rp_job *job) {
     struct rp_resources available = free_after_stops(scheduler, machine);
     for (size_t i = machine->n_allocations;
-         i-- > 0 && !rp_resources_fit(&job->spec.each, &available);) {
+         i-- > 0 && !rp_resources_fit(&job->spec.task_resources, &available);) {
         struct rp_allocation *allocation = &machine->allocations[i];
         const struct rp_job_spec *spec = &allocation->job->spec;
         if (!may_stop(surplus, allocation, job))
             continue;
-        rp_resources_add(&available, &spec->each);
-        surplus->of[allocation->job->team].cpus -= spec->each.cpus;
-        surplus->of[allocation->job->team].gpus -= spec->each.gpus;
+        rp_resources_add(&available, &spec->task_resources);
+        surplus->of[allocation->job->team].cpus -= spec->task_resources.cpus;
+        surplus->of[allocation->job->team].gpus -= spec->task_resources.gpus;
         if (allocation->state == RP_ALLOCATION_PLANNED) {
             rp_allocation_remove(scheduler->cluster, machine, i);
             continue;
--- a/src/scheduler/replica_placement.c
+++ b/src/scheduler/replica_placement.c
@@ -96,7 +96,7 @@
     if (lost_s < 0)
         return -1;
     const struct rp_resources *capacity = &services->catalog->types[machine->type].capacity;
-    bool wastes_gpus = capacity->gpus > 0 && job->spec.each.gpus <= 0;
+    bool wastes_gpus = capacity->gpus > 0 && job->spec.task_resources.gpus <= 0;
     struct held_replicas held = held_replicas(machine, job);
     double penalty_s = fetch_s(services, machine, job, now) + lost_s * LOST_WORK_SHARE;
     penalty_s +=
--- a/src/scheduler/replica_preemption.c
+++ b/src/scheduler/replica_preemption.c
@@ -26,7 +26,7 @@
 static double lost_work_s(const struct rp_allocation *allocation, struct timespec now) {
     double ran_s =
         rp_ts_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
-    double checkpoint_s = allocation->job->spec.checkpoint_s;
+    double checkpoint_s = allocation->job->spec.checkpoint_interval_s;
     return allocation->state == RP_ALLOCATION_PLANNED
                ? 0
                : STOP_COST_S + (checkpoint_s > 0 ? fmin(ran_s, checkpoint_s) : ran_s);
@@ -34,9 +34,9 @@
 
 static void note_release(struct rp_released_resources *freed,
                          const struct rp_allocation *allocation, const struct rp_job *job) {
-    rp_resources_add(&freed->capacity, &allocation->job->spec.each);
+    rp_resources_add(&freed->capacity, &allocation->job->spec.task_resources);
     if (allocation->job->team == job->team)
-        rp_resources_add(&freed->quota, &allocation->job->spec.each);
+        rp_resources_add(&freed->quota, &allocation->job->spec.task_resources);
 }
 
 /* What stops under way on the machine give back before anything that is started there now. */
@@ -58,7 +58,7 @@
     struct rp_resources available = rp_machine_free_resources(services->cluster, machine);
     struct rp_resources over_limit = rp_cluster_over_quota(services->cluster, job);
     rp_resources_add(&available, &freed->capacity);
-    if (!rp_resources_fit(&job->spec.each, &available))
+    if (!rp_resources_fit(&job->spec.task_resources, &available))
         return LACKS_CAPACITY;
     bool fits_quota = over_limit.cpus <= freed->quota.cpus && over_limit.gpus <= freed->quota.gpus;
     return fits_quota ? LACKS_NOTHING : LACKS_QUOTA;
@@ -137,8 +137,8 @@
                                          const struct rp_job *job) {
     struct rp_resources over_limit = rp_cluster_over_quota(services->cluster, job);
     double n_more = job->spec.n_tasks - job->n_allocated - 1.0;
-    over_limit.cpus += n_more * job->spec.each.cpus;
-    over_limit.gpus += n_more * job->spec.each.gpus;
+    over_limit.cpus += n_more * job->spec.task_resources.cpus;
+    over_limit.gpus += n_more * job->spec.task_resources.gpus;
     for (const struct rp_machine *machine = services->cluster->first; machine;
          machine = machine->next)
         for (size_t i = 0; i < machine->n_allocations; i++) {
@@ -146,8 +146,8 @@
             if (allocation->state == RP_ALLOCATION_EXITED || !allocation->stop_requested ||
                 allocation->job->team != job->team)
                 continue;
-            over_limit.cpus -= allocation->job->spec.each.cpus;
-            over_limit.gpus -= allocation->job->spec.each.gpus;
+            over_limit.cpus -= allocation->job->spec.task_resources.cpus;
+            over_limit.gpus -= allocation->job->spec.task_resources.gpus;
         }
     return over_limit;
 }
@@ -178,8 +178,8 @@
         }
         if (!best)
             return;
-        over_limit.cpus -= best->job->spec.each.cpus;
-        over_limit.gpus -= best->job->spec.each.gpus;
+        over_limit.cpus -= best->job->spec.task_resources.cpus;
+        over_limit.gpus -= best->job->spec.task_resources.gpus;
         stop_anywhere(services, from, best);
     }
 }
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -28,7 +28,7 @@
     if (rp_reservation_is_exclusive(job))
         return job;
     struct rp_resources room = rp_machine_free_resources(scheduler->cluster, machine);
-    return rp_resources_fit(&job->spec.each, &room) ? NULL : job;
+    return rp_resources_fit(&job->spec.task_resources, &room) ? NULL : job;
 }
 
 void rp_reservation_mark_jobs(const struct rp_scheduler *scheduler) {
--- a/src/scheduler/service_headroom.c
+++ b/src/scheduler/service_headroom.c
@@ -7,7 +7,7 @@
 void rp_service_headroom_note_arrival(struct rp_services *services, const struct rp_job *job,
                                       struct timespec now) {
     struct rp_service_arrivals *arrivals = &services->arrivals;
-    double cpus = job->spec.n_tasks * job->spec.each.cpus;
+    double cpus = job->spec.n_tasks * job->spec.task_resources.cpus;
     double decay = rp_ts_zero(arrivals->counted_at)
                        ? 0
                        : exp(-rp_ts_since(now, arrivals->counted_at) / ARRIVALS_S);
@@ -50,7 +50,7 @@
         if (allocation->state != RP_ALLOCATION_EXITED &&
             allocation->job->spec.kind == RP_JOB_ARRAY &&
             allocation->job->spec.priority < RP_PRIORITY_CRITICAL)
-            cpus += allocation->job->spec.each.cpus;
+            cpus += allocation->job->spec.task_resources.cpus;
     }
     return fmax(0, cpus);
 }
--- a/src/scheduler/task_moves.c
+++ b/src/scheduler/task_moves.c
@@ -34,7 +34,8 @@
 bool rp_task_moves_is_movable(const struct rp_allocation *allocation, struct timespec now) {
     const struct rp_job_spec *spec = &allocation->job->spec;
     bool is_replica = spec->kind == RP_JOB_SERVICE;
-    bool keeps_progress = is_replica || (spec->checkpoint_s > 0 && spec->kind == RP_JOB_ARRAY);
+    bool keeps_progress =
+        is_replica || (spec->checkpoint_interval_s > 0 && spec->kind == RP_JOB_ARRAY);
     bool is_running =
         allocation->state == RP_ALLOCATION_SEEN && allocation->task_state == RP_TASK_RUNNING;
     return is_running && !allocation->stop_requested && keeps_progress &&
@@ -69,7 +70,7 @@
     return rp_cluster_is_allowed(scheduler->cluster, &job->spec, target->type, target->zone,
                                  target->spot) &&
            rp_task_moves_may_change_zone(from, target, job) &&
-           rp_resources_fit(&job->spec.each, available) &&
+           rp_resources_fit(&job->spec.task_resources, available) &&
            rp_machine_has_image(target, job->image_hash);
 }
 
@@ -80,7 +81,7 @@
                             size_t *target, struct timespec now) {
     const struct rp_job *job = allocation->job;
     double left_s = rp_task_moves_occupied_s(scheduler, from, allocation, now) + RP_TASK_MOVE_S +
-                    job->spec.save_s;
+                    job->spec.save_duration_s;
     double best = -1;
     size_t index = 0;
     for (const struct rp_machine *other = scheduler->cluster->first; other;
@@ -120,12 +121,13 @@
             price = -1;
             break;
         }
-        rp_resources_sub(&moves->free[targets[n]], &allocation->job->spec.each);
+        rp_resources_sub(&moves->free[targets[n]], &allocation->job->spec.task_resources);
         price = fmax(price, more);
     }
     for (size_t i = 0; price < 0 && i < n; i++)
         if (targets[i] < moves->n)
-            rp_resources_add(&moves->free[targets[i]], &machine->allocations[i].job->spec.each);
+            rp_resources_add(&moves->free[targets[i]],
+                             &machine->allocations[i].job->spec.task_resources);
     free(targets);
     return price;
 }
--- a/src/store/kv_txn.h
+++ b/src/store/kv_txn.h
@@ -32,7 +32,8 @@
 void rp_kv_txn_put(struct rp_kv_txn *txn, const char *key, json_t *value, uint64_t lease);
 /** Adds a change: `key` is deleted. That it doesn't exist is no error. */
 void rp_kv_txn_delete(struct rp_kv_txn *txn, const char *key);
-/** The number of changes so far; the store limits it (`state_fit.txn_ops` in the settings). */
+/** The number of changes so far; the store limits it (`kv_limits_lowest.txn_ops` in the settings).
+ */
 size_t rp_kv_txn_n_ops(const struct rp_kv_txn *txn);
 /** The request's body, as text that the caller frees; the transaction stays as it is. */
 char *rp_kv_txn_encode(const struct rp_kv_txn *txn);
--- a/src/upgrade/format_upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -181,7 +181,8 @@
 static struct rp_kv_txn *build_activation(struct rp_upgrade *upgrade,
                                           const struct rp_kv_result *announcements) {
     const struct rp_settings *settings = upgrade->settings;
-    size_t n_conditions_left = CONDITIONS_PER_OP * settings->state_fit.txn_ops - OTHER_CONDITIONS;
+    size_t n_conditions_left =
+        CONDITIONS_PER_OP * settings->kv_limits_lowest.txn_ops - OTHER_CONDITIONS;
     char key[RP_KEY_MAX];
     struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(upgrade->election, txn);
--- a/src/worker/spot_notice.c
+++ b/src/worker/spot_notice.c
@@ -12,10 +12,10 @@
                             size_t index) {
     struct rp_allocation *allocation = &machine->allocations[index];
     const struct rp_job_spec *spec = &allocation->job->spec;
-    double save_s = spec->save_s * SAVE_FACTOR + SAVE_SLACK_S;
+    double save_s = spec->save_duration_s * SAVE_FACTOR + SAVE_SLACK_S;
     bool has_begun =
         allocation->task_state != RP_TASK_FETCHING && allocation->task_state != RP_TASK_WAITING;
-    bool can_save = has_begun && spec->checkpoint_s > 0;
+    bool can_save = has_begun && spec->checkpoint_interval_s > 0;
     /* A gang's progress is safe only if all of its tasks are told within gang_peer_s (PROTOCOL,
      * "Gangs"): each machine sends a heartbeat before that. */
     if (spec->kind == RP_JOB_GANG && spec->n_tasks > 1 && !allocation->stop_requested)
--- a/tests/simulation/rules.c
+++ b/tests/simulation/rules.c
@@ -54,7 +54,7 @@
             if (!sim_task_is_placed(other))
                 continue;
             if (has_limit(&sim->jobs[other->job_index]))
-                survey.cpus += sim->jobs[other->job_index].spec.each.cpus;
+                survey.cpus += sim->jobs[other->job_index].spec.task_resources.cpus;
             if (other == task || other->job_index != task->job_index)
                 continue;
             check_other_task(sim, worker, task, other_worker, other);
@@ -235,7 +235,7 @@
             (struct rp_resources){sim_types[worker->type].cpus, 0, sim_types[worker->type].memory};
         for (int k = 0; k < worker->n_tasks; k++) {
             const struct sim_task *task = &worker->tasks[k];
-            const struct rp_resources *each = &sim->jobs[task->job_index].spec.each;
+            const struct rp_resources *each = &sim->jobs[task->job_index].spec.task_resources;
             if (task->state == RP_TASK_EXITED)
                 continue;
             survey->placed[task->job_index][task->index] = true;
@@ -260,8 +260,9 @@
                        (!*spec->zone || strcmp(spec->zone, sim_zones[worker->zone]) == 0);
         if (allowed)
             in_zone[worker->zone] += (unsigned)fmax(
-                0, floor(fmin(survey->capacity[i].cpus / spec->each.cpus + 1e-9,
-                              survey->capacity[i].memory_gb / spec->each.memory_gb + 1e-9)));
+                0,
+                floor(fmin(survey->capacity[i].cpus / spec->task_resources.cpus + 1e-9,
+                           survey->capacity[i].memory_gb / spec->task_resources.memory_gb + 1e-9)));
     }
     unsigned both = in_zone[0] + in_zone[1];
     unsigned larger = in_zone[0] > in_zone[1] ? in_zone[0] : in_zone[1];
@@ -290,7 +291,8 @@
     double limit = has_limit(job) ? sim->settings[0].teams[0].cpus_max : INFINITY;
     unsigned missing;
     unsigned needed = n_tasks_waiting(survey, job, index, &missing);
-    bool is_placeable = needed > 0 && survey->cpus + needed * spec->each.cpus <= limit + ROUNDING &&
+    bool is_placeable = needed > 0 &&
+                        survey->cpus + needed * spec->task_resources.cpus <= limit + ROUNDING &&
                         tasks_that_fit(sim, survey, spec) >= needed;
     if (!is_placeable)
         job->placeable_since = 0;
--- a/tests/simulation/tasks.c
+++ b/tests/simulation/tasks.c
@@ -41,11 +41,11 @@
         const struct sim_task *task = &worker->tasks[i];
         if (task->state == RP_TASK_EXITED)
             continue;
-        cpus += sim->jobs[task->job_index].spec.each.cpus;
-        memory_gb += sim->jobs[task->job_index].spec.each.memory_gb;
+        cpus += sim->jobs[task->job_index].spec.task_resources.cpus;
+        memory_gb += sim->jobs[task->job_index].spec.task_resources.memory_gb;
     }
-    return cpus + spec->each.cpus <= type->cpus + ROUNDING &&
-           memory_gb + spec->each.memory_gb <= type->memory + ROUNDING;
+    return cpus + spec->task_resources.cpus <= type->cpus + ROUNDING &&
+           memory_gb + spec->task_resources.memory_gb <= type->memory + ROUNDING;
 }
 
 /* What tests want to know of a start command that is carried out. */
@@ -103,10 +103,11 @@
         sim->breakage == SIM_WORKERS_IGNORE_STOPS || sim->breakage == SIM_RENEWED_WITHOUT_STOPS;
     if (is_ignored || task->state == RP_TASK_EXITED)
         return;
-    if (task->state == RP_TASK_RUNNING && spec->checkpoint_s > 0 && grace_s >= spec->save_s) {
+    if (task->state == RP_TASK_RUNNING && spec->checkpoint_interval_s > 0 &&
+        grace_s >= spec->save_duration_s) {
         task->state = RP_TASK_SAVING;
         task->stopped_at = sim->now;
-        task->ready_at = sim->now + spec->save_s;
+        task->ready_at = sim->now + spec->save_duration_s;
         worker->changed = true;
     } else if (task->state != RP_TASK_SAVING || grace_s == 0) {
         exit_task(worker, task, "halted", sim->now);
@@ -189,7 +190,7 @@
 
 static void run_task(struct sim *sim, struct sim_worker *worker, struct sim_task *task) {
     const struct sim_job *job = &sim->jobs[task->job_index];
-    double due_at = task->began_at + job->spec.estimate_s + task->index * job->stagger_s;
+    double due_at = task->began_at + job->spec.run_time_estimate_s + task->index * job->stagger_s;
     if (job->spec.kind == RP_JOB_GANG && sim->now > task->began_at + GANG_PEER_S &&
         count_gang_members(sim, task, false) < (int)job->spec.n_tasks) {
         exit_task(worker, task, "peers", sim->now);
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -49,7 +49,7 @@
 static void world_open(struct world *world) {
     struct rp_net net = {.ctx = &world->service, .call = keep_call};
     memset(world, 0, sizeof *world);
-    world->settings.state_fit.txn_ops = 2;
+    world->settings.kv_limits_lowest.txn_ops = 2;
     assert_int_equal(rp_loop_init(&world->loop, true), 0);
     world->loop.virtual_now = rp_ts(100);
     rp_kv_client_init(&world->state, &world->loop, net, "state", RPS, 10, 1, 0.6);
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -1,4 +1,4 @@
-/* Outside words to structs and back; records. */
+/* Codecs of users' and workers' messages and of the records of the key-value store. */
 #include "test.h"
 
 #include <gsl/gsl_rng.h>
@@ -9,7 +9,8 @@
 #include "protocol/worker_codec.h"
 #include "store/records.h"
 
-static const char good[] =
+/* A valid submission with all fields, an unknown one among them. */
+static const char valid_submission[] =
     "{\"ref\":\"j-000412\",\"rig\":\"train\",\"crew\":\"vision\",\"haul\":\"ensemble\","
     "\"precedence\":\"urgent\",\"lifts\":16,\"vcpus\":8.0,\"cards\":1,\"memory_gb\":64.0,"
     "\"payload\":\"img-07\",\"image_gb\":6.2,\"frames\":[\"g8\"],\"yard\":null,\"one_zone\":true,"
@@ -17,55 +18,58 @@
     "0,"
     "\"due_s\":900.0,\"new\":[1]}";
 
-static bool reads(const char *text) {
+static bool is_accepted(const char *text) {
     struct rp_job_spec spec;
     struct rp_codec_error error;
-    bool is_read = rp_user_codec_parse_submission(text, strlen(text), &spec, &error);
+    bool is_ok = rp_user_codec_parse_submission(text, strlen(text), &spec, &error);
     rp_job_spec_free(&spec);
-    return is_read;
+    return is_ok;
 }
 
-/* `good` with the value of a field replaced. */
-static bool reads_with(const char *field, const char *value) {
-    json_t *submission = json_loads(good, 0, NULL);
+/* Whether `valid_submission` is accepted with the value of a field replaced, or with the field
+ * removed when `value` is NULL. */
+static bool is_accepted_with(const char *field, const char *value) {
+    json_t *submission = json_loads(valid_submission, 0, NULL);
     json_t *replacement = value ? json_loads(value, JSON_DECODE_ANY, NULL) : NULL;
     if (value)
         json_object_set_new(submission, field, replacement);
     else
         json_object_del(submission, field);
     char *text = json_dumps(submission, 0);
-    bool is_read = reads(text);
+    bool is_ok = is_accepted(text);
     free(text);
     json_decref(submission);
-    return is_read;
+    return is_ok;
 }
 
-static void submissions(void **state) {
+static void valid_submission_reads_back_from_its_record(void **state) {
     struct rp_job_spec spec;
     struct rp_codec_error error;
     (void)state;
-    assert_true(rp_user_codec_parse_submission(good, strlen(good), &spec, &error));
+    assert_true(
+        rp_user_codec_parse_submission(valid_submission, strlen(valid_submission), &spec, &error));
     assert_string_equal(spec.id, "j-000412");
     assert_int_equal(spec.kind, RP_JOB_GANG);
     assert_int_equal(spec.priority, RP_PRIORITY_HIGH);
     assert_int_equal(spec.n_tasks, 16);
     assert_int_equal(spec.n_types, 1);
     assert_true(spec.zone[0] == '\0' && spec.one_zone && spec.deadline_s == 900);
-    /* The stored form reads back the same. */
+    /* The record of the job reads back as the same specification. */
     json_t *stored = rp_record_open(&spec, rp_ts(12.5));
-    struct rp_job_spec again;
+    struct rp_job_spec stored_spec;
     struct timespec submitted_at;
-    assert_true(rp_record_open_read(stored, &again, &submitted_at));
-    assert_true(rp_ts_s(submitted_at) == 12.5 && again.each.cpus == 8 && again.n_types == 1);
-    assert_string_equal(again.types[0], "g8");
-    rp_job_spec_free(&again);
+    assert_true(rp_record_open_read(stored, &stored_spec, &submitted_at));
+    assert_true(rp_ts_s(submitted_at) == 12.5 && stored_spec.task_resources.cpus == 8 &&
+                stored_spec.n_types == 1);
+    assert_string_equal(stored_spec.types[0], "g8");
+    rp_job_spec_free(&stored_spec);
     rp_job_spec_free(&spec);
     json_decref(stored);
-    assert_true(reads_with("frames", "null") && reads_with("frames", NULL));
-    assert_true(reads_with("due_s", NULL) && reads_with("yard", "\"a\""));
+    assert_true(is_accepted_with("frames", "null") && is_accepted_with("frames", NULL));
+    assert_true(is_accepted_with("due_s", NULL) && is_accepted_with("yard", "\"a\""));
 }
 
-static void bad_submissions(void **state) {
+static void malformed_submission_is_rejected(void **state) {
     static const char *const cases[][2] = {
         {"ref", "\"x-1\""},      {"ref", "\"j-\""},   {"ref", "\"j-1/2\""},  {"ref", "7"},
         {"lifts", "0"},          {"lifts", "100001"}, {"lifts", "1.5"},      {"lifts", "\"1\""},
@@ -76,13 +80,14 @@
         {"vcpus", NULL},         {"lifts", NULL},     {"spread", NULL},      {"brace_s", NULL}};
     (void)state;
     for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
-        if (reads_with(cases[i][0], cases[i][1]))
-            fail_msg("%s = %s was taken", cases[i][0], cases[i][1] ? cases[i][1] : "absent");
-    assert_false(reads("") || reads("[]") || reads("null") || reads("{") || reads("\xff"));
-    assert_false(reads("{\"vcpus\":1e999}"));
+        if (is_accepted_with(cases[i][0], cases[i][1]))
+            fail_msg("%s = %s was accepted", cases[i][0], cases[i][1] ? cases[i][1] : "absent");
+    assert_false(is_accepted("") || is_accepted("[]") || is_accepted("null") || is_accepted("{") ||
+                 is_accepted("\xff"));
+    assert_false(is_accepted("{\"vcpus\":1e999}"));
 }
 
-static void reports(void **state) {
+static void heartbeat_is_decoded_or_rejected(void **state) {
     static const char text[] =
         "{\"sheave\":\"vm-1\",\"address\":\"10.1.0.2:9000\",\"frame\":\"g8\",\"yard\":\"a\","
         "\"loaners\":true,\"stint\":1,\"tick\":88,\"warrant\":41,\"recall_s\":7.5,\"lifts\":["
@@ -100,9 +105,9 @@
     assert_false(rp_worker_codec_parse_heartbeat("{\"sheave\":\"vm-1\"}", 17, &heartbeat));
 }
 
-/* Bytes changed at random in good messages: read or refused, never a crash or a leak; what is read
- * stays within its limits. */
-static void mutated_messages(void **state) {
+/* Valid messages with randomly changed bytes are decoded or rejected, without a crash or a memory
+ * leak. What is decoded stays within its bounds. */
+static void mutated_messages_are_decoded_or_rejected(void **state) {
     static const char heartbeat_text[] =
         "{\"sheave\":\"vm-1\",\"address\":\"a:1\",\"frame\":\"g8\",\"yard\":\"a\",\"loaners\":true,"
         "\"stint\":1,\"tick\":88,\"warrant\":41,\"recall_s\":null,\"lifts\":[{\"lift\":"
@@ -111,20 +116,20 @@
     (void)state;
     gsl_rng_set(rng, 17);
     for (int trial = 0; trial < 20000; trial++) {
-        bool job = trial % 2;
+        bool is_submission = trial % 2;
         char text[1024];
         struct rp_codec_error error;
         struct rp_job_spec spec;
         struct rp_heartbeat heartbeat;
-        strcpy(text, job ? good : heartbeat_text);
+        strcpy(text, is_submission ? valid_submission : heartbeat_text);
         size_t len = strlen(text);
         for (unsigned k = 0; k <= gsl_rng_uniform_int(rng, 3); k++)
             text[gsl_rng_uniform_int(rng, len)] = (char)(32 + gsl_rng_uniform_int(rng, 96));
-        if (job && rp_user_codec_parse_submission(text, len, &spec, &error)) {
+        if (is_submission && rp_user_codec_parse_submission(text, len, &spec, &error)) {
             assert_true(rp_job_codec_is_id(spec.id) && spec.n_tasks >= 1 &&
-                        spec.n_tasks <= RP_TASKS_MAX && spec.each.cpus >= 0);
+                        spec.n_tasks <= RP_TASKS_MAX && spec.task_resources.cpus >= 0);
             rp_job_spec_free(&spec);
-        } else if (!job && rp_worker_codec_parse_heartbeat(text, len, &heartbeat)) {
+        } else if (!is_submission && rp_worker_codec_parse_heartbeat(text, len, &heartbeat)) {
             assert_true(heartbeat.n_tasks <= 1 && strlen(heartbeat.machine) < RP_TEXT_MAX);
             rp_heartbeat_free(&heartbeat);
         }
@@ -132,33 +137,35 @@
     gsl_rng_free(rng);
 }
 
-/* An answer's only line must stay below 64 KiB with the most commands it may carry. */
-static void answers_fit(void **state) {
-    struct rp_command *command = calloc(400, sizeof *command);
+/* The response to a heartbeat is a single line, which must stay below 64 KiB with the maximum
+ * number of commands. */
+static void largest_heartbeat_response_is_below_64_kib(void **state) {
+    struct rp_command *commands = calloc(400, sizeof *commands);
     (void)state;
-    assert_non_null(command);
+    assert_non_null(commands);
     for (int i = 0; i < 400; i++) {
-        command[i] = (struct rp_command){.kind = RP_COMMAND_STOP,
-                                         .task = 99999,
-                                         .attempt = UINT64_MAX >> 1,
-                                         .grace_s = 12.3456789};
-        strcpy(command[i].job, "j-12345678901234567890");
+        commands[i] = (struct rp_command){.kind = RP_COMMAND_STOP,
+                                          .task = 99999,
+                                          .attempt = UINT64_MAX >> 1,
+                                          .grace_s = 12.3456789};
+        strcpy(commands[i].job, "j-12345678901234567890");
     }
-    char *text = rp_worker_codec_write_heartbeat_response(UINT64_MAX >> 1, command, 400);
+    char *text = rp_worker_codec_write_heartbeat_response(UINT64_MAX >> 1, commands, 400);
     assert_less_than(strlen(text), 65536);
     free(text);
-    free(command);
+    free(commands);
 }
 
-/* A job of 100,000 tasks: every record stays far below the value limit and reads back. */
-static void progress(void **state) {
+/* The progress records of a job of 100,000 tasks stay far below the
+ * store's limit of a value's size, and read back unchanged. */
+static void progress_record_is_small_and_reads_back(void **state) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     uint8_t bits[RP_CHUNK_BYTES];
-    uint8_t back[RP_CHUNK_BYTES] = {0};
+    uint8_t read_bits[RP_CHUNK_BYTES] = {0};
     char key[RP_KEY_MAX];
     char job[RP_ID_MAX];
     unsigned chunk;
-    bool unit;
+    bool is_unit;
     (void)state;
     gsl_rng_set(rng, 3);
     for (size_t i = 0; i < sizeof bits; i++)
@@ -166,38 +173,39 @@
     json_t *value = rp_record_progress(bits, sizeof bits);
     char *text = json_dumps(value, 0);
     assert_less_than(strlen(text), 4096);
-    assert_true(rp_record_progress_read(value, back, sizeof back));
-    assert_memory_equal(bits, back, sizeof bits);
-    assert_false(rp_record_progress_read(value, back, 3));
+    assert_true(rp_record_progress_read(value, read_bits, sizeof read_bits));
+    assert_memory_equal(bits, read_bits, sizeof bits);
+    assert_false(rp_record_progress_read(value, read_bits, 3));
     free(text);
     json_decref(value);
     rp_key_progress(key, "j-000001", 12);
-    assert_true(rp_key_progress_read(key, job, &chunk, &unit) && !unit);
+    assert_true(rp_key_progress_read(key, job, &chunk, &is_unit) && !is_unit);
     assert_string_equal(job, "j-000001");
     assert_int_equal(chunk, 12);
     rp_key_unit(key, "j-000001", 48);
-    assert_true(rp_key_progress_read(key, job, &chunk, &unit) && unit);
+    assert_true(rp_key_progress_read(key, job, &chunk, &is_unit) && is_unit);
     assert_int_equal(chunk, 48);
-    assert_false(rp_key_progress_read(RP_KEY_PROGRESS "x", job, &chunk, &unit));
-    assert_false(rp_key_progress_read(RP_KEY_PROGRESS "j-1/u49", job, &chunk, &unit));
+    assert_false(rp_key_progress_read(RP_KEY_PROGRESS "x", job, &chunk, &is_unit));
+    assert_false(rp_key_progress_read(RP_KEY_PROGRESS "j-1/u49", job, &chunk, &is_unit));
     gsl_rng_free(rng);
 }
 
-/* ---- the version in production ---- */
+/* ---- records of version 0.1.0 ---- */
 
-/* Records as version 0.1.0 (commit f31ac04) wrote them: taken from the key-value store of a
- * simulated day of its nodes. Until the activation this version writes the same, to the letter of
- * their meaning; it reads them always. */
-static const char *const production_job =
+/* Records as version 0.1.0 (commit f31ac04) wrote them, copied from the key-value store of a
+ * simulated day of its nodes. Until the current format is activated, this version writes records
+ * that are equal as JSON values. It reads these records at any time. */
+static const char *const job_record_0_1_0 =
     "{\"spec\":{\"ref\":\"j-000001\",\"rig\":\"g\",\"crew\":\"t\",\"haul\":\"ensemble\","
     "\"precedence\":\"urgent\",\"lifts\":2,\"vcpus\":8.0,\"cards\":0.0,\"memory_gb\":2.0,"
     "\"payload\":\"img-1\",\"image_gb\":1.0,\"one_zone\":true,\"spread\":false,\"loaners\":true,"
     "\"run_guess_s\":90.0,\"brace_every_s\":5.0,\"brace_s\":1.0},\"at\":1796179601.6135132}";
-static const char *const production_rental =
+static const char *const provision_record_0_1_0 =
     "{\"type\":\"small\",\"zone\":\"b\",\"spot\":true,\"count\":2,\"asked\":1796179601.61427,"
     "\"machines\":[\"vm-000006\",\"vm-000007\"],\"up\":[\"vm-000006\"]}";
 
-static void same(json_t *written, const char *literal) {
+/* Checks that a record equals the JSON text `literal`, and releases the record. */
+static void assert_json_equal(json_t *written, const char *literal) {
     json_t *value = json_loads(literal, 0, NULL);
     assert_non_null(value);
     if (!json_equal(written, value))
@@ -206,50 +214,51 @@
     json_decref(written);
 }
 
-static void job_of_production(void) {
+static void check_job_record(void) {
     struct rp_job_spec spec;
     struct timespec submitted_at;
-    json_t *value = json_loads(production_job, 0, NULL);
+    json_t *value = json_loads(job_record_0_1_0, 0, NULL);
     assert_true(rp_record_open_read(value, &spec, &submitted_at));
     assert_true(spec.kind == RP_JOB_GANG && spec.n_tasks == 2 && spec.one_zone && spec.spot);
     json_decref(value);
     value = rp_record_open(&spec, submitted_at);
     assert_int_equal(rp_record_format(value), 1);
-    /* The time of day goes through a struct timespec: the same within a microsecond. */
+    /* The time of day is converted to a struct timespec and back, which keeps it within 1 us. */
     assert_true(fabs(json_number_value(json_object_get(value, "at")) - 1796179601.6135132) < 1e-6);
     json_object_set_new(value, "at", json_real(1796179601.6135132));
-    same(value, production_job);
+    assert_json_equal(value, job_record_0_1_0);
     rp_job_spec_free(&spec);
 }
 
-static void provision_request_of_production(void) {
+static void check_provision_record(void) {
     struct rp_provision_record record;
     const char *names[] = {"vm-000006", "vm-000007"};
     const bool is_up[] = {true, false};
-    json_t *value = json_loads(production_rental, 0, NULL);
+    json_t *value = json_loads(provision_record_0_1_0, 0, NULL);
     assert_true(rp_record_provision_read(value, &record) && record.answered && record.count == 2);
     assert_true(rp_record_provision_is_up(value, names[0]) &&
                 !rp_record_provision_is_up(value, names[1]));
     json_decref(value);
     value = rp_record_provision(&record, names, is_up, 2);
     json_object_set_new(value, "asked", json_real(1796179601.61427));
-    same(value, production_rental);
+    assert_json_equal(value, provision_record_0_1_0);
 }
 
-static void records_of_production(void **state) {
+static void records_of_0_1_0_are_read_and_written(void **state) {
     uint8_t bits[RP_CHUNK_BYTES] = {0x0f, 0xa0, 1};
-    uint8_t back[RP_CHUNK_BYTES] = {0};
+    uint8_t read_bits[RP_CHUNK_BYTES] = {0};
     enum rp_job_phase phase;
     (void)state;
-    job_of_production();
-    provision_request_of_production();
-    same(rp_record_terminal(RP_JOB_DONE), "{\"end\":\"done\"}");
-    same(rp_record_terminal(RP_JOB_CANCELLED), "{\"end\":\"cancelled\"}");
+    check_job_record();
+    check_provision_record();
+    assert_json_equal(rp_record_terminal(RP_JOB_DONE), "{\"end\":\"done\"}");
+    assert_json_equal(rp_record_terminal(RP_JOB_CANCELLED), "{\"end\":\"cancelled\"}");
     const struct rp_leader_record leader = {.node = "n0"};
-    same(rp_record_leader(&leader), "{\"node\":\"n0\"}");
-    same(rp_record_progress(bits, sizeof bits), "{\"done\":\"0fa001\"}");
+    assert_json_equal(rp_record_leader(&leader), "{\"node\":\"n0\"}");
+    assert_json_equal(rp_record_progress(bits, sizeof bits), "{\"done\":\"0fa001\"}");
     json_t *value = json_loads("{\"done\":\"0fa001\"}", 0, NULL);
-    assert_true(rp_record_progress_read(value, back, sizeof back) && memcmp(bits, back, 3) == 0);
+    assert_true(rp_record_progress_read(value, read_bits, sizeof read_bits) &&
+                memcmp(bits, read_bits, 3) == 0);
     json_decref(value);
     value = json_loads("{\"end\":\"cancelled\"}", 0, NULL);
     assert_true(rp_record_terminal_read(value, &phase) && phase == RP_JOB_CANCELLED);
@@ -259,31 +268,33 @@
     json_decref(value);
 }
 
-/* What nodes of format 1 read of marked records, and that they pass new keys over. */
-static void records_of_today(void **state) {
+/* Records that are marked with the current format read back, also after they were split into parts
+ * of any size. Records of a later format are rejected, and so are keys without a valid part index.
+ */
+static void current_format_reads_back_and_later_one_is_rejected(void **state) {
     struct rp_job_spec spec;
     struct timespec submitted_at;
-    json_t *pieces[RP_PARTS_MAX];
+    json_t *parts[RP_PARTS_MAX];
     char job[RP_ID_MAX];
     unsigned part;
     (void)state;
-    json_t *value = json_loads(production_job, 0, NULL);
+    json_t *value = json_loads(job_record_0_1_0, 0, NULL);
     rp_record_mark(value);
     assert_int_equal(rp_record_format(value), RP_FORMAT);
     assert_true(rp_record_open_read(value, &spec, &submitted_at));
     rp_job_spec_free(&spec);
-    for (size_t most = 160; most < 1000; most += 37) {
-        size_t n = rp_record_cut(value, most, pieces, RP_PARTS_MAX);
-        assert_true(n > 0 && rp_record_parts(pieces[0]) == n - 1);
+    for (size_t max_bytes = 160; max_bytes < 1000; max_bytes += 37) {
+        size_t n = rp_record_cut(value, max_bytes, parts, RP_PARTS_MAX);
+        assert_true(n > 0 && rp_record_parts(parts[0]) == n - 1);
         for (size_t i = 0; i < n; i++)
-            assert_true(rp_record_size(pieces[i]) <= most);
-        json_t *whole = rp_record_join(pieces, n);
-        assert_true(json_equal(whole, value));
-        json_decref(whole);
+            assert_true(rp_record_size(parts[i]) <= max_bytes);
+        json_t *joined = rp_record_join(parts, n);
+        assert_true(json_equal(joined, value));
+        json_decref(joined);
         for (size_t i = 0; i < n; i++)
-            json_decref(pieces[i]);
+            json_decref(parts[i]);
     }
-    assert_int_equal(rp_record_cut(value, 160, pieces, 2), 0);
+    assert_int_equal(rp_record_cut(value, 160, parts, 2), 0);
     json_object_set_new(value, "f", json_integer(RP_FORMAT + 1));
     assert_false(rp_record_open_read(value, &spec, &submitted_at));
     json_decref(value);
@@ -293,14 +304,15 @@
 }
 
 int main(int argc, char **argv) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(submissions),
-                                       cmocka_unit_test(bad_submissions),
-                                       cmocka_unit_test(reports),
-                                       cmocka_unit_test(answers_fit),
-                                       cmocka_unit_test(progress),
-                                       cmocka_unit_test(mutated_messages),
-                                       cmocka_unit_test(records_of_production),
-                                       cmocka_unit_test(records_of_today)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(valid_submission_reads_back_from_its_record),
+        cmocka_unit_test(malformed_submission_is_rejected),
+        cmocka_unit_test(heartbeat_is_decoded_or_rejected),
+        cmocka_unit_test(largest_heartbeat_response_is_below_64_kib),
+        cmocka_unit_test(progress_record_is_small_and_reads_back),
+        cmocka_unit_test(mutated_messages_are_decoded_or_rejected),
+        cmocka_unit_test(records_of_0_1_0_are_read_and_written),
+        cmocka_unit_test(current_format_reads_back_and_later_one_is_rejected)};
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
