--- a/src/config/tuning.c
+++ b/src/config/tuning.c
@@ -45,7 +45,7 @@
     AMOUNT(round_period_s, 10, 0.5, 60),
     AMOUNT(billing_unit_s, 20, 1, 86400),
     AMOUNT(return_margin_s, 10, 0, 3600),
-    AMOUNT(leader_ttl_s, 0, 1, 600), /* 0 is no value: rp_settings_complete computes the lease */
+    AMOUNT(leader_ttl_s, 0, 1, 600), /* 0 means unset: rp_settings_complete computes it */
     AMOUNT(leader_check_s, 0.5, 0.1, 10),
     AMOUNT(boot_patience, 3.5, 1, 100),
     AMOUNT(refused_pause_s, 15, 0, 3600),
