--- a/src/config/platform_file.c
+++ b/src/config/platform_file.c
@@ -10,7 +10,7 @@
 #define FIELD_PATH_BYTES 256
 /* Bytes of the path of an array's element, such as "params.teams[3]", with its NUL. */
 #define ELEMENT_PATH_BYTES 64
-/* Bytes of the text of an error, such as "must be between 0.001 and 1e+06", with its NUL. */
+/* Bytes of the text of an error, such as "must be between 1 and 1000, but is 0", with its NUL. */
 #define ERROR_TEXT_BYTES 96
 
 struct platform_reader {
@@ -75,15 +75,19 @@
 /* Reads a string that is not empty. On an error, reports it and leaves `out` unchanged. */
 static void read_string(struct platform_reader *reader, struct section section, const char *name,
                         char *out, size_t size) {
-    const char *text = json_string_value(require_field(reader, section, name, JSON_STRING));
-    if (!text)
+    const char *string = json_string_value(require_field(reader, section, name, JSON_STRING));
+    char text[ERROR_TEXT_BYTES];
+    if (!string)
         return;
-    if (!*text)
+    if (!*string) {
         report_field_error(reader, section, name, "must not be empty");
-    else if (strlen(text) >= size)
-        report_field_error(reader, section, name, "is too long");
-    else
-        rp_string_copy(out, size, text);
+    } else if (strlen(string) >= size) {
+        snprintf(text, sizeof text, "must have at most %zu bytes, but has %zu", size - 1,
+                 strlen(string));
+        report_field_error(reader, section, name, text);
+    } else {
+        rp_string_copy(out, size, string);
+    }
 }
 
 /* Reads a number from `min` to `max`. On an error, reports it and returns `min`. */
@@ -96,7 +100,7 @@
         return min;
     if (isfinite(number) && number >= min && number <= max)
         return number;
-    snprintf(text, sizeof text, "must be between %g and %g", min, max);
+    snprintf(text, sizeof text, "must be between %g and %g, but is %g", min, max, number);
     report_field_error(reader, section, name, text);
     return min;
 }
@@ -136,14 +140,16 @@
 static void read_zones(struct platform_reader *reader, struct section params,
                        struct rp_settings *settings) {
     struct list list = read_list(reader, params, "zones", sizeof *settings->zones);
+    char text[ERROR_TEXT_BYTES];
     settings->zones = list.elements;
     settings->n_zones = list.n;
+    snprintf(text, sizeof text, "each zone must be a string of 1 to %d bytes", RP_NAME_MAX - 1);
     for (size_t i = 0; i < list.n; i++) {
         const char *zone = json_string_value(json_array_get(list.array, i));
         if (zone && *zone && strlen(zone) < RP_NAME_MAX)
             rp_string_copy(settings->zones[i], sizeof settings->zones[i], zone);
         else
-            report_field_error(reader, params, "zones", "must hold zone names");
+            report_field_error(reader, params, "zones", text);
     }
 }
 
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -70,24 +70,27 @@
     const struct rp_tuning *tuning = &settings->tuning;
     int n_errors = 0;
     if (tuning->return_margin_s >= tuning->billing_unit_s) {
-        fprintf(error_output, "return_margin_s must be below billing_unit_s\n");
+        fprintf(error_output, "return_margin_s (%g) must be below billing_unit_s (%g)\n",
+                tuning->return_margin_s, tuning->billing_unit_s);
         n_errors++;
     }
     if (tuning->leader_check_s >= tuning->leader_ttl_s) {
-        fprintf(error_output, "leader_check_s must be below leader_ttl_s\n");
+        fprintf(error_output, "leader_check_s (%g) must be below leader_ttl_s (%g)\n",
+                tuning->leader_check_s, tuning->leader_ttl_s);
         n_errors++;
     }
     if (tuning->leader_ttl_s >= settings->lease_s) {
-        fprintf(error_output, "leader_ttl_s must be below the workers' lease_s (%g)\n",
-                settings->lease_s);
+        fprintf(error_output, "leader_ttl_s (%g) must be below the workers' lease_s (%g)\n",
+                tuning->leader_ttl_s, settings->lease_s);
         n_errors++;
     }
     /* A cancelled task on an unreachable machine runs until the machine's lease expires. */
     if (rp_settings_max_staleness_s(settings) <= tuning->leader_ttl_s) {
         fprintf(error_output,
-                "cancel_s (%g) must exceed 1.002 * lease_s + leader_ttl_s + 4 s, since otherwise "
-                "a failover can delay the end of cancelled tasks beyond cancel_s\n",
-                settings->cancel_s);
+                "cancel_s (%g) must exceed %g * lease_s (%g) + leader_ttl_s (%g) + %g s, since "
+                "otherwise a failover can delay the end of cancelled tasks beyond cancel_s\n",
+                settings->cancel_s, WORKER_LEASE_DRIFT_FACTOR, settings->lease_s,
+                tuning->leader_ttl_s, HEARTBEAT_RESPONSE_MAX_DELAY_S);
         n_errors++;
     }
     return n_errors;
--- a/src/config/text_format.c
+++ b/src/config/text_format.c
@@ -61,7 +61,7 @@
     if (len == 0)
         return fail_at(parser, start, "a name was expected");
     if (len >= size)
-        return fail_at(parser, start, "name is too long");
+        return fail_at(parser, start, "name is longer than %zu bytes", size - 1);
     memcpy(out, start, len);
     out[len] = '\0';
     parser->position += len;
@@ -87,7 +87,9 @@
     if (!read_number(parser, name, &number))
         return false;
     if (number < 0 || number > UINT32_MAX || number != floor(number))
-        return fail_at(parser, start, "%s: a whole number from 0 to 4294967295 was expected", name);
+        return fail_at(parser, start,
+                       "%s: a whole number from 0 to 4294967295 was expected, not %g", name,
+                       number);
     *out = (uint32_t)number;
     return true;
 }
--- a/src/config/tuning.c
+++ b/src/config/tuning.c
@@ -116,8 +116,9 @@
     if (message->n_heuristic == 0)
         return 0;
     if (message->n_heuristic > RP_HEURISTICS_MAX) {
-        fprintf(error_output, "%s: heuristic: at most %d heuristics are allowed\n", file,
-                RP_HEURISTICS_MAX);
+        fprintf(error_output,
+                "%s: heuristic: at most %d heuristics are allowed, but %zu are given\n", file,
+                RP_HEURISTICS_MAX, message->n_heuristic);
         return 1;
     }
     tuning->n_heuristics = 0;
@@ -147,8 +148,8 @@
         set_field(field, tuning, value);
         if (value >= field->min && value <= field->max)
             continue;
-        fprintf(error_output, "%s: %s: must be between %g and %g\n", file, field->name, field->min,
-                field->max);
+        fprintf(error_output, "%s: %s: must be between %g and %g, but is %g\n", file, field->name,
+                field->min, field->max, value);
         n_errors++;
     }
     return n_errors;
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -44,9 +44,11 @@
         {"round_period_s 1", "op:1:16: round_period_s: ':' was expected"},
         {"round_period_s: x", "op:1:17: round_period_s: a number"},
         {"round_period_s: 1e999", "op:1:17: round_period_s: number is out of range"},
-        {"round_period_s: 0.01", "op: round_period_s: must be between 0.5 and 60"},
-        {"faulty_after: 1.5", "op:1:15: faulty_after: a whole number from 0 to 4294967295"},
-        {"faulty_after: -1", "op:1:15: faulty_after: a whole number from 0 to 4294967295"},
+        {"round_period_s: 0.01", "op: round_period_s: must be between 0.5 and 60, but is 0.01"},
+        {"faulty_after: 1.5",
+         "op:1:15: faulty_after: a whole number from 0 to 4294967295 was expected, not 1.5"},
+        {"faulty_after: -1",
+         "op:1:15: faulty_after: a whole number from 0 to 4294967295 was expected, not -1"},
         {"preemption: maybe", "op:1:13: preemption: true or false"},
         {"heuristic: FCFS", "op:1:12: heuristic: a quoted string"},
         {"heuristic: \"FCFS", "op:1:12: heuristic: string has no closing quote"},
@@ -55,7 +57,7 @@
         {"heuristic: [\"FCFS-SM\"", "',' or ']' was expected"},
         {"}", "op:1:1: a name was expected"},
         {"standby: 1", "op:1:10: standby: true or false"},
-        {"suspect_after_s: 2", "op: suspect_after_s: must be between 2.5 and 60"},
+        {"suspect_after_s: 2", "op: suspect_after_s: must be between 2.5 and 60, but is 2"},
     };
     (void)state;
     for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++) {
@@ -103,8 +105,8 @@
     assert_non_null(strstr(error_text, "p: params.machine_limits.mem_mb: must be a number"));
     rp_settings_free(&settings);
     assert_int_equal(load_platform_file(14, 39, "-1", &settings), 1);
-    assert_non_null(
-        strstr(error_text, "p: params.machine_limits.mem_mb: must be between 8 and 1e+09"));
+    assert_non_null(strstr(
+        error_text, "p: params.machine_limits.mem_mb: must be between 8 and 1e+09, but is -1"));
     rp_settings_free(&settings);
 }
 
@@ -121,8 +123,9 @@
         {"{\"value_kb\":64}", NULL, 8},
         {"7", "params.state.next: must be an object", 0},
         {"{\"value_kb\":\"2\"}", "params.state.next.value_kb: must be a number", 0},
-        {"{\"txn_ops\":1}", "params.state.next.txn_ops: must be between 2 and 1e+06", 0},
-        {"{\"write_rps\":-1}", "params.state.next.write_rps: must be between 1 and 1e+06", 0}};
+        {"{\"txn_ops\":1}", "params.state.next.txn_ops: must be between 2 and 1e+06, but is 1", 0},
+        {"{\"write_rps\":-1}",
+         "params.state.next.write_rps: must be between 1 and 1e+06, but is -1", 0}};
     (void)state;
     for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++) {
         struct rp_settings settings;
