--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -43,9 +43,9 @@
 struct rp_objective {
     enum rp_objective_kind kind;
     char class_name[RP_NAME_MAX];
-    double within_s; /**< bound of the time that the objective limits */
+    double within_s; /**< maximum time for the kinds wait and finished */
     double share;    /**< share of the class's jobs that must meet the objective */
-    double times;    /**< bound as a multiple of a job's run time */
+    double times;    /**< factor on a job's deadline, for the kind deadline */
 };
 
 /** Limits of the key-value store. */
@@ -66,7 +66,7 @@
     size_t n_peers;
     char cloud_addr[RP_ADDR_MAX];
     char kv_addr[RP_ADDR_MAX]; /**< address of the key-value store */
-    size_t n_nodes;            /**< controller nodes of the cluster, this one included */
+    size_t n_nodes;            /**< number of controller nodes */
     char (*zones)[RP_NAME_MAX];
     size_t n_zones;
     struct rp_team *teams;
@@ -79,12 +79,12 @@
     double gang_peer_s; /**< time after which a gang's task ends once another is lost */
     double cancel_s;    /**< maximum time from confirming a cancellation to its tasks' end */
     struct rp_kv_limits kv_limits_current; /**< current limits of the key-value store */
-    struct rp_kv_limits kv_limits_lowest; /**< each the lower of the current and the future limit */
-    double cloud_rps;                     /**< requests per second that the cloud accepts */
-    double list_lag_s;                    /**< maximum age of the cloud's list of machines */
-    double memory_mb;                     /**< memory that the node may use */
-    double cpu_share;                     /**< share of a processor that the node may use */
-    size_t max_connections;               /**< maximum number of the node's open connections */
+    struct rp_kv_limits kv_limits_lowest;  /**< per limit, the lower one of current and future */
+    double cloud_rps;                      /**< requests per second that the cloud accepts */
+    double list_lag_s;      /**< maximum delay of changes in the cloud's list of machines */
+    double memory_mb;       /**< memory that the node may use */
+    double cpu_share;       /**< share of a processor that the node may use */
+    size_t max_connections; /**< maximum number of the node's open connections */
     struct rp_tuning tuning;
 };
 
@@ -105,7 +105,7 @@
  * heartbeat: the worker's lease, the possible drift between the two clocks and a margin. */
 double rp_settings_worker_lease_s(const struct rp_settings *settings);
 
-/** What rp_settings_team returns for a name that no team has. */
+/** Returned by rp_settings_team for a name that no team has. */
 #define RP_UNKNOWN_TEAM (-1)
 
 /** Returns the index in `teams` of the team of this name, or RP_UNKNOWN_TEAM. */
--- a/src/config/tuning.h
+++ b/src/config/tuning.h
@@ -20,17 +20,16 @@
     double round_period_s;  /**< interval between scheduling cycles */
     double billing_unit_s;  /**< unit of time that the cloud bills for a machine */
     double return_margin_s; /**< an idle machine is scaled in this long before its next unit */
-    char heuristics[RP_HEURISTICS_MAX][RP_HEURISTIC_NAME_MAX]; /**< names of the portfolio */
+    char heuristics[RP_HEURISTICS_MAX][RP_HEURISTIC_NAME_MAX]; /**< names in the portfolio */
     size_t n_heuristics;
-    double leader_ttl_s; /**< leadership lease; 0: rp_settings_complete computes it */
-    double
-        leader_check_s;   /**< interval at which a node that does not lead reads the leader's key */
-    double boot_patience; /**< allowed boot time, as a multiple of the type's boot time */
+    double leader_ttl_s;       /**< leadership lease; 0: rp_settings_complete computes it */
+    double leader_check_s;     /**< interval of reading the leader's key while not leading */
+    double boot_patience;      /**< allowed boot time, as a multiple of the type's boot time */
     double refused_pause_s;    /**< no requests for a kind of machine this long after a refusal */
     double leader_write_share; /**< the leader's share of the store's limit of changes per second */
     unsigned faulty_after;     /**< consecutive errors after which a machine is quarantined */
     bool preemption;           /**< whether tasks may be preempted by tasks of a higher priority */
-    bool keep_old_forms; /**< whether this node writes records in the previous version's format */
+    bool keep_old_forms;       /**< this node writes records in the previous version's format */
     double service_reserve; /**< capacity reserved for services, as a multiple of past arrivals */
     bool standby;           /**< whether this node takes part in failover (src/standby) */
     double suspect_after_s; /**< silence of the leader after which a standby takes over */
--- a/src/main.c
+++ b/src/main.c
@@ -31,9 +31,9 @@
 /* Upper bound of the eighth of the allowed connections that is reserved for outbound calls. */
 #define OUTBOUND_CONNECTIONS_BASE_MAX 64
 /* Upper bound of the sixteenth of the allowed connections that is reserved for outbound calls where
- * it exceeds the eighth above. With thousands of machines a new leader sends requests to all of
- * them at once, and each machine that does not respond occupies a connection until its request
- * times out. */
+ * it exceeds the bounded eighth above. With thousands of machines a new leader sends requests to
+ * all of them at once, and each machine that does not respond occupies a connection until its
+ * request times out. */
 #define OUTBOUND_CONNECTIONS_MAX 512
 /* Maximum number of outbound connections to one host. */
 #define CONNECTIONS_PER_HOST_MAX 24
