--- a/tests/simulation/rules.c
+++ b/tests/simulation/rules.c
@@ -12,7 +12,8 @@
 #define REPLICA_CHECK_STEPS 5  /* steps between two checks of the services' replicas */
 #define WAITING_CHECK_STEPS 25 /* steps between two checks of the waiting jobs */
 
-/* Bounds in seconds that apply once the faults have ended: */
+/* The following bounds are in seconds and apply once the faults have ended. */
+
 /* A job is lost if no request about it has been answered with its state for this long. */
 #define ANSWERED_WITHIN_S 75.0
 /* Longest time until a job starts, from its acceptance or the end of the faults. */
--- a/tests/simulation/sim.h
+++ b/tests/simulation/sim.h
@@ -328,10 +328,13 @@
 void sim_lower_limits(struct sim *sim);
 /* Stores a record, without any check, as if it had been written earlier. */
 void sim_put_record(struct sim *sim, const char *key, const char *text);
+/* The value of a key; NULL: none. */
 const json_t *sim_find_record(struct sim *sim, const char *key);
 /* Whether a stored record of progress contains the task's result. */
 bool sim_has_stored_result(struct sim *sim, const char *job, uint32_t task);
+/* The number of stored keys with the prefix. */
 size_t sim_count_stored(struct sim *sim, const char *prefix);
+/* The index of the node that leads; -1: none. */
 int sim_leader(const struct sim *sim);
 
 #endif
--- a/tests/simulation/users.c
+++ b/tests/simulation/users.c
@@ -193,7 +193,7 @@
     json_t *value = json_loads(job->body, 0, NULL);
     json_t *types = json_array();
     char text[RP_TEXT_MAX];
-    memset(text, 1, sizeof text - 1); /* each takes six bytes in JSON */
+    memset(text, 1, sizeof text - 1); /* a control character takes six bytes in JSON */
     text[sizeof text - 1] = '\0';
     json_object_set_new(value, "rig", json_string(text));
     json_object_set_new(value, "payload", json_string(text));
--- a/tests/simulation/workers.c
+++ b/tests/simulation/workers.c
@@ -140,7 +140,8 @@
     json_decref(value);
 }
 
-static void ask_next_node(struct sim *sim, struct sim_worker *worker) {
+/* The next heartbeat is sent to the next node, after RETRY_S. */
+static void switch_to_next_node(struct sim *sim, struct sim_worker *worker) {
     worker->node = (worker->node + 1) % sim->n_nodes;
     worker->next_heartbeat_at = sim->now + RETRY_S;
 }
@@ -175,7 +176,7 @@
     struct sim_worker *worker = &sim->workers[index];
     worker->changed = false;
     if (sim->now < worker->unreachable_until) {
-        ask_next_node(sim, worker); /* no connection can be made */
+        switch_to_next_node(sim, worker); /* the connection fails */
         return;
     }
     struct sim_event *event = sim_event_new(sim, EV_HEARTBEAT, sim_network_delay(sim));
@@ -235,7 +236,7 @@
         sim_task_step(sim, worker, &worker->tasks[i]);
     if (worker->heartbeat_in_flight && sim->now > worker->sent_at + HEARTBEAT_TIMEOUT_S) {
         worker->heartbeat_in_flight = false;
-        ask_next_node(sim, worker);
+        switch_to_next_node(sim, worker);
     }
     bool is_due = sim->now >= worker->next_heartbeat_at ||
                   (worker->changed && sim->now > worker->sent_at + CHANGE_DELAY_S);
