--- a/src/api/submission_record.c
+++ b/src/api/submission_record.c
@@ -16,19 +16,19 @@
     return false;
 }
 
-/* Takes out repeated types and those that no machine is of: the job means the same, and its record
- * is much shorter where somebody lists a thousand. */
-static void drop_useless_types(const struct rp_catalog *catalog, struct rp_job_spec *spec) {
-    size_t n_useful = 0;
+/* Removes repeated machine types and those that are not in the catalog: the job means the same
+ * without them, and its record is much shorter if its user listed a thousand. */
+static void remove_redundant_types(const struct rp_catalog *catalog, struct rp_job_spec *spec) {
+    size_t n_kept = 0;
     for (size_t i = 0; i < spec->n_types; i++) {
         const char *type = spec->types[i];
-        if (!is_in_catalog(catalog, type) || is_among_first(spec, n_useful, type))
+        if (!is_in_catalog(catalog, type) || is_among_first(spec, n_kept, type))
             continue;
-        if (n_useful != i)
-            memcpy(spec->types[n_useful], type, sizeof spec->types[i]);
-        n_useful++;
+        if (n_kept != i)
+            memcpy(spec->types[n_kept], type, sizeof spec->types[i]);
+        n_kept++;
     }
-    spec->n_types = n_useful;
+    spec->n_types = n_kept;
 }
 
 static json_t *marked_record(const struct rp_upgrade *upgrade, const struct rp_job_spec *spec,
@@ -37,19 +37,19 @@
 }
 
 static size_t n_pieces_max(const struct rp_upgrade *upgrade) {
-    size_t txn_ops = upgrade->settings->state_fit.txn_ops;
+    size_t txn_ops = upgrade->settings->kv_limits_lowest.txn_ops;
     return txn_ops < RP_PARTS_MAX ? txn_ops : RP_PARTS_MAX;
 }
 
 void rp_submission_record(const struct rp_upgrade *upgrade, const struct rp_catalog *catalog,
                           struct rp_job_spec *spec, size_t value_max_bytes,
                           struct rp_submission_pieces *out) {
-    struct timespec accepted_at; /* time of day */
+    struct timespec accepted_at; /* wall-clock time */
     clock_gettime(CLOCK_REALTIME, &accepted_at);
     json_t *record = marked_record(upgrade, spec, accepted_at);
     if (rp_record_size(record) > value_max_bytes) {
         json_decref(record);
-        drop_useless_types(catalog, spec);
+        remove_redundant_types(catalog, spec);
         record = marked_record(upgrade, spec, accepted_at);
     }
     *out = (struct rp_submission_pieces){.n = 0};
@@ -65,5 +65,7 @@
 size_t rp_submission_value_max_bytes(const struct rp_upgrade *upgrade) {
     const struct rp_settings *settings = upgrade->settings;
     bool is_active = rp_upgrade_is_active(upgrade);
-    return (size_t)((is_active ? settings->state_fit : settings->state).value_kb * 1024);
+    return (
+        size_t)((is_active ? settings->kv_limits_lowest : settings->kv_limits_current).value_kb *
+                1024);
 }
--- a/src/cluster/allocation.c
+++ b/src/cluster/allocation.c
@@ -10,10 +10,10 @@
     struct rp_job *job = allocation->job;
     rp_job_count_allocation(job, allocation->task, sign);
     if (machine->zone >= 0)
-        job->zone_count[machine->zone] += (uint32_t)sign;
+        job->n_allocated_by_zone[machine->zone] += (uint32_t)sign;
     if (job->team >= 0) {
-        cluster->team_cpus[job->team] += sign * job->spec.each.cpus;
-        cluster->team_gpus[job->team] += sign * job->spec.each.gpus;
+        cluster->team_cpus[job->team] += sign * job->spec.task_resources.cpus;
+        cluster->team_gpus[job->team] += sign * job->spec.task_resources.gpus;
     }
     /* The task may be started again, so the search for startable tasks begins at it or before. */
     if (sign < 0 && allocation->task < job->first_startable_task)
--- a/src/cluster/start_permission.c
+++ b/src/cluster/start_permission.c
@@ -84,9 +84,9 @@
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (!rp_allocation_is_counted(allocation))
             continue;
-        capacity.cpus -= allocation->job->spec.each.cpus;
-        capacity.gpus -= allocation->job->spec.each.gpus;
-        capacity.memory_gb -= allocation->job->spec.each.memory_gb;
+        capacity.cpus -= allocation->job->spec.task_resources.cpus;
+        capacity.gpus -= allocation->job->spec.task_resources.gpus;
+        capacity.memory_gb -= allocation->job->spec.task_resources.memory_gb;
     }
     return capacity;
 }
@@ -100,11 +100,11 @@
     if (!team || (has_limit(team) && cluster->n_machines_with_unknown_tasks > 0))
         return (struct rp_resources){INFINITY, INFINITY, INFINITY};
     if (team->cpus_max > 0)
-        excess.cpus =
-            cluster->team_cpus[job->team] + job->spec.each.cpus - team->cpus_max - QUOTA_TOLERANCE;
+        excess.cpus = cluster->team_cpus[job->team] + job->spec.task_resources.cpus -
+                      team->cpus_max - QUOTA_TOLERANCE;
     if (team->gpus_max > 0)
-        excess.gpus =
-            cluster->team_gpus[job->team] + job->spec.each.gpus - team->gpus_max - QUOTA_TOLERANCE;
+        excess.gpus = cluster->team_gpus[job->team] + job->spec.task_resources.gpus -
+                      team->gpus_max - QUOTA_TOLERANCE;
     return excess;
 }
 
@@ -122,7 +122,7 @@
         return false;
     if (*spec->zone && strcmp(spec->zone, cluster->catalog->zones[zone]) != 0)
         return false;
-    if (exceeds(&spec->each, &cluster->catalog->types[type].capacity))
+    if (exceeds(&spec->task_resources, &cluster->catalog->types[type].capacity))
         return false;
     for (size_t i = 0; i < spec->n_types; i++)
         if (strcmp(spec->types[i], cluster->catalog->types[type].name) == 0)
@@ -134,9 +134,9 @@
 static bool is_zone_allowed(const struct rp_job *job, int zone) {
     if (job->spec.one_zone)
         for (int i = 0; i < RP_ZONES_MAX; i++)
-            if (i != zone && job->zone_count[i])
+            if (i != zone && job->n_allocated_by_zone[i])
                 return false;
-    return !job->spec.spread || job->zone_count[zone] + 1 <= (job->spec.n_tasks + 1) / 2;
+    return !job->spec.spread || job->n_allocated_by_zone[zone] + 1 <= (job->spec.n_tasks + 1) / 2;
 }
 
 /* ---- the permission ---- */
@@ -172,5 +172,5 @@
     struct rp_resources excess = rp_cluster_quota_excess(cluster, job);
     rp_resources_add(&capacity, &freed->capacity);
     bool is_within_quota = excess.cpus <= freed->quota.cpus && excess.gpus <= freed->quota.gpus;
-    return rp_resources_fit(&job->spec.each, &capacity) && is_within_quota;
+    return rp_resources_fit(&job->spec.task_resources, &capacity) && is_within_quota;
 }
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -18,7 +18,7 @@
 /* A node joins the elections once it has the machine types and has read that no later version's
  * format is active. */
 static void join_elections(struct rp_node *node) {
-    bool is_ready = node->catalog_source.known && node->upgrade.has_read_activation;
+    bool is_ready = node->catalog_source.is_known && node->upgrade.has_read_activation;
     if (!is_ready || node->has_joined_elections || node->upgrade.state == RP_UPGRADE_TOO_OLD)
         return;
     node->has_joined_elections = true;
@@ -35,9 +35,10 @@
     const struct rp_settings *settings = node->settings;
     node->election.check_s = settings->tuning.leader_check_s;
     /* From now on the store's next limits may take effect at any moment. */
-    rp_kv_client_set_limits(&node->store, settings->state_fit.rps, settings->state_fit.write_rps);
+    rp_kv_client_set_limits(&node->store, settings->kv_limits_lowest.rps,
+                            settings->kv_limits_lowest.write_rps);
     if (node->state == RP_NODE_LEADING)
-        rp_catalog_source_lead(&node->catalog_source);
+        rp_catalog_source_store(&node->catalog_source);
 }
 
 static void on_format_change(void *arg) {
@@ -72,7 +73,7 @@
     rp_fleet_clear(&node->fleet);
     rp_cluster_reset(&node->cluster, 0);
     rp_jobs_clear(&node->jobs);
-    rp_standby_lost(&node->standby);
+    rp_standby_on_leadership_lost(&node->standby);
 }
 
 /* Reads the stored records, jobs first; on_jobs_loaded continues with the machines. rp_jobs_load
@@ -81,7 +82,7 @@
     stop_scheduling(node);
     rp_fleet_clear(&node->fleet);
     rp_cluster_reset(&node->cluster, node->election.fencing_token);
-    rp_standby_elected(&node->standby);
+    rp_standby_on_elected(&node->standby);
     rp_jobs_load(&node->jobs);
 }
 
@@ -89,8 +90,8 @@
     rp_info("records read, node leads: n_jobs=%zu n_machines=%zu", node->jobs.table.n_jobs,
             node->cluster.n_machines);
     rp_image_index_restore(&node->image_index);
-    rp_standby_lead(&node->standby);
-    rp_catalog_source_lead(&node->catalog_source);
+    rp_standby_on_leading(&node->standby);
+    rp_catalog_source_store(&node->catalog_source);
     rp_service_controller_start(&node->services);
     rp_scheduler_start(&node->scheduler);
 }
@@ -182,9 +183,9 @@
 
 static void init_clients(struct rp_node *node) {
     const struct rp_settings *settings = node->settings;
-    rp_kv_client_init(&node->store, node->loop, node->net, settings->state_addr,
-                      settings->state.rps, settings->state.write_rps, settings->n_nodes,
-                      settings->tuning.leader_write_share);
+    rp_kv_client_init(&node->store, node->loop, node->net, settings->kv_addr,
+                      settings->kv_limits_current.rps, settings->kv_limits_current.write_rps,
+                      settings->n_nodes, settings->tuning.leader_write_share);
     rp_job_lookup_init(&node->job_lookup, node->loop, &node->store, settings);
     rp_cloud_client_init(&node->cloud, node->loop, node->net, settings->cloud_addr,
                          settings->cloud_rps);
@@ -337,6 +338,6 @@
 
 bool rp_node_is_healthy(const struct rp_node *node) {
     bool is_staying = !node->is_shutting_down && node->upgrade.state != RP_UPGRADE_TOO_OLD;
-    bool has_started = node->catalog_source.known && node->store.n_ok > 0;
+    bool has_started = node->catalog_source.is_known && node->store.n_ok > 0;
     return is_staying && has_started && !rp_peer_health_is_isolated(&node->peer_health);
 }
--- a/src/jobs/job_watch.c
+++ b/src/jobs/job_watch.c
@@ -5,18 +5,21 @@
 #include "base/log.h"
 #include "base/memory.h"
 
-/* How long the store may hold a watch back while nothing changes: an answer renews the table's
- * freshness, so that it has to come several times within the allowed staleness. */
+/* Bounds on how long the store may hold a watch request while nothing changes: seconds, and a share
+ * of the allowed staleness. Each response renews the table's freshness, so several must arrive
+ * within the allowed staleness. */
 #define WATCH_HOLD_MAX_S 3.0
 #define WATCH_HOLD_STALENESS_SHARE 0.3
-/* A start needs a fresher table than an answer to a heartbeat. */
+/* Maximum staleness of the table in seconds at which tasks are started: a start needs a fresher
+ * table than an answer to a heartbeat. */
 #define START_STALENESS_MAX_S 9.0
-/* For the first watch, once the leader's lease is provable again. */
-#define CATCH_UP_S 3.0
-/* For so long the others may claim the key that a leader without a watch gives up. */
+/* Seconds for the first watch to be answered after the leader's lease has become provable again. */
+#define WATCH_CATCH_UP_S 3.0
+/* Seconds for which a leader that resigns because its watch is not answered leaves the leader key
+ * to the other nodes. */
 #define RESIGN_BACKOFF_S 5.0
 
-/* A watch under way. */
+/* A watch request in flight. */
 struct watch_request {
     struct rp_job_watch *watch;
     unsigned long generation;
@@ -32,25 +35,25 @@
 }
 
 void rp_job_watch_stop(struct rp_job_watch *watch) {
-    watch->is_running = watch->must_return_at_once = watch->is_refused_alone = false;
-    watch->provable_since = (struct timespec){0};
+    watch->is_running = watch->should_return_at_once = watch->is_isolated_from_store = false;
+    watch->lease_provable_since = (struct timespec){0};
 }
 
 void rp_job_watch_on_load_start(struct rp_job_watch *watch) {
     watch->revision = 0;
-    watch->has_covered_load = true;
+    watch->has_caught_up_with_load = true;
     watch->synced_at = rp_loop_now(watch->context->loop);
 }
 
 void rp_job_watch_on_list_page(struct rp_job_watch *watch, uint64_t revision, bool has_more) {
-    /* The watch starts at the first page's revision: what changes between the pages comes again
-     * through it, in order. */
+    /* The watch starts at the first page's revision, so it returns, in order, all changes made
+     * between the pages. */
     if (watch->revision == 0)
         watch->revision = revision;
-    /* A later page may hold jobs that were accepted after a failover from this leader, whose fence
-     * came too late for the first page: the watch shows it. */
-    watch->must_return_at_once |= has_more;
-    watch->has_covered_load &= !has_more;
+    /* A later page may contain jobs that were accepted after a failover from this leader, whose
+     * fence was written too late for the first page: the watch returns the fence. */
+    watch->should_return_at_once |= has_more;
+    watch->has_caught_up_with_load &= !has_more;
 }
 
 void rp_job_watch_start(struct rp_job_watch *watch) {
@@ -67,15 +70,15 @@
     struct rp_election *election = watch->context->election;
     struct timespec now = rp_loop_now(watch->context->loop);
     if (!rp_election_is_valid(election, now)) {
-        watch->provable_since = (struct timespec){0};
+        watch->lease_provable_since = (struct timespec){0};
         return false;
     }
-    if (rp_ts_zero(watch->provable_since))
-        watch->provable_since = now;
-    /* A leader whose lease is renewed but who hears of no cancellation answers no worker: somebody
-     * else has to lead. After an outage it has a moment to catch up. */
-    bool had_time_to_catch_up = rp_ts_since(now, watch->provable_since) > CATCH_UP_S;
-    if (had_time_to_catch_up && !rp_job_watch_may_answer_heartbeats(watch)) {
+    if (rp_ts_zero(watch->lease_provable_since))
+        watch->lease_provable_since = now;
+    /* A leader whose lease is renewed but that receives no cancellations answers no worker: another
+     * node has to lead. After an outage the watch has WATCH_CATCH_UP_S to catch up. */
+    bool is_catch_up_over = rp_ts_since(now, watch->lease_provable_since) > WATCH_CATCH_UP_S;
+    if (is_catch_up_over && !rp_job_watch_may_answer_heartbeats(watch)) {
         rp_election_resign(election, RESIGN_BACKOFF_S);
         return false;
     }
@@ -93,13 +96,13 @@
 bool rp_job_watch_may_start_tasks(const struct rp_job_watch *watch) {
     bool is_fresh = rp_job_watch_staleness_s(watch) < START_STALENESS_MAX_S &&
                     rp_job_watch_may_answer_heartbeats(watch);
-    return is_fresh && watch->has_covered_load && !watch->is_refused_alone;
+    return is_fresh && watch->has_caught_up_with_load && !watch->is_isolated_from_store;
 }
 
-void rp_job_watch_note_store_refusal(struct rp_job_watch *watch) {
-    if (watch->is_running && !watch->is_refused_alone)
-        rp_info("no more starts: reason=store_refuses_this_node_alone");
-    watch->is_refused_alone = watch->is_running;
+void rp_job_watch_record_store_isolation(struct rp_job_watch *watch) {
+    if (watch->is_running && !watch->is_isolated_from_store)
+        rp_info("task starts suspended: reason=node_isolated_from_store");
+    watch->is_isolated_from_store = watch->is_running;
 }
 
 bool rp_job_watch_is_fence(const struct rp_kv_item *item) {
@@ -129,15 +132,16 @@
     } else if (job && job->state != RP_JOB_CLOSED) {
         rp_info("job closed: job=%s reason=%s", job->spec.id,
                 job->state == RP_JOB_OPEN ? "cancelled" : "finished");
-        /* What was about to be written of its progress may still arrive. */
+        /* A cancellation deletes only the job's own record, and a write of its progress that is in
+         * flight may still be carried out. */
         if (job->state == RP_JOB_OPEN)
             rp_garbage_collector_add(watch->collector, job->spec.id, &job->stored);
         rp_job_table_set_state(watch->table, job, RP_JOB_CLOSED);
     }
 }
 
-static void note_fences(struct rp_job_watch *watch, const struct rp_kv_result *result,
-                        size_t n_events) {
+static void record_fences(struct rp_job_watch *watch, const struct rp_kv_result *result,
+                          size_t n_events) {
     for (size_t i = 0; i < n_events; i++) {
         struct rp_kv_item event;
         if (rp_kv_result_event_at(result, i, &event) && rp_job_watch_is_fence(&event))
@@ -160,21 +164,22 @@
     }
 }
 
-static void take_answer(struct rp_job_watch *watch, unsigned long generation,
-                        const struct rp_kv_result *result) {
+static void process_response(struct rp_job_watch *watch, unsigned long generation,
+                             const struct rp_kv_result *result) {
     size_t n_events = rp_kv_result_n_events(result);
-    /* Before anything else of the answer: jobs that come with a fence are the next leader's. */
-    note_fences(watch, result, n_events);
+    /* Fences are processed before all other events: jobs that arrive together with a fence belong
+     * to the next leader. */
+    record_fences(watch, result, n_events);
     if (!rp_jobs_context_is_current(watch->context, generation))
         return;
     apply_events(watch, result, n_events);
-    watch->has_covered_load = true;
+    watch->has_caught_up_with_load = true;
     rp_record_reader_read_next_parts(watch->reader);
     uint64_t revision = rp_kv_result_revision(result);
     if (revision > watch->revision)
         watch->revision = revision;
     watch->synced_at = watch->sent_at;
-    watch->must_return_at_once = watch->is_refused_alone = false;
+    watch->should_return_at_once = watch->is_isolated_from_store = false;
     send_watch(watch);
     if (n_events > 0)
         watch->on_jobs_changed(watch->arg);
@@ -186,26 +191,27 @@
     if (!rp_jobs_context_is_current(watch->context, request->generation) || !watch->is_running)
         goto out;
     if (result->outcome == RP_KV_OK && result->body) {
-        take_answer(watch, request->generation, result);
+        process_response(watch, request->generation, result);
     } else if (result->outcome == RP_KV_COMPACTED) {
-        /* The watch fell too far behind: the table has to be read again, and with it the cluster
-         * state of who may be where. Under the same fencing token old copies of heartbeats would
-         * pass for new ones there, and so would attempt numbers: another term begins. */
+        /* The store no longer keeps the changes after the watched revision: the table has to be
+         * loaded again, and with it the cluster's state of which task may be on which machine. With
+         * the same fencing token, old copies of heartbeats and old attempt numbers would be
+         * accepted as new ones there, so another term has to begin. */
         rp_election_resign(watch->context->election, 0);
     } else {
-        watch->sent_at = (struct timespec){0}; /* the tick sends it again */
-        watch->must_return_at_once = true;
+        watch->sent_at = (struct timespec){0}; /* zero: the next tick sends the request again */
+        watch->should_return_at_once = true;
     }
 out:
     free(request);
 }
 
-/* After a failure the first watch is answered at once, with all that was written meanwhile: workers
- * wait for it. */
+/* After a failure the first watch request returns immediately, with all changes made in the
+ * meantime: answers to workers wait for it. */
 static void send_watch(struct rp_job_watch *watch) {
     const struct rp_jobs_context *context = watch->context;
     double max_staleness_s = rp_settings_max_staleness_s(context->settings);
-    double hold_s = watch->must_return_at_once
+    double hold_s = watch->should_return_at_once
                         ? 0
                         : fmin(WATCH_HOLD_MAX_S, WATCH_HOLD_STALENESS_SHARE * max_staleness_s);
     struct watch_request *request = rp_alloc(1, sizeof *request);
--- a/src/jobs/progress_writer.c
+++ b/src/jobs/progress_writer.c
@@ -5,25 +5,27 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 
-/* Records of some 2.2 KB each: a transaction may have 64 KiB. */
+/* Progress records in a transaction at most: a record has some 2.2 KB, and a transaction may have
+ * 64 KiB. */
 #define TXN_RECORDS_MAX 24
-/* Progress waits this long for company; a finished job never does. */
+/* Seconds for which progress waits so that more progress shares its transaction. The end of a
+ * finished job is written without this delay. */
 #define WRITE_BACK_DELAY_S 2.0
-/* Changes of the write budget that are left for finishing jobs; where few changes a second are
- * allowed, this share of them. */
+/* The part of the write budget that progress leaves to finishing jobs: so many changes, or this
+ * share of the allowed changes per second if that is less. */
 #define FINISH_RESERVE_CHANGES 3.0
 #define FINISH_RESERVE_SHARE 0.1
 /* Bytes of a stored progress record besides its digits. */
-#define PROGRESS_FRAME_BYTES 16
+#define PROGRESS_RECORD_OVERHEAD_BYTES 16
 
-/* A record that a write carries. */
+/* A progress record as carried by a write. */
 struct written_record {
     char job_id[RP_ID_MAX];
     struct rp_progress_record record;
     uint8_t bits[RP_CHUNK_BYTES];
 };
 
-/* A transaction under way. */
+/* A transaction of progress records, in flight. */
 struct progress_write {
     struct rp_progress_writer *writer;
     unsigned long generation;
@@ -31,7 +33,7 @@
     struct written_record records[];
 };
 
-/* A read of a record's revision under way. */
+/* A read of a progress record's revision, in flight. */
 struct revision_read {
     struct rp_progress_writer *writer;
     unsigned long generation;
@@ -46,14 +48,14 @@
         .context = context, .table = table, .collector = collector, .max_records = TXN_RECORDS_MAX};
 }
 
-/* The job as long as it is not closed; NULL afterwards. */
+/* Finds the job unless it is closed; NULL when it is closed or not in the table. */
 static struct rp_job *find_unclosed_job(const struct rp_progress_writer *writer,
                                         const char *job_id) {
     struct rp_job *job = rp_job_table_find(writer->table, job_id);
     return job && job->state != RP_JOB_CLOSED ? job : NULL;
 }
 
-static void note_stored(struct rp_job *job, struct rp_progress_record record) {
+static void add_stored_record(struct rp_job *job, struct rp_progress_record record) {
     struct rp_stored_records stored = rp_progress_record_as_set(record);
     rp_stored_records_add(&job->stored, &stored);
 }
@@ -74,8 +76,9 @@
         rp_job_progress_set_revision(&job->progress, read->record, RP_KV_ABSENT);
     else if (rp_kv_result_item(result, &item))
         rp_job_progress_set_revision(&job->progress, read->record, item.revision);
-    note_stored(job, read->record);
-    job->progress.dirty_since = (struct timespec){0}; /* it has waited long enough */
+    add_stored_record(job, read->record);
+    /* The progress has waited long enough: zero makes its write due at once. */
+    job->progress.dirty_since = (struct timespec){0};
 out:
     free(read);
 }
@@ -93,12 +96,13 @@
     rp_kv_get(writer->context->store, RP_KV_BUDGET_LEADER, key, on_revision_response, read);
 }
 
-/* ---- answers to writes ---- */
+/* ---- responses to writes ---- */
 
-/* A record was refused for its size, or a transaction for its length, though all should fit: the
- * limits are lower than told. Less at a time, and never the same again at once. */
-static void note_refused_as_large(struct rp_progress_writer *writer,
-                                  const struct progress_write *write) {
+/* The store refused a record for its size or a transaction for its length although all of them
+ * should fit: its limits are lower than configured. The next transactions carry fewer records; a
+ * record refused alone backs off, so that the same write is never sent again at once. */
+static void reduce_write_size(struct rp_progress_writer *writer,
+                              const struct progress_write *write) {
     if (write->n_records > 1) {
         writer->max_records = write->n_records / 2;
         return;
@@ -108,19 +112,21 @@
         rp_job_progress_back_off(&job->progress, rp_loop_now(writer->context->loop));
 }
 
-/* The job ended while the write was under way: the record may stand although nobody needs it. */
-static void note_late_write(struct rp_progress_writer *writer, const struct written_record *written,
-                            enum rp_kv_outcome outcome) {
+/* The job ended while the write was in flight: its record may be stored although no job needs it.
+ */
+static void collect_late_write(struct rp_progress_writer *writer,
+                               const struct written_record *written, enum rp_kv_outcome outcome) {
     struct rp_stored_records stored = rp_progress_record_as_set(written->record);
     if (outcome == RP_KV_OK || outcome == RP_KV_UNKNOWN)
         rp_garbage_collector_add(writer->collector, written->job_id, &stored);
 }
 
-/* Each write carries the revision of what it replaces: carried out seconds late, after a newer one,
- * it took results away whose workers had forgotten them. After a lost answer, or a conflict with a
- * write whose answer was lost, the revision has to be read. */
-static void note_write_failed(struct rp_job *job, struct rp_progress_record record,
-                              const struct rp_kv_result *result) {
+/* Each write carries the condition that the record still has the revision that it replaces. Without
+ * it, a write that is carried out seconds late, after a newer one, removes results that their
+ * workers have already forgotten. After a lost response, or a conflict with a write whose response
+ * was lost, the revision has to be read. */
+static void on_record_write_failed(struct rp_job *job, struct rp_progress_record record,
+                                   const struct rp_kv_result *result) {
     char key[RP_KEY_MAX];
     rp_progress_record_key(key, job->spec.id, record);
     bool may_be_written = result->outcome == RP_KV_UNKNOWN;
@@ -130,15 +136,15 @@
     if (may_be_written || has_other_revision)
         rp_job_progress_set_revision(&job->progress, record, RP_PROGRESS_REVISION_UNKNOWN);
     if (may_be_written)
-        note_stored(job, record);
+        add_stored_record(job, record);
 }
 
-static void note_written(struct rp_job *job, const struct written_record *written,
-                         uint64_t revision) {
+static void on_record_written(struct rp_job *job, const struct written_record *written,
+                              uint64_t revision) {
     rp_job_progress_apply(&job->progress, written->record, RP_PROGRESS_WRITE_SUCCEEDED);
     rp_job_progress_set_revision(&job->progress, written->record, revision);
-    rp_job_progress_note_durable(&job->progress, written->record, written->bits);
-    note_stored(job, written->record);
+    rp_job_progress_mark_durable(&job->progress, written->record, written->bits);
+    add_stored_record(job, written->record);
 }
 
 static void on_write_response(void *arg, const struct rp_kv_result *result) {
@@ -150,17 +156,17 @@
         const struct written_record *written = &write->records[i];
         struct rp_job *job = find_unclosed_job(writer, written->job_id);
         if (!job)
-            note_late_write(writer, written, result->outcome);
+            collect_late_write(writer, written, result->outcome);
         else if (result->outcome == RP_KV_OK)
-            note_written(job, written, rp_kv_result_revision(result));
+            on_record_written(job, written, rp_kv_result_revision(result));
         else
-            note_write_failed(job, written->record, result);
+            on_record_write_failed(job, written->record, result);
     }
     if (result->outcome == RP_KV_CONDITION_FAILED &&
         rp_kv_result_has_failed_condition(result, RP_KEY_LEADER))
         rp_election_verify(writer->context->election);
     if (result->outcome == RP_KV_BAD_REQUEST)
-        note_refused_as_large(writer, write);
+        reduce_write_size(writer, write);
     else if (result->outcome == RP_KV_OK && writer->max_records < TXN_RECORDS_MAX)
         writer->max_records++;
 out:
@@ -187,16 +193,17 @@
     rp_job_progress_apply(&job->progress, record, RP_PROGRESS_WRITE_SENT);
 }
 
-/* Whether the store takes a value as long as the job's longest chunk. */
+/* Whether the store accepts a value as long as the job's longest chunk, which has two digits per
+ * byte. */
 static bool fits_chunk(const struct rp_progress_writer *writer, const struct rp_job *job) {
     struct rp_progress_record first_chunk = {0};
     size_t n_bytes = rp_job_progress_record_bytes(&job->progress, first_chunk);
-    double value_bytes = (double)(2 * n_bytes + PROGRESS_FRAME_BYTES); /* two digits for a byte */
-    return value_bytes <= writer->context->settings->state.value_kb * 1024;
+    double value_bytes = (double)(2 * n_bytes + PROGRESS_RECORD_OVERHEAD_BYTES);
+    return value_bytes <= writer->context->settings->kv_limits_current.value_kb * 1024;
 }
 
-/* Until every node reads units, progress goes into the chunks that all of them know; where one
- * doesn't fit, it waits for the activation. */
+/* Until every node reads units, progress is written in chunks, which all nodes can read; the
+ * progress of a job whose chunk does not fit into a value waits for the activation. */
 static void write_job(struct progress_write *write, struct rp_kv_txn *txn, struct rp_job *job) {
     struct rp_progress_writer *writer = write->writer;
     bool is_unit = rp_upgrade_is_active(writer->context->upgrade);
@@ -221,13 +228,13 @@
            rp_ts_since(now, progress->dirty_since) >= WRITE_BACK_DELAY_S;
 }
 
-/* How many records the next transaction may have; 0: the budget has no headroom. */
+/* How many records the next transaction may have; 0: the write budget has no headroom. */
 static size_t txn_capacity(const struct rp_progress_writer *writer) {
     const struct rp_jobs_context *context = writer->context;
-    double reserve =
-        fmin(FINISH_RESERVE_CHANGES, context->settings->state_fit.write_rps * FINISH_RESERVE_SHARE);
+    double reserve = fmin(FINISH_RESERVE_CHANGES,
+                          context->settings->kv_limits_lowest.write_rps * FINISH_RESERVE_SHARE);
     double headroom = rp_kv_write_headroom(context->store, RP_KV_BUDGET_LEADER) - reserve;
-    size_t limit = context->settings->state_fit.txn_ops;
+    size_t limit = context->settings->kv_limits_lowest.txn_ops;
     size_t capacity = limit < writer->max_records ? limit : writer->max_records;
     if (headroom < 1)
         return 0;
--- a/src/jobs/run_time_estimator.c
+++ b/src/jobs/run_time_estimator.c
@@ -4,12 +4,13 @@
 #include "base/log.h"
 #include "base/string_copy.h"
 
-/* Observations beyond this many make the older ones fade: estimates of a class change. */
-#define CLASS_WEIGHT_MAX 20.0
-/* The owner's estimate counts as much as this many observations of the class. */
-#define ESTIMATE_WEIGHT 2.0
-/* A run of the job itself counts as much as this many estimates by its class. */
-#define OWN_RUN_WEIGHT 2.0
+/* Upper bound of a class's decayed number of observations. Once it is reached, older observations
+ * lose weight, because the estimates of a class change over time. */
+#define CLASS_OBSERVATIONS_MAX 20.0
+/* Weight of the owner's estimate, in observations of the class. */
+#define OWNER_ESTIMATE_WEIGHT 2.0
+/* Weight of one run of the job itself, in estimates by its class. */
+#define JOB_RUN_WEIGHT 2.0
 
 static const struct rp_class_stats *find_class(const struct rp_run_time_estimator *estimator,
                                                const char *name) {
@@ -26,7 +27,7 @@
         return &estimator->classes[known - estimator->classes];
     if (estimator->n_classes == RP_CLASSES_MAX) {
         if (estimator->n_unclassified++ == 0)
-            rp_error("too many classes, run times of further ones aren't learned: n_classes=%d "
+            rp_error("too many job classes, further ones get no run time statistics: n_classes=%d "
                      "class=%s",
                      RP_CLASSES_MAX, name);
         return NULL;
@@ -40,27 +41,27 @@
 void rp_run_time_estimator_record(struct rp_run_time_estimator *estimator, struct rp_job *job,
                                   double run_s) {
     struct rp_class_stats *stats = find_or_add_class(estimator, job->spec.class_name);
-    if (job->interrupted || job->spec.kind == RP_JOB_SERVICE)
+    if (job->was_interrupted || job->spec.kind == RP_JOB_SERVICE)
         return;
     job->run_sum_s += run_s;
     job->n_runs++;
-    if (!stats || job->spec.estimate_s <= 0)
+    if (!stats || job->spec.run_time_estimate_s <= 0)
         return;
-    /* Each job counts once, however many tasks it has. */
+    /* Each job counts as one observation, however many tasks it has. */
     double share = 1.0 / (job->spec.kind == RP_JOB_GANG ? 1 : job->spec.n_tasks);
-    stats->ratio = (stats->ratio * stats->weight + run_s / job->spec.estimate_s * share) /
+    stats->ratio = (stats->ratio * stats->weight + run_s / job->spec.run_time_estimate_s * share) /
                    (stats->weight + share);
-    stats->weight =
-        stats->weight + share > CLASS_WEIGHT_MAX ? CLASS_WEIGHT_MAX : stats->weight + share;
+    stats->weight = stats->weight + share > CLASS_OBSERVATIONS_MAX ? CLASS_OBSERVATIONS_MAX
+                                                                   : stats->weight + share;
 }
 
 static double class_expectation_s(const struct rp_run_time_estimator *estimator,
                                   const struct rp_job *job) {
     const struct rp_class_stats *stats = find_class(estimator, job->spec.class_name);
     if (!stats)
-        return job->spec.estimate_s;
-    return job->spec.estimate_s * (stats->ratio * stats->weight + ESTIMATE_WEIGHT) /
-           (stats->weight + ESTIMATE_WEIGHT);
+        return job->spec.run_time_estimate_s;
+    return job->spec.run_time_estimate_s * (stats->ratio * stats->weight + OWNER_ESTIMATE_WEIGHT) /
+           (stats->weight + OWNER_ESTIMATE_WEIGHT);
 }
 
 double rp_run_time_estimator_expected_s(const struct rp_run_time_estimator *estimator,
@@ -70,6 +71,6 @@
     double expected_s = class_expectation_s(estimator, job);
     if (job->n_runs > 0)
         expected_s =
-            (expected_s + job->run_sum_s * OWN_RUN_WEIGHT) / (1 + job->n_runs * OWN_RUN_WEIGHT);
+            (expected_s + job->run_sum_s * JOB_RUN_WEIGHT) / (1 + job->n_runs * JOB_RUN_WEIGHT);
     return expected_s > job->run_floor_s ? expected_s : job->run_floor_s;
 }
--- a/src/scheduler/group_input.c
+++ b/src/scheduler/group_input.c
@@ -44,7 +44,7 @@
     /* Work without GPUs does not use machine types with GPUs: it would occupy machines, at many
      * times the price, that are needed for work that takes a whole machine. It may only use the
      * spare capacity of these types. */
-    bool avoids_gpu_types = spec->each.gpus <= 0 && types_without_gpus;
+    bool avoids_gpu_types = spec->task_resources.gpus <= 0 && types_without_gpus;
     group->types = avoids_gpu_types ? types_without_gpus : types;
     group->spare_types =
         avoids_gpu_types && spec->kind == RP_JOB_ARRAY ? types & ~types_without_gpus : 0;
@@ -117,7 +117,7 @@
         .kind = spec->kind,
         .priority = spec->priority,
         .n_tasks = n,
-        .each = spec->each,
+        .each = spec->task_resources,
         .run_s = spec->kind == RP_JOB_SERVICE ? scheduler->settings->tuning.billing_unit_s : run_s,
         .image_gb = spec->image_gb,
         .age_s = rp_job_age_s(job, now),
@@ -136,8 +136,8 @@
     for (size_t z = 0; z < catalog->n_zones; z++) {
         if (!*spec->zone || strcmp(spec->zone, catalog->zones[z]) == 0)
             group->zones |= 1u << z;
-        group->zone_used[z] = job->zone_count[z];
-        if (job->zone_count[z])
+        group->zone_used[z] = job->n_allocated_by_zone[z];
+        if (job->n_allocated_by_zone[z])
             group->fixed_zone = (int)z;
     }
 }
@@ -148,7 +148,7 @@
     if (job->team < 0)
         return 0;
     struct rp_resources *left = &input->guarantees_left[job->team];
-    const struct rp_resources *each = &job->spec.each;
+    const struct rp_resources *each = &job->spec.task_resources;
     if (left->cpus <= 0 && left->gpus <= 0)
         return 0;
     uint32_t n_units_max = job->spec.kind == RP_JOB_GANG ? 1 : n;
@@ -180,7 +180,7 @@
         return;
     /* Large jobs that are shed so that more small ones meet their objectives still start their
      * first task: users expect the first task of every job to start within four minutes. */
-    if (scheduler->short_of_capacity[job->spec.each.gpus > 0] && !has_started && n > 1 &&
+    if (scheduler->short_of_capacity[job->spec.task_resources.gpus > 0] && !has_started && n > 1 &&
         job->spec.kind == RP_JOB_ARRAY && input->plan_input.n_groups + 1 < n_groups_max &&
         rp_job_age_s(job, now) > FIRST_TASK_AFTER_S) {
         build_group(scheduler, job, 1, &input->groups[input->plan_input.n_groups], now);
--- a/src/scheduler/machine_input.c
+++ b/src/scheduler/machine_input.c
@@ -33,7 +33,7 @@
         double task_age_s = rp_ts_since(now, allocation->planned_at);
         bool is_service = allocation->job->spec.kind == RP_JOB_SERVICE;
         out->busy_s = fmax(out->busy_s, left_s);
-        if (allocation->job->spec.each.gpus > 0)
+        if (allocation->job->spec.task_resources.gpus > 0)
             out->gpu_busy_s = fmax(out->gpu_busy_s, left_s);
         out->first_arrival_s = fmax(out->first_arrival_s, task_age_s);
         out->last_arrival_s =
@@ -44,14 +44,14 @@
          * them. */
         if (is_service) {
             out->service_share +=
-                rp_plan_share_of_machine(&allocation->job->spec.each, &out->capacity);
+                rp_plan_share_of_machine(&allocation->job->spec.task_resources, &out->capacity);
             continue;
         }
-        out->work_s +=
-            left_s * rp_plan_share_of_machine(&allocation->job->spec.each, &out->capacity);
-        insert_release(releases, &out->n_releases, left_s, &allocation->job->spec.each);
+        out->work_s += left_s * rp_plan_share_of_machine(&allocation->job->spec.task_resources,
+                                                         &out->capacity);
+        insert_release(releases, &out->n_releases, left_s, &allocation->job->spec.task_resources);
         if (left_s <= out->free_later_after_s)
-            rp_resources_add(&out->free_later, &allocation->job->spec.each);
+            rp_resources_add(&out->free_later, &allocation->job->spec.task_resources);
     }
     out->mean_arrival_s =
         machine->n_allocations ? task_age_sum_s / (double)machine->n_allocations : 0;
@@ -74,8 +74,8 @@
         const struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->state == RP_ALLOCATION_EXITED)
             continue;
-        if (allocation->job->spec.each.gpus <= 0)
-            rp_resources_sub(&spare, &allocation->job->spec.each);
+        if (allocation->job->spec.task_resources.gpus <= 0)
+            rp_resources_sub(&spare, &allocation->job->spec.task_resources);
         else if (allocation->task_state == RP_TASK_FETCHING)
             return (struct rp_resources){0};
     }
@@ -113,8 +113,8 @@
     if (job && rp_reservation_is_exclusive(job)) {
         out->reserved_for = job;
     } else if (job) {
-        rp_resources_sub(&out->free_now, &job->spec.each);
-        rp_resources_sub(&out->free_later, &job->spec.each);
+        rp_resources_sub(&out->free_now, &job->spec.task_resources);
+        rp_resources_sub(&out->free_later, &job->spec.task_resources);
     }
 }
 
@@ -140,7 +140,7 @@
     struct rp_resources smaller_sum = {0};
     double n_smaller = 0;
     for (const struct rp_job *job = scheduler->jobs->table.first; job; job = job->next) {
-        const struct rp_resources *each = &job->spec.each;
+        const struct rp_resources *each = &job->spec.task_resources;
         if (each->gpus <= 0 || !rp_resources_fit(each, capacity))
             continue;
         double n = floor(capacity->gpus / each->gpus + 1e-9);
--- a/src/scheduler/replica_placement.c
+++ b/src/scheduler/replica_placement.c
@@ -74,7 +74,7 @@
 static double zone_excess(const struct rp_services *services, const struct rp_job *job, int zone) {
     double even_share =
         ceil((double)job->spec.n_tasks / fmax(1, (double)services->catalog->n_zones));
-    return fmin(fmax(0, job->zone_count[zone] + 1 - even_share), PENALIZED_REPLICAS_MAX);
+    return fmin(fmax(0, job->n_allocated_by_zone[zone] + 1 - even_share), PENALIZED_REPLICAS_MAX);
 }
 
 /* The replicas that the machine holds. */
@@ -114,7 +114,7 @@
     if (lost_s < 0)
         return -1;
     const struct rp_resources *capacity = &services->catalog->types[machine->type].capacity;
-    bool wastes_gpus = capacity->gpus > 0 && job->spec.each.gpus <= 0;
+    bool wastes_gpus = capacity->gpus > 0 && job->spec.task_resources.gpus <= 0;
     struct held_replicas held = find_held_replicas(machine, job);
     double penalty_s = fetch_s(services, machine, job, now) + lost_s * LOST_WORK_WEIGHT;
     penalty_s += held.n_of_job * SAME_MACHINE_PENALTY_S +
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -30,7 +30,7 @@
     if (rp_reservation_is_exclusive(job))
         return job;
     struct rp_resources available = rp_machine_free_resources(scheduler->cluster, machine);
-    return rp_resources_fit(&job->spec.each, &available) ? NULL : job;
+    return rp_resources_fit(&job->spec.task_resources, &available) ? NULL : job;
 }
 
 void rp_reservation_mark_jobs(const struct rp_scheduler *scheduler) {
--- a/src/scheduler/task_moves.c
+++ b/src/scheduler/task_moves.c
@@ -34,7 +34,8 @@
 bool rp_task_moves_is_movable(const struct rp_allocation *allocation, struct timespec now) {
     const struct rp_job_spec *spec = &allocation->job->spec;
     bool is_replica = spec->kind == RP_JOB_SERVICE;
-    bool keeps_progress = is_replica || (spec->checkpoint_s > 0 && spec->kind == RP_JOB_ARRAY);
+    bool keeps_progress =
+        is_replica || (spec->checkpoint_interval_s > 0 && spec->kind == RP_JOB_ARRAY);
     bool is_running =
         allocation->state == RP_ALLOCATION_SEEN && allocation->task_state == RP_TASK_RUNNING;
     return is_running && !allocation->stop_requested && keeps_progress &&
@@ -56,7 +57,8 @@
                                    const struct rp_job *job) {
     if (from->zone == target->zone || (!job->spec.one_zone && !job->spec.spread))
         return true;
-    return !job->spec.one_zone && job->zone_count[target->zone] + 1 <= (job->spec.n_tasks + 1) / 2;
+    return !job->spec.one_zone &&
+           job->n_allocated_by_zone[target->zone] + 1 <= (job->spec.n_tasks + 1) / 2;
 }
 
 /* Whether the task could continue at once on the other machine, whose free resources are given. */
@@ -69,7 +71,7 @@
     return rp_cluster_is_kind_allowed(scheduler->cluster, &job->spec, target->type, target->zone,
                                       target->spot) &&
            rp_task_moves_may_change_zone(from, target, job) &&
-           rp_resources_fit(&job->spec.each, available) &&
+           rp_resources_fit(&job->spec.task_resources, available) &&
            rp_machine_has_image(target, job->image_hash);
 }
 
@@ -80,7 +82,7 @@
                             size_t *target, struct timespec now) {
     const struct rp_job *job = allocation->job;
     double needed_s = rp_task_moves_occupied_s(scheduler, from, allocation, now) + RP_TASK_MOVE_S +
-                      job->spec.save_s;
+                      job->spec.save_duration_s;
     double best_cost = -1;
     size_t index = 0;
     for (const struct rp_machine *other = scheduler->cluster->first; other;
@@ -121,13 +123,13 @@
             cost = -1;
             break;
         }
-        rp_resources_sub(&moves->free_resources[targets[n]], &allocation->job->spec.each);
+        rp_resources_sub(&moves->free_resources[targets[n]], &allocation->job->spec.task_resources);
         cost = fmax(cost, extra_cost);
     }
     for (size_t i = 0; cost < 0 && i < n; i++)
         if (targets[i] < moves->n_machines)
             rp_resources_add(&moves->free_resources[targets[i]],
-                             &machine->allocations[i].job->spec.each);
+                             &machine->allocations[i].job->spec.task_resources);
     free(targets);
     return cost;
 }
