--- a/tests/simulation/test_combined_leaders.c
+++ b/tests/simulation/test_combined_leaders.c
@@ -1,13 +1,16 @@
-/* Changes of the leader in combination with cancellations, fast restarts and delayed writes. */
+/* Changes of the leader combined with cancellations, fast restarts of nodes and delayed writes to
+ * the key-value store. In every test the rules (rules.c) must hold, and every accepted job must
+ * end. */
 #include "test.h"
 
 #include "base/log.h"
 #include "day.h"
 
-/* Jobs are cancelled in the very seconds in which the work of one node goes to another: by an end,
- * a restart within a split second, or leadership given up. */
-static void cancelled_while_work_changes_hands(void **state) {
-    int confirmed = 0;
+/* Jobs are cancelled around a change of the leader, one every 0.5 s, the first one 0.5 s before it.
+ * The change is caused by a crash of the leader (its process restarts after 3 s, or after 0.2 s) or
+ * by its resignation. A cancelled job must not continue to run under the new leader. */
+static void cancelled_jobs_stay_cancelled_across_leader_change(void **state) {
+    int n_confirmed = 0;
     (void)state;
     for (unsigned long seed = 100; seed < 108; seed++) {
         struct sim *sim = day_new(seed, 3);
@@ -25,18 +28,19 @@
         day_run(sim, 16);
         assert_more_than(day_leader(sim)->election.fencing_token, token);
         for (int i = 0; i < 10; i++)
-            confirmed += sim->jobs[i].told_cancelled;
+            n_confirmed += sim->jobs[i].told_cancelled;
         day_end(sim);
     }
-    assert_at_least(confirmed, 70);
+    assert_at_least(n_confirmed, 70);
 }
 
-/* The first answers of a new leader came without stops, and renewed the leases of cancelled tasks:
- * a machine that hung right then ran them for one more lease. Here the old leader is refused by the
- * key-value store, an outage gives its key another 10 s, and its workers still hold their leases
- * when the new one begins, more than cancel_s - lease_s after the cancellations. */
-static void first_answers_carry_stops(void **state) {
-    int hung = 0;
+/* Fault: the first answers of a new leader renewed the leases of cancelled tasks, but did not
+ * contain the commands that stop them. A machine that hung right after such an answer ran its
+ * cancelled tasks for one more lease. Here the key-value store refuses the old leader, and then an
+ * outage extends the validity of the leader's key by another 10 s. The workers therefore still hold
+ * their leases when the new leader begins, more than cancel_s - lease_s after the cancellations. */
+static void first_answers_of_new_leader_stop_cancelled_tasks(void **state) {
+    int n_hung = 0;
     (void)state;
     for (unsigned long seed = 110; seed < 116; seed++) {
         struct sim *sim = sim_new_sized(seed, &day_no_faults, SIM_SOUND, 3, &day_large_limits);
@@ -57,36 +61,38 @@
             day_run(sim, 0.02);
             for (int k = 0; k < sim->size.workers; k++) {
                 struct sim_worker *worker = &sim->workers[k];
-                /* It hangs as soon as it has taken the new leader's first answer. */
+                /* The machine hangs as soon as it has accepted the new leader's first answer. */
                 if (worker->used && worker->up && worker->n_tasks > 0 &&
                     worker->paused_until <= 0 && worker->incarnation == 1 &&
                     worker->fencing_token == day_leader(sim)->election.fencing_token) {
                     worker->paused_until = sim->now + 21;
-                    hung++;
+                    n_hung++;
                 }
             }
         }
         day_run(sim, 40);
         day_end(sim);
     }
-    assert_at_least(hung, 20);
+    assert_at_least(n_hung, 20);
 }
 
-/* A machine that is about to go back was answered without stops, while the cloud didn't answer. */
-static void releasing_machine_gets_stops(void **state) {
+/* Fault: while the cloud did not answer, the leader's answers to a machine that was being released
+ * did not contain the commands that stop its cancelled tasks. These tasks must have stopped 8 s
+ * after the cancellations. */
+static void machine_being_released_receives_stops(void **state) {
     struct sim *sim = day_new(118, 3);
     (void)state;
     day_submit_arrays(sim, 5, 1, 0, 12, 1, 100);
     day_run(sim, 40);
     struct rp_node *node = day_leader(sim);
-    int on_it = 0;
+    int n_allocations = 0;
     sim->cloud_outage_until = sim->now + 60;
     for (struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
         if (machine->state == RP_MACHINE_UP && machine->n_allocations > 0) {
-            on_it += (int)machine->n_allocations;
+            n_allocations += (int)machine->n_allocations;
             rp_fleet_scale_in(&node->fleet, machine, "to see what becomes of its tasks");
         }
-    assert_at_least(on_it, 50);
+    assert_at_least(n_allocations, 50);
     day_run(sim, 1);
     for (int i = 0; i < 5; i++)
         sim->jobs[i].cancel_at = sim->now;
@@ -95,11 +101,14 @@
     day_end(sim);
 }
 
-static void ten_leaders(void **state) {
+/* The leader crashes twelve times, once every 10 s, while jobs run; one job is cancelled, and the
+ * seventh crash coincides with a 12 s outage of the key-value store. At least ten crashes must lead
+ * to a new leader within 10 s, and every job must end. */
+static void repeated_leader_crashes_lose_no_job(void **state) {
     (void)state;
     for (unsigned long seed = 120; seed < 124; seed++) {
         struct sim *sim = day_new(seed, 3);
-        unsigned changes = 0;
+        unsigned n_leader_changes = 0;
         day_submit_long_work(sim, 40);
         day_run(sim, 20);
         for (int i = 0; i < 12; i++) {
@@ -110,21 +119,23 @@
             if (i == 6)
                 sim->store_outage_until = sim->now + 12;
             day_run(sim, 10);
-            changes += sim_leader(sim) >= 0 && day_leader(sim)->election.fencing_token != token;
+            n_leader_changes +=
+                sim_leader(sim) >= 0 && day_leader(sim)->election.fencing_token != token;
         }
-        assert_at_least(changes, 10);
+        assert_at_least(n_leader_changes, 10);
         day_end(sim);
     }
 }
 
-/* Nodes hand over and back, all end, and one returns, all within seconds. */
-static void hand_over_and_back(void **state) {
+/* Within seconds the leader resigns up to four times and all nodes crash. Only the node that led
+ * first restarts within a second, and it must lead again, alone. */
+static void only_node_restarted_leads_after_resignations(void **state) {
     (void)state;
     for (unsigned long seed = 130; seed < 136; seed++) {
         struct sim *sim = day_new(seed, 3);
         day_submit_long_work(sim, 60);
         day_run(sim, 25);
-        int first = sim_leader(sim);
+        int first_leader = sim_leader(sim);
         for (int turn = 0; turn < 4; turn++) {
             if (sim_leader(sim) >= 0)
                 rp_election_resign(&day_leader(sim)->election, 1);
@@ -132,16 +143,19 @@
             sim->jobs[turn].cancel_at = turn == 1 ? sim->now : 0;
         }
         for (int i = 0; i < sim->n_nodes; i++)
-            sim_crash(sim, i, i == first ? 0.05 + 0.1 * (double)(seed % 8) : 25);
-        day_run(sim, 13);                         /* another's key takes its lease to go */
-        assert_int_equal(sim_leader(sim), first); /* alone, and back within a second */
+            sim_crash(sim, i, i == first_leader ? 0.05 + 0.1 * (double)(seed % 8) : 25);
+        /* The key of another node is deleted only when its lease expires. */
+        day_run(sim, 13);
+        /* Only the first leader runs again: it has restarted within a second. */
+        assert_int_equal(sim_leader(sim), first_leader);
         day_run(sim, 30);
         day_end(sim);
     }
 }
 
-/* Every node is away for longer than the workers' lease. */
-static void all_nodes_away(void **state) {
+/* Every node is down for longer than the workers' lease. By the end of that lease no task may run
+ * any more. */
+static void tasks_end_while_all_nodes_are_down_beyond_lease(void **state) {
     (void)state;
     for (unsigned long seed = 140; seed < 144; seed++) {
         struct sim *sim = day_new(seed, 3);
@@ -157,30 +171,32 @@
     }
 }
 
-/* The tasks of a job end far apart, the leader changes in between, and writes come late: no result
- * is lost that a worker has forgotten. */
-static void tasks_that_end_far_apart(void **state) {
+/* The tasks of each job end 25 s apart, the leader changes in between, and 30 % of the transactions
+ * are carried out late. A result that its worker has already forgotten must not be lost. */
+static void results_survive_leader_change_with_delayed_writes(void **state) {
     static const struct sim_faults faults = {.delayed_write = 0.3};
-    unsigned long late = 0;
+    unsigned long n_delayed_writes = 0;
     (void)state;
     for (unsigned long seed = 150; seed < 158; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
         for (int i = 0; i < 8; i++) {
-            int j = sim_submit(sim, 1 + i, "sweep", 3, 1, 6, 0);
-            sim->jobs[j].stagger_s = 25;
+            int array = sim_submit(sim, 1 + i, "sweep", 3, 1, 6, 0);
+            sim->jobs[array].stagger_s = 25;
         }
         day_run(sim, 30);
         day_crash_leader(sim, 3);
         day_run(sim, 60);
-        late += sim->n_delayed_writes;
+        n_delayed_writes += sim->n_delayed_writes;
         day_end(sim);
     }
-    assert_at_least(late, 100);
+    assert_at_least(n_delayed_writes, 100);
 }
 
-/* A node loses the key-value store and the other nodes, not its workers and users, and jobs are
- * cancelled through the new leader. */
-static void partitioned_leader_and_cancellations(void **state) {
+/* The leader loses the key-value store and the other nodes, but not its workers and users. Another
+ * node becomes the leader, and jobs are cancelled through it. No cancelled task may run for longer
+ * than cancel_s after the confirmation, not even on a worker whose heartbeats still reach the old
+ * leader. */
+static void cancellations_hold_while_old_leader_is_partitioned(void **state) {
     (void)state;
     for (unsigned long seed = 520; seed < 526; seed++) {
         struct sim *sim =
@@ -199,14 +215,15 @@
 }
 
 int main(int argc, char **argv) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(cancelled_while_work_changes_hands),
-                                       cmocka_unit_test(first_answers_carry_stops),
-                                       cmocka_unit_test(releasing_machine_gets_stops),
-                                       cmocka_unit_test(ten_leaders),
-                                       cmocka_unit_test(hand_over_and_back),
-                                       cmocka_unit_test(all_nodes_away),
-                                       cmocka_unit_test(tasks_that_end_far_apart),
-                                       cmocka_unit_test(partitioned_leader_and_cancellations)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(cancelled_jobs_stay_cancelled_across_leader_change),
+        cmocka_unit_test(first_answers_of_new_leader_stop_cancelled_tasks),
+        cmocka_unit_test(machine_being_released_receives_stops),
+        cmocka_unit_test(repeated_leader_crashes_lose_no_job),
+        cmocka_unit_test(only_node_restarted_leads_after_resignations),
+        cmocka_unit_test(tasks_end_while_all_nodes_are_down_beyond_lease),
+        cmocka_unit_test(results_survive_leader_change_with_delayed_writes),
+        cmocka_unit_test(cancellations_hold_while_old_leader_is_partitioned)};
     rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/simulation/test_combined_machines.c
+++ b/tests/simulation/test_combined_machines.c
@@ -1,16 +1,19 @@
-/* Machines out of reach, paused, lost or new, in combination with changes of the leader, direct
- * commands and cancellations; old heartbeats. */
+/* Machines that are unreachable, paused, lost or new, combined with changes of the leader, direct
+ * commands and cancellations; and duplicates of old heartbeats. In every test the rules (rules.c)
+ * must hold, and every accepted job must end. */
 #include "test.h"
 
 #include "base/log.h"
 #include "day.h"
 
-/* The leader ends while machines with long tasks reach no node, hang, or don't hear the new one. */
-static void leader_ends_machines_out_of_reach(void **state) {
+/* The leader crashes while half of the machines, with long tasks on them, reach no node, receive no
+ * answers from any node, or hang, for 5 to 45 s. The new leader must not start their tasks
+ * elsewhere while they may still run. */
+static void leader_crash_while_machines_are_silent_breaks_no_rule(void **state) {
     (void)state;
     for (unsigned long seed = 400; seed < 409; seed++) {
         struct sim *sim = day_new(seed, 3);
-        int out = 0;
+        int n_silent = 0;
         for (int i = 0; i < 8; i++)
             sim_submit(sim, 1, "sweep", 7, 1, 100, i % 2 ? 50 : 0);
         day_run(sim, 45);
@@ -19,24 +22,24 @@
             struct sim_worker *worker = &sim->workers[i];
             if (!worker->used || !worker->up || i % 2)
                 continue;
-            out++;
+            n_silent++;
             *(seed % 3 == 0   ? &worker->unreachable_until
               : seed % 3 == 1 ? &worker->one_way_partition_until
                               : &worker->paused_until) = until;
         }
-        assert_at_least(out, 2);
+        assert_at_least(n_silent, 2);
         day_crash_leader(sim, 3);
         day_run(sim, 70);
         day_end(sim);
     }
 }
 
-/* New machines are up within two seconds and get work at once while writes lag, and the leader ends
- * before it has recorded them. */
-static void fast_machines_slow_writes(void **state) {
+/* New machines are up within two seconds and receive work at once, while writes to the key-value
+ * store are delayed, and the leader crashes before it has recorded the machines. */
+static void leader_crash_before_new_machine_is_recorded_breaks_no_rule(void **state) {
     static const struct sim_faults faults = {
         .fast_boot = 1, .delayed_write = 0.2, .slow_store = 0.5};
-    unsigned long late = 0;
+    unsigned long n_delayed_writes = 0;
     (void)state;
     for (unsigned long seed = 410; seed < 418; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
@@ -49,16 +52,17 @@
                 sim_crash(sim, sim_leader(sim), i % 2 ? 0.3 : 4);
             day_run(sim, 8);
         }
-        late += sim->n_delayed_writes;
+        n_delayed_writes += sim->n_delayed_writes;
         day_end(sim);
     }
-    assert_at_least(late, 60);
+    assert_at_least(n_delayed_writes, 60);
 }
 
-/* Machines that reach no node while direct commands reach them, under services' direct starts. */
-static void unreachable_machines(void **state) {
+/* Machines reach no node with their heartbeats, while direct commands reach them: the leader starts
+ * replicas of services on them by direct commands. */
+static void direct_starts_on_unreachable_machines_break_no_rule(void **state) {
     static const struct sim_faults faults = {.unreachable_s = 8, .crash_s = 50};
-    unsigned long reached = 0;
+    unsigned long n_direct_commands = 0;
     (void)state;
     for (unsigned long seed = 420; seed < 428; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
@@ -66,17 +70,17 @@
         for (int i = 0; i < 8; i++)
             sim_submit(sim, 15 + i * 10, "service", 3, 1, 0, 45 + i * 10);
         day_run(sim, 120);
-        reached += sim->n_direct_to_unreachable;
+        n_direct_commands += sim->n_direct_to_unreachable;
         day_end(sim);
     }
-    assert_at_least(reached, 10);
+    assert_at_least(n_direct_commands, 10);
 }
 
-/* A command, or its answer, is held up with the machine, which then goes on; the job is cancelled
- * meanwhile, or its user's replicas are wanted elsewhere. */
-static void held_up_commands(void **state) {
+/* A machine is paused, which delays a direct command to it, or its answer, until the machine
+ * resumes. Meanwhile the job is cancelled, or its replicas are started on other machines. */
+static void direct_commands_delayed_by_paused_machines_break_no_rule(void **state) {
     static const struct sim_faults faults = {.pause_s = 5};
-    unsigned long direct = 0;
+    unsigned long n_direct_commands = 0;
     (void)state;
     for (unsigned long seed = 430; seed < 438; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
@@ -86,16 +90,17 @@
         day_run(sim, 60);
         day_crash_leader(sim, 0.2);
         day_run(sim, 60);
-        direct += sim->n_direct;
+        n_direct_commands += sim->n_direct;
         day_end(sim);
     }
-    assert_at_least(direct, 100);
+    assert_at_least(n_direct_commands, 100);
 }
 
-/* Users call off jobs that run, their machines hang at the same moment, for less than a lease and
- * for longer; the leader changes or doesn't. */
-static void cancelled_on_hung_machines(void **state) {
-    int confirmed = 0;
+/* Users cancel running jobs whose machines hang at the same moment, for 4 to 32 s, which is shorter
+ * or longer than a lease (14 s). With every second seed the leader crashes as well. All 40
+ * cancellations must be confirmed. */
+static void cancellations_on_paused_machines_are_confirmed(void **state) {
+    int n_confirmed = 0;
     (void)state;
     for (unsigned long seed = 440; seed < 448; seed++) {
         struct sim *sim = day_new(seed, 3);
@@ -106,21 +111,22 @@
             day_crash_leader(sim, 3);
         day_run(sim, 60);
         for (int i = 0; i < 8; i++)
-            confirmed += sim->jobs[i].told_cancelled;
+            n_confirmed += sim->jobs[i].told_cancelled;
         day_end(sim);
     }
-    assert_int_equal(confirmed, 40);
+    assert_int_equal(n_confirmed, 40);
 }
 
-/* Every team is at its limit while jobs are cancelled on machines that are cut off or hang, and the
- * leader changes: what waits may not start before the cancelled tasks are known to be gone. */
-static void full_team_at_failover(void **state) {
+/* The team is at its limit while jobs are cancelled on machines that hang or reach no node, and the
+ * leader changes. Waiting tasks must not start before the leader has received that the cancelled
+ * tasks have ended; otherwise the team would exceed its limit. */
+static void full_team_stays_within_limit_at_failover(void **state) {
     (void)state;
     for (unsigned long seed = 450; seed < 458; seed++) {
         struct sim *sim = day_new(seed, 3);
         day_submit_arrays(sim, 10, 1, 0.3, 10, 1, 60);
         day_run(sim, 40);
-        assert_at_least(day_all_running_tasks(sim), 55); /* of 60 */
+        assert_at_least(day_all_running_tasks(sim), 55); /* of the 60 that the limit allows */
         for (int i = 0; i < sim->size.workers; i++)
             if (sim->workers[i].used && sim->workers[i].up && i % 3 == 0)
                 *(seed % 2 ? &sim->workers[i].paused_until : &sim->workers[i].unreachable_until) =
@@ -132,35 +138,37 @@
     }
 }
 
-/* Jobs that may run in one zone only lose machines, arrays too. */
-static void zone_bound_jobs_lose_machines(void **state) {
+/* Gangs and arrays that may run in one zone only lose machines, by failures and by spot notices,
+ * and still have to end. */
+static void zone_bound_jobs_end_despite_lost_machines(void **state) {
     static const struct sim_faults faults = {
         .machine_crash_s = 6, .spot_notice_s = 6, .crash_s = 60};
     (void)state;
     for (unsigned long seed = 460; seed < 466; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
         for (int i = 0; i < 10; i++) {
-            int j = i % 3 ? sim_submit(sim, 1 + i * 5, "sweep", 10, 1, 15, 0)
-                          : sim_submit(sim, 1 + i * 5, "ensemble", 3, 4, 15, 0);
-            sim_set_field(sim, j, "yard", json_string(i % 2 ? "a" : "b"));
+            int job = i % 3 ? sim_submit(sim, 1 + i * 5, "sweep", 10, 1, 15, 0)
+                            : sim_submit(sim, 1 + i * 5, "ensemble", 3, 4, 15, 0);
+            sim_set_field(sim, job, "yard", json_string(i % 2 ? "a" : "b"));
         }
         day_run(sim, 90);
         day_end(sim);
     }
 }
 
-/* A zone with its workers and a node, the leader or another, is cut off for longer than the lease;
- * jobs are cancelled outside. */
-static void cut_zone_with_its_node(void **state) {
+/* A network partition separates a zone, with its workers and one node (the leader or another one),
+ * from the rest for 30 s, longer than the lease. Jobs are cancelled through the nodes outside, and
+ * all these cancellations must be confirmed. */
+static void jobs_are_cancelled_outside_partitioned_zone(void **state) {
     (void)state;
     for (unsigned long seed = 470; seed < 478; seed++) {
         struct sim *sim = day_new(seed, 3);
         day_submit_arrays(sim, 8, 1, 0, 7, 1, 60);
         day_run(sim, 40);
-        int inside = seed % 2 ? sim_leader(sim) : (sim_leader(sim) + 1) % sim->n_nodes;
+        int node_inside = seed % 2 ? sim_leader(sim) : (sim_leader(sim) + 1) % sim->n_nodes;
         sim->partitioned_zone = 1 + (int)(seed / 2 % 2);
-        sim->node_in_partition = inside + 1;
-        sim->nodes[inside].partitioned_until = sim->now + 30;
+        sim->node_in_partition = node_inside + 1;
+        sim->nodes[node_inside].partitioned_until = sim->now + 30;
         for (int i = 0; i < 4; i++)
             sim->jobs[i].cancel_at = sim->now + i;
         day_run(sim, 30);
@@ -172,16 +180,17 @@
     }
 }
 
-/* Copies come after newer ones, from earlier incarnations and attempts too, beyond a lease; others
- * are kept until the next leader acts, and come to every node just then. */
-static void old_heartbeats(void **state) {
+/* Copies of heartbeats arrive after newer heartbeats, later than a lease, also from earlier
+ * incarnations and attempts. Other copies are held until the next leader begins, and arrive at
+ * every node just then. */
+static void duplicates_of_old_heartbeats_break_no_rule(void **state) {
     static const struct sim_faults faults = {.late_duplicate = 0.1,
                                              .held_duplicate = 0.1,
                                              .pause_s = 25,
                                              .crash_s = 25,
                                              .fast_restart_s = 30};
-    unsigned long kept = 0;
-    unsigned long leaders = 0;
+    unsigned long n_held_delivered = 0;
+    unsigned long n_leaders = 0;
     (void)state;
     for (unsigned long seed = 500; seed < 510; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
@@ -189,23 +198,24 @@
         for (int i = 0; i < 6; i++)
             sim_submit(sim, 20 + i * 10, "sweep", 10, 2, 12, i % 3 ? 0 : 40 + i * 10);
         day_run(sim, 120);
-        kept += sim->n_held_delivered;
-        leaders += sim->n_leaders;
+        n_held_delivered += sim->n_held_delivered;
+        n_leaders += sim->n_leaders;
         day_end(sim);
     }
-    assert_true(kept >= 200 && leaders >= 30);
+    assert_true(n_held_delivered >= 200 && n_leaders >= 30);
 }
 
 int main(int argc, char **argv) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(leader_ends_machines_out_of_reach),
-                                       cmocka_unit_test(fast_machines_slow_writes),
-                                       cmocka_unit_test(unreachable_machines),
-                                       cmocka_unit_test(held_up_commands),
-                                       cmocka_unit_test(cancelled_on_hung_machines),
-                                       cmocka_unit_test(full_team_at_failover),
-                                       cmocka_unit_test(zone_bound_jobs_lose_machines),
-                                       cmocka_unit_test(cut_zone_with_its_node),
-                                       cmocka_unit_test(old_heartbeats)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(leader_crash_while_machines_are_silent_breaks_no_rule),
+        cmocka_unit_test(leader_crash_before_new_machine_is_recorded_breaks_no_rule),
+        cmocka_unit_test(direct_starts_on_unreachable_machines_break_no_rule),
+        cmocka_unit_test(direct_commands_delayed_by_paused_machines_break_no_rule),
+        cmocka_unit_test(cancellations_on_paused_machines_are_confirmed),
+        cmocka_unit_test(full_team_stays_within_limit_at_failover),
+        cmocka_unit_test(zone_bound_jobs_end_despite_lost_machines),
+        cmocka_unit_test(jobs_are_cancelled_outside_partitioned_zone),
+        cmocka_unit_test(duplicates_of_old_heartbeats_break_no_rule)};
     rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/simulation/test_combined_users.c
+++ b/tests/simulation/test_combined_users.c
@@ -1,13 +1,17 @@
-/* Requests of users in the very moment of an end, a cancellation or a change of the leader; invalid
- * requests; two to four random faults at a time. */
+/* Requests of users at the very moment at which a job ends or is cancelled or the leader changes;
+ * invalid requests; and two to four random faults at a time. In every test the rules (rules.c) must
+ * hold, and every accepted job must end. */
 #include "test.h"
 
 #include "base/log.h"
 #include "day.h"
 
-#define REST_S 250
+#define REST_S 250 /* simulated seconds after the faults, within which all jobs must end */
 
-static void four_jobs_a_second(void **state) {
+/* Users submit four jobs per second for two minutes, cancel a quarter of them, and the leader
+ * crashes meanwhile. 5 s after the last submission the users of at least 440 of the 480 jobs must
+ * have received that their job has ended. */
+static void four_jobs_per_second_end_across_leader_crash(void **state) {
     (void)state;
     for (unsigned long seed = 300; seed < 302; seed++) {
         struct sim *sim = day_new(seed, 3);
@@ -16,48 +20,51 @@
         day_run(sim, 60);
         day_crash_leader(sim, 3);
         day_run(sim, 70);
-        int over = 0;
-        int cancelled = 0;
+        int n_ended = 0;
+        int n_cancelled = 0;
         for (int i = 0; i < sim->n_jobs; i++) {
-            over += sim->jobs[i].told_done || sim->jobs[i].told_cancelled;
-            cancelled += sim->jobs[i].told_cancelled;
+            n_ended += sim->jobs[i].told_done || sim->jobs[i].told_cancelled;
+            n_cancelled += sim->jobs[i].told_cancelled;
         }
-        assert_at_least(over, 440);
-        assert_at_least(cancelled, 40);
+        assert_at_least(n_ended, 440);
+        assert_at_least(n_cancelled, 40);
         day_end(sim);
     }
 }
 
-/* Cancellations, questions and repeated submissions meet the end of the last task. */
-static void ends_meet_requests(void **state) {
-    static const struct sim_faults troubled = {.crash_s = 30, .delayed_write = 0.05};
-    unsigned long met = 0;
-    unsigned long done = 0;
-    unsigned long cancelled = 0;
+/* Cancellations, queries and repeated submissions arrive at the moment at which the last task of a
+ * job ends. No node may answer with an earlier state than the user has already received. */
+static void requests_at_end_of_job_get_consistent_answers(void **state) {
+    static const struct sim_faults faults = {.crash_s = 30, .delayed_write = 0.05};
+    unsigned long n_cancelled_at_end = 0;
+    unsigned long n_done = 0;
+    unsigned long n_cancelled = 0;
     (void)state;
     for (unsigned long seed = 310; seed < 318; seed++) {
-        struct sim *sim = sim_new(seed, seed % 2 ? &day_no_faults : &troubled, SIM_SOUND, 3);
+        struct sim *sim = sim_new(seed, seed % 2 ? &day_no_faults : &faults, SIM_SOUND, 3);
         sim->has_concurrent_reads = true;
         for (int i = 0; i < 40; i++) {
-            int j = sim_submit(sim, 1 + i * 2, "sweep", 1 + (unsigned)i % 3, 1, 2 + i % 5, 0);
-            sim->jobs[j].cancel_at_end = i % 2;
-            sim->jobs[j].cancel_again = true;
+            int job = sim_submit(sim, 1 + i * 2, "sweep", 1 + (unsigned)i % 3, 1, 2 + i % 5, 0);
+            sim->jobs[job].cancel_at_end = i % 2;
+            sim->jobs[job].cancel_again = true;
         }
         day_run(sim, 110);
-        met += sim->n_cancelled_at_end;
+        n_cancelled_at_end += sim->n_cancelled_at_end;
         for (int i = 0; i < sim->n_jobs; i++) {
-            done += sim->jobs[i].cancel_asked && sim->jobs[i].told_done;
-            cancelled += sim->jobs[i].told_cancelled;
+            n_done += sim->jobs[i].cancel_asked && sim->jobs[i].told_done;
+            n_cancelled += sim->jobs[i].told_cancelled;
         }
         day_end(sim);
     }
-    assert_at_least(met, 100);
-    assert_true(done >= 10 && cancelled >= 10); /* both came first at times */
+    assert_at_least(n_cancelled_at_end, 100);
+    /* Some jobs ended before the cancellation, others were cancelled first. */
+    assert_true(n_done >= 10 && n_cancelled >= 10);
 }
 
-/* Users look at all nodes within milliseconds after a job was accepted, ended or cancelled, and
- * submit it again; some cancel at once. */
-static void concurrent_reads(void **state) {
+/* Users query all nodes within milliseconds after a job was accepted, ended or cancelled, and
+ * submit it again; some cancel it at once. No node may answer with an earlier state than the user
+ * has already received. */
+static void concurrent_reads_from_all_nodes_are_consistent(void **state) {
     static const struct sim_faults faults = {
         .crash_s = 30, .store_refusal_s = 30, .drop = 0.01, .duplicate = 0.05, .slow_store = 0.1};
     (void)state;
@@ -65,9 +72,9 @@
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
         sim->has_concurrent_reads = true;
         for (int i = 0; i < 40; i++) {
-            int j = sim_submit(sim, 1 + i * 2, "sweep", 1 + (unsigned)i % 4, 1, 3, 0);
-            sim->jobs[j].cancel_on_acceptance = i % 3 == 0;
-            sim->jobs[j].cancel_again = i % 2;
+            int job = sim_submit(sim, 1 + i * 2, "sweep", 1 + (unsigned)i % 4, 1, 3, 0);
+            sim->jobs[job].cancel_on_acceptance = i % 3 == 0;
+            sim->jobs[job].cancel_again = i % 2;
         }
         day_run(sim, 110);
         assert_at_least(sim->n_concurrent_reads, 40 * 9);
@@ -75,16 +82,16 @@
     }
 }
 
-/* What can't run, or lacks a field, is refused by every node, during faults too, and never
- * accepted; a job that nobody submitted stays unknown. */
-static void invalid_requests(void **state) {
+/* A submission that cannot run, or lacks a field, must be refused by every node, during faults too,
+ * and never be accepted. A job that no user submitted must remain unknown. */
+static void invalid_requests_are_refused_during_faults(void **state) {
     static const struct sim_faults faults = {.invalid_request_s = 0.5,
                                              .crash_s = 30,
                                              .store_outage_s = 40,
                                              .store_refusal_s = 40,
                                              .delayed_write = 0.03};
-    unsigned long answered = 0;
-    unsigned long asked = 0;
+    unsigned long n_refused = 0;
+    unsigned long n_requests = 0;
     (void)state;
     for (unsigned long seed = 330; seed < 336; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
@@ -92,36 +99,37 @@
         day_run(sim, 110);
         assert_int_equal(sim_count_stored(sim, RP_KEY_OPEN "j-9"), 0);
         assert_int_equal(sim_count_stored(sim, RP_KEY_TERMINAL "j-9"), 0);
-        asked += sim->n_invalid_requests;
-        answered += sim->n_invalid_refused;
+        n_requests += sim->n_invalid_requests;
+        n_refused += sim->n_invalid_refused;
         day_end(sim);
     }
-    assert_true(asked >= 1000 && answered * 2 > asked);
+    assert_true(n_requests >= 1000 && n_refused * 2 > n_requests);
 }
 
-#define MEANS 12 /* faults that are given by their mean time */
-#define SHARES 9 /* and by their chance */
+#define N_MEAN_TIMES 12 /* kinds of fault that are given by the mean time between two of them */
+#define N_CHANCES 9     /* kinds of fault that are given by their probability */
 
-/* Two to four kinds of fault, drawn with their strength. */
+/* Draws two to four kinds of fault, and the mean time or probability of each. */
 static void draw_faults(unsigned long seed, struct sim_faults *faults) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     gsl_rng_set(rng, seed);
-    double *const means[MEANS] = {&faults->crash_s,         &faults->store_outage_s,
-                                  &faults->store_refusal_s, &faults->pause_s,
-                                  &faults->machine_crash_s, &faults->node_pause_s,
-                                  &faults->spot_notice_s,   &faults->one_way_partition_s,
-                                  &faults->unreachable_s,   &faults->partitioned_node_s,
-                                  &faults->fast_restart_s,  &faults->peer_partition_s};
-    double *const shares[SHARES] = {
+    double *const mean_times_s[N_MEAN_TIMES] = {
+        &faults->crash_s,         &faults->store_outage_s,
+        &faults->store_refusal_s, &faults->pause_s,
+        &faults->machine_crash_s, &faults->node_pause_s,
+        &faults->spot_notice_s,   &faults->one_way_partition_s,
+        &faults->unreachable_s,   &faults->partitioned_node_s,
+        &faults->fast_restart_s,  &faults->peer_partition_s};
+    double *const chances[N_CHANCES] = {
         &faults->drop,           &faults->delay,          &faults->duplicate,
         &faults->late_duplicate, &faults->slow_store,     &faults->delayed_write,
         &faults->dropped_answer, &faults->held_duplicate, &faults->fast_boot};
     for (unsigned long n = 2 + gsl_rng_uniform_int(rng, 3); n > 0; n--) {
-        unsigned long k = gsl_rng_uniform_int(rng, MEANS + SHARES);
-        if (k < MEANS)
-            *means[k] = 10 + 30 * gsl_rng_uniform(rng);
+        unsigned long k = gsl_rng_uniform_int(rng, N_MEAN_TIMES + N_CHANCES);
+        if (k < N_MEAN_TIMES)
+            *mean_times_s[k] = 10 + 30 * gsl_rng_uniform(rng);
         else
-            *shares[k - MEANS] = 0.02 + 0.2 * gsl_rng_uniform(rng) * gsl_rng_uniform(rng);
+            *chances[k - N_MEAN_TIMES] = 0.02 + 0.2 * gsl_rng_uniform(rng) * gsl_rng_uniform(rng);
     }
     gsl_rng_free(rng);
 }
@@ -135,8 +143,9 @@
     }
 }
 
-/* Two to four kinds of fault at a time, drawn with their strength. */
-static void random_combinations(void **state) {
+/* Two to four kinds of fault at a time, drawn at random with their mean times and probabilities, on
+ * three or five nodes, with arrays, gangs and a service. */
+static void random_combinations_of_faults_break_no_rule(void **state) {
     (void)state;
     for (unsigned long seed = 600; seed < 630; seed++) {
         struct sim_faults faults = {0};
@@ -165,9 +174,11 @@
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(four_jobs_a_second), cmocka_unit_test(ends_meet_requests),
-        cmocka_unit_test(concurrent_reads), cmocka_unit_test(invalid_requests),
-        cmocka_unit_test(random_combinations)};
+        cmocka_unit_test(four_jobs_per_second_end_across_leader_crash),
+        cmocka_unit_test(requests_at_end_of_job_get_consistent_answers),
+        cmocka_unit_test(concurrent_reads_from_all_nodes_are_consistent),
+        cmocka_unit_test(invalid_requests_are_refused_during_faults),
+        cmocka_unit_test(random_combinations_of_faults_break_no_rule)};
     rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
