--- a/tests/simulation/test_failover.c
+++ b/tests/simulation/test_failover.c
@@ -1,13 +1,14 @@
-/* What a change of the leader, or a node that is cut off, may cost: leases, gangs and images are
- * kept, and nobody is sent to a node that can't answer. */
+/* What a change of the leader, or a partitioned node, may cost: machines keep their leases, gangs
+ * and images, and neither users nor workers are sent to a node that cannot answer. */
 #include "test.h"
 
 #include "base/log.h"
 #include "day.h"
 
-/* A node that alone gets no answer from the key-value store leaves the load balancer, and comes
- * back; in an outage, when all of them get none, all stay. */
-static void refused_node_steps_aside(void **state) {
+/* A node that is the only one to which the key-value store gives no answer must become unhealthy,
+ * so that the load balancer takes it out, and healthy again after the refusal. In an outage no node
+ * gets an answer, and all nodes must remain healthy. */
+static void node_refused_by_store_is_unhealthy(void **state) {
     struct sim *sim = day_new(5, 3);
     (void)state;
     sim_run(sim, 5);
@@ -24,32 +25,34 @@
     sim_free(sim);
 }
 
-/* Incident c8a9: a leader that reached the key-value store but no worker kept the key for 50 s, and
- * returned every machine. */
-static void isolated_leader_gives_way(void **state) {
+/* Incident c8a9: a leader that reached the key-value store, but received no heartbeat, kept the
+ * leader's key for 50 s and released every machine. Within 11 s another node must lead, and the old
+ * leader may have released one machine at most. */
+static void leader_without_heartbeats_resigns(void **state) {
     struct sim *sim = day_new(6, 3);
     (void)state;
     day_submit_arrays(sim, 6, 1, 0, 30, 1, 60);
     sim_run(sim, 60);
     int leader = sim_leader(sim);
-    unsigned long returned = sim->nodes[leader].node->fleet.release.n_released;
+    unsigned long n_released = sim->nodes[leader].node->fleet.release.n_released;
     assert_at_least(sim->nodes[leader].node->cluster.n_machines, 4);
     sim->node_without_heartbeats = leader + 1;
     sim_run(sim, 11);
     assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
     assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.release.n_released, 0);
-    assert_at_most(sim->nodes[leader].node->fleet.release.n_released, returned + 1);
+    assert_at_most(sim->nodes[leader].node->fleet.release.n_released, n_released + 1);
     assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
-/* The leader loses the key-value store and the other nodes, but not its workers: it lets them go
- * well within their lease, and no task dies. */
-static void partitioned_leader_lets_workers_go(void **state) {
+/* The leader loses the key-value store and the other nodes, but not its workers. It must stop
+ * answering the workers early enough for them to reach the next leader well within their lease, so
+ * that no lease expires and no task is killed. */
+static void partitioned_leader_costs_no_worker_its_lease(void **state) {
     struct sim *sim = day_new(10, 5);
     uint64_t incarnations[SIM_WORKERS] = {0};
-    int kept = 0;
-    int all = 0;
+    int n_kept = 0;
+    int n_all = 0;
     (void)state;
     day_submit_arrays(sim, 6, 1, 0, 30, 1, 60);
     sim_run(sim, 40);
@@ -64,24 +67,25 @@
     assert_true(sim_leader(sim) >= 0 && sim_leader(sim) != leader);
     for (int i = 0; i < sim->size.workers; i++)
         if (incarnations[i] && sim->workers[i].used) {
-            all++;
-            kept += sim->workers[i].incarnation == incarnations[i];
+            n_all++;
+            n_kept += sim->workers[i].incarnation == incarnations[i];
         }
-    assert_at_least(all, 4);
-    assert_int_equal(kept, all);
+    assert_at_least(n_all, 4);
+    assert_int_equal(n_kept, n_all);
     sim_run(sim, 30);
     assert_true(rp_node_is_healthy(sim->nodes[leader].node));
     assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
-/* How many of the machines that are up 24 s after the fault have kept their lease through it. */
-static void leases_outlive(int nodes, unsigned long first, int days,
-                           void (*begin_fault)(struct sim *sim)) {
-    int kept = 0;
-    int all = 0;
-    for (unsigned long seed = first; seed < first + (unsigned long)days; seed++) {
-        struct sim *sim = day_new(seed, nodes);
+/* Asserts that of the machines that are up 24 s after the fault began, at least 90 % have kept
+ * their lease: they are still in their first incarnation. */
+static void assert_leases_survive(int n_nodes, unsigned long first_seed, int n_seeds,
+                                  void (*begin_fault)(struct sim *sim)) {
+    int n_kept = 0;
+    int n_all = 0;
+    for (unsigned long seed = first_seed; seed < first_seed + (unsigned long)n_seeds; seed++) {
+        struct sim *sim = day_new(seed, n_nodes);
         day_lift_team_limit(sim);
         day_submit_arrays(sim, 12, 1, 0, 40, 1, 120);
         sim_run(sim, 40);
@@ -90,50 +94,51 @@
         assert_at_least(sim_leader(sim), 0);
         for (int i = 0; i < sim->size.workers; i++)
             if (sim->workers[i].used && sim->workers[i].up) {
-                all++;
-                kept += sim->workers[i].incarnation == 1;
+                n_all++;
+                n_kept += sim->workers[i].incarnation == 1;
             }
         assert_string_equal(sim->violation, "");
         sim_free(sim);
     }
-    assert_at_least(all, 10 * days);
-    if (kept < all - all / 10)
-        fail_msg("machines that kept their lease: %d of %d", kept, all);
+    assert_at_least(n_all, 10 * n_seeds);
+    if (n_kept < n_all - n_all / 10)
+        fail_msg("machines that kept their lease: %d of %d", n_kept, n_all);
 }
 
-static void freeze_leader(struct sim *sim) {
+static void pause_leader(struct sim *sim) {
     sim->nodes[sim_leader(sim)].paused_until = sim->now + 25;
 }
 
-/* A leader that stands still keeps its key until the lease ends: the others went on naming it, and
- * workers that were sent back to it lost their leases before they found the next one. */
-static void frozen_leader_is_not_named(void **state) {
+/* A leader whose process is paused keeps its key until its lease expires. Fault: the other nodes
+ * continued to name it as the leader, and workers that were sent back to it lost their leases
+ * before they found the next leader. */
+static void leases_survive_paused_leader(void **state) {
     (void)state;
-    leases_outlive(5, 20, 6, freeze_leader);
+    assert_leases_survive(5, 20, 6, pause_leader);
 }
 
-static void freeze_two_leaders(struct sim *sim) {
+static void pause_two_leaders(struct sim *sim) {
     sim->nodes[sim_leader(sim)].paused_until = sim->now + 300;
     sim_run(sim, 35);
     assert_at_least(sim_leader(sim), 0);
-    freeze_leader(sim);
+    pause_leader(sim);
 }
 
-/* Of three nodes one answers nobody for minutes, and then the next leader stands still, too: a
- * worker that the third one sent away was back there only after ten seconds, having waited at both
- * others, and lost its lease (incident 1096). */
-static void frozen_leader_while_another_is_silent(void **state) {
+/* Of three nodes one answers nobody for minutes, and then the process of the next leader is paused
+ * as well. Fault (incident 1096): a worker that the third node sent away waited for both other
+ * nodes in turn, returned to the third one only after ten seconds, and lost its lease. */
+static void leases_survive_paused_leader_beside_silent_node(void **state) {
     (void)state;
-    leases_outlive(3, 40, 4, freeze_two_leaders);
+    assert_leases_survive(3, 40, 4, pause_two_leaders);
 }
 
-static void end_leader_apart(struct sim *sim) {
+static void crash_leader_under_peer_partition(struct sim *sim) {
     sim->peer_partition_until = sim->now + 60;
     sim_run(sim, 5);
     sim_crash(sim, sim_leader(sim), 40);
 }
 
-static void end_all_without_the_cloud(struct sim *sim) {
+static void crash_all_nodes_in_cloud_outage(struct sim *sim) {
     sim->cloud_outage_until = sim->now + 60;
     for (int i = 0; i < sim->n_nodes; i++)
         sim_crash(sim, i, 3);
@@ -143,70 +148,74 @@
     assert_true(sim->jobs[job].accepted);
 }
 
-/* Without the machine types, which the cloud tells, a node takes part in no election and accepts
- * nothing: processes that came back while the cloud was out waited for its return, and workers
- * lost their leases meanwhile. */
-static void restart_while_the_cloud_is_out(void **state) {
+/* A node that has not received the machine types, which the cloud reports, takes part in no
+ * election and accepts no job. Fault: processes that restarted during an outage of the cloud waited
+ * for the end of the outage, and workers lost their leases meanwhile. */
+static void leases_survive_restart_in_cloud_outage(void **state) {
     (void)state;
-    leases_outlive(3, 70, 3, end_all_without_the_cloud);
+    assert_leases_survive(3, 70, 3, crash_all_nodes_in_cloud_outage);
 }
 
-/* Nodes that can't connect to one another still know who leads, by the key: a refused connection
- * says nothing of the leader, and workers are named the next one. */
-static void failover_under_peer_partition(void **state) {
+/* Nodes that cannot connect to one another can still read from the leader's key which node leads.
+ * They must not conclude from a refused connection that the leader has failed, and they must name
+ * the next leader to the workers. */
+static void leases_survive_failover_under_peer_partition(void **state) {
     (void)state;
-    leases_outlive(5, 26, 4, end_leader_apart);
+    assert_leases_survive(5, 26, 4, crash_leader_under_peer_partition);
 }
 
-/* Every failover stopped every gang of several tasks, since not all of them had been heard of yet.
- */
+/* Fault: every failover stopped every gang of several tasks, since the new leader had not yet
+ * received the heartbeats that report all of its tasks. The gang must end without another start. */
 static void failover_keeps_gangs(void **state) {
     struct sim *sim = day_new(11, 3);
     (void)state;
     int gang = sim_submit(sim, 1, "ensemble", 4, 8, 60, 0);
     sim_run(sim, 30);
     assert_true(sim->jobs[gang].begun);
-    unsigned long starts = sim->n_starts;
+    unsigned long n_starts = sim->n_starts;
     sim_crash(sim, sim_leader(sim), 3);
     sim_run(sim, 70);
     assert_true(sim->jobs[gang].told_done);
-    assert_int_equal(sim->n_starts, starts);
+    assert_int_equal(sim->n_starts, n_starts);
     sim_free(sim);
 }
 
-/* A new leader knew only of the images of tasks that ran, and sent work, replicas above all, to
- * machines that had to fetch: the others remember for it, and tell one that was away. */
+/* Fault: a new leader had recorded only the images of running tasks, and started work,
+ * above all replicas, on machines that first had to fetch the image. The other nodes must keep a
+ * record of the images of all machines and report it to the new leader, even if that node was down
+ * before. */
 static void failover_keeps_images(void **state) {
     struct sim *sim = day_new(16, 3);
-    size_t with_image = 0;
-    size_t still = 0;
+    size_t n_with_images_before = 0;
+    size_t n_with_images_after = 0;
     (void)state;
     sim_submit(sim, 1, "sweep", 40, 1, 8, 0);
     sim_submit(sim, 22, "service", 2, 1, 0, 100);
     sim_run(sim, 32);
     for (const struct rp_machine *machine = sim->nodes[sim_leader(sim)].node->cluster.first;
          machine; machine = machine->next)
-        with_image += machine->n_images > 0;
-    assert_at_least(with_image, 3);
+        n_with_images_before += machine->n_images > 0;
+    assert_at_least(n_with_images_before, 3);
     sim_crash(sim, sim_leader(sim), 0.3);
     sim_run(sim, 2);
     for (const struct rp_machine *machine = sim->nodes[sim_leader(sim)].node->cluster.first;
          machine; machine = machine->next)
-        still += machine->n_images > 0;
-    assert_int_equal(still, with_image);
+        n_with_images_after += machine->n_images > 0;
+    assert_int_equal(n_with_images_after, n_with_images_before);
     sim_free(sim);
 }
 
 int main(int argc, char **argv) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(refused_node_steps_aside),
-                                       cmocka_unit_test(isolated_leader_gives_way),
-                                       cmocka_unit_test(partitioned_leader_lets_workers_go),
-                                       cmocka_unit_test(frozen_leader_is_not_named),
-                                       cmocka_unit_test(frozen_leader_while_another_is_silent),
-                                       cmocka_unit_test(restart_while_the_cloud_is_out),
-                                       cmocka_unit_test(failover_under_peer_partition),
-                                       cmocka_unit_test(failover_keeps_gangs),
-                                       cmocka_unit_test(failover_keeps_images)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(node_refused_by_store_is_unhealthy),
+        cmocka_unit_test(leader_without_heartbeats_resigns),
+        cmocka_unit_test(partitioned_leader_costs_no_worker_its_lease),
+        cmocka_unit_test(leases_survive_paused_leader),
+        cmocka_unit_test(leases_survive_paused_leader_beside_silent_node),
+        cmocka_unit_test(leases_survive_restart_in_cloud_outage),
+        cmocka_unit_test(leases_survive_failover_under_peer_partition),
+        cmocka_unit_test(failover_keeps_gangs),
+        cmocka_unit_test(failover_keeps_images)};
     rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/simulation/test_machines.c
+++ b/tests/simulation/test_machines.c
@@ -1,24 +1,25 @@
-/* Machines that go wrong are found, released and replaced; machines that are only out of reach are
- * kept. */
+/* Faulty machines are detected, released and replaced. Machines that are only unreachable for a
+ * while are kept. */
 #include "test.h"
 
 #include <math.h>
 #include "base/log.h"
 #include "day.h"
 
-#define REST_S 250
+#define REST_S 250 /* simulated seconds after the faults, within which all jobs must end */
 
 static struct sim_worker *busiest_worker(struct sim *sim) {
-    struct sim_worker *best = NULL;
+    struct sim_worker *busiest = NULL;
     for (int i = 0; i < sim->size.workers; i++)
         if (sim->workers[i].used && sim->workers[i].up &&
-            (!best || sim->workers[i].n_tasks > best->n_tasks))
-            best = &sim->workers[i];
-    return best;
+            (!busiest || sim->workers[i].n_tasks > busiest->n_tasks))
+            busiest = &sim->workers[i];
+    return busiest;
 }
 
-/* A machine whose heartbeats arrive but that gets no answers looked like a good one for ever:
- * starts went to it again and again. It gets no more work, and goes back. */
+/* Fault: a machine whose heartbeats arrive, but which receives no answers, was taken for a healthy
+ * machine for ever, and tasks were started on it again and again. It must receive no more work and
+ * be released. */
 static void one_way_partitioned_machine_is_released(void **state) {
     struct sim *sim = day_new(7, 3);
     char name[RP_TEXT_MAX];
@@ -41,9 +42,10 @@
     sim_free(sim);
 }
 
-/* After a failover such a machine shows no token: it kept all work of before from being started,
- * for as long as its heartbeats were answered. */
-static void one_way_partition_at_failover(void **state) {
+/* After a failover, a machine that receives no answers never reports the new leader's fencing
+ * token. Fault: for as long as its heartbeats were answered, it kept all work from before the
+ * failover from being started. */
+static void failover_completes_despite_one_way_partition(void **state) {
     struct sim *sim = day_new(8, 3);
     (void)state;
     day_submit_arrays(sim, 4, 1, 0, 40, 1, 20);
@@ -59,10 +61,10 @@
     sim_free(sim);
 }
 
-/* A late copy of a heartbeat by a terminated machine, read by a leader who never knew it, made a
- * machine that plans counted on. */
-static void ghost_is_no_machine(void **state) {
-    static const char text[] =
+/* Fault: a late copy of a heartbeat of a terminated machine reached a leader that had never had a
+ * record of the machine. The leader added it to the cluster, and plans counted on its capacity. */
+static void heartbeat_of_terminated_machine_adds_no_machine(void **state) {
+    static const char heartbeat[] =
         "{\"sheave\":\"vm-ghost\",\"address\":\"vm-ghost\",\"frame\":\"wide\",\"yard\":\"a\","
         "\"loaners\":false,\"stint\":3,\"tick\":50,\"warrant\":0,\"recall_s\":null,\"lifts\":[]}";
     struct sim *sim = day_new(9, 3);
@@ -71,25 +73,28 @@
     struct rp_node *node = sim->nodes[sim_leader(sim)].node;
     struct day_answer answer = {.req = {.method = "POST",
                                         .target = "/checkin",
-                                        .body = text,
-                                        .len = strlen(text),
+                                        .body = heartbeat,
+                                        .len = strlen(heartbeat),
                                         .respond = day_keep_answer}};
     rp_node_client_request(node, &answer.req);
-    assert_int_equal(answer.status, 200); /* if it is there, it learns the token and comes again */
+    /* An existing machine receives the fencing token with this answer and sends another
+     * heartbeat. */
+    assert_int_equal(answer.status, 200);
     assert_null(rp_machine_find(&node->cluster, "vm-ghost"));
     sim_free(sim);
 }
 
-/* Incident 4d52: jobs that fail wherever they are started had every third good machine that they
- * met given back, with its images; and all their tasks were started again and again. */
-static void bad_jobs_condemn_no_machine(void **state) {
+/* Incident 4d52: because of jobs that fail on every machine, every third healthy machine on which
+ * they were started was released, with its images, and all their tasks were started again and
+ * again. */
+static void failing_jobs_quarantine_no_machine(void **state) {
     struct sim *sim = day_new(18, 3);
     (void)state;
     day_lift_team_limit(sim);
     day_submit_arrays(sim, 12, 1, 6, 40, 2, 12);
     for (int i = 0; i < 5; i++) {
-        int bad = sim_submit(sim, 20 + i * 5, "sweep", 40, 1, 1, 100);
-        sim->jobs[bad].fails_always = true;
+        int failing_job = sim_submit(sim, 20 + i * 5, "sweep", 40, 1, 1, 100);
+        sim->jobs[failing_job].fails_always = true;
     }
     for (int i = 0; i < 800; i++) {
         sim_run(sim, 0.1);
@@ -100,21 +105,22 @@
         }
     }
     assert_at_least(sim->n_task_errors, 20);
-    assert_at_most(sim->n_task_errors, 5 * 40 + 5 * 30); /* all once, then a few at a time */
+    /* Every task of the five jobs may fail once, then a few tasks at a time. */
+    assert_at_most(sim->n_task_errors, 5 * 40 + 5 * 30);
     sim_run(sim, 150);
     assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
-/* Machines that never come up are told from slow ones, given back and replaced: they hold no work
- * for ever, and cost a bounded time. */
-static void machines_that_never_come_up(void **state) {
+/* Machines that never finish booting must be distinguished from slow ones, released and replaced,
+ * so that no work waits for them for ever and the time for which they are charged is bounded. */
+static void machines_that_never_boot_are_released(void **state) {
     static const struct sim_faults faults = {.boot_failure = 0.4};
-    int never = 0;
+    int n_never_booted = 0;
     (void)state;
     for (unsigned long seed = 40; seed < 44; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_SOUND, 3);
-        double longest = 0;
+        double longest_boot_s = 0;
         day_submit_mixed_work(sim, seed);
         for (int i = 0; i < 150; i++) {
             sim_run(sim, 1);
@@ -122,13 +128,15 @@
                 sim_crash(sim, sim_leader(sim), 3);
             for (int k = 0; k < sim->size.workers; k++)
                 if (sim->workers[k].used && sim->workers[k].boots_at > 1e8) {
-                    longest = fmax(longest, sim->now - sim->workers[k].provisioned_at);
-                    never += sim->now - sim->workers[k].provisioned_at < 1;
+                    longest_boot_s =
+                        fmax(longest_boot_s, sim->now - sim->workers[k].provisioned_at);
+                    n_never_booted += sim->now - sim->workers[k].provisioned_at < 1;
                 }
         }
-        /* The slowest type boots in 12 s; a new leader reckons anew here, where no time of day is.
-         */
-        assert_true(longest > 10 && longest < 12 * sim->settings[0].tuning.boot_patience * 2 + 20);
+        /* The slowest type boots in 12 s. A new leader measures the boot time anew here, since the
+         * simulation has no time of day. */
+        assert_true(longest_boot_s > 10 &&
+                    longest_boot_s < 12 * sim->settings[0].tuning.boot_patience * 2 + 20);
         sim_end_faults(sim);
         sim_run(sim, REST_S);
         sim_check_served(sim);
@@ -136,30 +144,31 @@
         assert_true(sim_all_terminal(sim));
         sim_free(sim);
     }
-    assert_at_least(never, 8);
+    assert_at_least(n_never_booted, 8);
 }
 
-/* A machine that fails everything has free capacity all the time, and draws work: it is found, also
- * when there are jobs about that fail everywhere. */
-static void bad_machines_are_found(void **state) {
+/* A machine on which every task fails has free capacity all the time and therefore receives more
+ * and more work. It must be detected and released, even while there is a job that fails on every
+ * machine. */
+static void failing_machines_are_released(void **state) {
     struct sim *sim = day_new(19, 3);
-    int bad = 0;
-    int left = 0;
+    int n_failing = 0;
+    int n_left = 0;
     (void)state;
     day_submit_arrays(sim, 12, 1, 4, 20, 1, 8);
     int job = sim_submit(sim, 15, "sweep", 10, 1, 1, 60);
     sim->jobs[job].fails_always = true;
     sim_run(sim, 20);
-    for (int i = 0; i < sim->size.workers && bad < 2; i++)
+    for (int i = 0; i < sim->size.workers && n_failing < 2; i++)
         if (sim->workers[i].used && sim->workers[i].up && sim->workers[i].n_tasks > 0) {
             sim->workers[i].fails_tasks = true;
-            bad++;
+            n_failing++;
         }
-    assert_int_equal(bad, 2);
+    assert_int_equal(n_failing, 2);
     sim_run(sim, 40);
     for (int i = 0; i < sim->size.workers; i++)
-        left += sim->workers[i].used && sim->workers[i].fails_tasks;
-    assert_int_equal(left, 0);
+        n_left += sim->workers[i].used && sim->workers[i].fails_tasks;
+    assert_int_equal(n_left, 0);
     assert_at_most(sim->n_task_errors, 120);
     sim_run(sim, 200);
     assert_string_equal(sim->violation, "");
@@ -167,9 +176,10 @@
     sim_free(sim);
 }
 
-/* A cut that held packets back delivered heartbeats of incarnations that had ended: their tasks,
- * which ran elsewhere by then, were taken to be on the old machines as well. */
-static void delayed_heartbeats_bring_nothing_back(void **state) {
+/* Fault: a network partition that delayed packets delivered heartbeats of incarnations that had
+ * ended. Their tasks, which ran on other machines by then, were recorded on the old machines as
+ * well. */
+static void heartbeats_of_ended_incarnations_add_no_allocation(void **state) {
     struct sim *sim = day_new(13, 3);
     (void)state;
     day_submit_arrays(sim, 4, 1, 0, 40, 1, 30);
@@ -195,20 +205,21 @@
     sim_free(sim);
 }
 
-/* Incident 592a: the machines of a zone that was cut off for 35 s were all given back, the last of
- * them when the first had come back, and rented anew, with a boot and every image to fetch. And if
- * the leader changed meanwhile, their heartbeats were taken for those of the lost incarnation, and
- * refused until they had gone back. */
-static void cut_zone(bool has_failover) {
+/* Incident 592a: the machines of a zone that was partitioned for 35 s were all released, the last
+ * of them when the first were already reachable again, and were provisioned anew, which cost a boot
+ * and the fetch of every image. If the leader changed meanwhile, the machines' heartbeats were
+ * taken for those of the lost incarnation and refused until the machines had been released. All
+ * machines of the zone must be kept, with and without a failover. */
+static void run_zone_partition(bool has_failover) {
     struct sim *sim = day_new(14, 3);
-    int in_zone = 0;
-    int before = 0;
+    int n_kept = 0;
+    int n_up = 0;
     day_lift_team_limit(sim);
     day_submit_arrays(sim, 40, 1, 2, 40, 2, 40);
     sim_run(sim, 45);
     for (int i = 0; i < sim->size.workers; i++)
-        before += sim->workers[i].used && sim->workers[i].up && sim->workers[i].zone == 0;
-    assert_at_least(before, 4);
+        n_up += sim->workers[i].used && sim->workers[i].up && sim->workers[i].zone == 0;
+    assert_at_least(n_up, 4);
     sim->partitioned_zone = 1;
     sim_run(sim, 5);
     if (has_failover)
@@ -216,37 +227,38 @@
     sim_run(sim, 30);
     const struct rp_node *node = sim->nodes[sim_leader(sim)].node;
     assert_true(rp_fleet_is_zone_silent(&node->fleet, 0));
-    int lost = 0;
+    int n_lost = 0;
     for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
-        lost += machine->zone == 0 && machine->state == RP_MACHINE_LOST;
-    assert_int_equal(lost, before);
+        n_lost += machine->zone == 0 && machine->state == RP_MACHINE_LOST;
+    assert_int_equal(n_lost, n_up);
     sim->partitioned_zone = 0;
     sim_run(sim, 14);
     assert_false(rp_fleet_is_zone_silent(&node->fleet, 0));
     for (const struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
-        in_zone += machine->zone == 0 && machine->state == RP_MACHINE_UP &&
-                   machine->contact.incarnation > 1;
-    assert_int_equal(in_zone, before);
+        n_kept += machine->zone == 0 && machine->state == RP_MACHINE_UP &&
+                  machine->contact.incarnation > 1;
+    assert_int_equal(n_kept, n_up);
     sim_run(sim, 200);
     assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
 
-static void silent_zone_keeps_its_machines(void **state) {
+static void machines_of_partitioned_zone_are_kept(void **state) {
     (void)state;
-    cut_zone(false);
-    cut_zone(true);
+    run_zone_partition(false);
+    run_zone_partition(true);
 }
 
 int main(int argc, char **argv) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(one_way_partitioned_machine_is_released),
-                                       cmocka_unit_test(one_way_partition_at_failover),
-                                       cmocka_unit_test(ghost_is_no_machine),
-                                       cmocka_unit_test(bad_jobs_condemn_no_machine),
-                                       cmocka_unit_test(bad_machines_are_found),
-                                       cmocka_unit_test(machines_that_never_come_up),
-                                       cmocka_unit_test(delayed_heartbeats_bring_nothing_back),
-                                       cmocka_unit_test(silent_zone_keeps_its_machines)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(one_way_partitioned_machine_is_released),
+        cmocka_unit_test(failover_completes_despite_one_way_partition),
+        cmocka_unit_test(heartbeat_of_terminated_machine_adds_no_machine),
+        cmocka_unit_test(failing_jobs_quarantine_no_machine),
+        cmocka_unit_test(failing_machines_are_released),
+        cmocka_unit_test(machines_that_never_boot_are_released),
+        cmocka_unit_test(heartbeats_of_ended_incarnations_add_no_allocation),
+        cmocka_unit_test(machines_of_partitioned_zone_are_kept)};
     rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/simulation/test_random_faults.c
+++ b/tests/simulation/test_random_faults.c
@@ -1,26 +1,26 @@
-/* Days of random faults: one kind at a time, then all together. Whatever happens, the rules hold,
- * and afterwards all that was accepted comes to its end. */
+/* Simulated days with random faults: one kind at a time, then all together. The rules (rules.c)
+ * must hold throughout, and every accepted job must end after the faults. */
 #include "test.h"
 
 #include "base/log.h"
 #include "day.h"
 
-#define DAY_S 150
-#define REST_S 250
+#define DAY_S 150  /* simulated seconds with faults */
+#define REST_S 250 /* simulated seconds after the faults, within which all jobs must end */
 
 static void check_status_page(struct sim *sim) {
     struct day_answer answer = {
         .req = {.method = "GET", .target = "/status", .body = "", .respond = day_keep_answer}};
     rp_node_peer_request(sim->nodes[sim_leader(sim)].node, &answer.req);
-    json_t *value = json_loads(answer.body, 0, NULL);
+    json_t *status = json_loads(answer.body, 0, NULL);
     assert_int_equal(answer.status, 200);
-    assert_string_equal(json_string_value(json_object_get(value, "state")), "leading");
-    assert_true(json_integer_value(json_object_get(value, "starts")) >= 100);
-    assert_true(json_is_object(json_object_get(json_object_get(value, "latencies"), "submit_s")));
-    json_decref(value);
+    assert_string_equal(json_string_value(json_object_get(status, "state")), "leading");
+    assert_true(json_integer_value(json_object_get(status, "starts")) >= 100);
+    assert_true(json_is_object(json_object_get(json_object_get(status, "latencies"), "submit_s")));
+    json_decref(status);
 }
 
-static void quiet_day(void **state) {
+static void day_without_faults_ends_all_jobs(void **state) {
     struct sim *sim = day_new(1, 3);
     (void)state;
     day_submit_mixed_work(sim, 1);
@@ -33,12 +33,12 @@
     sim_free(sim);
 }
 
-/* Days with one kind of fault, then all together; afterwards the world is left in peace, and all
- * that was accepted must come to its end. */
-static void days_of_faults_on(int nodes, const struct sim_faults *faults, unsigned long first,
-                              int days) {
-    for (unsigned long seed = first; seed < first + (unsigned long)days; seed++) {
-        struct sim *sim = sim_new(seed, faults, SIM_SOUND, nodes);
+/* Simulates one day with the faults for each of `n_days` seeds. Afterwards no more faults occur,
+ * and every accepted job must end within REST_S seconds. */
+static void run_fault_days_on(int n_nodes, const struct sim_faults *faults,
+                              unsigned long first_seed, int n_days) {
+    for (unsigned long seed = first_seed; seed < first_seed + (unsigned long)n_days; seed++) {
+        struct sim *sim = sim_new(seed, faults, SIM_SOUND, n_nodes);
         day_submit_mixed_work(sim, seed);
         sim_run(sim, DAY_S);
         sim_end_faults(sim);
@@ -52,37 +52,37 @@
     }
 }
 
-static void days_of_faults(const struct sim_faults *faults, unsigned long first, int days) {
-    days_of_faults_on(3, faults, first, days);
+static void run_fault_days(const struct sim_faults *faults, unsigned long first_seed, int n_days) {
+    run_fault_days_on(3, faults, first_seed, n_days);
 }
 
-static void bad_network(void **state) {
+static void lossy_network_breaks_no_rule(void **state) {
     static const struct sim_faults faults = {.drop = 0.02, .delay = 0.02, .duplicate = 0.05};
     (void)state;
-    days_of_faults(&faults, 100, 8);
+    run_fault_days(&faults, 100, 8);
 }
 
-static void crashes(void **state) {
+static void node_crashes_break_no_rule(void **state) {
     static const struct sim_faults faults = {.crash_s = 12, .duplicate = 0.02};
     (void)state;
-    days_of_faults(&faults, 200, 8);
+    run_fault_days(&faults, 200, 8);
 }
 
-static void state_troubles(void **state) {
+static void store_outages_and_refusals_break_no_rule(void **state) {
     static const struct sim_faults faults = {
         .store_outage_s = 40, .store_refusal_s = 25, .delay = 0.01};
     (void)state;
-    days_of_faults(&faults, 300, 8);
+    run_fault_days(&faults, 300, 8);
 }
 
-static void machine_troubles(void **state) {
+static void machine_faults_break_no_rule(void **state) {
     static const struct sim_faults faults = {
         .pause_s = 15, .machine_crash_s = 20, .spot_notice_s = 10, .task_error = 0.02};
     (void)state;
-    days_of_faults(&faults, 400, 8);
+    run_fault_days(&faults, 400, 8);
 }
 
-static void everything(void **state) {
+static void all_faults_on_three_nodes_break_no_rule(void **state) {
     static const struct sim_faults faults = {.drop = 0.01,
                                              .delay = 0.01,
                                              .duplicate = 0.03,
@@ -94,48 +94,50 @@
                                              .node_pause_s = 30,
                                              .task_error = 0.01};
     (void)state;
-    days_of_faults(&faults, 500, 24);
+    run_fault_days(&faults, 500, 24);
 }
 
-/* Machines whose heartbeats arrive while answers don't, with failovers among it. */
-static void one_way_partitions(void **state) {
+/* The heartbeats of some machines arrive, but the answers to them do not, and the leader changes
+ * meanwhile. */
+static void one_way_partitions_break_no_rule(void **state) {
     static const struct sim_faults faults = {.one_way_partition_s = 12, .crash_s = 50};
     (void)state;
-    days_of_faults(&faults, 600, 8);
+    run_fault_days(&faults, 600, 8);
 }
 
-/* Copies of heartbeats seconds to five leases late, across incarnations, leaders, and machines that
- * are gone. */
-static void late_duplicates(void **state) {
+/* Copies of heartbeats arrive seconds to five leases late: after the machine has begun another
+ * incarnation, after the leader has changed, or after the machine was terminated. */
+static void late_duplicates_of_heartbeats_break_no_rule(void **state) {
     static const struct sim_faults faults = {.late_duplicate = 0.1,
                                              .pause_s = 20,
                                              .machine_crash_s = 30,
                                              .crash_s = 30,
                                              .spot_notice_s = 20};
     (void)state;
-    days_of_faults(&faults, 620, 8);
+    run_fault_days(&faults, 620, 8);
 }
 
-/* Nodes that lose the key-value store and the other nodes, but not the workers. */
-static void partitioned_nodes(void **state) {
+/* Nodes lose the key-value store and the other nodes, but not the workers. */
+static void partitioned_nodes_break_no_rule(void **state) {
     static const struct sim_faults faults = {
         .partitioned_node_s = 20, .duplicate = 0.02, .delay = 0.01};
     (void)state;
-    days_of_faults(&faults, 640, 4);
-    days_of_faults_on(5, &faults, 650, 4);
+    run_fault_days(&faults, 640, 4);
+    run_fault_days_on(5, &faults, 650, 4);
 }
 
-/* Processes and machines back within 50 to 500 ms, at any moment: between the write of a key and
- * its answer, during an election, during a failover; their old requests arrive late, and again. */
-static void fast_restarts(void **state) {
+/* Processes and machines restart within 50 to 500 ms at any moment: between the write of a key and
+ * its answer, during an election, or during a failover. Requests that they sent before the restart
+ * arrive late and repeatedly. */
+static void fast_restarts_break_no_rule(void **state) {
     static const struct sim_faults faults = {
         .fast_restart_s = 4, .duplicate = 0.1, .delay = 0.03, .drop = 0.01, .late_duplicate = 0.05};
     (void)state;
-    days_of_faults(&faults, 660, 6);
-    days_of_faults_on(5, &faults, 670, 6);
+    run_fault_days(&faults, 660, 6);
+    run_fault_days_on(5, &faults, 670, 6);
 }
 
-static void everything_on_five(void **state) {
+static void all_faults_on_five_nodes_break_no_rule(void **state) {
     static const struct sim_faults faults = {.drop = 0.01,
                                              .delay = 0.01,
                                              .duplicate = 0.03,
@@ -152,11 +154,13 @@
                                              .spot_notice_s = 30,
                                              .task_error = 0.01};
     (void)state;
-    days_of_faults_on(5, &faults, 700, 16);
+    run_fault_days_on(5, &faults, 700, 16);
 }
 
-/* The checks can fail: each broken world must be caught on some day. */
-static void catches(enum sim_breakage breakage, const struct sim_faults *faults, const char *rule) {
+/* Shows that a check of the rules can fail: with this breakage of the simulation, a violation of
+ * the rule must be found on one of 30 days. */
+static void assert_violation_is_found(enum sim_breakage breakage, const struct sim_faults *faults,
+                                      const char *rule) {
     for (unsigned long seed = 900; seed < 930; seed++) {
         struct sim *sim = sim_new(seed, faults, breakage, 3);
         day_submit_mixed_work(sim, seed);
@@ -174,46 +178,48 @@
 }
 
 static void broken_worlds_are_caught(void **state) {
-    static const struct sim_faults cut = {.pause_s = 6};
-    static const struct sim_faults calm = {0};
-    static const struct sim_faults late = {
+    static const struct sim_faults pauses = {.pause_s = 6};
+    static const struct sim_faults no_faults = {0};
+    static const struct sim_faults lossy_network = {
         .drop = 0.05, .delay = 0.1, .duplicate = 0.1, .crash_s = 10};
     (void)state;
-    catches(SIM_WORKERS_KEEP_TASKS, &cut, "ran_twice");
-    catches(SIM_WORKERS_IGNORE_STOPS, &calm, "ran_cancelled");
-    catches(SIM_STORE_IGNORES_CONDITIONS, &late, "went_back");
-    static const struct sim_faults copies = {.late_duplicate = 0.2};
-    static const struct sim_faults alone = {
+    assert_violation_is_found(SIM_WORKERS_KEEP_TASKS, &pauses, "ran_twice");
+    assert_violation_is_found(SIM_WORKERS_IGNORE_STOPS, &no_faults, "ran_cancelled");
+    assert_violation_is_found(SIM_STORE_IGNORES_CONDITIONS, &lossy_network, "went_back");
+    static const struct sim_faults duplicates = {.late_duplicate = 0.2};
+    static const struct sim_faults partitions = {
         .partitioned_node_s = 8, .delay = 0.05, .duplicate = 0.05};
-    catches(SIM_DUPLICATES_LOOK_NEW, &copies, "ran_twice");
-    catches(SIM_STORE_IGNORES_CONDITIONS, &alone, ": "); /* whichever rule is first */
-    catches(SIM_POLLS_ARE_DROPPED, &calm, "forgotten");
-    catches(SIM_LARGE_NEVER_BEGIN, &calm, "not_begun");
-    static const struct sim_faults odd = {.invalid_request_s = 5};
-    catches(SIM_INVALID_IS_ACCEPTED, &odd, "invented");
-    catches(SIM_ANSWERS_ARE_STALE, &calm, "went_back");
-    catches(SIM_UNKNOWN_IS_FOUND, &odd, "invented");
-    catches(SIM_DONE_TOO_EARLY, &calm, "not_done");
-    catches(SIM_GANGS_ARE_NOT_SERVED, &calm, "not_served");
-    catches(SIM_LIMIT_IS_LOWER, &calm, "quota");
-    catches(SIM_MACHINES_ELSEWHERE, &calm, "wrong_place");
-    catches(SIM_STARTS_ARE_DROPPED, &calm, "left_waiting");
-    catches(SIM_RENEWED_WITHOUT_STOPS, &calm, "kept_cancelled");
+    assert_violation_is_found(SIM_DUPLICATES_LOOK_NEW, &duplicates, "ran_twice");
+    /* The text ": " accepts whichever rule is violated first. */
+    assert_violation_is_found(SIM_STORE_IGNORES_CONDITIONS, &partitions, ": ");
+    assert_violation_is_found(SIM_POLLS_ARE_DROPPED, &no_faults, "forgotten");
+    assert_violation_is_found(SIM_LARGE_NEVER_BEGIN, &no_faults, "not_begun");
+    static const struct sim_faults invalid_requests = {.invalid_request_s = 5};
+    assert_violation_is_found(SIM_INVALID_IS_ACCEPTED, &invalid_requests, "invented");
+    assert_violation_is_found(SIM_ANSWERS_ARE_STALE, &no_faults, "went_back");
+    assert_violation_is_found(SIM_UNKNOWN_IS_FOUND, &invalid_requests, "invented");
+    assert_violation_is_found(SIM_DONE_TOO_EARLY, &no_faults, "not_done");
+    assert_violation_is_found(SIM_GANGS_ARE_NOT_SERVED, &no_faults, "not_served");
+    assert_violation_is_found(SIM_LIMIT_IS_LOWER, &no_faults, "quota");
+    assert_violation_is_found(SIM_MACHINES_ELSEWHERE, &no_faults, "wrong_place");
+    assert_violation_is_found(SIM_STARTS_ARE_DROPPED, &no_faults, "left_waiting");
+    assert_violation_is_found(SIM_RENEWED_WITHOUT_STOPS, &no_faults, "kept_cancelled");
 }
 
 int main(int argc, char **argv) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(quiet_day),
-                                       cmocka_unit_test(bad_network),
-                                       cmocka_unit_test(crashes),
-                                       cmocka_unit_test(state_troubles),
-                                       cmocka_unit_test(machine_troubles),
-                                       cmocka_unit_test(everything),
-                                       cmocka_unit_test(one_way_partitions),
-                                       cmocka_unit_test(late_duplicates),
-                                       cmocka_unit_test(partitioned_nodes),
-                                       cmocka_unit_test(fast_restarts),
-                                       cmocka_unit_test(everything_on_five),
-                                       cmocka_unit_test(broken_worlds_are_caught)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(day_without_faults_ends_all_jobs),
+        cmocka_unit_test(lossy_network_breaks_no_rule),
+        cmocka_unit_test(node_crashes_break_no_rule),
+        cmocka_unit_test(store_outages_and_refusals_break_no_rule),
+        cmocka_unit_test(machine_faults_break_no_rule),
+        cmocka_unit_test(all_faults_on_three_nodes_break_no_rule),
+        cmocka_unit_test(one_way_partitions_break_no_rule),
+        cmocka_unit_test(late_duplicates_of_heartbeats_break_no_rule),
+        cmocka_unit_test(partitioned_nodes_break_no_rule),
+        cmocka_unit_test(fast_restarts_break_no_rule),
+        cmocka_unit_test(all_faults_on_five_nodes_break_no_rule),
+        cmocka_unit_test(broken_worlds_are_caught)};
     rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
