--- a/tests/simulation/test_upgrade.c
+++ b/tests/simulation/test_upgrade.c
@@ -1,4 +1,4 @@
-/* Days on which the nodes are replaced by a new version while they serve. */
+/* Rolling upgrades: the nodes are replaced by a new version while they serve users and workers. */
 #include "test.h"
 
 #include <dlfcn.h>
@@ -6,38 +6,41 @@
 #include "day.h"
 #include "store/records.h"
 
-#define DAY_S 150
-#define REST_S 200
+#define DAY_S 150  /* simulated seconds with faults after the upgrade */
+#define REST_S 200 /* simulated seconds after the faults, within which all jobs must end */
 
-/* Every node is replaced, with faults all the while: nodes end before their turn and come back
- * old. The limits come down right after the last one is back, and then services come. */
-static unsigned old_after_new, new_after_old; /* failovers */
+/* Failovers from a leader of the new version to one of the old version, and the reverse. */
+static unsigned n_old_after_new, n_new_after_old;
 
-/* Lets the world go on, and counts who leads after whom. */
-static void run_counted(struct sim *sim, double seconds) {
-    static int was_old = -1; /* -1 nobody, 0 new, 1 old */
+/* Runs the simulation, and counts the failovers from one version to the other. */
+static void run_and_count_failovers(struct sim *sim, double seconds) {
+    /* The version of the last leader: -1 no leader yet, 0 the new version, 1 the old version. */
+    static int last_leader_is_old = -1;
     for (double end = sim->now + seconds; sim->now < end && !sim->violation[0];) {
         sim_run(sim, 0.1);
         int leader = sim_leader(sim);
-        int now_old = leader < 0 ? -1 : sim->nodes[leader].is_old_version;
-        old_after_new += was_old == 0 && now_old == 1;
-        new_after_old += was_old == 1 && now_old == 0;
-        was_old = now_old < 0 ? was_old : now_old;
+        int leader_is_old = leader < 0 ? -1 : sim->nodes[leader].is_old_version;
+        n_old_after_new += last_leader_is_old == 0 && leader_is_old == 1;
+        n_new_after_old += last_leader_is_old == 1 && leader_is_old == 0;
+        last_leader_is_old = leader_is_old < 0 ? last_leader_is_old : leader_is_old;
     }
 }
 
-static void roll(unsigned long seed, int nodes, const struct sim_faults *faults) {
-    struct sim *sim = sim_new(seed, faults, SIM_SOUND, nodes);
+/* Replaces every node by the new version, with faults all the time: nodes also crash before their
+ * turn and restart with the old version. The limits of the key-value store are lowered right after
+ * the last node has restarted, and then services are submitted. */
+static void run_rolling_upgrade(unsigned long seed, int n_nodes, const struct sim_faults *faults) {
+    struct sim *sim = sim_new(seed, faults, SIM_SOUND, n_nodes);
     sim_start_as_old_version(sim);
     day_submit_array_stream(sim, 0);
     sim_submit(sim, 10, "sweep", 30, 1, 25, 70);
-    run_counted(sim, 25 + (double)(seed % 7));
-    for (int i = 0; i < nodes; i++) {
-        int node = (int)((unsigned long)i * (1 + seed % 2) + seed) % nodes;
+    run_and_count_failovers(sim, 25 + (double)(seed % 7));
+    for (int i = 0; i < n_nodes; i++) {
+        int node = (int)((unsigned long)i * (1 + seed % 2) + seed) % n_nodes;
         while (!sim->nodes[node].restarts_as_old)
-            node = (node + 1) % nodes;
+            node = (node + 1) % n_nodes;
         sim_upgrade(sim, node, 0.2 + (double)(seed % 4));
-        run_counted(sim, i + 1 < nodes ? 3 + (double)(seed % 11) : 4);
+        run_and_count_failovers(sim, i + 1 < n_nodes ? 3 + (double)(seed % 11) : 4);
         day_expect_sound(sim, seed);
     }
     sim_lower_limits(sim);
@@ -53,7 +56,7 @@
     sim_free(sim);
 }
 
-static void rolls(void **state) {
+static void rolling_upgrades_under_faults_break_no_rule(void **state) {
     static const struct sim_faults faults = {.drop = 0.005,
                                              .delay = 0.005,
                                              .duplicate = 0.03,
@@ -67,15 +70,16 @@
                                              .replica_exit_s = 30};
     (void)state;
     for (unsigned long seed = 1200; seed < 1212; seed++)
-        roll(seed, 3, &faults);
+        run_rolling_upgrade(seed, 3, &faults);
     for (unsigned long seed = 1220; seed < 1226; seed++)
-        roll(seed, 5, &faults);
-    assert_true(old_after_new >= 5 && new_after_old >= 5);
+        run_rolling_upgrade(seed, 5, &faults);
+    assert_true(n_old_after_new >= 5 && n_new_after_old >= 5);
 }
 
-/* Without faults the format is active within two seconds of the last node's return, and nothing
- * is lost: no lease ends, and after it a service is accepted and runs at once. */
-static void quiet_roll(void **state) {
+/* A rolling upgrade without faults. The new format must be active within two seconds after the last
+ * node has restarted. No worker's lease may expire, and after the activation a service must be
+ * accepted and run at once. */
+static void rolling_upgrade_without_faults_ends_no_lease(void **state) {
     struct sim *sim = day_new(43, 5);
     (void)state;
     sim_start_as_old_version(sim);
@@ -93,7 +97,8 @@
     int job = sim_submit(sim, sim->now, "service", 3, 1, 0, sim->now + 60);
     sim_run(sim, 1);
     assert_true(sim->jobs[job].accepted);
-    /* Its team is at its limit, on spot machines: lower work makes way while a machine boots. */
+    /* The service's team is at its limit with work on spot machines: work of lower priority is
+     * preempted while a machine boots for the service. */
     sim_run(sim, 24);
     for (uint32_t t = 0; t < 3; t++)
         assert_at_most(sim->jobs[job].down_since[t], 0);
@@ -106,8 +111,10 @@
     sim_free(sim);
 }
 
-/* While one node is away nothing is activated, and a service isn't accepted; the rest goes on. */
-static void absent_node_counts_as_old(void **state) {
+/* A node that is down may return with the old version: until it has restarted with the new version,
+ * the new format must not be activated and no service may be accepted. All other work must
+ * continue. */
+static void node_that_is_down_blocks_activation(void **state) {
     struct sim *sim = day_new(44, 3);
     (void)state;
     sim_start_as_old_version(sim);
@@ -120,7 +127,8 @@
     sim_run(sim, 100);
     assert_true(sim->format_active_at <= 0 && !sim->jobs[job].accepted);
     assert_true(sim->jobs[array].told_done);
-    sim->nodes[2].restarts_as_old = sim->nodes[2].is_old_version = false; /* it comes back new */
+    /* The node restarts with the new version. */
+    sim->nodes[2].restarts_as_old = sim->nodes[2].is_old_version = false;
     sim_run(sim, 40);
     assert_true(sim->format_active_at > 0 && sim->jobs[job].accepted);
     sim_run(sim, 100);
@@ -129,8 +137,10 @@
     sim_free(sim);
 }
 
-/* An operator may keep the way back open: one node that says nothing is enough. */
-static void held_back_by_the_operators(void **state) {
+/* Operators may keep a return to the previous version possible (setting keep_old_forms). One node
+ * that therefore does not announce the new format must be enough: all records are still written in
+ * the old form. */
+static void node_that_keeps_old_forms_blocks_activation(void **state) {
     struct sim *sim = day_new(45, 3);
     (void)state;
     sim->nodes[1].restarts_as_old = true;
@@ -145,8 +155,9 @@
     sim_free(sim);
 }
 
-/* A node that comes back of this version once a later one's format is active keeps away. */
-static void too_old_keeps_away(void **state) {
+/* A node of this version that restarts after the format of a later version has been activated may
+ * neither lead nor be healthy. */
+static void node_older_than_active_format_does_not_lead(void **state) {
     struct sim *sim = day_new(55, 3);
     (void)state;
     sim_run(sim, 5);
@@ -162,10 +173,10 @@
     sim_free(sim);
 }
 
-/* The checks can fail. */
-static void broken_rolls_are_caught(void **state) {
+/* Shows that the checks of the rules can fail: each of these simulations must violate one rule. */
+static void broken_upgrades_and_services_are_caught(void **state) {
     (void)state;
-    /* Somebody says of old nodes that they are new. */
+    /* The key-value store holds announcements of the new format for nodes of the old version. */
     struct sim *sim = day_new(50, 3);
     sim_start_as_old_version(sim);
     for (int i = 0; i < 3; i++) {
@@ -181,7 +192,8 @@
     sim_run(sim, 20);
     assert_true(strstr(sim->violation, "activated_early") != NULL);
     sim_free(sim);
-    /* What is to come is less than the nodes were told. */
+    /* The limits that the store will have are lower than those that the settings announce to the
+     * nodes. */
     sim = day_new(51, 3);
     sim->announced_limits.value_bytes = 100;
     day_submit_array_stream(sim, 5);
@@ -197,8 +209,9 @@
     sim_free(sim);
 }
 
-/* Outside CI: nodes of the really built version in production (tests/mixed/run). */
-static void load_old(const char *library) {
+/* Outside CI: loads the nodes of the version in production, which was built from its own sources
+ * (tests/mixed/run). */
+static void load_old_version(const char *library) {
     void *handle = library ? dlopen(library, RTLD_NOW | RTLD_LOCAL) : NULL;
     if (library && !handle)
         fprintf(stderr, "%s\n", dlerror());
@@ -208,14 +221,15 @@
 }
 
 int main(int argc, char **argv) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(rolls),
-                                       cmocka_unit_test(quiet_roll),
-                                       cmocka_unit_test(absent_node_counts_as_old),
-                                       cmocka_unit_test(held_back_by_the_operators),
-                                       cmocka_unit_test(too_old_keeps_away),
-                                       cmocka_unit_test(broken_rolls_are_caught)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(rolling_upgrades_under_faults_break_no_rule),
+        cmocka_unit_test(rolling_upgrade_without_faults_ends_no_lease),
+        cmocka_unit_test(node_that_is_down_blocks_activation),
+        cmocka_unit_test(node_that_keeps_old_forms_blocks_activation),
+        cmocka_unit_test(node_older_than_active_format_does_not_lead),
+        cmocka_unit_test(broken_upgrades_and_services_are_caught)};
     rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
-    load_old(getenv("RP_OLD_NODE"));
+    load_old_version(getenv("RP_OLD_NODE"));
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
