--- a/tests/simulation/test_records.c
+++ b/tests/simulation/test_records.c
@@ -6,11 +6,11 @@
 #include "store/records.h"
 
 #define LARGE_JOB "j-777777"
-#define LARGE_REQUEST RP_KEY_PROVISION "r-1-1"
-#define CHUNK_DIGITS 2048 /* of a full record of progress, four tasks each */
+#define LARGE_REQUEST_KEY RP_KEY_PROVISION "r-1-1"
+#define CHUNK_DIGITS 2048 /* hexadecimal digits in a full record of progress, four tasks each */
 
 static void put_large_job(struct sim *sim) {
-    static const char open[] =
+    static const char open_record[] =
         "{\"spec\":{\"ref\":\"" LARGE_JOB "\",\"rig\":\"a\",\"crew\":\"t\",\"haul\":\"sweep\","
         "\"precedence\":\"low\",\"lifts\":30000,\"vcpus\":1.0,\"cards\":0.0,\"memory_gb\":1.0,"
         "\"payload\":\"img\",\"image_gb\":1.0,\"frames\":[\"none-such\"],\"one_zone\":false,"
@@ -19,7 +19,7 @@
     char hex[CHUNK_DIGITS + 1];
     memset(hex, '5', CHUNK_DIGITS);
     hex[CHUNK_DIGITS] = '\0';
-    sim_put_record(sim, RP_KEY_OPEN LARGE_JOB, open);
+    sim_put_record(sim, RP_KEY_OPEN LARGE_JOB, open_record);
     for (unsigned i = 0; i < 4; i++) {
         char text[4096];
         char key[RP_KEY_MAX];
@@ -38,24 +38,26 @@
         n += snprintf(text + n, sizeof text - (size_t)n, "%s\"vm-with-a-long-name-%06d\"",
                       i ? "," : "", i);
     snprintf(text + n, sizeof text - (size_t)n, "],\"up\":[\"vm-with-a-long-name-000003\"]}");
-    sim_put_record(sim, LARGE_REQUEST, text);
+    sim_put_record(sim, LARGE_REQUEST_KEY, text);
 }
 
-/* Its user cancels the job that stands in the store. */
+/* The user of the large job, which is stored in the key-value store, cancels it. */
 static void cancel_large_job(struct sim *sim) {
-    int other = sim_submit(sim, sim->now, "sweep", 40, 1, 10, 0);
-    /* With only the id changed here, a repeated submission named another job, and its answer
-     * "pending" passed for one that went back, on every fourth seed. */
-    sim_set_field(sim, other, "ref", json_string(LARGE_JOB));
-    sim->jobs[other].accepted = true;
-    sim->jobs[other].cancel_at = sim->now;
+    int job = sim_submit(sim, sim->now, "sweep", 40, 1, 10, 0);
+    /* The field is set in the body of the submission as well. With only the id changed, a repeated
+     * submission named another job, and the answer "pending" to it was taken for a state that went
+     * back, with every fourth seed. */
+    sim_set_field(sim, job, "ref", json_string(LARGE_JOB));
+    sim->jobs[job].accepted = true;
+    sim->jobs[job].cancel_at = sim->now;
     sim_run(sim, 30);
-    assert_true(sim->jobs[other].told_cancelled);
+    assert_true(sim->jobs[job].told_cancelled);
 }
 
-/* Records that the version before wrote within the old limits: read, ended, and where they have to
- * change, moved to smaller ones, without one request that the new limits refuse. */
-static void large_records_end(void **state) {
+/* Records that the previous version wrote within the old limits must be read, and be deleted when
+ * they are no longer needed. Where they have to change before that, they must be split into smaller
+ * records. None of these requests may exceed the new limits. */
+static void oversized_records_are_split_and_deleted(void **state) {
     struct sim *sim = day_new(46, 3);
     (void)state;
     put_large_job(sim);
@@ -65,14 +67,15 @@
     sim_lower_limits(sim);
     const struct rp_job *job = rp_jobs_find(&sim->nodes[sim_leader(sim)].node->jobs, LARGE_JOB);
     assert_non_null(job);
-    assert_int_equal(job->n_done, 14288); /* half of 3 * 8192 + 4000 */
-    /* A leader that dies in the middle of the splitting leaves nothing that the next can't read. */
+    assert_int_equal(job->n_done, 14288); /* half of 3 * 8192 + 4000 tasks */
+    /* A leader that crashes while it splits records leaves nothing that the next leader cannot
+     * read. */
     for (int i = 0; i < 6; i++) {
         sim_run(sim, 11);
         sim_crash(sim, sim_leader(sim) >= 0 ? sim_leader(sim) : 0, 0.3);
     }
     sim_run(sim, 150);
-    assert_null(sim_find_record(sim, LARGE_REQUEST));
+    assert_null(sim_find_record(sim, LARGE_REQUEST_KEY));
     cancel_large_job(sim);
     assert_int_equal(sim_count_stored(sim, RP_KEY_PROGRESS), 0);
     assert_int_equal(sim->n_oversized_writes, 0);
@@ -80,10 +83,10 @@
     sim_free(sim);
 }
 
-/* Descriptions too long for one value of the new limits: stored in parts, known to the next leader,
- * run to their end, and nothing of them is left. Before the activation they wait, or are stored
- * whole where today's limit lets them. */
-static void long_descriptions(void **state) {
+/* Job descriptions that are too long for one value under the new limits must be stored in parts.
+ * The next leader must read them, the jobs must end, and no part may be left. Before the activation
+ * such a job waits, or is stored whole where the current limit allows it. */
+static void long_descriptions_are_stored_in_parts_and_deleted(void **state) {
     struct sim *sim = day_new(47, 3);
     (void)state;
     sim_run(sim, 5);
@@ -103,9 +106,10 @@
     sim_free(sim);
 }
 
-/* Limits that come down further than anybody announced: smaller pieces and a slower pace, no
- * refused request in a loop, and no leadership lost for it. */
-static void limits_below_all_promises(void **state) {
+/* The key-value store lowers its limits further than announced. The nodes must write smaller pieces
+ * at a lower rate, must not repeat refused requests in a loop, and the leader must not lose its
+ * leadership because of it. */
+static void limits_below_announced_ones_cost_no_leadership(void **state) {
     struct sim *sim = day_new(48, 3);
     (void)state;
     day_submit_array_stream(sim, 0);
@@ -122,9 +126,10 @@
     sim_free(sim);
 }
 
-/* Few changes a second, told beforehand: progress and sweeps got no turn at all where what was kept
- * free for finishing jobs was more than the budget ever held. */
-static void few_changes_a_second(void **state) {
+/* The key-value store allows only few changes a second, as the settings have announced. Fault:
+ * progress was not written and obsolete records were not deleted at all, because the changes
+ * reserved for finishing jobs were more than the write budget could ever hold. */
+static void progress_is_written_at_low_write_rate(void **state) {
     static const struct sim_size slow = {64, 6, 2, 14, 39, 200, 6, 5};
     struct sim *sim = sim_new_sized(53, &day_no_faults, SIM_SOUND, 3, &slow);
     (void)state;
@@ -141,9 +146,10 @@
     sim_free(sim);
 }
 
-/* Records that can't be read, or are of a later version, stay as they are and harm nothing else. */
-static void unreadable_records(void **state) {
-    static const char *const odd[][2] = {
+/* Records that cannot be read, or that a later version wrote, must remain unchanged and must not
+ * affect any other job. */
+static void unreadable_records_stay_unchanged(void **state) {
+    static const char *const records[][2] = {
         {RP_KEY_OPEN "j-900001", "{\"f\":3,\"spec\":{},\"more\":1}"},
         {RP_KEY_OPEN "j-900002", "[1,2]"},
         {RP_KEY_OPEN "j-900003", "{\"f\":2,\"parts\":2,\"text\":\"{\"}"},
@@ -152,17 +158,17 @@
         {RP_KEY_PROVISION "x-2", "7"}};
     struct sim *sim = day_new(49, 3);
     (void)state;
-    for (size_t i = 0; i < sizeof odd / sizeof odd[0]; i++)
-        sim_put_record(sim, odd[i][0], odd[i][1]);
+    for (size_t i = 0; i < sizeof records / sizeof records[0]; i++)
+        sim_put_record(sim, records[i][0], records[i][1]);
     day_submit_array_stream(sim, 0);
     sim_run(sim, 30);
     sim_crash(sim, sim_leader(sim), 1);
     sim_run(sim, 200);
     day_expect_sound(sim, 49);
     assert_true(sim_all_terminal(sim));
-    for (size_t i = 0; i < sizeof odd / sizeof odd[0]; i++) {
-        json_t *value = json_loads(odd[i][1], JSON_DECODE_ANY, NULL);
-        assert_true(json_equal(sim_find_record(sim, odd[i][0]), value));
+    for (size_t i = 0; i < sizeof records / sizeof records[0]; i++) {
+        json_t *value = json_loads(records[i][1], JSON_DECODE_ANY, NULL);
+        assert_true(json_equal(sim_find_record(sim, records[i][0]), value));
         json_decref(value);
     }
     sim_free(sim);
@@ -170,9 +176,11 @@
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(large_records_end), cmocka_unit_test(long_descriptions),
-        cmocka_unit_test(limits_below_all_promises), cmocka_unit_test(few_changes_a_second),
-        cmocka_unit_test(unreadable_records)};
+        cmocka_unit_test(oversized_records_are_split_and_deleted),
+        cmocka_unit_test(long_descriptions_are_stored_in_parts_and_deleted),
+        cmocka_unit_test(limits_below_announced_ones_cost_no_leadership),
+        cmocka_unit_test(progress_is_written_at_low_write_rate),
+        cmocka_unit_test(unreadable_records_stay_unchanged)};
     rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/simulation/test_services.c
+++ b/tests/simulation/test_services.c
@@ -1,13 +1,13 @@
-/* Services: their replicas run, are replaced at once where they end, and cost little where they
- * can't run. */
+/* Services: their replicas run, are replaced at once when they end, and cost little where they
+ * cannot run. */
 #include "test.h"
 
 #include "base/log.h"
 #include "day.h"
 #include "store/records.h"
 
-#define DAY_S 150
-#define REST_S 200
+#define DAY_S 150  /* simulated seconds with faults */
+#define REST_S 200 /* simulated seconds after the faults, within which all jobs must end */
 
 static double up_share(const struct sim *sim) {
     double up_s = 0;
@@ -19,19 +19,20 @@
     return up_s / (up_s + down_s);
 }
 
-/* On a fleet full of low work, replicas run within the time of a fetch, and again where one ends by
- * itself, whatever it says; no array's work is stopped for longer than that takes. */
-static void replicas_stand(void **state) {
-    static const struct sim_faults ends = {.replica_exit_s = 100};
-    struct sim *sim = sim_new(40, &ends, SIM_SOUND, 3);
+/* On a fleet that is full of work of low priority, replicas must run within the time that it takes
+ * to fetch their image, and again after one has ended by itself, whatever its exit reason. No
+ * array's work may be stopped for longer than that takes. */
+static void replicas_run_on_full_fleet(void **state) {
+    static const struct sim_faults replica_exits = {.replica_exit_s = 100};
+    struct sim *sim = sim_new(40, &replica_exits, SIM_SOUND, 3);
     (void)state;
     day_lift_team_limit(sim);
     day_submit_arrays(sim, 40, 1, 2, 40, 2, 20);
     day_submit_services(sim, 30);
     sim_run(sim, 300);
     day_expect_sound(sim, 40);
-    /* Of each 100 s, an end costs the simulated fetch of 0.5 to 1.5 s, and up to half a second
-     * until it is reported. */
+    /* In each 100 s, the end of a replica costs the simulated fetch of 0.5 to 1.5 s, and up to half
+     * a second until the end is reported. */
     if (up_share(sim) < 0.97)
         fail_msg("up share %.4f", up_share(sim));
     assert_more_than(sim->n_direct, 15);
@@ -42,9 +43,9 @@
     sim_free(sim);
 }
 
-/* A machine that hangs is given back as soon as it neither sends heartbeats nor answers: its
- * replicas don't wait for its lease. */
-static void hung_machine_frees_replicas(void **state) {
+/* A machine that hangs must be released as soon as it neither sends heartbeats nor answers. Its
+ * replicas must run elsewhere within 10 s, before its lease has expired. */
+static void replicas_of_hung_machine_are_replaced_before_lease_expiry(void **state) {
     struct sim *sim = day_new(41, 3);
     (void)state;
     day_submit_arrays(sim, 12, 1, 1, 40, 2, 30);
@@ -58,7 +59,7 @@
                 sim->workers[i].tasks[k].state == RP_TASK_RUNNING)
                 worker = &sim->workers[i];
     assert_non_null(worker);
-    if (!worker) /* the analyzer takes cmocka's assertions for functions that return */
+    if (!worker) /* the static analyzer assumes that cmocka's assertions may return */
         return;
     worker->paused_until = sim->now + 60;
     sim_run(sim, 10);
@@ -68,8 +69,9 @@
     sim_free(sim);
 }
 
-/* A service whose replicas end at once: other machines, growing pauses, few starts. */
-static void bad_image_costs_little(void **state) {
+/* Every replica of a service ends at once, as with an image that cannot run. The replicas must be
+ * started on other machines, with growing pauses, and therefore few times. */
+static void failing_replicas_are_started_with_backoff(void **state) {
     struct sim *sim = day_new(42, 3);
     (void)state;
     day_submit_array_stream(sim, 0);
@@ -77,19 +79,20 @@
     int job = sim_submit(sim, sim->now + 100, "service", 4, 1, 0, 0);
     sim->jobs[job].fails_always = true;
     sim_run(sim, 100);
-    unsigned long starts = sim->n_starts;
+    unsigned long n_starts = sim->n_starts;
     sim_run(sim, 120);
     assert_true(sim->jobs[job].begun);
-    assert_less_than(sim->n_starts - starts, 80);
+    assert_less_than(sim->n_starts - n_starts, 80);
     day_expect_sound(sim, 42);
     sim_free(sim);
 }
 
-/* What is kept known of direct starts doesn't grow for ever: another term lets workers forget it.
- */
-static void ended_attempts_are_forgotten(void **state) {
+/* Workers list the ended attempts of direct starts in their heartbeats for as long as the leader's
+ * term lasts. The number of these attempts must not grow for ever: the leader must begin another
+ * term, in which workers forget them. */
+static void ended_direct_attempts_are_forgotten(void **state) {
     struct sim *sim = day_new(54, 3);
-    size_t listed = 0;
+    size_t n_listed = 0;
     (void)state;
     day_lift_team_limit(sim);
     for (int i = 0; i < 12; i++)
@@ -102,18 +105,18 @@
     sim_run(sim, 10);
     for (int i = 0; i < sim->size.workers; i++)
         for (int k = 0; sim->workers[i].used && k < sim->workers[i].n_tasks; k++)
-            listed += sim->workers[i].tasks[k].state == RP_TASK_EXITED;
-    assert_less_than(listed, 300);
+            n_listed += sim->workers[i].tasks[k].state == RP_TASK_EXITED;
+    assert_less_than(n_listed, 300);
     sim_run(sim, 60);
     day_expect_sound(sim, 54);
     assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
 
-static void service_days(int nodes, const struct sim_faults *faults, unsigned long first,
-                         int days) {
-    for (unsigned long seed = first; seed < first + (unsigned long)days; seed++) {
-        struct sim *sim = sim_new(seed, faults, SIM_SOUND, nodes);
+static void run_service_days(int n_nodes, const struct sim_faults *faults, unsigned long first_seed,
+                             int n_days) {
+    for (unsigned long seed = first_seed; seed < first_seed + (unsigned long)n_days; seed++) {
+        struct sim *sim = sim_new(seed, faults, SIM_SOUND, n_nodes);
         day_submit_services(sim, 3);
         day_submit_array_stream(sim, 0);
         sim_run(sim, DAY_S);
@@ -127,8 +130,9 @@
     }
 }
 
-/* Direct commands lost, late and repeated, across incarnations, leaders and machines that go. */
-static void services_in_trouble(void **state) {
+/* Direct commands are lost, late and repeated, also after a machine has begun another incarnation,
+ * after the leader has changed, and after machines were terminated. */
+static void services_under_network_and_machine_faults_break_no_rule(void **state) {
     static const struct sim_faults faults = {.drop = 0.02,
                                              .delay = 0.03,
                                              .duplicate = 0.08,
@@ -140,10 +144,10 @@
                                              .replica_exit_s = 15,
                                              .spot_notice_s = 30};
     (void)state;
-    service_days(3, &faults, 1000, 16);
+    run_service_days(3, &faults, 1000, 16);
 }
 
-static void services_in_everything(void **state) {
+static void services_under_all_faults_break_no_rule(void **state) {
     static const struct sim_faults faults = {.drop = 0.01,
                                              .delay = 0.01,
                                              .duplicate = 0.05,
@@ -160,14 +164,17 @@
                                              .replica_exit_s = 20,
                                              .task_error = 0.01};
     (void)state;
-    service_days(5, &faults, 1100, 12);
+    run_service_days(5, &faults, 1100, 12);
 }
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(replicas_stand),         cmocka_unit_test(hung_machine_frees_replicas),
-        cmocka_unit_test(bad_image_costs_little), cmocka_unit_test(ended_attempts_are_forgotten),
-        cmocka_unit_test(services_in_trouble),    cmocka_unit_test(services_in_everything)};
+        cmocka_unit_test(replicas_run_on_full_fleet),
+        cmocka_unit_test(replicas_of_hung_machine_are_replaced_before_lease_expiry),
+        cmocka_unit_test(failing_replicas_are_started_with_backoff),
+        cmocka_unit_test(ended_direct_attempts_are_forgotten),
+        cmocka_unit_test(services_under_network_and_machine_faults_break_no_rule),
+        cmocka_unit_test(services_under_all_faults_break_no_rule)};
     rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
