--- a/tests/simulation/test_combined_machines.c
+++ b/tests/simulation/test_combined_machines.c
@@ -118,8 +118,8 @@
 }
 
 /* The team is at its limit while jobs are cancelled on machines that hang or reach no node, and the
- * leader changes. Waiting tasks must not start before the leader has received that the cancelled
- * tasks have ended; otherwise the team would exceed its limit. */
+ * leader changes. Waiting tasks must not start before it is certain that the cancelled tasks have
+ * ended; otherwise the team would exceed its limit. */
 static void full_team_stays_within_limit_at_failover(void **state) {
     (void)state;
     for (unsigned long seed = 450; seed < 458; seed++) {
--- a/tests/simulation/test_combined_users.c
+++ b/tests/simulation/test_combined_users.c
@@ -9,8 +9,8 @@
 #define REST_S 250 /* simulated seconds after the faults, within which all jobs must end */
 
 /* Users submit four jobs per second for two minutes, cancel a quarter of them, and the leader
- * crashes meanwhile. 5 s after the last submission the users of at least 440 of the 480 jobs must
- * have received that their job has ended. */
+ * crashes meanwhile. At least 440 of the 480 jobs must have been reported to their users as ended 5
+ * s after the last submission. */
 static void four_jobs_per_second_end_across_leader_crash(void **state) {
     (void)state;
     for (unsigned long seed = 300; seed < 302; seed++) {
