--- a/src/base/log.c
+++ b/src/base/log.c
@@ -5,7 +5,7 @@
 #include <string.h>
 #include <time.h>
 
-#define NODE_NAME_MAX 64 /* RP_NAME_MAX of config/settings.h, which is above this layer */
+#define NODE_NAME_MAX 64 /* equals RP_NAME_MAX of config/settings.h, a higher layer */
 #define TEXT_MAX 1024
 #define STAMP_MAX 32
 #define NS_PER_MS 1000000
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,37 +1,38 @@
 /** @file
- * Log lines on standard error: time, level, node, term, text. Owns the only global of the project:
- * the node's name, its term and the level. Called by all modules; main.c sets it up.
+ * Log lines on standard error: time, level, node, term, text. Owns the project's only global
+ * variable: the node's name, its term and the log level. Called by all modules; initialised by
+ * main.c.
  *
- * A line's text is a fixed message, then key=value pairs (docs/glossary.md). */
+ * The text of a line is a fixed message followed by key=value pairs (docs/glossary.md). */
 #ifndef RP_BASE_LOG_H
 #define RP_BASE_LOG_H
 
 #include <stdint.h>
 
-/** How much is logged: each level with those before it. */
+/** Log levels. Setting one also enables all levels that precede it here. */
 enum rp_log_level { RP_LOG_ERROR, RP_LOG_INFO, RP_LOG_DEBUG };
 
-/** Level by name (`error`, `info`, `debug`); NULL or unknown means info. */
+/** The level with this name (`error`, `info`, `debug`); info if the name is NULL or unknown. */
 enum rp_log_level rp_log_level_named(const char *name);
 
-/** Sets the node's name, which is copied, and the level. Before it, lines have no name and the
- * level is info. */
+/** Sets the node's name, which is copied, and the level. Before this call, log lines carry no name
+ * and the level is info. */
 void rp_log_setup(const char *node, enum rp_log_level level);
 
-/** Sets the term (fencing token) that each line carries; 0 while this node doesn't lead. */
+/** Sets the term (fencing token) that each log line carries; 0 while this node does not lead. */
 void rp_log_set_term(uint64_t term);
 
-/** The level that was set up. */
+/** The level set by rp_log_setup. */
 enum rp_log_level rp_log_current_level(void);
 
-/** Writes a line if its level is logged. A text beyond 1023 bytes is cut. */
+/** Writes a log line if its level is enabled. A text longer than 1023 bytes is truncated. */
 void rp_log(enum rp_log_level level, const char *format, ...) __attribute__((format(printf, 2, 3)));
 
-/** Something that the operators should look at. */
+/** Logs a condition that operators should investigate. */
 #define rp_error(...) rp_log(RP_LOG_ERROR, __VA_ARGS__)
-/** What an operator needs for following what the cluster does. */
+/** Logs an event that operators need in order to follow what the cluster does. */
 #define rp_info(...) rp_log(RP_LOG_INFO, __VA_ARGS__)
-/** Details for those who work on the program; arguments are not evaluated while it is off. */
+/** Logs details for developers; the arguments are not evaluated while the level is disabled. */
 #define rp_debug(...)                                                                              \
     do {                                                                                           \
         if (rp_log_current_level() >= RP_LOG_DEBUG)                                                \
--- a/src/base/loop.c
+++ b/src/base/loop.c
@@ -5,8 +5,8 @@
 #include <string.h>
 #include <unistd.h>
 
-#define FIRST_TIMER_CAPACITY 64
-#define MAX_WAIT_MS 1000 /* in one call of the kernel */
+#define INITIAL_TIMER_CAPACITY 64
+#define MAX_WAIT_MS 1000 /* longest time-out of one epoll_wait call */
 
 int rp_loop_init(struct rp_loop *loop, bool is_virtual) {
     memset(loop, 0, sizeof *loop);
@@ -38,8 +38,8 @@
     timer->heap_index = index;
 }
 
-/* Moves the timer at `index` towards the root until its parent isn't due later. */
-static void heap_up(struct rp_loop *loop, size_t index) {
+/* Moves the timer at `index` towards the root until its parent is not due later. */
+static void heap_sift_up(struct rp_loop *loop, size_t index) {
     struct rp_timer *timer = loop->timers[index - 1];
     while (index > 1 && rp_ts_cmp(timer->due, loop->timers[index / 2 - 1]->due) < 0) {
         heap_put(loop, index, loop->timers[index / 2 - 1]);
@@ -49,7 +49,7 @@
 }
 
 /* Moves the timer at `index` away from the root until no child is due earlier. */
-static void heap_down(struct rp_loop *loop, size_t index) {
+static void heap_sift_down(struct rp_loop *loop, size_t index) {
     struct rp_timer *timer = loop->timers[index - 1];
     for (;;) {
         size_t child = index * 2;
@@ -75,14 +75,14 @@
     if (last == timer)
         return;
     heap_put(loop, index, last);
-    heap_up(loop, index);
-    heap_down(loop, last->heap_index);
+    heap_sift_up(loop, index);
+    heap_sift_down(loop, last->heap_index);
 }
 
 int rp_timer_set(struct rp_loop *loop, struct rp_timer *timer, double after_s) {
     rp_timer_cancel(loop, timer);
     if (loop->n_timers == loop->timer_capacity) {
-        size_t capacity = loop->timer_capacity ? loop->timer_capacity * 2 : FIRST_TIMER_CAPACITY;
+        size_t capacity = loop->timer_capacity ? loop->timer_capacity * 2 : INITIAL_TIMER_CAPACITY;
         struct rp_timer **timers = realloc(loop->timers, capacity * sizeof(struct rp_timer *));
         if (!timers)
             return -ENOMEM;
@@ -92,7 +92,7 @@
     timer->due = rp_ts_after(rp_loop_now(loop), after_s > 0 ? after_s : 0);
     loop->n_timers++;
     heap_put(loop, loop->n_timers, timer);
-    heap_up(loop, loop->n_timers);
+    heap_sift_up(loop, loop->n_timers);
     return 0;
 }
 
@@ -119,15 +119,16 @@
 
 static void run_due_timers(struct rp_loop *loop) {
     struct timespec now = rp_loop_now(loop);
-    while (loop->n_timers > 0 && rp_ts_reached(now, loop->timers[0]->due)) {
+    while (loop->n_timers > 0 && rp_ts_is_reached(now, loop->timers[0]->due)) {
         struct rp_timer *timer = loop->timers[0];
         rp_timer_cancel(loop, timer);
         timer->fn(timer->arg);
     }
 }
 
-/* How long to wait for events: until the first timer is due. */
-static int wait_ms(const struct rp_loop *loop) {
+/* The time-out of the next wait for events: until the first timer is due, rounded up to whole
+ * milliseconds. */
+static int next_wait_ms(const struct rp_loop *loop) {
     if (loop->n_timers == 0)
         return MAX_WAIT_MS;
     double left_ms = rp_ts_since(loop->timers[0]->due, rp_loop_now(loop)) * 1000.0;
@@ -138,7 +139,7 @@
 
 int rp_loop_run(struct rp_loop *loop) {
     while (!loop->is_stopping) {
-        int n = epoll_wait(loop->epoll_fd, loop->events, RP_LOOP_BATCH, wait_ms(loop));
+        int n = epoll_wait(loop->epoll_fd, loop->events, RP_LOOP_BATCH, next_wait_ms(loop));
         if (n < 0 && errno != EINTR)
             return -errno;
         loop->n_events = n > 0 ? n : 0;
--- a/src/base/loop.h
+++ b/src/base/loop.h
@@ -1,8 +1,8 @@
 /** @file
- * The event loop: epoll for descriptors, a heap for timers. One thread; all modules run in its
- * call-backs. In virtual mode there are no descriptors and time moves only by rp_loop_advance: the
- * tests drive whole nodes this way. Owns neither timers nor watches: those are members of their
- * modules' structs. */
+ * The event loop: epoll for descriptors, a binary heap for timers. It is single-threaded; all
+ * modules run in its call-backs. In virtual mode there are no descriptors and time advances only by
+ * rp_loop_advance, by which the tests drive whole nodes. The loop does not own timers or watches:
+ * they are members of the structs of their modules. */
 #ifndef RP_BASE_LOOP_H
 #define RP_BASE_LOOP_H
 
@@ -17,72 +17,75 @@
 /** Called with the epoll events of a watch's descriptor. It may remove and free the watch. */
 typedef void (*rp_watch_fn)(void *arg, uint32_t events);
 
-/** A timer. Set `fn` and `arg`, and zero the others; it must stay where it is while it is set. */
+/** A timer. The caller sets `fn` and `arg` and zeroes the other members. Its address must not
+ * change while the timer is set. */
 struct rp_timer {
     struct timespec due;
     rp_timer_fn fn;
     void *arg;
-    size_t heap_index; /**< its place in the heap from 1 on; 0 while it isn't set */
+    size_t heap_index; /**< position in the heap, counted from 1; 0 while the timer is not set */
 };
 
-/** A descriptor whose events are waited for. Set `fd`, `fn` and `arg`; it must stay where it is
- * until it is removed. The loop doesn't close the descriptor. */
+/** A descriptor whose events are waited for. The caller sets `fd`, `fn` and `arg`. Its address must
+ * not change until it is removed. The loop does not close the descriptor. */
 struct rp_watch {
     int fd;
     rp_watch_fn fn;
     void *arg;
-    uint32_t events; /**< that are waited for */
+    uint32_t events; /**< epoll events that are waited for */
 };
 
-/** Events that are fetched from the kernel at once. */
+/** Maximum number of events fetched by one epoll_wait call. */
 #define RP_LOOP_BATCH 64
 
-/** An event loop; its members belong to loop.c. */
+/** An event loop. Only loop.c uses its members. */
 struct rp_loop {
     int epoll_fd;
     bool is_virtual;
     bool is_stopping;
     struct timespec virtual_now;
-    struct rp_timer **timers; /**< binary heap, the one due first at its root */
+    struct rp_timer **timers; /**< binary heap with the timer that is due first at its root */
     size_t n_timers, timer_capacity;
-    struct epoll_event events[RP_LOOP_BATCH]; /**< fetched ones */
+    struct epoll_event events[RP_LOOP_BATCH]; /**< events that the last epoll_wait returned */
     int n_events, next_event;
 };
 
-/** Makes a loop. Returns 0 or -errno. The caller must close it. */
+/** Initialises a loop. Returns 0 or -errno. The caller must close it. */
 int rp_loop_init(struct rp_loop *loop, bool is_virtual);
 
-/** Frees what the loop owns. Timers and watches are forgotten without a call. */
+/** Frees what the loop owns. Call-backs of timers and watches that are still set are not called. */
 void rp_loop_close(struct rp_loop *loop);
 
-/** The time of CLOCK_MONOTONIC, read anew at each call: fencing depends on it. In virtual mode the
- * loop's own time. */
+/** The time of CLOCK_MONOTONIC; in virtual mode the loop's own time. The clock is read at each call
+ * and never cached, since fencing depends on the current time. */
 struct timespec rp_loop_now(const struct rp_loop *loop);
 
-/** Sets the timer to be due in `after_s` seconds, never before the next turn of the loop; one that
- * is set already is moved. Returns 0 or -ENOMEM. */
+/** Sets the timer to be due in `after_s` seconds. It never runs before the next iteration of the
+ * loop. A timer that is already set is rescheduled. Returns 0 or -ENOMEM. */
 int rp_timer_set(struct rp_loop *loop, struct rp_timer *timer, double after_s);
 
-/** Makes the timer not set. May be called for one that isn't. */
+/** Cancels the timer. Has no effect on one that is not set. */
 void rp_timer_cancel(struct rp_loop *loop, struct rp_timer *timer);
 
-/** Begins to wait for epoll events (EPOLLIN and so on) of a descriptor. Returns 0 or -errno. */
+/** Starts waiting for epoll events (EPOLLIN and so on) of a descriptor. Returns 0 or -errno. */
 int rp_watch_add(struct rp_loop *loop, struct rp_watch *watch, uint32_t events);
 
-/** Changes which events are waited for; free of cost when they are the same. Returns 0 or -errno.
- */
+/** Changes which events are waited for; makes no system call if they are the same. Returns 0 or
+ * -errno. */
 int rp_watch_change(struct rp_loop *loop, struct rp_watch *watch, uint32_t events);
 
-/** Ends the wait. After this no event of the watch is delivered, not even one already fetched. */
+/** Stops waiting for events of the watch. Afterwards none is delivered, not even one that has
+ * already been fetched from the kernel. */
 void rp_watch_remove(struct rp_loop *loop, struct rp_watch *watch);
 
-/** Runs until rp_loop_stop. Returns 0 or -errno. */
+/** Runs until rp_loop_stop is called. Returns 0 or -errno. */
 int rp_loop_run(struct rp_loop *loop);
 
-/** Makes rp_loop_run return after its present turn. */
+/** Makes rp_loop_run return after its current iteration. */
 void rp_loop_stop(struct rp_loop *loop);
 
-/** Virtual mode: runs every timer due until `to`, in order, then sets the time to `to`. */
+/** In virtual mode: runs all timers that are due at or before `to`, in the order of their due
+ * times, then sets the time to `to`. */
 void rp_loop_advance(struct rp_loop *loop, struct timespec to);
 
 #endif
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,6 +1,6 @@
 /** @file
- * Latencies as histograms, for the status page. Owned by the node; filled by src/api, src/scheduler
- * and src/worker. */
+ * Histograms of latencies, shown on the status page. Owned by the node; src/api, src/scheduler and
+ * src/worker add the observations. */
 #ifndef RP_BASE_METRICS_H
 #define RP_BASE_METRICS_H
 
@@ -8,31 +8,33 @@
 #include <jansson.h>
 #include <stdbool.h>
 
-/** What is measured, in seconds. */
+/** The latencies that are recorded, in seconds. */
 enum rp_metric {
-    RP_METRIC_SUBMIT, /**< until a submission is responded to */
-    RP_METRIC_QUERY,  /**< until a query or a cancellation is responded to */
-    RP_METRIC_CYCLE,  /**< a scheduling cycle's own time */
+    RP_METRIC_SUBMIT, /**< from a submission's receipt to the response */
+    RP_METRIC_QUERY,  /**< from a query's or a cancellation's receipt to the response */
+    RP_METRIC_CYCLE,  /**< run time of a scheduling cycle */
     RP_METRIC_START,  /**< from a job's acceptance to a task's start command */
-    RP_METRICS        /**< their number */
+    RP_N_METRICS      /**< the number of metrics */
 };
 
 /** The histograms of all metrics. */
 struct rp_metrics {
-    gsl_histogram *histograms[RP_METRICS];
+    gsl_histogram *histograms[RP_N_METRICS];
 };
 
-/** Makes empty histograms. Returns false when memory is out, and owns nothing then. Else the caller
- * must free them. */
+/** Creates empty histograms, which the caller must free. Returns false when memory is exhausted;
+ * nothing is left to free then. */
 bool rp_metrics_init(struct rp_metrics *metrics);
 /** Frees the histograms. */
 void rp_metrics_free(struct rp_metrics *metrics);
-/** Adds an observation. Beyond 1000 seconds it counts as 1000. */
+/** Adds an observation. One of more than 1000 seconds is counted as just below 1000, one below 0 as
+ * 0. */
 void rp_metrics_add(struct rp_metrics *metrics, enum rp_metric metric, double seconds);
-/** The value below which the given share (0 to 1) of all observations lies, rounded up to the
- * histogram's next bound; 0 when there are none. */
+/** The quantile of the given share (0 to 1) of all observations, rounded up to the upper bound of
+ * its histogram bin; 0 if there are no observations. */
 double rp_metrics_quantile(const struct rp_metrics *metrics, enum rp_metric metric, double share);
-/** Count and quantiles of each metric, as /status tells them. The caller must json_decref it. */
+/** Count and quantiles of each metric, in the form of /status. The caller must json_decref the
+ * result. */
 json_t *rp_metrics_json(const struct rp_metrics *metrics);
 
 #endif
--- a/src/base/string_copy.h
+++ b/src/base/string_copy.h
@@ -1,17 +1,17 @@
 /** @file
- * Bounded copies of strings. */
+ * Bounded string copies that never truncate. */
 #ifndef RP_BASE_STRING_COPY_H
 #define RP_BASE_STRING_COPY_H
 
 #include <stdbool.h>
 #include <stddef.h>
 
-/** Copies `text` into `out` of `size` bytes. Returns false, and leaves "" in `out`, when it doesn't
- * fit: part of a name would be another name. */
+/** Copies `text` into `out`, which has `size` bytes. If it does not fit, sets `out` to "" and
+ * returns false: a truncated name would be the name of something else. */
 bool rp_string_try_copy(char *out, size_t size, const char *text)
     __attribute__((warn_unused_result));
-/** The same for what was checked before, where it came in: a text that doesn't fit is a fault of
- * the program, and ends it. */
+/** Like rp_string_try_copy, for a text whose length was checked when it was received. One that does
+ * not fit is a defect of the program and aborts the process. */
 void rp_string_copy(char *out, size_t size, const char *text);
 
 #endif
--- a/src/cloud/cloud_client.c
+++ b/src/cloud/cloud_client.c
@@ -88,7 +88,7 @@
     struct timespec now = rp_loop_now(client->loop);
     for (int i = 0; i < RP_CLOUD_URGENCIES; i++)
         while (client->queues[i].first) {
-            bool can_send = rp_ts_reached(now, client->backoff_until) &&
+            bool can_send = rp_ts_is_reached(now, client->backoff_until) &&
                             rp_token_bucket_has(&client->requests, 1, now);
             if (!can_send) {
                 rp_timer_set(client->loop, &client->queue_timer, QUEUE_CHECK_S);
--- a/src/cluster/capacity_refusal.c
+++ b/src/cluster/capacity_refusal.c
@@ -36,5 +36,5 @@
 
 bool rp_capacity_refusals_has(const struct rp_capacity_refusals *refusals, int type, int zone,
                               bool spot, struct timespec now) {
-    return !rp_ts_reached(now, refusals->kinds[type][zone][spot].until);
+    return !rp_ts_is_reached(now, refusals->kinds[type][zone][spot].until);
 }
--- a/src/cluster/failure_detection.c
+++ b/src/cluster/failure_detection.c
@@ -130,7 +130,7 @@
     count_silent_ticks(detector, silence.n_machines, newest, now);
     if (!has_silent_share(&silence, COMMON_CAUSE_SHARE) || !is_leadership_proven(detector, now))
         detector->isolated_since = (struct timespec){0};
-    else if (rp_ts_zero(detector->isolated_since))
+    else if (rp_ts_is_zero(detector->isolated_since))
         detector->isolated_since = now;
 }
 
@@ -140,7 +140,7 @@
         return false;
     /* Either most machines have been silent for ISOLATED_AFTER_S, or no heartbeat at all has
      * arrived although many were due. */
-    bool are_most_silent = !rp_ts_zero(detector->isolated_since) &&
+    bool are_most_silent = !rp_ts_is_zero(detector->isolated_since) &&
                            rp_ts_since(now, detector->isolated_since) > ISOLATED_AFTER_S;
     return detector->n_silent_ticks >= ALL_SILENT_TICKS || are_most_silent;
 }
@@ -188,7 +188,7 @@
 }
 
 void rp_failure_detector_observe(struct rp_failure_detector *detector, struct timespec now) {
-    if (rp_ts_zero(detector->proven_since))
+    if (rp_ts_is_zero(detector->proven_since))
         detector->proven_since = now;
     observe_node(detector, now);
     observe_zones(detector, now);
@@ -200,7 +200,7 @@
 }
 
 static bool was_within(struct timespec when, struct timespec now, double within_s) {
-    return !rp_ts_zero(when) && rp_ts_since(now, when) < within_s;
+    return !rp_ts_is_zero(when) && rp_ts_since(now, when) < within_s;
 }
 
 bool rp_failure_detector_was_partitioned(const struct rp_failure_detector *detector,
--- a/src/cluster/machine.c
+++ b/src/cluster/machine.c
@@ -33,7 +33,7 @@
 }
 
 bool rp_machine_is_one_way_partitioned(const struct rp_machine *machine) {
-    return !rp_ts_zero(machine->contact.answers_lost_since);
+    return !rp_ts_is_zero(machine->contact.answers_lost_since);
 }
 
 /* Whether a durable record names the machine and marks it as up. The next leader then assumes that
--- a/src/cluster/machine_lifecycle.c
+++ b/src/cluster/machine_lifecycle.c
@@ -61,7 +61,7 @@
         return;
     rp_debug("machine state changed: machine=%s from=%s to=%s", machine->name,
              rp_machine_state_name(machine->state), rp_machine_state_name(state));
-    if (state == RP_MACHINE_UP && rp_ts_zero(machine->up_at))
+    if (state == RP_MACHINE_UP && rp_ts_is_zero(machine->up_at))
         machine->up_at = now;
     if (state == RP_MACHINE_LOST)
         on_lost(cluster, machine);
--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -362,7 +362,7 @@
 static bool may_step(const struct rp_fleet_context *context,
                      const struct rp_provision_request *request) {
     struct timespec now = rp_loop_now(context->loop);
-    return !request->in_flight && rp_ts_reached(now, request->retry_at) &&
+    return !request->in_flight && rp_ts_is_reached(now, request->retry_at) &&
            rp_election_is_valid(context->election, now);
 }
 
--- a/src/cluster/quarantine.c
+++ b/src/cluster/quarantine.c
@@ -109,7 +109,7 @@
 }
 
 void rp_quarantine_step(struct rp_machine *machine, struct timespec now) {
-    if (machine->health.suspected && rp_ts_reached(now, machine->health.suspected_until))
+    if (machine->health.suspected && rp_ts_is_reached(now, machine->health.suspected_until))
         machine->health.suspected = false;
 }
 
@@ -141,7 +141,7 @@
     }
     clear_errors_caused_by(cluster, job);
     /* Errors of tasks that were started together count once towards the backoff. */
-    if (rp_ts_reached(now, job->start_backoff_until))
+    if (rp_ts_is_reached(now, job->start_backoff_until))
         job->n_start_backoffs++;
     job->start_backoff_until = rp_ts_after(now, start_backoff_s(job));
 }
--- a/src/cluster/reconciliation.c
+++ b/src/cluster/reconciliation.c
@@ -192,7 +192,7 @@
 
 static void list_when_due(struct rp_reconciliation *reconciliation, struct timespec now) {
     const struct rp_fleet_context *context = reconciliation->context;
-    if (reconciliation->list_in_flight || !rp_ts_reached(now, reconciliation->next_list_at))
+    if (reconciliation->list_in_flight || !rp_ts_is_reached(now, reconciliation->next_list_at))
         return;
     double n_pages = ceil((double)(context->cluster->n_machines + 1) / MACHINES_PER_PAGE);
     double interval_s =
@@ -227,7 +227,7 @@
 }
 
 static void request_prices_when_due(struct rp_reconciliation *reconciliation, struct timespec now) {
-    if (!rp_ts_reached(now, reconciliation->next_prices_at))
+    if (!rp_ts_is_reached(now, reconciliation->next_prices_at))
         return;
     reconciliation->next_prices_at = rp_ts_after(now, PRICES_INTERVAL_S);
     rp_cloud_call(reconciliation->context->cloud, RP_CLOUD_ROUTINE, "GET", RP_PATH_CATALOG, NULL,
--- a/src/cluster/task_evidence.c
+++ b/src/cluster/task_evidence.c
@@ -29,7 +29,7 @@
 }
 
 bool rp_machine_is_lease_expired(const struct rp_machine *machine, struct timespec now) {
-    return rp_ts_reached(now, machine->contact.lease_expiry);
+    return rp_ts_is_reached(now, machine->contact.lease_expiry);
 }
 
 bool rp_machine_has_complete_task_list(const struct rp_machine *machine) {
--- a/src/controller/peer_health.c
+++ b/src/controller/peer_health.c
@@ -69,7 +69,7 @@
 }
 
 bool rp_peer_health_is_isolated(const struct rp_peer_health *health) {
-    return !rp_ts_reached(rp_loop_now(health->loop), health->isolated_until);
+    return !rp_ts_is_reached(rp_loop_now(health->loop), health->isolated_until);
 }
 
 bool rp_peer_health_is_store_answering(const struct rp_peer_health *health) {
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -59,13 +59,14 @@
 }
 
 bool rp_election_is_valid(const struct rp_election *election, struct timespec now) {
-    return election->state == RP_ELECTION_HOLDING_KEY && !rp_ts_reached(now, election->valid_until);
+    return election->state == RP_ELECTION_HOLDING_KEY &&
+           !rp_ts_is_reached(now, election->valid_until);
 }
 
 /* Whether the leader has stalled or terminated. A leader that still has the key when any lease
  * would have ended is running, and only this node cannot reach it. */
 static bool is_leader_silent(const struct rp_election *election, struct timespec now) {
-    return !rp_ts_zero(election->leader_silent_since) &&
+    return !rp_ts_is_zero(election->leader_silent_since) &&
            rp_ts_since(now, election->leader_silent_since) <
                election->ttl_s + SILENT_LEADER_SLACK_S;
 }
@@ -94,7 +95,7 @@
  * The backoff applies also while the key still names this node, since the revocation of its lease
  * may be carried out seconds later. */
 static bool is_backoff_over(const struct rp_election *election) {
-    return rp_ts_reached(rp_loop_now(election->loop), election->backoff_until);
+    return rp_ts_is_reached(rp_loop_now(election->loop), election->backoff_until);
 }
 
 /* ---- state transitions ---- */
@@ -241,7 +242,7 @@
      * length, the lease lasts at least as long as the fenced leader may act. */
     if (election->fenced_lease.lease != RP_KV_NO_LEASE)
         return fmax(election->ttl_s, election->fenced_lease.ttl_s);
-    if (!rp_ts_zero(election->leader_silent_since))
+    if (!rp_ts_is_zero(election->leader_silent_since))
         return fmin(TTL_AFTER_SILENT_LEADER_MAX_S, election->ttl_s);
     return election->ttl_s;
 }
@@ -343,7 +344,7 @@
 void rp_election_note_leader_answer(struct rp_election *election, bool answered) {
     if (answered)
         election->leader_silent_since = (struct timespec){0};
-    else if (rp_ts_zero(election->leader_silent_since))
+    else if (rp_ts_is_zero(election->leader_silent_since))
         election->leader_silent_since = rp_loop_now(election->loop);
 }
 
@@ -457,7 +458,7 @@
     election->backoff_until = rp_ts_after(now, backoff_s);
     /* While a fenced leader may still act, no node may find the key free. In that case the lease is
      * left to expire; it is long enough (next_term_ttl_s). */
-    if (rp_ts_reached(now, election->fenced_leader_expiry))
+    if (rp_ts_is_reached(now, election->fenced_leader_expiry))
         rp_kv_lease_revoke(election->store, election->lease, ignore_result, NULL);
     follow(election, election->check_s);
 }
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -427,8 +427,9 @@
 }
 
 struct rp_net rp_http_client_net(struct rp_http_client *client) {
-    return (struct rp_net){
-        .ctx = client, .call = call_on_shared_connection, .call_once = call_on_own_connection};
+    return (struct rp_net){.ctx = client,
+                           .call = call_on_shared_connection,
+                           .call_on_own_connection = call_on_own_connection};
 }
 
 /* The analyzer doesn't see that what is closed or unqueued leaves its list. */
--- a/src/jobs/job_progress.c
+++ b/src/jobs/job_progress.c
@@ -165,7 +165,7 @@
 }
 
 bool rp_job_progress_may_write(const struct rp_job_progress *progress, struct timespec now) {
-    return rp_ts_reached(now, progress->write_back_backoff_until);
+    return rp_ts_is_reached(now, progress->write_back_backoff_until);
 }
 
 void rp_job_progress_back_off(struct rp_job_progress *progress, struct timespec now) {
--- a/src/jobs/job_watch.c
+++ b/src/jobs/job_watch.c
@@ -59,7 +59,7 @@
 }
 
 void rp_job_watch_resume(struct rp_job_watch *watch) {
-    if (rp_ts_zero(watch->sent_at))
+    if (rp_ts_is_zero(watch->sent_at))
         send_watch(watch);
 }
 
@@ -70,7 +70,7 @@
         watch->provable_since = (struct timespec){0};
         return false;
     }
-    if (rp_ts_zero(watch->provable_since))
+    if (rp_ts_is_zero(watch->provable_since))
         watch->provable_since = now;
     /* A leader whose lease is renewed but who hears of no cancellation answers no worker: somebody
      * else has to lead. After an outage it has a moment to catch up. */
--- a/src/scheduler/gang_repair.c
+++ b/src/scheduler/gang_repair.c
@@ -120,7 +120,7 @@
     }
     if (replace_missing_tasks(scheduler, job, attempt.number))
         job->machine_missing_since = (struct timespec){0};
-    else if (rp_ts_zero(job->machine_missing_since))
+    else if (rp_ts_is_zero(job->machine_missing_since))
         job->machine_missing_since = now;
     else if (rp_ts_since(now, job->machine_missing_since) > scheduler->settings->gang_wait_s)
         /* Machines are provisioned only for what a plan places, and a gang that holds some is in no
--- a/src/scheduler/group_input.c
+++ b/src/scheduler/group_input.c
@@ -167,7 +167,7 @@
                               struct rp_job *job, size_t n_groups_max, struct timespec now) {
     uint32_t n = n_startable(job);
     bool has_started = job->n_done > 0 || job->n_allocated > 0;
-    if (n == 0 || job->state != RP_JOB_OPEN || !rp_ts_reached(now, job->start_backoff_until))
+    if (n == 0 || job->state != RP_JOB_OPEN || !rp_ts_is_reached(now, job->start_backoff_until))
         return;
     uint32_t n_guaranteed = take_guarantee(input, job, n);
     if (n_guaranteed > 0 && input->plan_input.n_groups < n_groups_max) {
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -15,7 +15,7 @@
 
 double rp_preemption_lost_s(const struct rp_allocation *allocation, struct timespec now) {
     double ran_s =
-        rp_ts_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
+        rp_ts_is_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
     return allocation->job->spec.checkpoint_s > 0 ? fmin(ran_s, PROGRESS_LOST_MAX_S) : ran_s;
 }
 
--- a/src/scheduler/replica_placement.c
+++ b/src/scheduler/replica_placement.c
@@ -66,7 +66,7 @@
 
 /* Whether the machine's capacity is reserved for a gang. */
 static bool is_reserved(const struct rp_machine *machine, struct timespec now) {
-    return *machine->reservation.job_id && !rp_ts_reached(now, machine->reservation.until);
+    return *machine->reservation.job_id && !rp_ts_is_reached(now, machine->reservation.until);
 }
 
 /* The number of the job's replicas by which the zone, with one more of them, would exceed its even
--- a/src/scheduler/replica_preemption.c
+++ b/src/scheduler/replica_preemption.c
@@ -27,7 +27,7 @@
 /* Seconds of work that are lost if the task is stopped. */
 static double lost_work_s(const struct rp_allocation *allocation, struct timespec now) {
     double ran_s =
-        rp_ts_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
+        rp_ts_is_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
     double checkpoint_s = allocation->job->spec.checkpoint_s;
     return allocation->state == RP_ALLOCATION_PLANNED
                ? 0
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -25,7 +25,7 @@
                              : NULL;
     if (!job || job->state != RP_JOB_OPEN || !rp_machine_is_usable(machine) ||
         job->n_allocated >= (rp_reservation_is_exclusive(job) ? job->spec.n_tasks : 1) ||
-        rp_ts_reached(rp_loop_now(scheduler->loop), machine->reservation.until))
+        rp_ts_is_reached(rp_loop_now(scheduler->loop), machine->reservation.until))
         return NULL;
     if (rp_reservation_is_exclusive(job))
         return job;
--- a/src/scheduler/service_controller.c
+++ b/src/scheduler/service_controller.c
@@ -48,7 +48,8 @@
 static bool should_send_command(const struct rp_allocation *allocation) {
     return allocation->job->spec.kind == RP_JOB_SERVICE &&
            (allocation->state == RP_ALLOCATION_PLANNED ||
-            (rp_replica_preemption_is_ending(allocation) && rp_ts_zero(allocation->stop_sent_at)));
+            (rp_replica_preemption_is_ending(allocation) &&
+             rp_ts_is_zero(allocation->stop_sent_at)));
 }
 
 void rp_service_controller_send_commands(struct rp_services *services) {
@@ -85,7 +86,7 @@
             rp_service_headroom_record_arrival(services, job, now);
         newest_revision =
             job->accepted_revision > newest_revision ? job->accepted_revision : newest_revision;
-        if (job->n_allocated < job->spec.n_tasks && rp_ts_reached(now, job->start_backoff_until))
+        if (job->n_allocated < job->spec.n_tasks && rp_ts_is_reached(now, job->start_backoff_until))
             place_missing_replicas(services, job, now);
     }
     services->counted_until_revision = newest_revision;
--- a/src/scheduler/service_headroom.c
+++ b/src/scheduler/service_headroom.c
@@ -8,7 +8,7 @@
                                         struct timespec now) {
     struct rp_service_arrivals *arrivals = &services->arrivals;
     double cpus = job->spec.n_tasks * job->spec.each.cpus;
-    double decay = rp_ts_zero(arrivals->updated_at)
+    double decay = rp_ts_is_zero(arrivals->updated_at)
                        ? 0
                        : exp(-rp_ts_since(now, arrivals->updated_at) / ARRIVALS_DECAY_S);
     arrivals->cpus_per_s = arrivals->cpus_per_s * decay + cpus / ARRIVALS_DECAY_S;
@@ -26,7 +26,7 @@
 
 double rp_service_headroom_target_cpus(const struct rp_services *services) {
     const struct rp_service_arrivals *arrivals = &services->arrivals;
-    if (rp_ts_zero(arrivals->updated_at))
+    if (rp_ts_is_zero(arrivals->updated_at))
         return 0;
     double decay =
         exp(-rp_ts_since(rp_loop_now(services->loop), arrivals->updated_at) / ARRIVALS_DECAY_S);
--- a/src/standby/leader_suspicion.c
+++ b/src/standby/leader_suspicion.c
@@ -123,7 +123,7 @@
 }
 
 static bool is_recent(struct timespec word_at, struct timespec now) {
-    return !rp_ts_zero(word_at) && rp_ts_since(now, word_at) < WORD_VALID_S;
+    return !rp_ts_is_zero(word_at) && rp_ts_since(now, word_at) < WORD_VALID_S;
 }
 
 /* Whether no node besides the leader has been there for a while: then none can be asked. */
--- a/src/standby/machine_fencing.c
+++ b/src/standby/machine_fencing.c
@@ -48,7 +48,7 @@
 /* The first pass leaves machines out that have just been answered: they show the token with their
  * next heartbeat. */
 static bool is_in_pass(const struct rp_machine_fencing *fencing, const struct rp_machine *machine) {
-    bool is_answered = !rp_ts_zero(machine->contact.first_answer_at);
+    bool is_answered = !rp_ts_is_zero(machine->contact.first_answer_at);
     return machine->state == RP_MACHINE_UNRECONCILED && (fencing->is_second_pass || !is_answered);
 }
 
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -89,7 +89,7 @@
 double rp_kv_failing_s(const struct rp_kv_client *client) {
     static const double just_failed_s =
         1e-3; /* keeps the result above 0 at the instant of the failure */
-    if (rp_ts_zero(client->failing_since))
+    if (rp_ts_is_zero(client->failing_since))
         return 0;
     return rp_ts_since(rp_loop_now(client->loop), client->failing_since) + just_failed_s;
 }
@@ -134,7 +134,7 @@
 
 static void note_health(struct rp_kv_client *client, enum rp_kv_outcome outcome, int status) {
     if (outcome == RP_KV_UNKNOWN || status == STATUS_UNAVAILABLE) {
-        if (rp_ts_zero(client->failing_since))
+        if (rp_ts_is_zero(client->failing_since))
             client->failing_since = rp_loop_now(client->loop);
     } else {
         client->failing_since = (struct timespec){0};
@@ -222,7 +222,7 @@
     struct timespec now = rp_loop_now(client->loop);
     client->n_shed++;
     queue->n_shed_unlogged++;
-    if (rp_ts_zero(queue->shed_logged_at) ||
+    if (rp_ts_is_zero(queue->shed_logged_at) ||
         rp_ts_since(now, queue->shed_logged_at) >= SHED_LOG_INTERVAL_S) {
         rp_info("requests shed, request budget exhausted: budget=%s n_requests=%lu",
                 rp_kv_budget_name(call->budget), queue->n_shed_unlogged);
--- a/src/worker/direct_commands.c
+++ b/src/worker/direct_commands.c
@@ -94,8 +94,8 @@
         message->call.fencing_token, message->call.incarnation, batch->commands, batch->n);
     machine->contact.n_direct++;
     context->counters.n_direct_commands++;
-    context->net.call_once(context->net.ctx, machine->addr, "POST", RP_PATH_DIRECT, body,
-                           RESPONSE_TIMEOUT_S, on_direct_response, message);
+    context->net.call_on_own_connection(context->net.ctx, machine->addr, "POST", RP_PATH_DIRECT,
+                                        body, RESPONSE_TIMEOUT_S, on_direct_response, message);
     free(body);
 }
 
--- a/src/worker/heartbeat_queue.c
+++ b/src/worker/heartbeat_queue.c
@@ -44,7 +44,7 @@
     while (waiting) {
         struct rp_queued_heartbeat *heartbeat = waiting;
         waiting = heartbeat->next;
-        if (can_wait && !rp_ts_reached(now, heartbeat->wait_until))
+        if (can_wait && !rp_ts_is_reached(now, heartbeat->wait_until))
             push(queue, heartbeat);
         else
             release(queue, heartbeat);
--- a/src/worker/probes.c
+++ b/src/worker/probes.c
@@ -33,6 +33,6 @@
     machine->contact.probing = true;
     machine->contact.probed_at = rp_loop_now(context->loop);
     machine->contact.n_direct++; /* the response takes a sequence number, too */
-    context->net.call_once(context->net.ctx, machine->addr, "GET", RP_PATH_PROBE, NULL,
-                           RESPONSE_TIMEOUT_S, on_probe_response, call);
+    context->net.call_on_own_connection(context->net.ctx, machine->addr, "GET", RP_PATH_PROBE, NULL,
+                                        RESPONSE_TIMEOUT_S, on_probe_response, call);
 }
--- a/src/worker/task_exit.c
+++ b/src/worker/task_exit.c
@@ -20,7 +20,7 @@
 #define UNKNOWN_TASK_BACKOFF_S 5.0
 
 static bool is_early_exit(const struct rp_allocation *allocation, struct timespec now) {
-    return rp_ts_zero(allocation->running_since) ||
+    return rp_ts_is_zero(allocation->running_since) ||
            rp_ts_since(now, allocation->running_since) <= EARLY_EXIT_S;
 }
 
@@ -44,7 +44,7 @@
         return;
     }
     bool is_first_machine = job->n_failed_machines == 0;
-    bool is_backing_off = !rp_ts_reached(now, job->start_backoff_until);
+    bool is_backing_off = !rp_ts_is_reached(now, job->start_backoff_until);
     if (!rp_quarantine_note_job_failure(job, machine) && is_backing_off)
         return;
     if (!rp_quarantine_is_job_suspected(job) && allocation->exit_reason == RP_EXIT_ERROR)
@@ -59,7 +59,7 @@
 static void on_task_done(struct rp_worker_context *context, struct rp_machine *machine,
                          const struct rp_allocation *allocation) {
     struct rp_job *job = allocation->job;
-    if (!rp_ts_zero(allocation->running_since))
+    if (!rp_ts_is_zero(allocation->running_since))
         rp_jobs_record_run_time(context->jobs, job,
                                 rp_ts_since(rp_loop_now(context->loop), allocation->running_since));
     rp_jobs_task_done(context->jobs, job, allocation->task);
--- a/src/worker/task_reader.c
+++ b/src/worker/task_reader.c
@@ -81,7 +81,7 @@
 static void note_run_floor(const struct rp_worker_context *context,
                            const struct rp_allocation *allocation) {
     struct rp_job *job = allocation->job;
-    if (rp_ts_zero(allocation->running_since))
+    if (rp_ts_is_zero(allocation->running_since))
         return;
     double run_s = rp_ts_since(rp_loop_now(context->loop), allocation->running_since);
     if (run_s > job->run_floor_s)
--- a/src/worker/worker_fencing.c
+++ b/src/worker/worker_fencing.c
@@ -47,8 +47,8 @@
     char *body = rp_worker_codec_write_direct_commands(
         fencing->call.fencing_token, fencing->call.incarnation, batch.commands, batch.n);
     fencing->n_sent++;
-    context->net.call_once(context->net.ctx, fencing->addr, "POST", RP_PATH_DIRECT, body,
-                           RESPONSE_TIMEOUT_S, on_fence_response, fencing);
+    context->net.call_on_own_connection(context->net.ctx, fencing->addr, "POST", RP_PATH_DIRECT,
+                                        body, RESPONSE_TIMEOUT_S, on_fence_response, fencing);
     free(body);
     rp_command_batch_free(&batch);
 }
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -51,7 +51,7 @@
     if (rp_ts_cmp(lease_expiry, contact->lease_expiry) > 0)
         contact->lease_expiry = lease_expiry;
     contact->last_answer_at = now;
-    if (rp_ts_zero(contact->first_answer_at))
+    if (rp_ts_is_zero(contact->first_answer_at))
         contact->first_answer_at = now;
 }
 
@@ -138,7 +138,7 @@
  * lost (RP_MACHINE_LOST), it may return. */
 static bool must_lease_expire(const struct rp_workers *workers, const struct rp_machine *machine) {
     struct timespec first_answer_at = machine->contact.first_answer_at;
-    return machine->state == RP_MACHINE_UNRECONCILED && !rp_ts_zero(first_answer_at) &&
+    return machine->state == RP_MACHINE_UNRECONCILED && !rp_ts_is_zero(first_answer_at) &&
            rp_ts_since(rp_loop_now(workers->context.loop), first_answer_at) > TOKEN_TIMEOUT_S;
 }
 
--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -112,8 +112,8 @@
                       rp_answer_fn answered, void *arg) {
     struct world *world = ctx;
     struct rp_net net = rp_http_client_net(&world->client);
-    net.call_once(net.ctx, world->nodes[node].client_addr, method, target, body, CALL_TIMEOUT_S,
-                  answered, arg);
+    net.call_on_own_connection(net.ctx, world->nodes[node].client_addr, method, target, body,
+                               CALL_TIMEOUT_S, answered, arg);
 }
 
 static const char *worker_addr(void *ctx, int worker) {
--- a/tests/simulation/network.c
+++ b/tests/simulation/network.c
@@ -240,7 +240,8 @@
         abort();
     *connection =
         (struct sim_connection){.sim = sim, .node = node, .process_number = process_number};
-    return (struct rp_net){.ctx = connection, .call = on_call, .call_once = on_call_once};
+    return (struct rp_net){
+        .ctx = connection, .call = on_call, .call_on_own_connection = on_call_once};
 }
 
 void sim_remote_request(struct sim *sim, const char *addr, const char *method, const char *target,
--- a/tests/simulation/test_placement.c
+++ b/tests/simulation/test_placement.c
@@ -75,7 +75,7 @@
                                            : NULL;
             if (!job || job->state != RP_JOB_OPEN || job->n_allocated > 0 ||
                 machine->health.quarantined || machine->spot_notice.received ||
-                rp_ts_reached(rp_loop_now(node->loop), machine->reservation.until))
+                rp_ts_is_reached(rp_loop_now(node->loop), machine->reservation.until))
                 continue;
             kept += machine->n_allocations == 0;
             assert_int_equal(machine->state, RP_MACHINE_UP);
--- a/tests/tools/test_check_layers.sh
+++ b/tests/tools/test_check_layers.sh
@@ -20,11 +20,11 @@
 sources_keep_the_layers)
     "$check" "$layers" "$src"
     ;;
-climbing_include_is_refused)
+include_of_higher_layer_is_refused)
     echo '#include "controller/node.h"' >>"$work/src/base/log.c"
     refused "base/log.c: includes controller/node.h, a higher layer"
     ;;
-circle_of_modules_is_refused)
+circular_include_is_refused)
     echo '#include "base/first.h"' >"$work/src/base/second.h"
     echo '#include "base/second.h"' >"$work/src/base/first.c"
     refused "circle of modules"
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -223,10 +223,11 @@
     *(struct rp_request **)arg = req; /* answered when nobody waits any more */
 }
 
-static struct outcome call_once(struct rp_loop *loop, struct rp_net net, const char *addr,
-                                double timeout_s) {
+static struct outcome call_on_own_connection(struct rp_loop *loop, struct rp_net net,
+                                             const char *addr, double timeout_s) {
     struct outcome outcome = {.loop = loop};
-    net.call_once(net.ctx, addr, "POST", "/do", "{}", timeout_s, note_outcome, &outcome);
+    net.call_on_own_connection(net.ctx, addr, "POST", "/do", "{}", timeout_s, note_outcome,
+                               &outcome);
     loop->is_stopping = false;
     assert_int_equal(rp_loop_run(loop), 0);
     return outcome;
@@ -251,17 +252,17 @@
         rc = rp_http_server_open(&server, &loop, addr, &limits, answer_only, NULL);
     }
     assert_int_equal(rc, 0);
-    struct outcome outcome = call_once(&loop, net, addr, 30);
+    struct outcome outcome = call_on_own_connection(&loop, net, addr, 30);
     assert_true(outcome.status == 200 && !outcome.unsent);
     assert_int_equal(client.n_connections, 0); /* its connection isn't kept */
     server.on_request = say_nothing;
     server.arg = &silent;
-    outcome = call_once(&loop, net, addr, 2);
+    outcome = call_on_own_connection(&loop, net, addr, 2);
     assert_true(outcome.status == 0 && !outcome.unsent && silent);
     // NOLINTNEXTLINE(clang-analyzer-core.NullDereference): the assertion ends the test
     silent->respond(silent, 200, "{}", 0);
     rp_http_server_close(&server);
-    outcome = call_once(&loop, net, addr, 30);
+    outcome = call_on_own_connection(&loop, net, addr, 30);
     assert_true(outcome.status == 0 && outcome.unsent);
     rp_http_client_close(&client);
     rp_loop_close(&loop);
@@ -308,7 +309,8 @@
         if (i % 2)
             net.call(net.ctx, addr, "GET", "/show", NULL, 60, count_answer, &tally);
         else
-            net.call_once(net.ctx, addr, "POST", "/do", "{}", 60, count_answer, &tally);
+            net.call_on_own_connection(net.ctx, addr, "POST", "/do", "{}", 60, count_answer,
+                                       &tally);
         assert_at_most(client.n_connections, 8);
     }
     assert_int_equal(rp_loop_run(&loop), 0);
