--- a/src/http/client.c
+++ b/src/http/client.c
@@ -11,15 +11,17 @@
 #include "http/parser.h"
 #include "http/socket.h"
 
-#define READ_BYTES 16384 /* read from a connection in one turn of the event loop */
+#define READ_BYTES 16384 /* at most read from a connection for one event */
+
 /* States of a connection and the edges between them, each made by set_state:
- * - CONNECTING -> SENDING or RECEIVING: the connection was made and the request sent in part or
- *   whole.
+ * - CONNECTING -> SENDING or RECEIVING: the connection was established and the request has been
+ * sent in part (SENDING) or as a whole (RECEIVING).
  * - SENDING -> RECEIVING: all of the request has been sent.
- * - RECEIVING -> IDLE: the response is complete and the connection can be used again.
- * - IDLE -> SENDING: a call was assigned to it.
- * - any -> CLOSED: the peer has closed or broken it, its call has timed out, its response was the
- *   last, or it is evicted for a connection to another host. Frees the connection. */
+ * - RECEIVING -> IDLE: the response is complete and the connection can be reused.
+ * - IDLE -> SENDING: a call was assigned to the connection.
+ * - any -> CLOSED: the peer has closed or reset the connection, its call has timed out, its
+ * response was malformed or the last on this connection, the connection is evicted in favour of one
+ * to another host, or the client closes. Frees the connection. */
 enum connection_state {
     CONNECTION_CONNECTING,
     CONNECTION_IDLE,
@@ -30,8 +32,8 @@
 
 struct rp_http_client_connection {
     struct rp_http_host *host;
-    struct rp_http_client_connection *next;                  /* of the same host */
-    struct rp_http_client_connection *idle_prev, *idle_next; /* in the client's list of idle ones */
+    struct rp_http_client_connection *next;                  /* next connection to the same host */
+    struct rp_http_client_connection *idle_prev, *idle_next; /* list of all idle connections */
     struct rp_watch watch;
     enum connection_state state;
     struct rp_http_parser parser;
@@ -39,19 +41,19 @@
     struct rp_http_call *call; /* NULL while idle */
 };
 
-/* The response to a call of which no byte has left. */
+/* The response to a call of whose request no byte was sent. */
 static const struct rp_answer unsent_answer = {.unsent = true, .body = ""};
 
 static void serve_host(struct rp_http_host *host);
 
-/* Gives connections to the hosts that wait for one, as long as there are any to give. Ends, since a
- * host that finds none waits again only when there is none. */
+/* Serves the hosts that wait for a connection while one can be opened or an idle one evicted. The
+ * loop terminates: a host is queued again only if neither is possible. */
 static void serve_waiting_hosts(struct rp_http_client *client) {
     while (client->hosts.first_waiting &&
            (client->n_connections < client->max_total || client->least_recent)) {
         struct rp_http_host *host = rp_http_host_take_first_waiting(&client->hosts);
         if (host->is_in_use)
-            continue; /* whoever uses it serves it */
+            continue; /* the function that uses the host serves it before it returns */
         serve_host(host);
         rp_http_host_release_if_unused(&host->client->hosts, host);
     }
@@ -133,7 +135,7 @@
     free(call);
 }
 
-/* Frees the call, then tells its caller, which may make calls in turn. */
+/* Frees the call, then passes the response to its call-back, which may start further calls. */
 static void finish_call(struct rp_http_call *call, const struct rp_answer *answer) {
     rp_answer_fn on_response = call->on_response;
     void *arg = call->arg;
@@ -143,7 +145,7 @@
     on_response(arg, answer);
 }
 
-/* A connection of the host has been closed or has become idle. */
+/* Handles that a connection of the host was closed or became idle. */
 static void on_connection_available(struct rp_http_host *host) {
     struct rp_http_client *client = host->client;
     host->is_in_use = true;
@@ -153,7 +155,8 @@
     serve_waiting_hosts(client);
 }
 
-/* Closes the connection; its call gets no response. */
+/* Closes the connection and fails its call, if it has one. The call counts as unsent only if the
+ * connection was not yet established. */
 static void fail_connection(struct rp_http_client_connection *connection) {
     const struct rp_answer failed = {.unsent = connection->state == CONNECTION_CONNECTING,
                                      .body = ""};
@@ -171,7 +174,7 @@
 static void on_call_timeout(void *arg) {
     struct rp_http_call *call = arg;
     if (call->connection) {
-        /* A response may still come on it: never used again. */
+        /* The connection must not be reused: the response to this call may still arrive on it. */
         fail_connection(call->connection);
         return;
     }
@@ -184,13 +187,14 @@
 static void on_response_complete(struct rp_http_client_connection *connection) {
     struct rp_http_host *host = connection->host;
     struct rp_http_call *call = connection->call;
-    /* The caller may use the connection for another call while it reads this body. */
+    /* The body is taken out of the connection's parser: the call-back that reads it may start
+     * another call on the same connection. */
     struct rp_http_parser parser = connection->parser;
     struct rp_answer answer = {.status = parser.status,
                                .body = parser.body ? parser.body : "",
                                .len = parser.body_len,
                                .retry_after = parser.retry_after};
-    bool is_last = parser.close || call->own_connection;
+    bool is_last = parser.should_close || call->has_own_connection;
     connection->call = NULL;
     connection->parser.body = NULL;
     connection->parser.body_len = connection->parser.body_capacity = 0;
@@ -211,7 +215,8 @@
     if (received < 0 && (errno == EAGAIN || errno == EINTR))
         return;
     if (connection->state == CONNECTION_IDLE || received < 0) {
-        fail_connection(connection); /* the end of an idle connection, or bytes without a call */
+        /* The peer closed an idle connection, or sent bytes on it without a request. */
+        fail_connection(connection);
         return;
     }
     if (received == 0)
@@ -264,7 +269,7 @@
 
 /* ---- connections for calls ---- */
 
-/* Returns NULL when no connection can be made. */
+/* Begins to connect to the host. Returns NULL if that fails. */
 static struct rp_http_client_connection *open_connection(struct rp_http_host *host) {
     struct rp_http_client *client = host->client;
     struct rp_http_client_connection *connection = calloc(1, sizeof *connection);
@@ -291,8 +296,9 @@
     return NULL;
 }
 
-/* Closes the connection that has been idle for longest: machines come and go, and each leaves one.
- * (An idle connection given to a call is in another state before anything else happens.) */
+/* Closes the connection that has been idle for longest, since each machine that has been released
+ * leaves an idle connection behind. A connection that is assigned to a call is never evicted: it
+ * leaves the IDLE state when it is assigned. Returns false if no connection is idle. */
 static bool evict_idle_connection(struct rp_http_client *client) {
     struct rp_http_client_connection *connection = client->least_recent;
     if (!connection)
@@ -310,8 +316,9 @@
     return connection;
 }
 
-/* A new connection for a call of the host; NULL when the limits or the system refuse one. */
-static struct rp_http_client_connection *provide_connection(struct rp_http_host *host) {
+/* Opens a connection for a call of the host, evicting an idle one if the total is at its limit.
+ * Returns NULL if the limits or the system refuse one. */
+static struct rp_http_client_connection *open_connection_within_limits(struct rp_http_host *host) {
     struct rp_http_client *client = host->client;
     if (host->n_connections >= client->max_per_host)
         return NULL;
@@ -319,7 +326,8 @@
         rp_http_host_wait_for_connection(&client->hosts, host);
         return NULL;
     }
-    return open_connection(host); /* if it fails, the calls' own time-outs answer them */
+    /* If it fails, the host's queued calls end by their time-outs. */
+    return open_connection(host);
 }
 
 static void assign_call(struct rp_http_call *call, struct rp_http_client_connection *connection) {
@@ -328,19 +336,20 @@
     connection->call = call;
     connection->request = (struct rp_send_buffer){.data = call->message, .len = call->message_len};
     call->message = NULL;
-    /* Sent from the event loop, so that there is no call-back before the call returns. */
+    /* The request is sent from the event loop: no call-back may run before rp_net's function has
+     * returned (base/net.h). */
     if (connection->state == CONNECTION_IDLE)
         set_state(connection, CONNECTION_SENDING);
 }
 
-/* Gives queued calls to idle connections, opening new ones within the limits. */
+/* Assigns queued calls to idle connections, and opens new ones within the limits. */
 static void serve_host(struct rp_http_host *host) {
     while (host->first_call) {
         struct rp_http_call *call = host->first_call;
         struct rp_http_client_connection *connection =
-            call->own_connection ? NULL : find_idle_connection(host);
+            call->has_own_connection ? NULL : find_idle_connection(host);
         if (!connection)
-            connection = provide_connection(host);
+            connection = open_connection_within_limits(host);
         if (!connection)
             return;
         assign_call(call, connection);
@@ -349,7 +358,8 @@
 
 /* ---- the interface of base/net.h ---- */
 
-/* A call that can't even be queued is answered from the event loop, as base/net.h says. */
+/* A call that cannot be queued, since its address is invalid or memory is exhausted. Its call-back
+ * is called from the event loop, not before rp_net's function has returned (base/net.h). */
 struct failed_call {
     struct rp_timer timer;
     rp_answer_fn on_response;
@@ -369,18 +379,18 @@
     rp_timer_set(loop, &failed->timer, 0);
 }
 
-/* Returns the message's length, or -1 when memory is out. */
+/* Formats a call's request. Returns its length, or -1 when memory is exhausted. */
 static int write_message(char **out, const struct rp_http_call *call, const char *method,
                          const char *target, const char *body) {
     return asprintf(out,
                     "%s %s HTTP/1.1\r\nHost: %s\r\n%sContent-Type: "
                     "application/json\r\nContent-Length: %zu\r\n\r\n%s",
                     method, target, call->host->address,
-                    call->own_connection ? "Connection: close\r\n" : "", body ? strlen(body) : 0,
-                    body ? body : "");
+                    call->has_own_connection ? "Connection: close\r\n" : "",
+                    body ? strlen(body) : 0, body ? body : "");
 }
 
-static void start_call(struct rp_http_client *client, bool own_connection, const char *address,
+static void start_call(struct rp_http_client *client, bool has_own_connection, const char *address,
                        const char *method, const char *target, const char *body, double timeout_s,
                        rp_answer_fn on_response, void *arg) {
     struct rp_http_host *host = rp_http_host_find_or_add(&client->hosts, client, address);
@@ -389,8 +399,10 @@
         fail_call_from_loop(client->loop, on_response, arg);
         return;
     }
-    *call = (struct rp_http_call){
-        .host = host, .own_connection = own_connection, .on_response = on_response, .arg = arg};
+    *call = (struct rp_http_call){.host = host,
+                                  .has_own_connection = has_own_connection,
+                                  .on_response = on_response,
+                                  .arg = arg};
     int len = write_message(&call->message, call, method, target, body);
     if (len < 0) {
         free(call);
@@ -432,7 +444,8 @@
                            .call_on_own_connection = call_on_own_connection};
 }
 
-/* The analyzer doesn't see that what is closed or unqueued leaves its list. */
+/* The analyzer does not detect that a closed connection and an unqueued call are removed from their
+ * lists. */
 // NOLINTBEGIN(clang-analyzer-unix.Malloc)
 static void close_host(struct rp_http_host *host) {
     while (host->first_call) {
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,8 +1,9 @@
 /** @file
- * HTTP/1.1 client on the event loop. Owns its connections: at most `max_total` altogether and
- * `max_per_host` to one host. A host is known only while it has a connection or a call. A call that
- * finds no connection free waits; the first connection that becomes free serves it. main.c gives
- * rp_http_client_net to the modules that call other hosts. */
+ * HTTP/1.1 client on the event loop. Owns its connections: at most `max_total` in all and
+ * `max_per_host` to one host. A host is stored only while it has a connection or a call. A call for
+ * which no connection is available is queued until one is; hosts that wait because of `max_total`
+ * are served in the order in which they began to wait. main.c passes rp_http_client_net to the
+ * modules that call other hosts. */
 #ifndef RP_HTTP_CLIENT_H
 #define RP_HTTP_CLIENT_H
 
@@ -16,21 +17,21 @@
     struct rp_loop *loop;
     size_t max_per_host;
     size_t max_total;
-    size_t n_connections;  /**< open ones, to all hosts */
-    size_t max_body_bytes; /**< of a response; a longer one fails its call */
+    size_t n_connections;  /**< open connections to all hosts */
+    size_t max_body_bytes; /**< limit of a response's body; a longer one fails its call */
     struct rp_http_host_table hosts;
-    struct rp_http_client_connection *least_recent; /**< idle ones, idle for longest first */
-    struct rp_http_client_connection *most_recent;
+    struct rp_http_client_connection *least_recent; /**< the connection idle for longest, or NULL */
+    struct rp_http_client_connection *most_recent;  /**< the one that became idle last, or NULL */
 };
 
-/** Makes a client without connections. The caller must close it. */
+/** Initialises a client without connections. The caller must close it. */
 void rp_http_client_init(struct rp_http_client *client, struct rp_loop *loop, size_t max_per_host,
                          size_t max_total, size_t max_body_bytes);
 
-/** Closes all connections. The call-backs of calls under way are not called. */
+/** Closes all connections. The call-backs of unfinished calls are not called. */
 void rp_http_client_close(struct rp_http_client *client);
 
-/** The interface by which other modules call hosts; valid as long as the client. */
+/** The interface by which other modules call hosts; valid until the client is closed. */
 struct rp_net rp_http_client_net(struct rp_http_client *client);
 
 #endif
--- a/src/http/client_host.c
+++ b/src/http/client_host.c
@@ -4,7 +4,8 @@
 #include <string.h>
 #include "base/string_copy.h"
 
-#define HASH_SEED 5381 /* of Bernstein's string hash, with its factor */
+/* Parameters of Bernstein's string hash (djb2). */
+#define HASH_SEED 5381
 #define HASH_FACTOR 33
 
 static struct rp_http_host **host_bucket(struct rp_http_host_table *table, const char *address) {
@@ -37,10 +38,11 @@
     return host;
 }
 
-/* Machines come and go by the thousand. */
+/* Hosts are removed as soon as they are unused: thousands of machines are provisioned and released
+ * while the process runs, and the table would grow with each of them. */
 void rp_http_host_release_if_unused(struct rp_http_host_table *table, struct rp_http_host *host) {
-    bool is_referred_to = host->is_in_use || host->is_waiting;
-    if (is_referred_to || host->connections || host->first_call)
+    bool is_referenced = host->is_in_use || host->is_waiting;
+    if (is_referenced || host->connections || host->first_call)
         return;
     struct rp_http_host **link = host_bucket(table, host->address);
     while (*link != host)
--- a/src/http/parser.c
+++ b/src/http/parser.c
@@ -33,10 +33,10 @@
     parser->state = RP_HTTP_START_LINE;
     parser->error = 0;
     parser->header_bytes = 0;
-    parser->has_length = parser->chunked = false;
+    parser->has_length = parser->is_chunked = false;
     parser->method[0] = '\0';
-    parser->status = parser->minor = parser->retry_after = 0;
-    parser->close = parser->expect_continue = false;
+    parser->status = parser->minor_version = parser->retry_after = 0;
+    parser->should_close = parser->expects_continue = false;
     parser->bytes_left = 0;
 }
 
@@ -71,8 +71,8 @@
         fail(parser, 505);
         return false;
     }
-    parser->minor = text[7] - '0';
-    parser->close = parser->minor == 0;
+    parser->minor_version = text[7] - '0';
+    parser->should_close = parser->minor_version == 0;
     return true;
 }
 
@@ -136,7 +136,7 @@
     }
     while (*text == ' ' || *text == '\t')
         text++;
-    /* Extensions of a chunk are allowed and ignored. */
+    /* Chunk extensions are allowed and ignored. */
     if (*text != '\0' && !(base == 16 && *text == ';'))
         return false;
     *out = value;
@@ -145,8 +145,9 @@
 
 static void parse_content_length(struct rp_http_parser *parser, const char *value) {
     size_t length;
-    /* Two lengths, or a length beside chunks, are how requests get smuggled: refused. */
-    if (!parse_size(value, 10, &length) || parser->chunked ||
+    /* Two different lengths, or a length together with chunked encoding, allow request smuggling
+     * and are refused. */
+    if (!parse_size(value, 10, &length) || parser->is_chunked ||
         (parser->has_length && parser->bytes_left != length)) {
         fail(parser, 400);
         return;
@@ -165,21 +166,21 @@
     } else if (strcasecmp(name, "transfer-encoding") == 0) {
         if (strcasecmp(value, "chunked") != 0)
             fail(parser, 501);
-        else if (parser->has_length || parser->chunked)
+        else if (parser->has_length || parser->is_chunked)
             fail(parser, 400);
         else
-            parser->chunked = true;
+            parser->is_chunked = true;
     } else if (strcasecmp(name, "connection") == 0) {
         if (strcasestr(value, "close"))
-            parser->close = true;
+            parser->should_close = true;
         else if (strcasestr(value, "keep-alive"))
-            parser->close = false;
+            parser->should_close = false;
     } else if (strcasecmp(name, "retry-after") == 0) {
         size_t seconds;
         if (parse_size(value, 10, &seconds) && seconds < 3600)
             parser->retry_after = (int)seconds;
     } else if (strcasecmp(name, "expect") == 0) {
-        parser->expect_continue = strcasecmp(value, "100-continue") == 0;
+        parser->expects_continue = strcasecmp(value, "100-continue") == 0;
     }
 }
 
@@ -208,17 +209,17 @@
 
 static void on_headers_end(struct rp_http_parser *parser) {
     if (parser->role == RP_HTTP_RESPONSE && parser->status / 100 == 1) {
-        set_state(parser, RP_HTTP_START_LINE); /* an interim response: the final one follows */
+        set_state(parser, RP_HTTP_START_LINE); /* interim response; the final one follows */
         return;
     }
     if (parser->role == RP_HTTP_RESPONSE && (parser->status == 204 || parser->status == 304))
         set_state(parser, RP_HTTP_DONE);
-    else if (parser->chunked)
+    else if (parser->is_chunked)
         set_state(parser, RP_HTTP_CHUNK_SIZE);
     else if (parser->has_length)
         set_state(parser, parser->bytes_left ? RP_HTTP_BODY_SIZED : RP_HTTP_DONE);
     else if (parser->role == RP_HTTP_RESPONSE) {
-        parser->close = true;
+        parser->should_close = true;
         set_state(parser, RP_HTTP_BODY_UNTIL_CLOSE);
     } else
         set_state(parser, RP_HTTP_DONE);
@@ -241,12 +242,12 @@
 static void parse_line(struct rp_http_parser *parser) {
     parser->line[parser->line_len] = '\0';
     if (strlen(parser->line) != parser->line_len) {
-        fail(parser, 400); /* a NUL byte inside */
+        fail(parser, 400); /* the line contains a NUL byte */
         return;
     }
     switch (parser->state) {
     case RP_HTTP_START_LINE:
-        if (parser->line_len == 0) { /* tolerated before a message (RFC 9112, 2.2) */
+        if (parser->line_len == 0) { /* empty lines before a message are ignored (RFC 9112, 2.2) */
             free_line(parser);
             return;
         }
@@ -276,17 +277,19 @@
     }
 }
 
+/* Appends bytes to the current line and parses it once its end has been received. Returns the
+ * number of bytes used. */
 static size_t feed_line_bytes(struct rp_http_parser *parser, const char *data, size_t len) {
     const char *newline = memchr(data, '\n', len);
     size_t used = newline ? (size_t)(newline - data) + 1 : len;
-    size_t text = newline ? used - 1 : used;
+    size_t text_len = newline ? used - 1 : used;
     parser->header_bytes += used;
     if (parser->state != RP_HTTP_CHUNK_SIZE && parser->state != RP_HTTP_CHUNK_END &&
         parser->header_bytes > RP_HTTP_HEADERS_MAX) {
         fail(parser, 431);
         return used;
     }
-    if (parser->line_len + text >= RP_HTTP_LINE_MAX) {
+    if (parser->line_len + text_len >= RP_HTTP_LINE_MAX) {
         fail(parser, parser->state == RP_HTTP_START_LINE ? 414 : 431);
         return used;
     }
@@ -294,8 +297,8 @@
         fail(parser, 503);
         return used;
     }
-    memcpy(parser->line + parser->line_len, data, text);
-    parser->line_len += text;
+    memcpy(parser->line + parser->line_len, data, text_len);
+    parser->line_len += text_len;
     if (!newline)
         return used;
     if (parser->line_len > 0 && parser->line[parser->line_len - 1] == '\r')
@@ -304,49 +307,53 @@
     return used;
 }
 
-static bool grow_body(struct rp_http_parser *parser, size_t more) {
-    size_t need = parser->body_len + more + 1;
-    if (need <= parser->body_capacity)
+/* Makes the body's buffer large enough for `n_added` more bytes and a NUL. Fails the message and
+ * returns false when memory is exhausted. */
+static bool grow_body(struct rp_http_parser *parser, size_t n_added) {
+    size_t required = parser->body_len + n_added + 1;
+    if (required <= parser->body_capacity)
         return true;
-    size_t cap = parser->body_capacity * 2 > need ? parser->body_capacity * 2 : need;
-    char *body = realloc(parser->body, cap);
+    size_t capacity = parser->body_capacity * 2 > required ? parser->body_capacity * 2 : required;
+    char *body = realloc(parser->body, capacity);
     if (!body) {
         fail(parser, 413);
         return false;
     }
     parser->body = body;
-    parser->body_capacity = cap;
+    parser->body_capacity = capacity;
     return true;
 }
 
+/* Appends bytes to the body, up to the end of the body or of the current chunk. Returns the number
+ * of bytes used. */
 static size_t feed_body_bytes(struct rp_http_parser *parser, const char *data, size_t len) {
-    bool open_end = parser->state == RP_HTTP_BODY_UNTIL_CLOSE;
-    size_t take = !open_end && len > parser->bytes_left ? parser->bytes_left : len;
-    if (open_end && take > parser->max_body_bytes - parser->body_len) {
+    bool is_until_close = parser->state == RP_HTTP_BODY_UNTIL_CLOSE;
+    size_t used = !is_until_close && len > parser->bytes_left ? parser->bytes_left : len;
+    if (is_until_close && used > parser->max_body_bytes - parser->body_len) {
         fail(parser, 413);
         return len;
     }
-    if (!grow_body(parser, take))
+    if (!grow_body(parser, used))
         return len;
-    memcpy(parser->body + parser->body_len, data, take);
-    parser->body_len += take;
+    memcpy(parser->body + parser->body_len, data, used);
+    parser->body_len += used;
     parser->body[parser->body_len] = '\0';
-    if (open_end)
-        return take;
-    parser->bytes_left -= take;
+    if (is_until_close)
+        return used;
+    parser->bytes_left -= used;
     if (parser->bytes_left == 0)
         set_state(parser, parser->state == RP_HTTP_CHUNK_DATA ? RP_HTTP_CHUNK_END : RP_HTTP_DONE);
-    return take;
+    return used;
 }
 
 size_t rp_http_parser_feed(struct rp_http_parser *parser, const char *data, size_t len) {
     size_t used = 0;
     while (used < len && parser->state != RP_HTTP_DONE && parser->state != RP_HTTP_FAILED) {
-        bool body = parser->state == RP_HTTP_BODY_SIZED ||
-                    parser->state == RP_HTTP_BODY_UNTIL_CLOSE ||
-                    parser->state == RP_HTTP_CHUNK_DATA;
-        used += body ? feed_body_bytes(parser, data + used, len - used)
-                     : feed_line_bytes(parser, data + used, len - used);
+        bool is_in_body = parser->state == RP_HTTP_BODY_SIZED ||
+                          parser->state == RP_HTTP_BODY_UNTIL_CLOSE ||
+                          parser->state == RP_HTTP_CHUNK_DATA;
+        used += is_in_body ? feed_body_bytes(parser, data + used, len - used)
+                           : feed_line_bytes(parser, data + used, len - used);
     }
     return used;
 }
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -10,17 +10,18 @@
 #include "http/parser.h"
 #include "http/socket.h"
 
-#define READ_BYTES 16384          /* read from a connection in one turn of the event loop */
-#define MAX_ACCEPTS 256           /* connections taken in one turn of the event loop */
-#define RETRY_AFTER_LINE_BYTES 48 /* "Retry-After: SECONDS" with its line end */
+#define READ_BYTES 16384          /* at most read from a connection for one event */
+#define MAX_ACCEPTS 256           /* connections accepted for one event of the listening socket */
+#define RETRY_AFTER_LINE_BYTES 48 /* size of "Retry-After: SECONDS" with its line end and NUL */
 
 /* States of a connection and the edges between them, each made by set_state:
- * - RECEIVING -> HANDLING: a request is complete and goes to the handler.
+ * - RECEIVING -> HANDLING: a request is complete and is passed to the handler.
  * - HANDLING -> SENDING: the handler has responded.
  * - RECEIVING -> SENDING: the request is malformed or too slow and is refused.
  * - SENDING -> RECEIVING: the response has been sent; the connection waits for the next request.
- * - any -> CLOSED: the peer has closed or broken the connection or has been too slow, the response
- *   was the connection's last, the connection is evicted, or the server closes. */
+ * - any -> CLOSED: the peer has closed or reset the connection or has exceeded a time-out, the
+ *   response was the connection's last, the connection is evicted in favour of a new one, memory is
+ *   exhausted, or the server closes. */
 enum connection_state {
     CONNECTION_RECEIVING,
     CONNECTION_HANDLING,
@@ -36,10 +37,10 @@
     enum connection_state state;
     struct rp_http_parser parser;
     struct rp_send_buffer response;
-    char *read_ahead; /* bytes that came behind the request being handled */
+    char *read_ahead; /* bytes received after the end of the request being handled */
     size_t read_ahead_len;
     struct rp_request request;
-    bool in_handler; /* the connection must outlive the handler's call */
+    bool is_in_handler; /* the handler is being called: the connection must not be freed */
 };
 
 static void process_received(struct rp_http_server_connection *connection);
@@ -86,8 +87,8 @@
     connection->read_ahead = NULL;
 }
 
-/* The only function that changes a connection's state. The struct outlives CLOSED until
- * drop_connection or on_respond frees it. */
+/* The only function that changes a connection's state. CLOSED releases the connection's resources;
+ * drop_connection, on_respond or handle_request frees the struct. */
 static void set_state(struct rp_http_server_connection *connection, enum connection_state state) {
     const struct rp_http_limits *limits = &connection->server->limits;
     struct rp_loop *loop = connection->server->loop;
@@ -112,11 +113,11 @@
 }
 
 static void drop_connection(struct rp_http_server_connection *connection) {
-    /* A request that is being handled keeps the struct until it is responded to. */
+    /* While a request is being handled, the struct is needed until the handler responds. */
     bool is_handling = connection->state == CONNECTION_HANDLING;
     if (connection->state != CONNECTION_CLOSED)
         set_state(connection, CONNECTION_CLOSED);
-    if (!is_handling && !connection->in_handler)
+    if (!is_handling && !connection->is_in_handler)
         free(connection);
 }
 
@@ -126,37 +127,38 @@
 
 /* ---- responses ---- */
 
-/* Returns false when memory is out. */
+/* Formats the response. Returns false when memory is exhausted. */
 static bool prepare_response(struct rp_http_server_connection *connection, int status,
                              const char *body, int retry_after_s) {
     char retry_after[RETRY_AFTER_LINE_BYTES] = "";
     char *text;
     if (retry_after_s > 0) {
         snprintf(retry_after, sizeof retry_after, "Retry-After: %d\r\n", retry_after_s);
-        /* Whoever is told to come back shall come by the load balancer, which may know a better
-         * node. */
-        connection->parser.close = true;
+        /* The connection is closed so that the retry passes through the load balancer, which may
+         * select a node that can handle the request. */
+        connection->parser.should_close = true;
     }
-    int n = asprintf(&text,
-                     "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: "
-                     "%zu\r\n%s%s\r\n%s",
-                     status, rp_http_reason(status), body ? strlen(body) : 0, retry_after,
-                     connection->parser.close ? "Connection: close\r\n" : "", body ? body : "");
+    int n =
+        asprintf(&text,
+                 "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: "
+                 "%zu\r\n%s%s\r\n%s",
+                 status, rp_http_reason(status), body ? strlen(body) : 0, retry_after,
+                 connection->parser.should_close ? "Connection: close\r\n" : "", body ? body : "");
     if (n < 0)
         return false;
     connection->response = (struct rp_send_buffer){.data = text, .len = (size_t)n};
     return true;
 }
 
-/* Sends what the peer takes of the response. Returns true when all of it has been sent and the
- * connection waits for the next request, false when it is still sending or has been dropped. */
+/* Sends as much of the response as the kernel accepts. Returns true if all of it has been sent and
+ * the connection waits for the next request, false if it is still sending or has been dropped. */
 static bool send_response(struct rp_http_server_connection *connection) {
     enum rp_send_outcome outcome = rp_send_buffer_send(&connection->response, connection->watch.fd);
     if (outcome == RP_SEND_INCOMPLETE) {
         rp_watch_change(connection->server->loop, &connection->watch, EPOLLOUT);
         return false;
     }
-    if (outcome == RP_SEND_BROKEN || connection->parser.close) {
+    if (outcome == RP_SEND_BROKEN || connection->parser.should_close) {
         drop_connection(connection);
         return false;
     }
@@ -172,10 +174,10 @@
                                                      offsetof(struct rp_http_server_connection,
                                                               request));
     if (connection->state == CONNECTION_CLOSED) {
-        if (!connection->in_handler)
+        if (!connection->is_in_handler)
             free(connection);
         else
-            connection->in_handler = false; /* the caller of the handler frees it */
+            connection->is_in_handler = false; /* handle_request frees the connection */
         return;
     }
     set_state(connection, CONNECTION_SENDING);
@@ -183,14 +185,14 @@
         drop_connection(connection);
         return;
     }
-    if (connection->in_handler)
-        return; /* handle_request sends it */
+    if (connection->is_in_handler)
+        return; /* handle_request sends the response */
     if (send_response(connection))
         process_received(connection);
 }
 
 static void refuse_message(struct rp_http_server_connection *connection, int status) {
-    connection->parser.close = true;
+    connection->parser.should_close = true;
     set_state(connection, CONNECTION_SENDING);
     if (prepare_response(connection, status, "{\"error\":\"bad message\"}\n", 0))
         send_response(connection);
@@ -200,7 +202,7 @@
 
 /* ---- requests ---- */
 
-/* Gives the complete request to the handler. Returns true when the response has been sent and the
+/* Passes the complete request to the handler. Returns true if the response has been sent and the
  * connection waits for the next request. */
 static bool handle_request(struct rp_http_server_connection *connection) {
     struct rp_http_server *server = connection->server;
@@ -211,18 +213,18 @@
                                               .body = parser->body ? parser->body : "",
                                               .len = parser->body_len,
                                               .respond = on_respond};
-    connection->in_handler = true;
+    connection->is_in_handler = true;
     server->on_request(server->arg, &connection->request);
-    connection->in_handler = false;
+    connection->is_in_handler = false;
     if (connection->state == CONNECTION_CLOSED) {
         free(connection);
         return false;
     }
     if (connection->state == CONNECTION_SENDING)
         return send_response(connection);
-    /* The response comes later: until then only the end of the peer's side is of interest. Changed
-     * here and not on entering the state, since most requests are responded to at once and a system
-     * call costs time. */
+    /* The handler responds later; until then the connection waits only for its peer to disconnect.
+     * The events are changed here and not in set_state, since most requests are responded to
+     * immediately and the change costs a system call. */
     rp_watch_change(server->loop, &connection->watch, EPOLLRDHUP);
     return false;
 }
@@ -242,7 +244,7 @@
     connection->read_ahead_len = len - used;
 }
 
-/* Handles the requests that have been received completely. */
+/* Handles all requests that have been received completely. */
 static void process_received(struct rp_http_server_connection *connection) {
     for (;;) {
         if (connection->read_ahead_len)
@@ -258,7 +260,7 @@
     }
 }
 
-/* Returns false when memory is out. */
+/* Copies bytes that follow the current request. Returns false when memory is exhausted. */
 static bool keep_read_ahead(struct rp_http_server_connection *connection, const char *data,
                             size_t len) {
     connection->read_ahead = malloc(len);
@@ -269,11 +271,11 @@
     return true;
 }
 
-/* Tells a peer that waits for permission to send the body that it may. Returns false when the
+/* Responds to Expect: 100-continue, after which the peer sends the body. Returns false if the
  * connection is broken. */
 static bool send_continue(struct rp_http_server_connection *connection) {
     static const char interim[] = "HTTP/1.1 100 Continue\r\n\r\n";
-    connection->parser.expect_continue = false;
+    connection->parser.expects_continue = false;
     return send(connection->watch.fd, interim, sizeof interim - 1, MSG_NOSIGNAL) >= 0;
 }
 
@@ -294,12 +296,13 @@
         drop_connection(connection);
         return;
     }
-    /* The whole request must arrive within a bound, however slowly its bytes come. */
+    /* The timer is set at the first byte only: the whole request must arrive within
+     * receive_timeout_s, even if the peer keeps sending bytes slowly. */
     if (was_idle)
         rp_timer_set(connection->server->loop, &connection->timer,
                      connection->server->limits.receive_timeout_s);
     bool waits_for_continue =
-        parser->expect_continue && parser->state == RP_HTTP_BODY_SIZED && parser->body_len == 0;
+        parser->expects_continue && parser->state == RP_HTTP_BODY_SIZED && parser->body_len == 0;
     if (waits_for_continue && !send_continue(connection)) {
         drop_connection(connection);
         return;
@@ -345,9 +348,10 @@
     close(fd);
 }
 
-/* Workers and users that have gone to another node leave their connections open: a node that a
- * thousand workers come to must not refuse them, or a health check, for the sake of those. Returns
- * false when no connection is idle. */
+/* Closes the connection that has been idle for longest. Workers and users that switch to another
+ * node leave their connections open; without the eviction, these make a node refuse new
+ * connections, for example those of a thousand workers after a failover, or of a health check.
+ * Returns false if no connection is idle. */
 static bool evict_idle_connection(struct rp_http_server *server) {
     struct rp_http_server_connection *connection = server->least_recent;
     while (connection && !is_idle(connection))
--- a/src/http/socket.c
+++ b/src/http/socket.c
@@ -9,7 +9,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define BACKLOG 4096 /* after a failover all workers come at once */
+#define BACKLOG                                                                                    \
+    4096 /* connections not yet accepted; after a failover all workers connect at once */
 
 bool rp_socket_parse_address(const char *text, struct sockaddr_in *out) {
     char host[RP_SOCKET_ADDRESS_MAX];
--- a/src/http/socket.h
+++ b/src/http/socket.h
@@ -1,6 +1,7 @@
 /** @file
- * Non-blocking TCP sockets: addresses, listening, connecting, sending. Knows nothing of HTTP.
- * Called by the server and the client of this directory; whoever gets a descriptor closes it. */
+ * Non-blocking TCP sockets: addresses, listening, connecting, sending. Independent of HTTP. Called
+ * by the server and the client of this directory; the caller that receives a descriptor closes it.
+ */
 #ifndef RP_HTTP_SOCKET_H
 #define RP_HTTP_SOCKET_H
 
@@ -8,36 +9,36 @@
 #include <stdbool.h>
 #include <stddef.h>
 
-/** Size in bytes of the longest "host:port" that can be read, with its NUL. */
+/** Size in bytes of the longest "host:port" that can be parsed, with its NUL. */
 #define RP_SOCKET_ADDRESS_MAX 64
 
-/** Reads "a.b.c.d:port", with a port from 1 to 65535. Returns false when it is anything else; host
- * names aren't resolved, since that would block the event loop. */
+/** Parses "a.b.c.d:port", with a port from 1 to 65535. Returns false for anything else; host names
+ * are not resolved, since that would block the event loop. */
 bool rp_socket_parse_address(const char *text, struct sockaddr_in *out);
 
 /** Opens a listening socket. Returns its descriptor, or -errno. */
 int rp_socket_listen(const struct sockaddr_in *address);
 
-/** Opens a socket and begins to connect it. Returns its descriptor, or -errno; whether the
- * connection was made is told by rp_socket_is_connected once the descriptor is writable. */
+/** Opens a socket and begins to connect it. Returns its descriptor, or -errno. Once the descriptor
+ * is writable, rp_socket_is_connected returns whether the connection was established. */
 int rp_socket_connect(const struct sockaddr_in *address);
 
-/** The outcome of rp_socket_connect, after the event loop has reported `events` for `fd`. */
+/** Whether rp_socket_connect succeeded, after the event loop has reported `events` for `fd`. */
 bool rp_socket_is_connected(int fd, unsigned events);
 
-/** Takes the next connection of a listening socket. Returns its descriptor, or -1 when there is
- * none or the process has no descriptor free. */
+/** Accepts the next connection of a listening socket. Returns its descriptor, or -1 if there is
+ * none or the process is at its limit of descriptors. */
 int rp_socket_accept(int listening_fd);
 
-/** Small messages leave at once, instead of waiting for the peer's acknowledgement of earlier ones
- * (Nagle's algorithm). */
+/** Disables Nagle's algorithm: small messages are sent at once, without waiting for the peer's
+ * acknowledgement of earlier ones. */
 void rp_socket_set_no_delay(int fd);
 
-/** What rp_send_buffer_send found. */
+/** Outcome of rp_send_buffer_send. */
 enum rp_send_outcome {
-    RP_SEND_COMPLETE,   /**< all bytes have been handed to the kernel */
-    RP_SEND_INCOMPLETE, /**< the kernel's buffer is full: go on when the descriptor is writable */
-    RP_SEND_BROKEN      /**< the connection is of no more use */
+    RP_SEND_COMPLETE,   /**< the kernel has accepted all bytes */
+    RP_SEND_INCOMPLETE, /**< the kernel's buffer is full; retry when the descriptor is writable */
+    RP_SEND_BROKEN      /**< the connection has failed and must be closed */
 };
 
 /** Bytes waiting to be sent. */
@@ -47,7 +48,7 @@
     size_t sent; /**< how many of the `len` bytes have been sent */
 };
 
-/** Sends as much as the kernel takes. Empties the buffer when all of it has been sent. */
+/** Sends as many bytes as the kernel accepts. Clears the buffer when all have been sent. */
 enum rp_send_outcome rp_send_buffer_send(struct rp_send_buffer *buffer, int fd);
 
 /** Frees the bytes, sent or not. */
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -1,4 +1,5 @@
-/* The HTTP parser against whole, split, malformed and random input. */
+/* Tests of the HTTP parser with whole, split, malformed and random input, and of the HTTP server
+ * and client over loopback sockets. */
 #include "test.h"
 
 #include <arpa/inet.h>
@@ -11,6 +12,8 @@
 #include "http/parser.h"
 #include "http/server.h"
 
+/* Parses a text fed in pieces of `step` bytes. Returns 0 if the message is complete, the error
+ * status if it has failed, and -1 if it is incomplete. */
 static int parse(const char *text, size_t step, enum rp_http_role role,
                  struct rp_http_parser *parser) {
     size_t len = strlen(text);
@@ -23,7 +26,7 @@
     return parser->state == RP_HTTP_FAILED ? parser->error : parser->state == RP_HTTP_DONE ? 0 : -1;
 }
 
-static void whole_and_split(void **state) {
+static void split_request_parses_like_whole_one(void **state) {
     static const char text[] =
         "POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\n\r\nhello";
     (void)state;
@@ -33,12 +36,12 @@
         assert_string_equal(parser.method, "POST");
         assert_string_equal(parser.target, "/v1/jobs");
         assert_string_equal(parser.body, "hello");
-        assert_false(parser.close);
+        assert_false(parser.should_close);
         rp_http_parser_free(&parser);
     }
 }
 
-static void chunks(void **state) {
+static void chunked_body_is_joined(void **state) {
     static const char text[] = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                "4\r\nwiki\r\nA;x=y\r\n0123456789\r\n0\r\nX: y\r\n\r\n";
     (void)state;
@@ -51,7 +54,7 @@
     }
 }
 
-static void until_close(void **state) {
+static void body_without_length_ends_at_close(void **state) {
     struct rp_http_parser parser;
     (void)state;
     assert_int_equal(
@@ -63,7 +66,7 @@
     rp_http_parser_free(&parser);
 }
 
-static void malformed(void **state) {
+static void malformed_request_is_refused(void **state) {
     static const struct {
         const char *text;
         int error;
@@ -96,7 +99,7 @@
         }
 }
 
-static void limits(void **state) {
+static void oversized_request_line_or_headers_are_refused(void **state) {
     char *text = malloc(20000);
     struct rp_http_parser parser;
     (void)state;
@@ -109,7 +112,7 @@
     memcpy(text, "GET / HTTP/1.1\r\nX: ", 19);
     assert_int_equal(parse(text, 512, RP_HTTP_REQUEST, &parser), 431);
     rp_http_parser_free(&parser);
-    /* Many short headers together are too much as well. */
+    /* Short header lines whose sum exceeds RP_HTTP_HEADERS_MAX are refused as well. */
     size_t n = (size_t)sprintf(text, "GET / HTTP/1.1\r\n");
     while (n < 9000)
         n += (size_t)sprintf(text + n, "X: y\r\n");
@@ -118,8 +121,9 @@
     free(text);
 }
 
-/* Whatever the bytes, however they are split: no crash, and the same outcome for each splitting. */
-static void random_bytes(void **state) {
+/* Random sequences of valid and invalid pieces must not crash the parser, and the outcome must not
+ * depend on how the input is split. */
+static void random_input_parses_the_same_whole_and_split(void **state) {
     static const char pieces[][24] = {"GET / HTTP/1.1\r\n",
                                       "POST /x HTTP/1.0\r\n",
                                       "Content-Length: 4\r\n",
@@ -153,7 +157,7 @@
     gsl_rng_free(rng);
 }
 
-static void answer_and_stop(void *arg, struct rp_request *req) {
+static void respond_and_stop(void *arg, struct rp_request *req) {
     req->respond(req, 200, "{}", 0);
     rp_loop_stop(arg);
 }
@@ -167,32 +171,33 @@
     return fd;
 }
 
-/* Connections that workers and users have left open kept a node that is full from taking others,
- * health checks among them: the one idle for longest is closed for them. */
-static void idle_connections_make_room(void **state) {
+/* A node at its limit of connections closes the one idle for longest in favour of a new one.
+ * Without this, connections that workers and users leave open make the node refuse all others,
+ * health checks included. */
+static void longest_idle_connection_is_evicted_at_limit(void **state) {
     struct rp_loop loop;
     struct rp_http_server server;
     struct rp_http_limits limits = {3, 1000, 60, 60, 60};
-    static const char ask[] = "GET /healthz HTTP/1.1\r\n\r\n";
+    static const char request[] = "GET /healthz HTTP/1.1\r\n\r\n";
     char addr[32];
-    char got[64] = "";
+    char received[64] = "";
     int fds[4];
     int rc = -1;
     (void)state;
     assert_int_equal(rp_loop_init(&loop, false), 0);
     for (int port = 21000 + (int)getpid() % 20000, i = 0; rc < 0 && i < 100; i++) {
         snprintf(addr, sizeof addr, "127.0.0.1:%d", port + i);
-        rc = rp_http_server_open(&server, &loop, addr, &limits, answer_and_stop, &loop);
+        rc = rp_http_server_open(&server, &loop, addr, &limits, respond_and_stop, &loop);
     }
     assert_int_equal(rc, 0);
     for (int i = 0; i < 4; i++)
         fds[i] = connect_to(addr);
-    assert_int_equal(send(fds[3], ask, strlen(ask), 0), (ssize_t)strlen(ask));
+    assert_int_equal(send(fds[3], request, strlen(request), 0), (ssize_t)strlen(request));
     assert_int_equal(rp_loop_run(&loop), 0);
-    assert_true(recv(fds[3], got, sizeof got - 1, 0) > 0);
-    assert_true(strncmp(got, "HTTP/1.1 200", 12) == 0);
-    assert_int_equal(recv(fds[0], got, sizeof got, 0), 0);
-    assert_int_equal(recv(fds[1], got, sizeof got, MSG_DONTWAIT), -1);
+    assert_true(recv(fds[3], received, sizeof received - 1, 0) > 0);
+    assert_true(strncmp(received, "HTTP/1.1 200", 12) == 0);
+    assert_int_equal(recv(fds[0], received, sizeof received, 0), 0);
+    assert_int_equal(recv(fds[1], received, sizeof received, MSG_DONTWAIT), -1);
     assert_int_equal(server.n_connections, 3);
     assert_int_equal(server.n_evicted, 1);
     rp_http_server_close(&server);
@@ -207,40 +212,42 @@
     bool unsent;
 };
 
-static void note_outcome(void *arg, const struct rp_answer *answer) {
+static void record_outcome(void *arg, const struct rp_answer *answer) {
     struct outcome *outcome = arg;
     outcome->status = answer->status;
     outcome->unsent = answer->unsent;
     rp_loop_stop(outcome->loop);
 }
 
-static void answer_only(void *arg, struct rp_request *req) {
+static void respond_ok(void *arg, struct rp_request *req) {
     (void)arg;
     req->respond(req, 200, "{}", 0);
 }
 
-static void say_nothing(void *arg, struct rp_request *req) {
-    *(struct rp_request **)arg = req; /* answered when nobody waits any more */
+/* Stores the request; the test responds to it after the client's time-out. */
+static void defer_response(void *arg, struct rp_request *req) {
+    *(struct rp_request **)arg = req;
 }
 
 static struct outcome call_on_own_connection(struct rp_loop *loop, struct rp_net net,
                                              const char *addr, double timeout_s) {
     struct outcome outcome = {.loop = loop};
-    net.call_on_own_connection(net.ctx, addr, "POST", "/do", "{}", timeout_s, note_outcome,
+    net.call_on_own_connection(net.ctx, addr, "POST", "/do", "{}", timeout_s, record_outcome,
                                &outcome);
     loop->is_stopping = false;
     assert_int_equal(rp_loop_run(loop), 0);
     return outcome;
 }
 
-/* A start that was certainly not sent may be made elsewhere at once, any other may not: a refused
- * connection tells the one, silence after the request the other. */
-static void unsent_is_known(void **state) {
+/* A start command that was certainly not sent may be sent to another machine at once; one that may
+ * have been received must not. A refused connection is reported as unsent, a time-out after the
+ * request was sent is not. */
+static void only_refused_connection_counts_as_unsent(void **state) {
     struct rp_loop loop;
     struct rp_http_server server;
     struct rp_http_client client;
     struct rp_http_limits limits = {8, 1000, 60, 60, 60};
-    struct rp_request *silent = NULL;
+    struct rp_request *deferred = NULL;
     char addr[32];
     int rc = -1;
     (void)state;
@@ -249,18 +256,18 @@
     struct rp_net net = rp_http_client_net(&client);
     for (int port = 41000 + (int)getpid() % 20000, i = 0; rc < 0 && i < 100; i++) {
         snprintf(addr, sizeof addr, "127.0.0.1:%d", port + i);
-        rc = rp_http_server_open(&server, &loop, addr, &limits, answer_only, NULL);
+        rc = rp_http_server_open(&server, &loop, addr, &limits, respond_ok, NULL);
     }
     assert_int_equal(rc, 0);
     struct outcome outcome = call_on_own_connection(&loop, net, addr, 30);
     assert_true(outcome.status == 200 && !outcome.unsent);
-    assert_int_equal(client.n_connections, 0); /* its connection isn't kept */
-    server.on_request = say_nothing;
-    server.arg = &silent;
+    assert_int_equal(client.n_connections, 0); /* the call's own connection was closed */
+    server.on_request = defer_response;
+    server.arg = &deferred;
     outcome = call_on_own_connection(&loop, net, addr, 2);
-    assert_true(outcome.status == 0 && !outcome.unsent && silent);
+    assert_true(outcome.status == 0 && !outcome.unsent && deferred);
     // NOLINTNEXTLINE(clang-analyzer-core.NullDereference): the assertion ends the test
-    silent->respond(silent, 200, "{}", 0);
+    deferred->respond(deferred, 200, "{}", 0);
     rp_http_server_close(&server);
     outcome = call_on_own_connection(&loop, net, addr, 30);
     assert_true(outcome.status == 0 && outcome.unsent);
@@ -268,29 +275,30 @@
     rp_loop_close(&loop);
 }
 
-#define HOSTS 600
+#define N_HOSTS 600
 
-struct tally {
+struct response_counts {
     struct rp_loop *loop;
-    int answered, good;
+    int n_responses, n_ok;
 };
 
-static void count_answer(void *arg, const struct rp_answer *answer) {
-    struct tally *tally = arg;
-    tally->answered++;
-    tally->good += answer->status == 200;
-    if (tally->answered == HOSTS)
-        rp_loop_stop(tally->loop);
+static void count_response(void *arg, const struct rp_answer *answer) {
+    struct response_counts *counts = arg;
+    counts->n_responses++;
+    counts->n_ok += answer->status == 200;
+    if (counts->n_responses == N_HOSTS)
+        rp_loop_stop(counts->loop);
 }
 
-/* A new leader asks thousands of machines at once over few connections. Calls beyond these were
- * never begun, unless a connection to the very same host fell free. */
-static void many_hosts_share_few_connections(void **state) {
+/* A new leader calls thousands of machines at once over a limited number of connections. All calls
+ * must be made. They are not if a connection that becomes available serves only queued calls to its
+ * own host: calls to hosts without a connection then never start. */
+static void calls_to_many_hosts_share_few_connections(void **state) {
     struct rp_loop loop;
     struct rp_http_server server;
     struct rp_http_client client;
     struct rp_http_limits limits = {64, 1000, 60, 60, 60};
-    struct tally tally = {.loop = &loop};
+    struct response_counts counts = {.loop = &loop};
     char addr[32];
     int rc = -1;
     int port = 0;
@@ -301,36 +309,37 @@
     for (int i = 0; rc < 0 && i < 100; i++) {
         port = 41000 + (int)getpid() % 20000 + i;
         snprintf(addr, sizeof addr, "0.0.0.0:%d", port);
-        rc = rp_http_server_open(&server, &loop, addr, &limits, answer_only, NULL);
+        rc = rp_http_server_open(&server, &loop, addr, &limits, respond_ok, NULL);
     }
     assert_int_equal(rc, 0);
-    for (int i = 0; i < HOSTS; i++) {
+    for (int i = 0; i < N_HOSTS; i++) {
         snprintf(addr, sizeof addr, "127.0.%d.%d:%d", 1 + i / 200, 1 + i % 200, port);
         if (i % 2)
-            net.call(net.ctx, addr, "GET", "/show", NULL, 60, count_answer, &tally);
+            net.call(net.ctx, addr, "GET", "/show", NULL, 60, count_response, &counts);
         else
-            net.call_on_own_connection(net.ctx, addr, "POST", "/do", "{}", 60, count_answer,
-                                       &tally);
+            net.call_on_own_connection(net.ctx, addr, "POST", "/do", "{}", 60, count_response,
+                                       &counts);
         assert_at_most(client.n_connections, 8);
     }
     assert_int_equal(rp_loop_run(&loop), 0);
-    assert_int_equal(tally.good, HOSTS);
-    assert_at_most(client.hosts.n_hosts, 8); /* only those with a connection are remembered */
+    assert_int_equal(counts.n_ok, N_HOSTS);
+    assert_at_most(client.hosts.n_hosts, 8); /* only hosts with a connection are stored */
     rp_http_client_close(&client);
     rp_http_server_close(&server);
     rp_loop_close(&loop);
 }
 
 int main(int argc, char **argv) {
-    const struct CMUnitTest tests[] = {cmocka_unit_test(whole_and_split),
-                                       cmocka_unit_test(chunks),
-                                       cmocka_unit_test(until_close),
-                                       cmocka_unit_test(malformed),
-                                       cmocka_unit_test(limits),
-                                       cmocka_unit_test(random_bytes),
-                                       cmocka_unit_test(idle_connections_make_room),
-                                       cmocka_unit_test(unsent_is_known),
-                                       cmocka_unit_test(many_hosts_share_few_connections)};
+    const struct CMUnitTest tests[] = {
+        cmocka_unit_test(split_request_parses_like_whole_one),
+        cmocka_unit_test(chunked_body_is_joined),
+        cmocka_unit_test(body_without_length_ends_at_close),
+        cmocka_unit_test(malformed_request_is_refused),
+        cmocka_unit_test(oversized_request_line_or_headers_are_refused),
+        cmocka_unit_test(random_input_parses_the_same_whole_and_split),
+        cmocka_unit_test(longest_idle_connection_is_evicted_at_limit),
+        cmocka_unit_test(only_refused_connection_counts_as_unsent),
+        cmocka_unit_test(calls_to_many_hosts_share_few_connections)};
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
