--- a/tests/behaviour/behaviour_digest.c
+++ b/tests/behaviour/behaviour_digest.c
@@ -1,10 +1,11 @@
-/* Proves that a change of the sources keeps the nodes' behaviour: runs a fixed list of simulated
- * days (digest_scenarios.c) and prints, for each, a hash over all that the nodes sent and a hash
- * over what the key-value store holds at the end. Two builds that print the same behave the same
- * on these days. See README.md here; `compare` builds and runs two commits.
+/* Checks that a change of the sources preserves the nodes' behaviour: runs a fixed list of
+ * simulated scenarios (digest_scenarios.c) and prints, for each run, a hash of all messages that
+ * the nodes sent and a hash of the key-value store's final records. Two builds that print the same
+ * lines behave the same in these runs. See README.md in this directory; `compare` builds and runs
+ * two commits.
  *
  * Output, one line for each run: scenario, seed, number of messages, hash of the messages, hash of
- * the store. With --dump the messages themselves, and then the store. */
+ * the store. With --dump: the messages themselves, followed by the store's records. */
 #include <getopt.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -17,29 +18,31 @@
 #include "protocol/user_codec.h"
 #include "simulation/sim.h"
 
-#define JSON_HASH_SEED 20240229 /* jansson takes a random one otherwise */
+#define JSON_HASH_SEED 20240229 /* fixed, since jansson uses a random seed by default */
 #define PLANTED_CHANGE "RP_BEHAVIOUR_PLANTED_CHANGE"
-#define PLANTED_ROUND_PERIOD_S 2.5 /* the simulated nodes' period is 2 s */
+#define PLANTED_ROUND_PERIOD_S 2.5 /* the simulated nodes' regular period is 2 s */
 #define RESULT_MAX 256
 #define JOBS_MAX 256
 
-/* Shows that the hashes see a change of behaviour: the nodes plan less often. */
-static void plant_change(struct sim *world) {
+/* Changes the nodes' behaviour on purpose, so that a test can check that the hashes change: the
+ * nodes run scheduling cycles less often. */
+static void apply_planted_change(struct sim *world) {
     for (int i = 0; i < world->n_nodes; i++)
         world->settings[i].tuning.round_period_s = PLANTED_ROUND_PERIOD_S;
 }
 
-/* A request of an operator, asked without a way through the network. */
+/* A request of an operator, passed to a node directly and not over the simulated network. */
 struct operator_request {
-    struct rp_request request; /* first: the answer's call-back gets its address */
+    struct rp_request
+        request; /* must be the first member: on_operator_response casts its address */
     const struct sim *world;
 };
 
-/* An answer that is taken from a node without a way through the network. */
-static void on_operator_answer(struct rp_request *request, int status, const char *body,
-                               int retry_after) {
-    const struct operator_request *asked = (const struct operator_request *)request;
-    digest_add_message(&(struct sim_message){.time = asked->world->now,
+/* Hashes a node's response to an operator's request. */
+static void on_operator_response(struct rp_request *request, int status, const char *body,
+                                 int retry_after) {
+    const struct operator_request *operator_request = (const struct operator_request *)request;
+    digest_add_message(&(struct sim_message){.time = operator_request->world->now,
                                              .to = "operator",
                                              .method = request->method,
                                              .target = request->target,
@@ -48,37 +51,39 @@
                                              .body = body});
 }
 
-/* Asks every node what operators and the load balancer ask; all of it is answered at once. */
-static void ask_nodes(struct sim *world) {
+/* Sends every running node the requests of operators and of the load balancer, to which nodes
+ * respond immediately. */
+static void request_status_of_nodes(struct sim *world) {
     for (int i = 0; i < world->n_nodes; i++) {
         struct rp_node *node = world->nodes[i].node;
-        struct operator_request asked = {
-            .request = {.method = "GET", .body = "", .respond = on_operator_answer},
+        struct operator_request operator_request = {
+            .request = {.method = "GET", .body = "", .respond = on_operator_response},
             .world = world};
         if (!world->nodes[i].alive)
             continue;
-        asked.request.target = "/status";
-        rp_node_peer_request(node, &asked.request);
-        asked.request.target = "/no-such-path";
-        rp_node_peer_request(node, &asked.request);
-        asked.request.target = RP_PATH_HEALTH;
-        rp_node_client_request(node, &asked.request);
+        operator_request.request.target = "/status";
+        rp_node_peer_request(node, &operator_request.request);
+        operator_request.request.target = "/no-such-path";
+        rp_node_peer_request(node, &operator_request.request);
+        operator_request.request.target = RP_PATH_HEALTH;
+        rp_node_client_request(node, &operator_request.request);
     }
 }
 
-/* Runs one day and writes its result line; if `dump`, the messages and the store are printed. */
+/* Runs a scenario with a seed and writes the result to `line`; if `dump`, prints the messages and
+ * the store. */
 static void run_scenario(const struct scenario *scenario, unsigned long seed, bool dump,
                          char line[RESULT_MAX]) {
     static const struct sim_size small = {64, 6, 2, 14, 39, 200, 20, 5};
     digest_begin(dump);
-    sim_standby = scenario->standby;
-    struct sim *world = sim_new_sized(seed, &scenario->faults, SIM_SOUND, scenario->nodes,
+    sim_standby = scenario->has_standby;
+    struct sim *world = sim_new_sized(seed, &scenario->faults, SIM_SOUND, scenario->n_nodes,
                                       scenario->size ? scenario->size : &small);
     digest_set_world(world);
     if (getenv(PLANTED_CHANGE))
-        plant_change(world);
-    scenario->day(world, seed);
-    ask_nodes(world);
+        apply_planted_change(world);
+    scenario->run(world, seed);
+    request_status_of_nodes(world);
     if (world->violation[0])
         fprintf(stderr, "%s %lu: a rule broke: %s\n", scenario->name, seed, world->violation);
     struct digest digest = digest_end(world);
@@ -87,12 +92,12 @@
     sim_free(world);
 }
 
-/* A run in a process of its own. */
+/* A run of a scenario with one seed, in a process of its own. */
 struct run {
     const struct scenario *scenario;
     unsigned long seed;
-    pid_t process; /* 0: not begun, or over */
-    int output;
+    pid_t process; /* 0: not started, or ended */
+    int output;    /* read end of the pipe on which the process writes its line */
     char line[RESULT_MAX];
 };
 
@@ -111,7 +116,7 @@
     run->output = ends[0];
 }
 
-/* Waits for some process to end and reads its line. Returns false when it failed. */
+/* Waits for the next process that ends and reads its line. Returns false if it failed. */
 static bool finish_run(struct run *runs, size_t n_runs) {
     int status = 0;
     pid_t process = wait(&status);
@@ -131,13 +136,13 @@
     return false;
 }
 
-/* Every run there is, in the order of the table. */
+/* Lists the runs of all scenarios, in the order of the table. Returns their number. */
 static size_t list_runs(struct run **out) {
     size_t n = 0;
-    size_t count = 0;
+    size_t n_runs = 0;
     for (size_t i = 0; i < n_digest_scenarios; i++)
-        count += digest_scenarios[i].n_seeds;
-    struct run *runs = count > 0 ? calloc(count, sizeof *runs) : NULL;
+        n_runs += digest_scenarios[i].n_seeds;
+    struct run *runs = n_runs > 0 ? calloc(n_runs, sizeof *runs) : NULL;
     if (!runs)
         abort();
     for (size_t i = 0; i < n_digest_scenarios; i++)
@@ -148,25 +153,25 @@
     return n;
 }
 
-/* Runs everything, `jobs` processes at a time. Returns the exit code. */
-static int run_all(long jobs) {
+/* Runs all scenarios, at most `max_processes` at a time. Returns the exit code. */
+static int run_all(long max_processes) {
     struct run *runs;
     size_t n_runs = list_runs(&runs);
-    size_t n_begun = 0;
+    size_t n_started = 0;
     size_t n_ended = 0;
-    bool all_passed = true;
+    bool have_all_passed = true;
     while (n_ended < n_runs) {
-        if (n_begun < n_runs && (long)(n_begun - n_ended) < jobs) {
-            start_run(&runs[n_begun++]);
+        if (n_started < n_runs && (long)(n_started - n_ended) < max_processes) {
+            start_run(&runs[n_started++]);
             continue;
         }
-        all_passed &= finish_run(runs, n_runs);
+        have_all_passed &= finish_run(runs, n_runs);
         n_ended++;
     }
     for (size_t i = 0; i < n_runs; i++)
         fputs(runs[i].line, stdout);
     free(runs);
-    return all_passed ? EXIT_SUCCESS : EXIT_FAILURE;
+    return have_all_passed ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
 static int run_named(const char *name, unsigned long seed, bool dump) {
@@ -188,15 +193,15 @@
     return EXIT_FAILURE;
 }
 
-/* What the command line asks for. */
+/* Options of the command line. */
 struct options {
-    const char *scenario; /* NULL: everything */
+    const char *scenario; /* NULL: all scenarios */
     const char *seed;
-    long jobs; /* processes at a time */
+    long max_processes; /* --jobs: processes that run at the same time */
     bool dump;
 };
 
-/* Returns whether the command line is right. */
+/* Parses the command line. Returns false if it is invalid. */
 static bool read_options(int argc, char **argv, struct options *out) {
     static const struct option known[] = {{"jobs", required_argument, NULL, 'j'},
                                           {"scenario", required_argument, NULL, 's'},
@@ -207,7 +212,7 @@
     while ((option = getopt_long(argc, argv, "", known, NULL)) != -1)
         switch (option) {
         case 'j':
-            out->jobs = strtol(optarg, NULL, 10);
+            out->max_processes = strtol(optarg, NULL, 10);
             break;
         case 's':
             out->scenario = optarg;
@@ -223,17 +228,17 @@
         }
     bool is_one_run = out->scenario && out->seed;
     bool is_every_run = !out->scenario && !out->seed && !out->dump;
-    bool has_jobs = out->jobs >= 1 && out->jobs <= JOBS_MAX;
-    return optind >= argc && has_jobs && (is_one_run || is_every_run);
+    bool is_jobs_valid = out->max_processes >= 1 && out->max_processes <= JOBS_MAX;
+    return optind >= argc && is_jobs_valid && (is_one_run || is_every_run);
 }
 
 int main(int argc, char **argv) {
-    struct options options = {.jobs = sysconf(_SC_NPROCESSORS_ONLN)};
+    struct options options = {.max_processes = sysconf(_SC_NPROCESSORS_ONLN)};
     if (!read_options(argc, argv, &options))
         return usage();
     rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
     json_object_seed(JSON_HASH_SEED);
     return options.scenario
                ? run_named(options.scenario, strtoul(options.seed, NULL, 10), options.dump)
-               : run_all(options.jobs);
+               : run_all(options.max_processes);
 }
--- a/tests/behaviour/digest_days.c
+++ b/tests/behaviour/digest_days.c
@@ -4,18 +4,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DAY_S 150.0  /* the faults last for so long */
-#define REST_S 100.0 /* and then the work comes to its end */
+#define FAULTS_S 150.0     /* virtual time for which faults occur */
+#define COMPLETION_S 100.0 /* virtual time without faults afterwards, in which the jobs finish */
 #define NO_CPU_LIMIT 1e6
-#define N_HEURISTICS 4 /* in a setting of full_fleet_day */
+#define N_HEURISTICS 4 /* number of heuristics in each configuration of run_full_fleet */
 
-/* Some work of every kind but services. */
-static void submit_work(struct sim *world, unsigned long seed) {
+/* Submits jobs of every kind except services. */
+static void submit_jobs(struct sim *world, unsigned long seed) {
     sim_submit(world, 1, "sweep", 20, 1, 8, 0);
     sim_submit(world, 2, "sweep", 40, 1, 15, 0);
     sim_submit(world, 3, "ensemble", 3, 8, 12, 0);
     sim_submit(world, 10, "sweep", 30, 2, 10, 20 + (double)(seed % 17));
-    sim_submit(world, 15, "sweep", 2, 1, 200, 40); /* ends by its cancellation only */
+    sim_submit(world, 15, "sweep", 2, 1, 200, 40); /* ends only by its cancellation */
     sim_submit(world, 20, "ensemble", 2, 20, 20, 0);
     sim_submit(world, 30, "sweep", 1, 1, 3, 0);
     sim_submit(world, 45, "ensemble", 4, 4, 25, 60 + (double)(seed % 13));
@@ -30,52 +30,53 @@
     sim_submit(world, from + 40, "service", 4, 1, 0, from + 145);
 }
 
-/* Many short jobs, so that something is about to be written at every moment. */
-static void submit_stream(struct sim *world) {
+/* Submits many short jobs, so that at any time some write to the key-value store is pending. */
+static void submit_short_jobs(struct sim *world) {
     for (int i = 0; i < 60; i++)
         sim_submit(world, 10 + i, "sweep", 3, 1, 2, i % 5 == 4 ? 12 + i : 0);
 }
 
-static void lift_team_limit(struct sim *world) {
+static void remove_team_limit(struct sim *world) {
     for (int i = 0; i < world->n_nodes; i++)
         world->settings[i].teams[0].cpus_max = NO_CPU_LIMIT;
 }
 
-/* Lets the faults last for the rest of the day, ends them, and lets the work come to its end. */
-static void run_day(struct sim *world) {
-    if (world->now < DAY_S)
-        sim_run(world, DAY_S - world->now);
+/* Runs the simulation with faults until FAULTS_S, then without faults until the jobs can finish. */
+static void run_until_finished(struct sim *world) {
+    if (world->now < FAULTS_S)
+        sim_run(world, FAULTS_S - world->now);
     sim_end_faults(world);
-    sim_run(world, REST_S);
+    sim_run(world, COMPLETION_S);
 }
 
-/* Lets the world go on until some node leads, and returns it; any node after a minute. */
+/* Runs the simulation until a node leads and returns that node; after 60 s without a leader,
+ * returns node 0. */
 static int wait_for_leader(struct sim *world) {
     for (int i = 0; i < 600 && sim_leader(world) < 0; i++)
         sim_run(world, 0.1);
     return sim_leader(world) < 0 ? 0 : sim_leader(world);
 }
 
-void work_day(struct sim *world, unsigned long seed) {
-    submit_work(world, seed);
-    run_day(world);
+void run_mixed_jobs(struct sim *world, unsigned long seed) {
+    submit_jobs(world, seed);
+    run_until_finished(world);
 }
 
-void curious_day(struct sim *world, unsigned long seed) {
+void run_frequent_queries(struct sim *world, unsigned long seed) {
     world->has_eager_users = world->has_concurrent_reads = true;
-    work_day(world, seed);
+    run_mixed_jobs(world, seed);
 }
 
-void service_day(struct sim *world, unsigned long seed) {
-    lift_team_limit(world);
-    submit_work(world, seed);
+void run_services(struct sim *world, unsigned long seed) {
+    remove_team_limit(world);
+    submit_jobs(world, seed);
     for (int i = 0; i < 10; i++)
         sim_submit(world, 1 + 3 * i, "sweep", 40, 2, 20, 0);
     submit_services(world, 20);
-    run_day(world);
+    run_until_finished(world);
 }
 
-void team_day(struct sim *world, unsigned long seed) {
+void run_team_limits(struct sim *world, unsigned long seed) {
     for (int i = 0; i < world->n_nodes; i++) {
         world->settings[i].teams[0].cpus_max = seed % 2 ? NO_CPU_LIMIT : 60;
         world->settings[i].teams[1].cpus = 24;
@@ -88,11 +89,11 @@
         sim_set_field(world, job, "crew", json_string("guests"));
         sim_set_field(world, job, "precedence", json_string(i % 2 ? "low" : "urgent"));
     }
-    run_day(world);
+    run_until_finished(world);
 }
 
-void refused_leader_day(struct sim *world, unsigned long seed) {
-    submit_work(world, seed);
+void run_leader_refused_by_store(struct sim *world, unsigned long seed) {
+    submit_jobs(world, seed);
     for (int i = 0; i < 5; i++)
         sim_submit(world, 1, "sweep", 12, 1, 90, 0);
     sim_run(world, 45);
@@ -101,12 +102,12 @@
     sim_cancel_running(world, 4, seed % 2 ? 20 : 0);
     sim_run(world, 2);
     world->store_outage_until = world->now + 15;
-    run_day(world);
+    run_until_finished(world);
 }
 
-void cancelled_at_failover_day(struct sim *world, unsigned long seed) {
-    submit_work(world, seed);
-    submit_stream(world);
+void run_cancellations_at_failover(struct sim *world, unsigned long seed) {
+    submit_jobs(world, seed);
+    submit_short_jobs(world);
     sim_run(world, 38 + (double)(seed % 7));
     for (int i = 0; i < 10; i++)
         world->jobs[i].cancel_at = world->now - 0.5 + 0.5 * i;
@@ -115,23 +116,23 @@
         rp_election_resign(&world->nodes[leader].node->election, 5);
     else
         sim_crash(world, leader, seed % 3 ? 3 : 0.2);
-    run_day(world);
+    run_until_finished(world);
 }
 
-void silent_leader_day(struct sim *world, unsigned long seed) {
-    submit_work(world, seed);
-    submit_stream(world);
+void run_paused_leader(struct sim *world, unsigned long seed) {
+    submit_jobs(world, seed);
+    submit_short_jobs(world);
     sim_run(world, 30 + 0.07 * (double)(seed % 11));
     world->nodes[wait_for_leader(world)].paused_until = world->now + 1.5;
     sim_run(world, 15);
     world->nodes[wait_for_leader(world)].paused_until = world->now + 20;
     sim_run(world, 30);
     world->nodes[wait_for_leader(world)].partitioned_until = world->now + 25;
-    run_day(world);
+    run_until_finished(world);
 }
 
-void cut_zone_day(struct sim *world, unsigned long seed) {
-    submit_work(world, seed);
+void run_partitioned_zone(struct sim *world, unsigned long seed) {
+    submit_jobs(world, seed);
     sim_run(world, 30);
     world->partitioned_zone = 1 + (int)(seed % 2);
     world->node_in_partition = 1 + wait_for_leader(world);
@@ -141,10 +142,10 @@
     sim_run(world, 15);
     world->node_without_heartbeats = 0;
     world->cloud_outage_until = world->now + 30;
-    run_day(world);
+    run_until_finished(world);
 }
 
-void many_questions_day(struct sim *world, unsigned long seed) {
+void run_query_overload(struct sim *world, unsigned long seed) {
     for (int i = 0; i < 100; i++)
         sim_submit(world, 1 + i * 0.2, "sweep", 2, 1, 40 + (double)(seed % 5), 0);
     sim_run(world, 30);
@@ -156,19 +157,19 @@
     sim_run(world, 40);
 }
 
-void long_records_day(struct sim *world, unsigned long seed) {
-    submit_work(world, seed);
+void run_long_records(struct sim *world, unsigned long seed) {
+    submit_jobs(world, seed);
     sim_run(world, 8);
     sim_lower_limits(world);
     for (int i = 0; i < 3; i++)
         sim_submit_long(world, 9 + 4 * i, 30, 10);
     sim_run(world, 5 + (double)(seed % 5));
     sim_crash(world, wait_for_leader(world), 2);
-    run_day(world);
+    run_until_finished(world);
 }
 
-/* Objectives for both classes of submit_work's jobs, and orders that the defaults leave out. */
-static void set_planning(struct rp_settings *settings, unsigned long seed) {
+/* Objectives for both classes of submit_jobs's jobs, and orders that the defaults leave out. */
+static void set_objectives_and_heuristics(struct rp_settings *settings, unsigned long seed) {
     static const char *const names[][N_HEURISTICS] = {{"FCFS-RND", "RR-LM", "ESW-SM", "EDF-CP"},
                                                       {"LJF-LA", "SJF-EA", "ESW-LD", "SRW-BF"},
                                                       {"LTJF-ED", "STJF-LAA", "ESW-EAA", "EDF-CP"},
@@ -188,10 +189,10 @@
                  names[seed % (sizeof names / sizeof names[0])][i]);
 }
 
-void full_fleet_day(struct sim *world, unsigned long seed) {
-    lift_team_limit(world);
+void run_full_fleet(struct sim *world, unsigned long seed) {
+    remove_team_limit(world);
     for (int i = 0; i < world->n_nodes; i++)
-        set_planning(&world->settings[i], seed);
+        set_objectives_and_heuristics(&world->settings[i], seed);
     for (int i = 0; i < 40; i++) {
         int job = sim_submit(world, 1 + 2 * i, "sweep", 40, 2, 20 + 5 * (i % 5), 0);
         if (i % 4 == 0)
@@ -203,21 +204,21 @@
         sim_submit(world, 50 + 3 * i, "ensemble:low", 1, 24, 20, 0);
     }
     submit_services(world, 60);
-    run_day(world);
+    run_until_finished(world);
 }
 
-void bad_work_day(struct sim *world, unsigned long seed) {
-    submit_work(world, seed);
+void run_failing_tasks(struct sim *world, unsigned long seed) {
+    submit_jobs(world, seed);
     world->jobs[seed % 5].fails_always = true;
     sim_run(world, 25);
     for (int i = 0; i < world->size.workers; i += 4)
         world->workers[i].fails_tasks = true;
-    run_day(world);
+    run_until_finished(world);
 }
 
-void roll_day(struct sim *world, unsigned long seed) {
+void run_rolling_upgrade(struct sim *world, unsigned long seed) {
     sim_start_as_old_version(world);
-    submit_work(world, seed);
+    submit_jobs(world, seed);
     sim_run(world, 25 + (double)(seed % 7));
     for (int i = 0; i < world->n_nodes; i++) {
         int node = (i + (int)(seed % 5)) % world->n_nodes;
@@ -229,13 +230,13 @@
     submit_services(world, world->now);
     for (int i = 0; i < 4; i++)
         sim_submit(world, world->now + 10 * i, "sweep", 40, 1, 14, 0);
-    sim_run(world, DAY_S);
-    run_day(world);
+    sim_run(world, FAULTS_S);
+    run_until_finished(world);
 }
 
-void held_roll_day(struct sim *world, unsigned long seed) {
+void run_incomplete_upgrade(struct sim *world, unsigned long seed) {
     sim_start_as_old_version(world);
-    submit_work(world, seed);
+    submit_jobs(world, seed);
     sim_submit_long(world, 5, 30, 10);
     sim_run(world, 20);
     for (int i = 0; i + 1 < world->n_nodes; i++) {
@@ -243,11 +244,11 @@
         sim_run(world, 8);
     }
     sim_submit(world, world->now, "service", 2, 1, 0, world->now + 60);
-    run_day(world);
+    run_until_finished(world);
 }
 
-void large_fleet_day(struct sim *world, unsigned long seed) {
-    lift_team_limit(world);
+void run_large_fleet(struct sim *world, unsigned long seed) {
+    remove_team_limit(world);
     for (int i = 0; i < 50; i++)
         sim_submit(world, 1 + i * 0.05, "sweep", 40, 8, 15 + (double)(seed % 4), 0);
     for (int i = 0; i < 6; i++)
--- a/tests/behaviour/digest_days.h
+++ b/tests/behaviour/digest_days.h
@@ -1,44 +1,48 @@
 /** @file
- * The days that behaviour_digest plays: what is submitted, and what befalls the nodes besides the
- * random faults of a scenario.
+ * The workloads that behaviour_digest runs: the jobs that are submitted, and the faults that occur
+ * in addition to the random faults of a scenario.
  *
- * Each function submits work to a world that was just made and lets it go on for the whole day. The
- * seed varies the moments and the amounts. A changed day has other hashes: two commits can be
- * compared by it only when both have the change. Called through the table of scenarios. */
+ * Each function submits jobs to a newly created simulation and runs it to its end. The seed varies
+ * times and amounts. A change of a function changes its hashes: two commits can be compared by it
+ * only if both contain the change. Called through the table of scenarios. */
 #pragma once
 
 #include "simulation/sim.h"
 
-/** Some work of every kind but services. */
-void work_day(struct sim *world, unsigned long seed);
-/** Users ask often, and at all nodes after each change. */
-void curious_day(struct sim *world, unsigned long seed);
-/** Work on a full fleet, and services beside it. */
-void service_day(struct sim *world, unsigned long seed);
-/** Two teams beyond their limits, then one of them takes up its guaranteed quota. */
-void team_day(struct sim *world, unsigned long seed);
-/** The leader is refused by the key-value store alone, then an outage comes, and users cancel. */
-void refused_leader_day(struct sim *world, unsigned long seed);
-/** Jobs are cancelled just as the leader's process ends, or its leadership is given up. */
-void cancelled_at_failover_day(struct sim *world, unsigned long seed);
-/** The leader stands still for a short and a long while, and then loses the store and
- * the other nodes. */
-void silent_leader_day(struct sim *world, unsigned long seed);
-/** A zone is cut off with a node in it, later a node that no heartbeat reaches; some heartbeats
- * wait. */
-void cut_zone_day(struct sim *world, unsigned long seed);
-/** Hundreds of users ask about running jobs, more than the request budget lets
- * through. */
-void many_questions_day(struct sim *world, unsigned long seed);
-/** Descriptions too long for one value of the lowered limits, stored in parts, and a failover. */
-void long_records_day(struct sim *world, unsigned long seed);
-/** More work than capacity, and gangs of whole machines, some with a time by which they are due. */
-void full_fleet_day(struct sim *world, unsigned long seed);
-/** Some machines and some jobs are bad: what runs there, or of them, fails. */
-void bad_work_day(struct sim *world, unsigned long seed);
-/** Nodes of the version before are replaced one after the other; then the limits come down. */
-void roll_day(struct sim *world, unsigned long seed);
-/** Long records are written within the old limits; one node keeps the way back open to the end. */
-void held_roll_day(struct sim *world, unsigned long seed);
-/** About 500 machines full of work; the leader's process ends, and another one stands still. */
-void large_fleet_day(struct sim *world, unsigned long seed);
+/** Jobs of every kind except services. */
+void run_mixed_jobs(struct sim *world, unsigned long seed);
+/** As run_mixed_jobs; users query often, and query all nodes after each change. */
+void run_frequent_queries(struct sim *world, unsigned long seed);
+/** Jobs that use the whole fleet, and services at the same time. */
+void run_services(struct sim *world, unsigned long seed);
+/** Two teams that submit more than their limits allow; the second starts later and uses its
+ * guaranteed quota. */
+void run_team_limits(struct sim *world, unsigned long seed);
+/** The key-value store refuses the leader's requests only; then it is unavailable to all nodes,
+ * while users cancel jobs. */
+void run_leader_refused_by_store(struct sim *world, unsigned long seed);
+/** Jobs are cancelled while the leader's process crashes or the leader resigns. */
+void run_cancellations_at_failover(struct sim *world, unsigned long seed);
+/** The leader is paused for 1.5 s and later for 20 s; then a partition separates a leader from the
+ * key-value store and the other nodes. */
+void run_paused_leader(struct sim *world, unsigned long seed);
+/** A zone is partitioned together with the leader; later heartbeats do not reach the leader; then
+ * the cloud is unavailable. */
+void run_partitioned_zone(struct sim *world, unsigned long seed);
+/** Hundreds of users query running jobs, more often than the request budget allows. */
+void run_query_overload(struct sim *world, unsigned long seed);
+/** Job descriptions that exceed the lowered limit of a value and are stored in parts; a failover.
+ */
+void run_long_records(struct sim *world, unsigned long seed);
+/** More jobs than the fleet has capacity for, some with a due time, and gangs of whole machines. */
+void run_full_fleet(struct sim *world, unsigned long seed);
+/** All tasks of one job fail, and all tasks on every fourth machine. */
+void run_failing_tasks(struct sim *world, unsigned long seed);
+/** A rolling upgrade: nodes of the previous version are replaced one after the other; then the
+ * limits of the key-value store are lowered. */
+void run_rolling_upgrade(struct sim *world, unsigned long seed);
+/** An incomplete upgrade: one node remains at the previous version, so that the cluster can be
+ * downgraded until the end; long records are written within the old limits. */
+void run_incomplete_upgrade(struct sim *world, unsigned long seed);
+/** About 500 fully used machines; the leader's process crashes, and a later leader is paused. */
+void run_large_fleet(struct sim *world, unsigned long seed);
--- a/tests/behaviour/digest_hash.c
+++ b/tests/behaviour/digest_hash.c
@@ -8,27 +8,27 @@
 #include <string.h>
 #include <time.h>
 
-#define WALL_CLOCK_BEGINS 1700000000 /* of the simulated world, seconds since 1970 */
+#define WALL_CLOCK_START_S 1700000000 /* wall clock at virtual time 0, in seconds since 1970 */
 
-/* What is known of the run so far. */
+/* State of the current run. */
 static struct {
-    const struct sim *world; /* NULL while it is being made */
+    const struct sim *world; /* NULL until digest_set_world */
     XXH3_state_t *messages;
     unsigned long n_messages;
     bool dump;
 } current;
 
-/* The wall clock of the simulated world, in place of the C library's: records carry such times. The
- * simulated nodes ask for no other clock. */
+/* Replaces the C library's function by the wall clock of the simulation, since records contain
+ * wall-clock times. The simulated nodes read no other clock. */
 int clock_gettime(clockid_t clock, struct timespec *out) {
     double now = current.world ? current.world->now : 0;
     (void)clock;
-    out->tv_sec = WALL_CLOCK_BEGINS + (time_t)now;
+    out->tv_sec = WALL_CLOCK_START_S + (time_t)now;
     out->tv_nsec = (long)((now - (double)(time_t)now) * 1e9);
     return 0;
 }
 
-/* Prints a body so that it takes one line. */
+/* Prints a body on one line, with control characters escaped. */
 static void print_body(const char *body) {
     for (const unsigned char *byte = (const unsigned char *)body; *byte; byte++)
         if (*byte < ' ')
@@ -45,7 +45,7 @@
                           *message->target ? message->target : "-", message->status,
                           message->retry_after, strlen(message->body));
     if (length < 0 || (size_t)length >= sizeof head)
-        abort(); /* a part of the message would be left out */
+        abort(); /* a truncated message would be hashed */
     XXH3_128bits_update(current.messages, head, (size_t)length);
     XXH3_128bits_update(current.messages, message->body, strlen(message->body));
     current.n_messages++;
@@ -78,7 +78,7 @@
     free(value);
 }
 
-/* Hashes the records that the key-value store holds, in the order of their keys. */
+/* Hashes the key-value store's records, in the order of their keys. */
 static XXH128_hash_t hash_store(struct sim *world) {
     XXH3_state_t *state = XXH3_createState();
     XXH3_128bits_reset(state);
--- a/tests/behaviour/digest_hash.h
+++ b/tests/behaviour/digest_hash.h
@@ -1,32 +1,35 @@
 /** @file
- * Hashes what the nodes of one simulated day send and what the key-value store holds at its end.
+ * Hashes the messages that the nodes of one simulated run send and the key-value store's final
+ * records.
  *
- * Owns the hash of the current run and the wall clock of the simulated world: clock_gettime of the
- * whole program is replaced, since records carry such times. One run at a time: the observer of
- * the simulated world (sim_observer) and the clock have no context argument. Called by
+ * Owns the hash of the current run and the wall clock of the simulation: clock_gettime of the whole
+ * program is replaced, since records contain wall-clock times. Only one run at a time is possible:
+ * the simulation's observer (sim_observer) and the clock have no context argument. Called by
  * behaviour_digest.c only. */
 #pragma once
 
 #include <stdbool.h>
 #include "simulation/sim.h"
 
-/** Length of a 128-bit hash in hexadecimal, with its end. */
+/** Size in bytes of a 128-bit hash in hexadecimal, with its NUL. */
 #define DIGEST_HASH_TEXT 33
 
-/** What is known of a run at its end. */
+/** The result of a run. */
 struct digest {
     unsigned long n_messages;
-    char messages[DIGEST_HASH_TEXT]; /**< over all messages, in the order they were sent */
-    char store[DIGEST_HASH_TEXT];    /**< over all records, in the order of their keys */
+    char messages[DIGEST_HASH_TEXT]; /**< hash of all messages, in the order they were sent */
+    char store[DIGEST_HASH_TEXT];    /**< hash of all records, in the order of their keys */
 };
 
-/** Begins a run: from now on each message is hashed and, if `dump`, printed. Called before the
- * world is made, whose nodes send as they start; the clock stands still until digest_set_world. */
+/** Begins a run: from now on each message is hashed and, if `dump`, printed. It must be called
+ * before the simulation is created, since nodes send messages when they start. The clock does not
+ * advance until digest_set_world. */
 void digest_begin(bool dump);
-/** The world whose time the clock tells from now on. */
+/** Sets the simulation whose virtual time determines the clock from now on. */
 void digest_set_world(const struct sim *world);
-/** Hashes a message that takes no way through the simulated network. */
+/** Hashes a message. The simulated network calls it for each message; others are passed directly.
+ */
 void digest_add_message(const struct sim_message *message);
-/** Ends the run: hashes the store (sorts world->keys) and returns what was found. The caller may
- * free the world afterwards. */
+/** Ends the run: hashes the store (sorts world->keys) and returns the result. The caller may free
+ * the world afterwards. */
 struct digest digest_end(struct sim *world);
--- a/tests/behaviour/digest_scenarios.h
+++ b/tests/behaviour/digest_scenarios.h
@@ -1,31 +1,32 @@
 /** @file
- * The table of scenarios: a kind of day, the world it is played in, and its seeds.
+ * The table of scenarios: for each its workload, the size and the faults of its simulation, and its
+ * seeds.
  *
- * The names are printed and compared between commits, also with commits of before: they stay as
- * they are. Called by behaviour_digest.c. */
+ * The names are printed and matched between commits, including older ones, and must not change.
+ * Called by behaviour_digest.c. */
 #pragma once
 
 #include <stdbool.h>
 #include <stddef.h>
 #include "simulation/sim.h"
 
-/** One kind of day; run for the seeds first_seed to first_seed + n_seeds - 1. */
+/** A scenario, run with each of the seeds first_seed to first_seed + n_seeds - 1. */
 struct scenario {
     const char *name;
     unsigned long first_seed;
     unsigned long n_seeds;
-    int nodes;
-    const struct sim_size *size; /**< NULL: the small world of sim_new */
+    int n_nodes;
+    const struct sim_size *size; /**< NULL: the small fleet defined in run_scenario */
     struct sim_faults faults;
-    bool standby; /**< a standby beside the leader */
-    /** Submits work and lets the world go on for the whole day (digest_days.h). */
-    void (*day)(struct sim *world, unsigned long seed);
+    bool has_standby; /**< whether the nodes run with a standby */
+    /** Submits jobs and runs the simulation to its end (digest_days.h). */
+    void (*run)(struct sim *world, unsigned long seed);
 };
 
-/** The scenarios, in the order of their runs. */
+/** All scenarios, in the order in which they are run. */
 extern const struct scenario digest_scenarios[];
-/** How many there are. */
+/** Number of scenarios in digest_scenarios. */
 extern const size_t n_digest_scenarios;
 
-/** The scenario with this name, or NULL. */
+/** Returns the scenario with this name, or NULL. */
 const struct scenario *digest_find_scenario(const char *name);
--- a/tests/behaviour/test_behaviour_digest.sh
+++ b/tests/behaviour/test_behaviour_digest.sh
@@ -1,19 +1,21 @@
 #!/bin/bash
-# What the hashes of behaviour_digest depend on. Usage: test_behaviour_digest.sh PROGRAM CASE
+# Checks that the hashes of behaviour_digest are the same for two runs of one seed, and differ between
+# seeds and after a change of the nodes' behaviour. Usage: test_behaviour_digest.sh PROGRAM CASE
 set -euo pipefail
 program=$1 case=$2
 
-# digest SCENARIO SEED: the line of one run.
+# digest SCENARIO SEED: prints the result line of one run.
 digest() {
     "$program" --scenario "$1" --seed "$2"
 }
 
-# column N LINE: a field of a result line; 4 is the hash of the messages, 5 that of the store.
+# column N LINE: prints field N of a result line: 3 is the number of messages, 4 the hash of the messages,
+# 5 the hash of the store.
 column() {
     cut -d' ' -f"$1" <<<"$2"
 }
 
-# expect_different COLUMN FIRST SECOND
+# expect_different COLUMN FIRST SECOND: fails if two result lines have the same field.
 expect_different() {
     if [ "$(column "$1" "$2")" = "$(column "$1" "$3")" ]; then
         printf 'field %s is the same in\n%s\n%s\n' "$1" "$2" "$3"
@@ -40,7 +42,7 @@
     expect_different 4 "$first" "$second"
     expect_different 5 "$first" "$second"
     ;;
-planted_change_is_seen)
+planted_change_changes_hash)
     for run in "everything 500" "quiet 1"; do
         read -r scenario seed <<<"$run"
         first=$(digest "$scenario" "$seed")
