--- a/tests/loopback/plot.gp
+++ b/tests/loopback/plot.gp
@@ -1,5 +1,6 @@
-# Draws how long leaders' ends lasted, as an SVG: gnuplot -e "before='A.csv'; after='B.csv'" tests/loopback/plot.gp
-# (the files: ends.csv of two runs of tests/loopback/run). gnuplot comes from Debian (gnuplot-nox).
+# Plots the distribution of failover times of two runs of tests/loopback/run as docs/standby.svg:
+#   gnuplot -e "before='A.csv'; after='B.csv'" tests/loopback/plot.gp
+# A.csv and B.csv are the runs' ends.csv, without and with standby. gnuplot is Debian's gnuplot-nox.
 set datafile separator ","
 stats before skip 1 using 3 name "B" nooutput
 stats after skip 1 using 3 name "A" nooutput
--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -1,8 +1,8 @@
-/* Ends the leading controller again and again, on loopback: real processes of the program, with the
- * simulated world's key-value store, cloud, workers and users as stand-ins around them, and its
- * rules checked after each step (tests/simulation/rules.c). Prints a line for each end of a
- * leader. Not a test of CI: it takes minutes, and its times are the machine's. tests/loopback/run
- * starts several. */
+/* Measures failovers with real processes on loopback: kills or stops the leading node again and
+ * again. The simulation (tests/simulation/) provides the key-value store, the cloud, the workers
+ * and the users, and checks its rules after each step (rules.c). Prints a line for each end of a
+ * leader. CI runs it with two ends and checks only the rules: more take minutes, and the times
+ * depend on the machine. tests/loopback/run starts several. */
 #include <errno.h>
 #include <fcntl.h>
 #include <signal.h>
@@ -19,36 +19,41 @@
 #define NODES 3
 #define WORKERS 40
 #define STEP_S 0.02
-#define STARTING_S 20.0 /* until the first leader may be ended */
-#define STEADY_S 3.0    /* a leader has led for so long before it is ended */
-#define GIVE_UP_S 60    /* without a start under a new token */
-#define QUIET_S 100.0   /* after the last end, for all jobs to come to theirs */
-#define JOB_EVERY_S 0.35
-#define PORT_TRIES 200 /* ports in use are passed over */
+#define STARTUP_S 20.0        /* time before the first leader may be ended */
+#define STEADY_S 3.0          /* time for which a leader leads before it is ended */
+#define START_TIMEOUT_S 60    /* the run fails if no task starts under a new token within it */
+#define DRAIN_TIMEOUT_S 100.0 /* after the last end, for all jobs to finish */
+#define JOB_INTERVAL_S 0.35
+#define PORT_TRIES 200 /* consecutive ports that are tried, since some may be in use */
 #define ADDR_MAX 32
 #define CALL_TIMEOUT_S 5
 #define MAX_BODY_BYTES (1 << 20)
 
 struct process {
     pid_t pid;         /* 0: not running */
-    bool is_stopped;   /* by a signal, to go on later */
-    double resumes_at; /* is started again, or goes on */
+    bool is_stopped;   /* by SIGSTOP, until SIGCONT at resumes_at */
+    double resumes_at; /* when it is restarted or continued */
     char settings_file[128];
     char client_addr[ADDR_MAX];
 };
 
-/* Where one of the simulated workers is reached. */
+/* The server at which one of the simulated workers is reached. */
 struct worker_server {
     struct world *world;
     struct rp_http_server server;
     char addr[ADDR_MAX];
 };
 
+/* Phases of a run and the edges between them, each made by set_phase:
+ * - STARTING -> STEADY: the first leader has started a task and STARTUP_S has passed.
+ * - STEADY -> LEADERLESS: the leader was ended after STEADY_S.
+ * - LEADERLESS -> STEADY: the next leader has started a task.
+ * - LEADERLESS -> DRAINING: the same, after the last end. */
 enum phase {
-    STARTING,   /* until the first leader has started work */
-    STEADY,     /* a leader leads, and is ended after a while */
-    LEADERLESS, /* it was ended, and no other one has started work */
-    QUIET       /* no more ends and jobs: all jobs come to their end */
+    STARTING,   /* no leader has started a task yet */
+    STEADY,     /* a leader leads and will be ended */
+    LEADERLESS, /* the leader was ended and no other one has started a task */
+    DRAINING    /* no more ends and no new jobs: all jobs finish */
 };
 
 struct world {
@@ -60,41 +65,41 @@
     struct process nodes[NODES];
     struct sim *sim;
     struct rp_timer timer;
-    struct timespec began;
+    struct timespec started_at;
     const char *program;
     const char *operator_file;
-    const char *folder;
+    const char *directory;
     unsigned long seed;
     int next_port;
-    int n_wanted; /* ends of a leader, in all */
-    int n_ended;  /* after which another one has started work */
+    int n_required_ends; /* ends of a leader after which the run drains */
+    int n_ends;          /* ends of a leader after which another one has started a task */
     int n_stopped;
-    enum phase state;
+    enum phase phase;
     double phase_since;
-    double ended_at;   /* the last end of a leader */
-    double claimed_at; /* when another node held the leader's key after it, 0: not yet */
-    uint64_t ended_token;
+    double ended_at;      /* time of the last end of a leader */
+    double claimed_at;    /* when another node held the leader's key after it; 0: not yet */
+    uint64_t ended_token; /* token of the last leader that was ended */
     double next_job_at;
-    double away_s;    /* all ends are kills, and the process is back after so long; 0: it varies */
-    bool was_stopped; /* the leader was stopped for a while rather than killed */
+    double downtime_s; /* each end is a kill with a restart after this time; 0: ends vary */
+    bool was_stopped;  /* the last leader was stopped for a while, not killed */
 };
 
-/* ---- the world's servers ---- */
+/* ---- servers of the simulated services and workers ---- */
 
-static void on_sim_answer(void *arg, const struct rp_answer *answer) {
+static void on_sim_response(void *arg, const struct rp_answer *answer) {
     struct rp_request *req = arg;
     req->respond(req, answer->status ? answer->status : 503, answer->len ? answer->body : "{}", 0);
 }
 
 static void on_store_request(void *arg, struct rp_request *req) {
     struct world *world = arg;
-    sim_remote_request(world->sim, "state", req->method, req->target, req->body, on_sim_answer,
+    sim_remote_request(world->sim, "state", req->method, req->target, req->body, on_sim_response,
                        req);
 }
 
 static void on_cloud_request(void *arg, struct rp_request *req) {
     struct world *world = arg;
-    sim_remote_request(world->sim, "cloud", req->method, req->target, req->body, on_sim_answer,
+    sim_remote_request(world->sim, "cloud", req->method, req->target, req->body, on_sim_response,
                        req);
 }
 
@@ -103,17 +108,17 @@
     const struct sim_worker *worker = &self->world->sim->workers[self - self->world->workers];
     if (worker->used && worker->up)
         sim_remote_request(self->world->sim, worker->name, req->method, req->target, req->body,
-                           on_sim_answer, req);
+                           on_sim_response, req);
     else
         req->respond(req, 503, "{}", 0);
 }
 
 static void call_node(void *ctx, int node, const char *method, const char *target, const char *body,
-                      rp_answer_fn answered, void *arg) {
+                      rp_answer_fn on_response, void *arg) {
     struct world *world = ctx;
     struct rp_net net = rp_http_client_net(&world->client);
     net.call_on_own_connection(net.ctx, world->nodes[node].client_addr, method, target, body,
-                               CALL_TIMEOUT_S, answered, arg);
+                               CALL_TIMEOUT_S, on_response, arg);
 }
 
 static const char *worker_addr(void *ctx, int worker) {
@@ -142,7 +147,7 @@
 static void spawn_node(struct world *world, int index) {
     struct process *process = &world->nodes[index];
     char log[160];
-    snprintf(log, sizeof log, "%s/node-%d.log", world->folder, index);
+    snprintf(log, sizeof log, "%s/node-%d.log", world->directory, index);
     process->pid = fork();
     if (process->pid == 0) {
         int fd = open(log, O_WRONLY | O_CREAT | O_APPEND, 0644);
@@ -168,7 +173,7 @@
     process->is_stopped = false;
 }
 
-/* One node's settings: those of the simulated world, with real addresses. */
+/* Writes a node's settings: those of the simulation, with real addresses. */
 static void write_node_settings(struct world *world, int index, char peers[NODES][ADDR_MAX],
                                 const char *store, const char *cloud) {
     struct process *process = &world->nodes[index];
@@ -184,7 +189,7 @@
         json_object_set_new(seed, "addr", json_string(peers[name[1] - '0']));
     }
     snprintf(process->settings_file, sizeof process->settings_file, "%s/node-%d.json",
-             world->folder, index);
+             world->directory, index);
     if (json_dump_file(settings, process->settings_file, JSON_INDENT(1)) < 0) {
         perror(process->settings_file);
         exit(2);
@@ -212,17 +217,17 @@
     return node ? node[1] - '0' : -1;
 }
 
-/* Every change of the run's phase. */
-static void set_state(struct world *world, enum phase phase) {
-    world->state = phase;
+/* The only function that changes the run's phase. */
+static void set_phase(struct world *world, enum phase phase) {
+    world->phase = phase;
     world->phase_since = world->sim->now;
 }
 
 static void submit_next_job(struct world *world) {
     struct sim *sim = world->sim;
-    if (sim->now < world->next_job_at || sim->n_jobs >= SIM_JOBS - 8 || world->state == QUIET)
+    if (sim->now < world->next_job_at || sim->n_jobs >= SIM_JOBS - 8 || world->phase == DRAINING)
         return;
-    world->next_job_at = sim->now + JOB_EVERY_S;
+    world->next_job_at = sim->now + JOB_INTERVAL_S;
     int n = sim->n_jobs;
     double cancel_at = n % 6 == 5 ? sim->now + 2 + n % 4 : 0;
     if (n == 0)
@@ -235,31 +240,31 @@
 
 static void end_leader(struct world *world, int leader) {
     struct process *process = &world->nodes[leader];
-    world->was_stopped = world->away_s == 0 && (world->n_ended + (int)world->seed) % 4 == 3;
+    world->was_stopped = world->downtime_s == 0 && (world->n_ends + (int)world->seed) % 4 == 3;
     world->ended_token = world->sim->started_token;
     world->ended_at = world->sim->now;
     world->claimed_at = 0;
     if (world->was_stopped) {
         kill(process->pid, SIGSTOP);
         process->is_stopped = true;
-        process->resumes_at = world->sim->now + 6 + world->n_ended % 5;
+        process->resumes_at = world->sim->now + 6 + world->n_ends % 5;
         world->n_stopped++;
     } else {
         kill_node(process);
         process->resumes_at =
-            world->sim->now + (world->away_s > 0 ? world->away_s : 4 + world->n_ended % 3);
+            world->sim->now + (world->downtime_s > 0 ? world->downtime_s : 4 + world->n_ends % 3);
     }
-    set_state(world, LEADERLESS); /* STEADY -> LEADERLESS */
+    set_phase(world, LEADERLESS); /* STEADY -> LEADERLESS: the leader was killed or stopped */
 }
 
-/* Nodes come back after a while: a process that is started anew, or one that goes on where it stood
- * still. */
-static void resume_nodes(struct world *world) {
+/* Restarts killed nodes and continues stopped ones once their downtime is over. Exits if a node has
+ * terminated by itself. */
+static void restart_or_continue_nodes(struct world *world) {
     for (int i = 0; i < NODES; i++) {
         struct process *process = &world->nodes[i];
         if (process->pid && !process->is_stopped &&
             waitpid(process->pid, NULL, WNOHANG) == process->pid) {
-            fprintf(stderr, "node %d ended by itself\n", i);
+            fprintf(stderr, "node %d terminated unexpectedly\n", i);
             exit(1);
         }
         if (world->sim->now < process->resumes_at)
@@ -280,7 +285,7 @@
     return true;
 }
 
-/* Ends the nodes, prints the result and ends this program with the exit code. */
+/* Kills the nodes, prints the result and exits with the code. */
 static _Noreturn void finish(struct world *world, int exit_code) {
     for (int i = 0; i < NODES; i++) {
         if (world->nodes[i].is_stopped)
@@ -288,7 +293,7 @@
         kill_node(&world->nodes[i]);
     }
     printf("world seed=%lu ends=%d stopped=%d jobs=%d done=%lu starts=%lu rules=%s\n", world->seed,
-           world->n_ended, world->n_stopped, world->sim->n_jobs, world->sim->n_done_jobs,
+           world->n_ends, world->n_stopped, world->sim->n_jobs, world->sim->n_done_jobs,
            world->sim->n_starts, *world->sim->violation ? world->sim->violation : "kept");
     fflush(stdout);
     exit(exit_code);
@@ -299,34 +304,35 @@
     return holder >= 0 && world->nodes[holder].pid && !world->nodes[holder].is_stopped;
 }
 
-/* Without a leader: whether another one has started work, or it takes too long. */
+/* In phase LEADERLESS: checks whether another leader has started a task, and ends the run if none
+ * has within START_TIMEOUT_S. */
 static void check_failover(struct world *world) {
     struct sim *sim = world->sim;
     if (world->claimed_at == 0 && is_key_held_by_running_node(world))
         world->claimed_at = sim->now;
     if (sim->started_token > world->ended_token) {
         printf("end seed=%lu n=%d how=%s claimed_s=%.2f first_start_s=%.2f\n", world->seed,
-               world->n_ended, world->was_stopped ? "stop" : "kill",
+               world->n_ends, world->was_stopped ? "stop" : "kill",
                world->claimed_at - world->ended_at, sim->started_at - world->ended_at);
         fflush(stdout);
-        world->n_ended++;
-        /* LEADERLESS -> STEADY or QUIET: the next leader has started work. */
-        set_state(world, world->n_ended == world->n_wanted ? QUIET : STEADY);
-    } else if (sim->now - world->ended_at > GIVE_UP_S) {
-        printf("end seed=%lu n=%d how=%s no start for %d s\n", world->seed, world->n_ended,
-               world->was_stopped ? "stop" : "kill", GIVE_UP_S);
+        world->n_ends++;
+        /* LEADERLESS -> STEADY or DRAINING: the next leader has started a task. */
+        set_phase(world, world->n_ends == world->n_required_ends ? DRAINING : STEADY);
+    } else if (sim->now - world->ended_at > START_TIMEOUT_S) {
+        printf("end seed=%lu n=%d how=%s no start for %d s\n", world->seed, world->n_ends,
+               world->was_stopped ? "stop" : "kill", START_TIMEOUT_S);
         finish(world, 1);
     }
 }
 
-/* After the last end: finishes once all jobs have come to theirs, or the time for it is over. */
-static void finish_when_served(struct world *world) {
+/* In phase DRAINING: ends the run once all jobs have finished or DRAIN_TIMEOUT_S has passed. */
+static void finish_when_drained(struct world *world) {
     struct sim *sim = world->sim;
     if (sim->faults_ended_at == 0) {
         sim_end_faults(sim);
-        sim->jobs[0].cancel_at = sim->now; /* the service ends only so */
+        sim->jobs[0].cancel_at = sim->now; /* the service ends only by its cancellation */
     }
-    if (!sim_all_terminal(sim) && sim->now < world->phase_since + QUIET_S)
+    if (!sim_all_terminal(sim) && sim->now < world->phase_since + DRAIN_TIMEOUT_S)
         return;
     sim_check_served(sim);
     finish(world, *sim->violation ? 1 : 0);
@@ -342,14 +348,14 @@
     struct sim *sim = world->sim;
     rp_timer_set(&world->loop, &world->timer, STEP_S);
     submit_next_job(world);
-    sim_step(sim, rp_ts_since(rp_loop_now(&world->loop), world->began));
-    resume_nodes(world);
+    sim_step(sim, rp_ts_since(rp_loop_now(&world->loop), world->started_at));
+    restart_or_continue_nodes(world);
     if (*sim->violation)
         finish(world, 1);
-    switch (world->state) {
+    switch (world->phase) {
     case STARTING:
-        if (sim->started_token > 0 && sim->now > STARTING_S)
-            set_state(world, STEADY); /* STARTING -> STEADY: the first leader has started work */
+        if (sim->started_token > 0 && sim->now > STARTUP_S)
+            set_phase(world, STEADY); /* STARTING -> STEADY: the first leader has started a task */
         break;
     case STEADY:
         if (is_ready_for_next_end(world))
@@ -358,13 +364,15 @@
     case LEADERLESS:
         check_failover(world);
         break;
-    case QUIET:
-        finish_when_served(world);
+    case DRAINING:
+        finish_when_drained(world);
         break;
     }
 }
 
-/* Opens the stand-ins' servers and writes the settings that name them. */
+/* Opens the servers of the simulated services and workers, and writes settings with their
+ * addresses.
+ */
 static void open_world(struct world *world) {
     char store[ADDR_MAX];
     char cloud[ADDR_MAX];
@@ -382,16 +390,17 @@
     static const struct sim_size size = {WORKERS, 6, 2, 14, 39, 200, 20, 5};
     static struct world world;
     if (argc < 7 || argc > 8) {
-        fprintf(stderr, "usage: takeovers PROGRAM OPERATOR_FILE FOLDER PORT SEED ENDS [AWAY_S]\n");
+        fprintf(stderr,
+                "usage: takeovers PROGRAM OPERATOR_FILE DIRECTORY PORT SEED ENDS [DOWNTIME_S]\n");
         return 2;
     }
     world.program = argv[1];
     world.operator_file = argv[2];
-    world.folder = argv[3];
+    world.directory = argv[3];
     world.next_port = (int)strtol(argv[4], NULL, 10);
     world.seed = strtoul(argv[5], NULL, 10);
-    world.n_wanted = (int)strtol(argv[6], NULL, 10);
-    world.away_s = argc > 7 ? strtod(argv[7], NULL) : 0;
+    world.n_required_ends = (int)strtol(argv[6], NULL, 10);
+    world.downtime_s = argc > 7 ? strtod(argv[7], NULL) : 0;
     const struct sim_remote remote = {.ctx = &world, .call = call_node, .worker_addr = worker_addr};
     signal(SIGPIPE, SIG_IGN);
     rp_log_setup("world", rp_log_level_named("error"));
@@ -402,7 +411,7 @@
     open_world(&world);
     for (int i = 0; i < NODES; i++)
         spawn_node(&world, i);
-    world.began = rp_loop_now(&world.loop);
+    world.started_at = rp_loop_now(&world.loop);
     world.timer = (struct rp_timer){.fn = on_step, .arg = &world};
     rp_timer_set(&world.loop, &world.timer, STEP_S);
     return rp_loop_run(&world.loop) < 0 ? 2 : 0;
