--- a/tests/mixed/old_node.c
+++ b/tests/mixed/old_node.c
@@ -1,5 +1,5 @@
-/* The version in production as the simulation drives it: compiled against that version's own
- * headers and library (tests/mixed/run). */
+/* Adapter by which the simulation runs a node of the version in production. tests/mixed/run
+ * compiles it together with that version's own headers and sources. */
 #include <stdio.h>
 #include <stdlib.h>
 #include "../simulation/engine.h"
@@ -43,7 +43,8 @@
     return ((struct old_node *)node)->node.at == RP_NODE_LEADING;
 }
 
-/* Its memory is left alone: call-backs of requests under way may point there. */
+/* Closes the node without freeing its memory: call-backs of unfinished requests may still point to
+ * it. */
 static void old_close(void *node) {
     struct old_node *o = node;
     rp_node_close(&o->node);
--- a/tests/models/takeover.pml
+++ b/tests/models/takeover.pml
@@ -1,59 +1,64 @@
-/* A takeover by a standby (src/election.c, src/standby/), for the model checker spin. tests/models/run
- * checks it, and shows that the faults planted by NO_FENCE, NO_CLEAR and NO_OWN_MEMORY are found.
+/* Model of a takeover by a standby (src/election/election.c, src/standby/) for the model checker spin.
+ * tests/models/run checks it, and that it detects three planted faults:
+ * - NO_FENCE: the new leader does not end the deposed leader's lease;
+ * - NO_EXPIRY_WAIT: it does not wait until the deposed leader's own view of its lease has expired;
+ * - NO_DEPOSED_IN_KEY: after a restart, a node that holds the key does not read from it which leader it
+ *   has to fence.
  *
- * One machine and one task. Node 0 leads at first; node 1 takes over, ends and comes back at any moment,
- * and goes by what the leader's key in the state service says. Time is counted in ticks that only the clock process makes; a node may stand
- * still between any two of its steps, for any time. Lengths in ticks:
- * a leader trusts its lease for TTL after a renewal was sent, a worker's task lives for LEASE after the
- * last answer that the worker took. The machine M is unreachable for direct commands of the new leader:
- * it has to wait. The task must never run on M while another leader starts it elsewhere. */
+ * The model has one machine M and one task. Node 0 leads at first. Node 1 takes over; its process may end and
+ * restart at any moment and then continues from the leader's key in the key-value store. Time is counted
+ * in ticks, which only the clock process advances; a node may pause between any two of its steps for any
+ * time. Durations in ticks: a leader regards its lease as valid for TTL after it sent a renewal; a
+ * worker's task runs for LEASE after the last answer that the worker received. Direct commands of the new
+ * leader do not reach M, so the leader has to wait until the task's lease has expired. Invariant: the task
+ * never runs on M when another leader starts it elsewhere. */
 #define TTL 2
 #define LEASE 1
 #define NODES 2
 #define NOBODY 9
 #define TICKS 4
-#define VERSIONS 4 /* writes of the key */
+#define VERSIONS 4 /* bound on the number of writes of the key */
 
 byte now = 0;
 
-/* The state service: the key, and each node's lease, which ends by time or by a takeover. */
-byte key_holder = 0; /* whose name the key says; NOBODY: it is gone */
+/* The key-value store: the leader's key, and each node's lease, which ends by expiry or by a takeover. */
+byte key_holder = 0; /* the node named in the key; NOBODY: the key does not exist */
 byte key_version = 1;
-bool key_leased = true; /* it goes with its holder's lease */
-byte deposed_in_key = NOBODY; /* whose lease the holder has to end */
-bool lease_alive[NODES];
-byte lease_until[NODES];
+bool is_key_leased = true; /* the key is attached to its holder's lease */
+byte deposed_in_key = NOBODY; /* the node whose lease the holder has to end, as stored in the key */
+bool is_lease_active[NODES];
+byte lease_expiry[NODES];
 
 /* The machine M, on which the first leader has started the task. */
-byte task_until; /* it lives at `now` <= this */
+byte task_expiry; /* the task runs while `now` <= task_expiry */
 bool started_elsewhere = false;
 
-/* What each node believes. */
-bool leads[NODES];
-bool first_term[NODES]; /* the one that has started the task on M */
-byte trust_until[NODES];
-byte cleared_at[NODES];
-byte held_until[NODES];
+/* The local state of each node. */
+bool is_leading[NODES];
+bool is_first_term[NODES]; /* the node leads the term in which the task was started on M */
+byte valid_until[NODES]; /* its own lease, as the node knows it */
+byte fenced_leader_expiry[NODES]; /* until then the fenced leader may still regard its lease as valid */
+byte task_possible_until[NODES]; /* last tick at which the task may run on M, as the node knows it */
 
-/* Lease n is over: the key goes if it is attached to it. */
+/* Ends lease n and deletes the key if it is attached to the lease. */
 inline end_lease(n) {
-    lease_alive[n] = false;
-    key_version = (key_holder == n && key_leased -> key_version + 1 : key_version);
-    key_holder = (key_holder == n && key_leased -> NOBODY : key_holder)
+    is_lease_active[n] = false;
+    key_version = (key_holder == n && is_key_leased -> key_version + 1 : key_version);
+    key_holder = (key_holder == n && is_key_leased -> NOBODY : key_holder)
 }
 
-inline expire_one(n) {
-    key_version = (lease_alive[n] && now > lease_until[n] && key_holder == n && key_leased ->
+inline expire_lease(n) {
+    key_version = (is_lease_active[n] && now > lease_expiry[n] && key_holder == n && is_key_leased ->
                    key_version + 1 : key_version);
-    key_holder = (lease_alive[n] && now > lease_until[n] && key_holder == n && key_leased ->
+    key_holder = (is_lease_active[n] && now > lease_expiry[n] && key_holder == n && is_key_leased ->
                   NOBODY : key_holder);
-    lease_alive[n] = lease_alive[n] && now <= lease_until[n]
+    is_lease_active[n] = is_lease_active[n] && now <= lease_expiry[n]
 }
 
-/* Ends leases whose time is over; part of every step that looks at the service. */
-inline expire() {
-    expire_one(0);
-    expire_one(1)
+/* Ends the leases that have expired; part of every step that accesses the store. */
+inline expire_leases() {
+    expire_lease(0);
+    expire_lease(1)
 }
 
 active proctype clock() {
@@ -63,64 +68,66 @@
     od
 }
 
-/* One node. An end of its process loses everything but what the state service holds. */
+/* One node. When its process ends, all its state but that in the key-value store is lost. */
 proctype node(byte me) {
-    byte sent, over, deposed, holder;
-    bool alive;
+    byte sent_at, read_version, deposed, holder;
+    bool is_renewed;
 
 again:
-    /* What isn't needed any more would only make more states. */
-    atomic { sent = 0; over = 0; deposed = 0; holder = 0; alive = false };
+    /* Values that are no longer needed are reset, since they would multiply the states. */
+    atomic { sent_at = 0; read_version = 0; deposed = 0; holder = 0; is_renewed = false };
     do
     :: now >= TICKS -> goto done
 
-    /* Leading: renew the lease. The request is carried out at one moment, answered at a later one. */
-    :: leads[me] ->
-       sent = now;
+    /* Leading: renews the lease. The store carries the request out in one step and answers it in a later
+     * one. */
+    :: is_leading[me] ->
+       sent_at = now;
        atomic {
-           expire();
-           alive = lease_alive[me];
-           lease_until[me] = (alive -> now + TTL : lease_until[me])
+           expire_leases();
+           is_renewed = is_lease_active[me];
+           lease_expiry[me] = (is_renewed -> now + TTL : lease_expiry[me])
        };
        if
-       :: atomic { alive && leads[me] ->
-              trust_until[me] = (trust_until[me] < sent + TTL -> sent + TTL : trust_until[me]) }
-       :: !alive -> leads[me] = false
-       :: true /* no answer */
+       :: atomic { is_renewed && is_leading[me] ->
+              valid_until[me] = (valid_until[me] < sent_at + TTL -> sent_at + TTL : valid_until[me]) }
+       :: !is_renewed -> is_leading[me] = false
+       :: true /* the answer is lost */
        fi;
        goto again
 
-    /* Leading: answer the worker of M. Whether it may is asked just before. */
+    /* Leading: answers the worker of M. The lease is checked in the same step. */
     :: atomic {
-           leads[me] && now < trust_until[me] ->
-           /* A lease that has ended stays so. */
-           task_until = (now <= task_until -> now + LEASE : task_until);
-           held_until[me] = (held_until[me] > now + LEASE -> held_until[me] : now + LEASE)
+           is_leading[me] && now < valid_until[me] ->
+           /* A task whose lease has expired is not renewed. */
+           task_expiry = (now <= task_expiry -> now + LEASE : task_expiry);
+           task_possible_until[me] = (task_possible_until[me] > now + LEASE ->
+                                      task_possible_until[me] : now + LEASE)
        }
 
-    /* Leading: M can't have the task any more, so it is started elsewhere. */
+    /* Leading: the task can no longer run on M and is started elsewhere. */
     :: atomic {
-           leads[me] && now < trust_until[me] && now > held_until[me] && !first_term[me] &&
-           !started_elsewhere ->
-           assert(now > task_until);
+           is_leading[me] && now < valid_until[me] && now > task_possible_until[me] &&
+           !is_first_term[me] && !started_elsewhere ->
+           assert(now > task_expiry);
            started_elsewhere = true
        }
 
-    /* The process ends, at any moment, and is back at once. */
-    :: atomic { leads[me] -> leads[me] = false }
+    /* The process ends, at any moment, and restarts at once. */
+    :: atomic { is_leading[me] -> is_leading[me] = false }
 
-    /* Not leading: look at the key. (Node 0 is the first leader, and nothing else.) */
-    :: me == 1 && !leads[me] && key_version < VERSIONS ->
+    /* Not leading: reads the key. Node 0 never becomes a leader again. */
+    :: me == 1 && !is_leading[me] && key_version < VERSIONS ->
        atomic {
-           expire();
+           expire_leases();
            holder = key_holder;
-           over = key_version;
-           deposed = (key_leased -> holder : deposed_in_key)
+           read_version = key_version;
+           deposed = (is_key_leased -> holder : deposed_in_key)
        };
        if
        :: holder == NOBODY -> deposed = NOBODY; goto lease
        :: holder == me ->
-#ifdef NO_OWN_MEMORY
+#ifdef NO_DEPOSED_IN_KEY
           deposed = NOBODY;
 #else
           deposed = deposed_in_key;
@@ -130,73 +137,76 @@
           :: deposed == NOBODY -> goto lease
           fi
        :: holder != NOBODY && holder != me && deposed != NOBODY ->
-          /* The other one is thought to be gone: the key is written over its own, if it still is. */
+          /* The node suspects that the holder has failed: it overwrites the holder's key, if that has not
+           * changed since it was read. */
           atomic {
-              expire();
+              expire_leases();
               if
-              :: key_version == over ->
+              :: key_version == read_version ->
                  key_holder = me;
                  key_version++;
-                 key_leased = false;
+                 is_key_leased = false;
                  deposed_in_key = deposed;
-                 over = key_version
-              :: key_version != over -> goto again
+                 read_version = key_version
+              :: key_version != read_version -> goto again
               fi
           };
           goto fence
-       :: holder != NOBODY && holder != me -> goto again /* it is thought to be well */
+       :: holder != NOBODY && holder != me -> goto again /* the holder is not suspected */
        fi
     od;
 
 fence:
     if
-    :: goto again /* the process ends here, or the request gets lost */
+    :: goto again /* the process ends here, or the request is lost */
     :: true
     fi;
 #ifndef NO_FENCE
     atomic {
-        expire();
+        expire_leases();
         end_lease(deposed)
     };
 #endif
-    cleared_at[me] = now + TTL;
+    fenced_leader_expiry[me] = now + TTL;
 
 lease:
     if
     :: goto again
     :: true
     fi;
-    cleared_at[me] = (deposed == NOBODY -> 0 : cleared_at[me]);
-    sent = now;
+    fenced_leader_expiry[me] = (deposed == NOBODY -> 0 : fenced_leader_expiry[me]);
+    sent_at = now;
     atomic {
-        expire();
-        lease_alive[me] = true;
-        lease_until[me] = now + TTL
+        expire_leases();
+        is_lease_active[me] = true;
+        lease_expiry[me] = now + TTL
     };
     if
     :: goto again
     :: true
     fi;
     atomic {
-        expire();
+        expire_leases();
         if
-        :: lease_alive[me] && key_version == over ->
+        :: is_lease_active[me] && key_version == read_version ->
            key_holder = me;
            key_version++;
-           key_leased = true;
+           is_key_leased = true;
            deposed_in_key = deposed;
-           first_term[me] = false
-        :: !(lease_alive[me] && key_version == over) -> goto again
+           is_first_term[me] = false
+        :: !(is_lease_active[me] && key_version == read_version) -> goto again
         fi
     };
-    /* The answer to the claim; the end of the process before it is the one above, in the next look. */
+    /* The store's answer to the claim. An end of the process before it is covered: the next iteration
+     * reads the key that names this node. */
     atomic {
-        leads[me] = true;
-        trust_until[me] = sent + TTL;
-#ifdef NO_CLEAR
-        held_until[me] = now + LEASE
+        is_leading[me] = true;
+        valid_until[me] = sent_at + TTL;
+#ifdef NO_EXPIRY_WAIT
+        task_possible_until[me] = now + LEASE
 #else
-        held_until[me] = (cleared_at[me] > now -> cleared_at[me] : now) + LEASE
+        task_possible_until[me] =
+            (fenced_leader_expiry[me] > now -> fenced_leader_expiry[me] : now) + LEASE
 #endif
     };
     goto again;
@@ -207,13 +217,13 @@
 
 init {
     atomic {
-        lease_alive[0] = true;
-        lease_until[0] = TTL;
-        leads[0] = true;
-        first_term[0] = true;
-        trust_until[0] = TTL;
-        held_until[0] = LEASE;
-        task_until = LEASE;
+        is_lease_active[0] = true;
+        lease_expiry[0] = TTL;
+        is_leading[0] = true;
+        is_first_term[0] = true;
+        valid_until[0] = TTL;
+        task_possible_until[0] = LEASE;
+        task_expiry = LEASE;
         run node(0);
         run node(1)
     }
