--- a/tests/tools/test_check_docs.sh
+++ b/tests/tools/test_check_docs.sh
@@ -1,5 +1,6 @@
 #!/bin/bash
-# .ci/check-docs refuses a public function without a comment, and runs without graphviz. Usage: test_check_docs.sh CHECK CASE
+# Checks that .ci/check-docs fails if a public function has no doc comment, and that it runs without graphviz.
+# Usage: test_check_docs.sh CHECK CASE
 set -euo pipefail
 check=$1 case=$2
 work=$(mktemp -d)
@@ -23,13 +24,14 @@
 missing_comment_is_refused)
     sed -i 's|^/\*\* Seconds.*||' "$work/sound.h"
     if output=$("$check" "$work"); then
-        echo "accepted, though a function has no comment"
+        echo "the check passed, although a function has no comment"
         exit 1
     fi
-    grep -qF "rp_sound" <<<"$output" || { printf 'another text:\n%s\n' "$output"; exit 1; }
+    grep -qF "rp_sound" <<<"$output" || { printf 'unexpected text:\n%s\n' "$output"; exit 1; }
     ;;
 graphviz_is_not_needed)
-    # Only what the check itself uses is on the PATH. A dot that is there all the same isn't run.
+    # The PATH contains only the tools that the check itself uses. In the second run it also contains a
+    # program named dot, which must not be run.
     printf '/** @file\n * Includes another header, which doxygen could draw. */\n#include "sound.h"\n' \
         >"$work/including.h"
     mkdir "$work/bin"
--- a/tests/tools/test_check_pages.sh
+++ b/tests/tools/test_check_pages.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# .ci/check-pages accepts the pages as they are, and refuses what it is there to refuse.
+# Checks that .ci/check-pages accepts the pages and reports each kind of violation in a changed copy.
 # Usage: test_check_pages.sh CHECK ROOT CASE
 set -euo pipefail
 check=$1 root=$2 case=$3
@@ -7,13 +7,13 @@
 trap 'rm -rf "$work"' EXIT
 cp -r "$root/.ci" "$root/src" "$root/docs" "$root/README.md" "$root/CONTRIBUTING.md" "$work"
 
-# refused TEXT: the check fails on the copy, and says so.
-refused() {
+# expect_refusal TEXT: the check fails on the copy and prints the text.
+expect_refusal() {
     if output=$("$check" "$work"); then
-        echo "accepted, though it should be refused"
+        echo "the check passed, but should have failed"
         exit 1
     fi
-    grep -qF "$1" <<<"$output" || { printf 'another text than "%s":\n%s\n' "$1" "$output"; exit 1; }
+    grep -qF "$1" <<<"$output" || { printf 'expected the text "%s", got:\n%s\n' "$1" "$output"; exit 1; }
 }
 
 case $case in
@@ -22,15 +22,15 @@
     ;;
 missing_function_is_refused)
     echo 'See `rp_no_such_function()`.' >>"$work/docs/architecture.md"
-    refused 'docs/architecture.md: `rp_no_such_function()` isn'"'"'t in src/'
+    expect_refusal 'docs/architecture.md: `rp_no_such_function()` is not in src/'
     ;;
 missing_file_is_refused)
     echo 'See `jobs/no_such_file`.' >>"$work/README.md"
-    refused 'README.md: there is no src/jobs/no_such_file'
+    expect_refusal 'README.md: there is no src/jobs/no_such_file'
     ;;
 stale_layers_are_refused)
     sed -i '/^| `jobs\/`/d' "$work/docs/architecture.md"
-    refused "the table of layers isn't that of .ci/layers"
+    expect_refusal "the table of layers differs from .ci/layers"
     ;;
 *)
     echo "there is no case '$case'"
