--- a/src/base/memory.h
+++ b/src/base/memory.h
@@ -1,8 +1,8 @@
 /** @file
  * Memory allocation that aborts the process on failure. A node stores nothing on disk, and its
  * state in memory can be read again from the key-value store and the workers. When memory is
- * exhausted, a restart is safer than continuing with a part of the state missing, which each
- * caller would have to handle and each test to cover. */
+ * exhausted, a restart is safer than continuing with a part of the state missing, which would have
+ * to be handled, and tested, at each call. */
 #ifndef RP_BASE_MEMORY_H
 #define RP_BASE_MEMORY_H
 
--- a/src/base/timeutil.h
+++ b/src/base/timeutil.h
@@ -23,7 +23,7 @@
     return time;
 }
 
-/** A duration in seconds, or an instant in seconds since the clock's zero. */
+/** The seconds of a duration, or of an instant since the clock's zero. */
 static inline double rp_ts_s(struct timespec time) {
     return (double)time.tv_sec + (double)time.tv_nsec * 1e-9;
 }
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -14,14 +14,14 @@
 #define READ_BYTES 16384 /* at most read from a connection for one event */
 
 /* States of a connection and the edges between them, each made by set_state:
- * - CONNECTING -> SENDING or RECEIVING: the connection was established and the request has been
- * sent in part (SENDING) or as a whole (RECEIVING).
+ * - CONNECTING -> SENDING: the connection was established and a part of the request sent.
+ * - CONNECTING -> RECEIVING: the connection was established and all of the request sent.
  * - SENDING -> RECEIVING: all of the request has been sent.
  * - RECEIVING -> IDLE: the response is complete and the connection can be reused.
  * - IDLE -> SENDING: a call was assigned to the connection.
  * - any -> CLOSED: the peer has closed or reset the connection, its call has timed out, its
- * response was malformed or the last on this connection, the connection is evicted in favour of one
- * to another host, or the client closes. Frees the connection. */
+ *   response was malformed or the last on this connection, the connection is evicted in favour of
+ *   one to another host, or the client closes. Frees the connection. */
 enum connection_state {
     CONNECTION_CONNECTING,
     CONNECTION_IDLE,
@@ -41,7 +41,7 @@
     struct rp_http_call *call; /* NULL while idle */
 };
 
-/* The response to a call of whose request no byte was sent. */
+/* The response to a call whose request was not sent, not even in part. */
 static const struct rp_answer unsent_answer = {.unsent = true, .body = ""};
 
 static void serve_host(struct rp_http_host *host);
@@ -145,7 +145,8 @@
     on_response(arg, answer);
 }
 
-/* Handles that a connection of the host was closed or became idle. */
+/* Serves queued calls after a connection of the host was closed or became idle: first those of the
+ * host itself, then those of other hosts that wait for a connection. */
 static void on_connection_available(struct rp_http_host *host) {
     struct rp_http_client *client = host->client;
     host->is_in_use = true;
--- a/src/http/client_host.h
+++ b/src/http/client_host.h
@@ -72,9 +72,7 @@
 /** Appends the call to its host's queue. */
 void rp_http_host_queue_call(struct rp_http_call *call);
 
-/** Removes the call from its host's queue, whatever its position; has no effect if it is not
- * queued.
- */
+/** Removes the call from any position of its host's queue; has no effect if it is not queued. */
 void rp_http_host_unqueue_call(struct rp_http_call *call);
 
 #endif
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -45,7 +45,7 @@
 
     char *line; /**< RP_HTTP_LINE_MAX bytes while a message is being parsed, else NULL */
     size_t line_len;
-    size_t header_bytes; /**< bytes of all lines so far, those of chunks left out */
+    size_t header_bytes; /**< bytes of all lines so far, except those of chunk sizes and ends */
     bool has_length;     /**< the message has a Content-Length header */
     bool is_chunked;     /**< the message has the header Transfer-Encoding: chunked */
 
--- a/src/http/socket.c
+++ b/src/http/socket.c
@@ -9,8 +9,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define BACKLOG                                                                                    \
-    4096 /* connections not yet accepted; after a failover all workers connect at once */
+/* Maximum number of connections not yet accepted: after a failover, all workers connect at once. */
+#define BACKLOG 4096
 
 bool rp_socket_parse_address(const char *text, struct sockaddr_in *out) {
     char host[RP_SOCKET_ADDRESS_MAX];
--- a/tests/behaviour/behaviour_digest.c
+++ b/tests/behaviour/behaviour_digest.c
@@ -22,7 +22,7 @@
 #define PLANTED_CHANGE "RP_BEHAVIOUR_PLANTED_CHANGE"
 #define PLANTED_ROUND_PERIOD_S 2.5 /* the simulated nodes' regular period is 2 s */
 #define RESULT_MAX 256
-#define JOBS_MAX 256
+#define MAX_PROCESSES 256
 
 /* Changes the nodes' behaviour on purpose, so that a test can check that the hashes change: the
  * nodes run scheduling cycles less often. */
@@ -31,10 +31,10 @@
         world->settings[i].tuning.round_period_s = PLANTED_ROUND_PERIOD_S;
 }
 
-/* A request of an operator, passed to a node directly and not over the simulated network. */
+/* A request of an operator, passed to a node directly and not over the simulated network. `request`
+ * must be the first member, since on_operator_response casts its address. */
 struct operator_request {
-    struct rp_request
-        request; /* must be the first member: on_operator_response casts its address */
+    struct rp_request request;
     const struct sim *world;
 };
 
@@ -228,8 +228,8 @@
         }
     bool is_one_run = out->scenario && out->seed;
     bool is_every_run = !out->scenario && !out->seed && !out->dump;
-    bool is_jobs_valid = out->max_processes >= 1 && out->max_processes <= JOBS_MAX;
-    return optind >= argc && is_jobs_valid && (is_one_run || is_every_run);
+    bool is_limit_valid = out->max_processes >= 1 && out->max_processes <= MAX_PROCESSES;
+    return optind >= argc && is_limit_valid && (is_one_run || is_every_run);
 }
 
 int main(int argc, char **argv) {
--- a/tests/behaviour/digest_days.c
+++ b/tests/behaviour/digest_days.c
@@ -168,7 +168,8 @@
     run_until_finished(world);
 }
 
-/* Objectives for both classes of submit_jobs's jobs, and orders that the defaults leave out. */
+/* Sets objectives for both classes of jobs of submit_jobs, and heuristics that are not among the
+ * defaults. */
 static void set_objectives_and_heuristics(struct rp_settings *settings, unsigned long seed) {
     static const char *const names[][N_HEURISTICS] = {{"FCFS-RND", "RR-LM", "ESW-SM", "EDF-CP"},
                                                       {"LJF-LA", "SJF-EA", "ESW-LD", "SRW-BF"},
--- a/tests/behaviour/digest_days.h
+++ b/tests/behaviour/digest_days.h
@@ -26,7 +26,7 @@
 /** The leader is paused for 1.5 s and later for 20 s; then a partition separates a leader from the
  * key-value store and the other nodes. */
 void run_paused_leader(struct sim *world, unsigned long seed);
-/** A zone is partitioned together with the leader; later heartbeats do not reach the leader; then
+/** A zone is partitioned together with the leader; afterwards no heartbeat reaches the leader; then
  * the cloud is unavailable. */
 void run_partitioned_zone(struct sim *world, unsigned long seed);
 /** Hundreds of users query running jobs, more often than the request budget allows. */
--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -48,12 +48,12 @@
  * - STARTING -> STEADY: the first leader has started a task and STARTUP_S has passed.
  * - STEADY -> LEADERLESS: the leader was ended after STEADY_S.
  * - LEADERLESS -> STEADY: the next leader has started a task.
- * - LEADERLESS -> DRAINING: the same, after the last end. */
+ * - LEADERLESS -> DRAINING: the next leader has started a task after the last end. */
 enum phase {
     STARTING,   /* no leader has started a task yet */
     STEADY,     /* a leader leads and will be ended */
     LEADERLESS, /* the leader was ended and no other one has started a task */
-    DRAINING    /* no more ends and no new jobs: all jobs finish */
+    DRAINING    /* no more ends and no new jobs; the submitted jobs finish */
 };
 
 struct world {
@@ -370,9 +370,7 @@
     }
 }
 
-/* Opens the servers of the simulated services and workers, and writes settings with their
- * addresses.
- */
+/* Opens the servers of the simulated services and workers and writes the nodes' settings. */
 static void open_world(struct world *world) {
     char store[ADDR_MAX];
     char cloud[ADDR_MAX];
