--- a/src/jobs/job_watch.c
+++ b/src/jobs/job_watch.c
@@ -62,7 +62,7 @@
 }
 
 void rp_job_watch_resume(struct rp_job_watch *watch) {
-    if (rp_ts_zero(watch->sent_at))
+    if (rp_ts_is_zero(watch->sent_at))
         send_watch(watch);
 }
 
@@ -73,7 +73,7 @@
         watch->lease_provable_since = (struct timespec){0};
         return false;
     }
-    if (rp_ts_zero(watch->lease_provable_since))
+    if (rp_ts_is_zero(watch->lease_provable_since))
         watch->lease_provable_since = now;
     /* A leader whose lease is renewed but that receives no cancellations answers no worker: another
      * node has to lead. After an outage the watch has WATCH_CATCH_UP_S to catch up. */
--- a/src/standby/leader_suspicion.c
+++ b/src/standby/leader_suspicion.c
@@ -129,7 +129,7 @@
 }
 
 static bool is_recent(struct timespec report_at, struct timespec now) {
-    return !rp_ts_zero(report_at) && rp_ts_since(now, report_at) < REPORT_VALID_S;
+    return !rp_ts_is_zero(report_at) && rp_ts_since(now, report_at) < REPORT_VALID_S;
 }
 
 /* Whether every node besides the leader was unreachable before the leader was suspected, so that no
