--- a/src/cluster/allocation.c
+++ b/src/cluster/allocation.c
@@ -2,6 +2,7 @@
 
 #include "base/memory.h"
 
+/* Initial length of a machine's array of allocations. */
 #define INITIAL_CAPACITY 16
 
 /* Adds the allocation to all counts (sign 1) or subtracts it from them (sign -1). */
--- a/src/cluster/allocation.h
+++ b/src/cluster/allocation.h
@@ -8,7 +8,8 @@
 
 #include "cluster/cluster_state.h"
 
-/** Adds an allocation to the machine. The pointer is valid until its allocations change. */
+/** Adds an allocation to the machine. The returned pointer is valid until the machine's allocations
+ * change. */
 struct rp_allocation *rp_allocation_add(struct rp_cluster *cluster, struct rp_machine *machine,
                                         struct rp_job *job, uint32_t task, uint64_t attempt,
                                         enum rp_allocation_state state);
--- a/src/cluster/capacity_refusal.c
+++ b/src/cluster/capacity_refusal.c
@@ -14,8 +14,8 @@
     memset(refusals->kinds, 0, sizeof refusals->kinds);
 }
 
-bool rp_capacity_refusals_note(struct rp_capacity_refusals *refusals, int type, int zone, bool spot,
-                               double first_backoff_s, struct timespec now) {
+bool rp_capacity_refusals_record(struct rp_capacity_refusals *refusals, int type, int zone,
+                                 bool spot, double first_backoff_s, struct timespec now) {
     if (!is_in_catalog(type, zone))
         return false;
     struct rp_capacity_refusal *refusal = &refusals->kinds[type][zone][spot];
@@ -28,7 +28,7 @@
     return true;
 }
 
-void rp_capacity_refusals_forget(struct rp_capacity_refusals *refusals, int type, int zone,
+void rp_capacity_refusals_remove(struct rp_capacity_refusals *refusals, int type, int zone,
                                  bool spot) {
     if (is_in_catalog(type, zone))
         refusals->kinds[type][zone][spot] = (struct rp_capacity_refusal){0};
--- a/src/cluster/capacity_refusal.h
+++ b/src/cluster/capacity_refusal.h
@@ -1,10 +1,10 @@
 /** @file
  * Kinds of machines (type, zone, spot or on-demand) that the cloud refused for lack of capacity.
  *
- * Each attempt costs a call to the cloud and two writes to the key-value store, and until it is
- * answered, tasks are planned onto its machines. A kind that is refused repeatedly is therefore
- * requested with a growing backoff; a kind of which a machine has been terminated may be requested
- * at once. Owned by the provisioning of machines. */
+ * Each request costs a call to the cloud and two writes to the key-value store, and until the cloud
+ * responds to it, tasks are planned onto its machines. A kind that is refused repeatedly is
+ * therefore requested with a growing backoff; a kind of which a machine has been terminated may be
+ * requested at once. Owned by the provisioning of machines. */
 #ifndef RP_CLUSTER_CAPACITY_REFUSAL_H
 #define RP_CLUSTER_CAPACITY_REFUSAL_H
 
@@ -27,14 +27,14 @@
 
 /** Removes all refusals, but keeps n_refused. */
 void rp_capacity_refusals_clear(struct rp_capacity_refusals *refusals);
-/** The cloud has refused the kind: starts or extends its backoff. `first_backoff_s` is the backoff
- * after a first refusal. A type or zone below 0, which the catalog does not have, is ignored.
- * Returns whether the refusal was recorded. */
-bool rp_capacity_refusals_note(struct rp_capacity_refusals *refusals, int type, int zone, bool spot,
-                               double first_backoff_s, struct timespec now);
-/** A machine of the kind has been terminated, so the cloud may have capacity again: ends the kind's
- * backoff. A type or zone below 0 is ignored. */
-void rp_capacity_refusals_forget(struct rp_capacity_refusals *refusals, int type, int zone,
+/** Records that the cloud has refused the kind: starts or extends its backoff. `first_backoff_s` is
+ * the backoff after a first refusal. A type or zone below 0, which the catalog does not have, is
+ * ignored. Returns whether the refusal was recorded. */
+bool rp_capacity_refusals_record(struct rp_capacity_refusals *refusals, int type, int zone,
+                                 bool spot, double first_backoff_s, struct timespec now);
+/** Removes the kind's refusal and so ends its backoff. Called when a machine of the kind has been
+ * terminated, because the cloud may then have capacity again. A type or zone below 0 is ignored. */
+void rp_capacity_refusals_remove(struct rp_capacity_refusals *refusals, int type, int zone,
                                  bool spot);
 /** Whether the kind must not be requested now. Type and zone must be in the catalog. */
 bool rp_capacity_refusals_has(const struct rp_capacity_refusals *refusals, int type, int zone,
--- a/src/cluster/catalog_index.h
+++ b/src/cluster/catalog_index.h
@@ -1,5 +1,5 @@
 /** @file
- * Looks up machine types and zones in the catalog, to which cluster modules refer by index. */
+ * Finds machine types and zones of the catalog by name; cluster modules refer to them by index. */
 #ifndef RP_CLUSTER_CATALOG_INDEX_H
 #define RP_CLUSTER_CATALOG_INDEX_H
 
--- a/src/cluster/cluster_state.h
+++ b/src/cluster/cluster_state.h
@@ -3,8 +3,8 @@
  * the list of machines and the hash table of their names. Other directories include
  * cluster/cluster.h, which has all operations on the cluster state.
  *
- * Invariants: the list keeps the order in which machines were added, because scheduling depends on
- * it; names are unique; team_cpus and team_gpus are the sums over all counted allocations. */
+ * Invariants: the list preserves the order in which machines were added, because scheduling depends
+ * on it; names are unique; team_cpus and team_gpus are the sums over all counted allocations. */
 #ifndef RP_CLUSTER_CLUSTER_STATE_H
 #define RP_CLUSTER_CLUSTER_STATE_H
 
--- a/src/cluster/failure_detection.c
+++ b/src/cluster/failure_detection.c
@@ -23,14 +23,15 @@
  * is silent HEARTBEAT_MARGIN_S later. */
 #define HEARTBEAT_SPREAD 1.25
 #define HEARTBEAT_MARGIN_S 2.5
-/* The limit for a single machine, used where other evidence of a failure is required, too. */
+/* Like HEARTBEAT_SPREAD and HEARTBEAT_MARGIN_S, but for decisions on a single machine that require
+ * other evidence of its failure, too. */
 #define SUSPECT_HEARTBEAT_SPREAD 1.5
 #define SUSPECT_HEARTBEAT_MARGIN_S 0.5
 /* How long answers must have been lost for a machine to count as silent. */
 #define ANSWERS_LOST_CERTAIN_S 5.0
 /* At least MASS_LOSS_MACHINES machines, and MASS_LOSS_SHARE of all, that are lost at the same time
- * are unlikely to have failed independently. A network partition ends, and the cloud's list shows
- * the machines that did fail. */
+ * are unlikely to have failed independently: a network partition is assumed, which ends, and the
+ * cloud's list shows the machines that did fail. */
 #define MASS_LOSS_MACHINES 5
 #define MASS_LOSS_SHARE 0.03
 /* Time within which machines report again after a network partition ends. */
@@ -89,7 +90,7 @@
 /* ---- this node ---- */
 
 /* Counts ticks in addition to time: a node that was suspended has not yet read the heartbeats that
- * arrived in the meantime. */
+ * arrived during the suspension. */
 static void count_silent_ticks(struct rp_failure_detector *detector, size_t n_machines,
                                struct timespec newest_heartbeat, struct timespec now) {
     double heartbeats_due_s =
@@ -100,17 +101,17 @@
     detector->n_silent_ticks = is_silent ? detector->n_silent_ticks + 1 : 0;
 }
 
-/* Whether leadership has been provable for long enough, and the key-value store answers. A node
- * that does not reach the store either cannot resign: its lease expires instead. */
+/* Whether leadership has been provable for ISOLATED_PROVEN_S, and the key-value store responds. A
+ * node that cannot reach the store either cannot resign: its lease expires instead. */
 static bool is_leadership_proven(const struct rp_failure_detector *detector, struct timespec now) {
     return rp_kv_failing_s(detector->context->store) <= 0 &&
            rp_ts_since(now, detector->proven_since) >= ISOLATED_PROVEN_S;
 }
 
-/* A leader that the workers cannot reach, but the key-value store can, would renew its lease and
- * schedule nothing. If most machines fall silent together while leadership was provable all the
- * time, the leader resigns, since another node may reach the workers. It also releases no machine
- * then: they are unlikely to have all been terminated. */
+/* A leader that is partitioned from the workers but not from the key-value store would renew its
+ * lease and schedule nothing. If most machines fall silent together while leadership was provable
+ * all the time, the leader resigns, since another node may reach the workers. Such a leader also
+ * releases no machine, since the machines are unlikely to have all been terminated. */
 static void observe_node(struct rp_failure_detector *detector, struct timespec now) {
     struct silence_count silence = {0};
     double limit_s = silence_limit_s(detector);
--- a/src/cluster/failure_detection.h
+++ b/src/cluster/failure_detection.h
@@ -1,6 +1,6 @@
 /** @file
  * Failure detection: infers the cause of missing heartbeats. A single silent machine may have
- * failed. If most machines of a zone fall silent together, the zone is behind a network partition.
+ * failed. If most machines of a zone fall silent together, the zone is partitioned from this node.
  * If nearly all machines are silent, this node is the one that is partitioned from them, although
  * the key-value store still renews its lease.
  *
@@ -15,13 +15,17 @@
 /** What has been observed in this term. An instant of zero means that it has not been observed. */
 struct rp_failure_detector {
     const struct rp_fleet_context *context;
-    struct timespec proven_since;   /* leadership has been provable since; zero: it is not now */
-    struct timespec isolated_since; /* most machines have been silent since; zero: they are not */
+    /* Since when leadership has been provable; zero: it is not provable now. */
+    struct timespec proven_since;
+    /* Since when most machines have been silent; zero: they are not. */
+    struct timespec isolated_since;
     unsigned n_silent_ticks; /* consecutive ticks without any heartbeat, though many were due */
-    bool is_node_suspected;  /* so many machines are silent that this node may be at fault */
+    bool is_node_suspected;  /* many machines are silent: this node may be at fault */
     uint32_t silent_zones;   /* bit set: most machines of the zone are silent */
-    struct timespec zone_silent_at[RP_ZONES_MAX]; /* when most of its machines were last silent */
-    struct timespec mass_loss_at; /* when many machines were last lost at the same time */
+    /* When most of the zone's machines were last silent. */
+    struct timespec zone_silent_at[RP_ZONES_MAX];
+    /* When many machines were last in RP_MACHINE_LOST at the same time. */
+    struct timespec mass_loss_at;
 };
 
 /** The context is borrowed. */
@@ -29,8 +33,8 @@
                               const struct rp_fleet_context *context);
 /** Resets all observations; called when a term begins or ends. */
 void rp_failure_detector_clear(struct rp_failure_detector *detector);
-/** Leadership is not provable at the moment: restarts the time for which it must have been provable
- * before the leader counts as isolated. */
+/** Called in a tick in which leadership is not provable: restarts the time for which it must have
+ * been provable before the leader counts as isolated. */
 void rp_failure_detector_on_lease_unproven(struct rp_failure_detector *detector);
 /** Updates the observations from all machines; called in each tick while leadership is provable. */
 void rp_failure_detector_observe(struct rp_failure_detector *detector, struct timespec now);
@@ -40,9 +44,9 @@
                                             struct timespec now);
 /** Whether most machines of the zone are silent; false for an unknown zone, which is below 0. */
 bool rp_failure_detector_is_zone_silent(const struct rp_failure_detector *detector, int zone);
-/** Whether, a moment ago, most machines of this machine's zone were silent, or many machines were
- * lost at the same time. This indicates a network partition: it ends, and the machines behind it
- * report again one by one. */
+/** Whether, within the last PARTITION_RECOVERY_S seconds (failure_detection.c), most machines of
+ * this machine's zone were silent, or many machines were lost at the same time. This indicates a
+ * network partition: after its end, the partitioned machines report again one by one. */
 bool rp_failure_detector_was_partitioned(const struct rp_failure_detector *detector,
                                          const struct rp_machine *machine, struct timespec now);
 /** Whether the machine, which is not booting, has missed a heartbeat. */
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -12,7 +12,8 @@
 #define TICK_INTERVAL_MIN_S 0.02
 /* How long after a lease's expiry a tick is set, so that the lease has expired for certain. */
 #define TICK_LEASE_MARGIN_S (TICK_INTERVAL_MIN_S / 10)
-/* How long an isolated leader leaves the leader key to the other nodes after it has resigned. */
+/* How long an isolated leader does not claim the leader's key after it has resigned, so that
+ * another node can claim it. */
 #define ISOLATED_BACKOFF_S 12.0
 
 static void on_tick(void *arg);
--- a/src/cluster/fleet.h
+++ b/src/cluster/fleet.h
@@ -22,7 +22,8 @@
     struct rp_reconciliation reconciliation;
     struct rp_failure_detector failure_detector;
     struct rp_timer timer;
-    /** Called when loading the records for a new term ends; not `is_loaded`: it failed. */
+    /** Called when the loading of the records for a new term ends; `is_loaded` is false if it
+     * failed. */
     void (*on_loaded)(void *arg, bool is_loaded);
     void *on_loaded_arg;
 };
@@ -35,9 +36,9 @@
 /** Loads the provision records into the cluster state: every machine named there may hold tasks.
  * `on_loaded` reports the outcome; on success the ticks start. */
 void rp_fleet_load(struct rp_fleet *fleet);
-/** The term ends: stops the ticks, and discards the answers to calls in flight. */
+/** Called when the term ends: stops the ticks. Responses to calls in flight are discarded. */
 void rp_fleet_clear(struct rp_fleet *fleet);
-/** The process ends: clears the fleet and frees the data that outlives a term. */
+/** Called when the process ends: clears the fleet and frees the data that outlives a term. */
 void rp_fleet_close(struct rp_fleet *fleet);
 
 /** Requests at most `count` machines of a kind of the catalog from the cloud. */
@@ -55,8 +56,8 @@
 /** Whether the cloud has confirmed the deletion of a machine of this name. */
 bool rp_fleet_is_terminated(const struct rp_fleet *fleet, const char *machine);
 
-/** The machine has sent a heartbeat: records that it is up. This is recorded before any task is
- * started on it, so that the next leader can tell which machines cannot hold tasks. */
+/** Called when the machine has sent a heartbeat: records that it is up. This is recorded before any
+ * task is started on it, so that the next leader can determine which machines cannot hold tasks. */
 void rp_fleet_record_up(struct rp_fleet *fleet, struct rp_machine *machine);
 /** Creates a record for a machine that no record names. */
 void rp_fleet_adopt(struct rp_fleet *fleet, struct rp_machine *machine);
--- a/src/cluster/fleet_context.h
+++ b/src/cluster/fleet_context.h
@@ -20,10 +20,10 @@
     const struct rp_settings *settings;
     struct rp_catalog *catalog;
     struct rp_tombstones tombstones; /* of machines that this process released, in any term */
-    /* Incremented whenever the fleet is cleared; answers to calls of an earlier generation are
+    /* Incremented whenever the fleet is cleared; responses to calls of an earlier generation are
      * discarded. */
     unsigned long generation;
-    struct timespec led_since; /* when this term's records had been loaded */
+    struct timespec led_since; /* when the loading of this term's records was complete */
     /** Called when machines or capacity have changed; NULL: no call. */
     void (*on_changed)(void *arg);
     void *on_changed_arg;
--- a/src/cluster/image_index.c
+++ b/src/cluster/image_index.c
@@ -4,12 +4,15 @@
 #include <string.h>
 #include "protocol/codec.h"
 
+/* Time between two copies of the leader's index. */
 #define COPY_INTERVAL_S 8.0
-#define ANSWER_TIMEOUT_S 1.5
-/* Number of images sent of all machines together, the most recently used of each machine; this is
- * some 2 MB of text. */
+/* How long a node waits for the response to a request for an index. */
+#define RESPONSE_TIMEOUT_S 1.5
+/* Largest number of images in a served index, over all machines; the most recently used images of
+ * each machine are sent. The index is then about 2 MB of text. */
 #define IMAGES_SENT_MAX 65536
-/* Number of images sent of each machine even if the total then exceeds IMAGES_SENT_MAX. */
+/* Number of images that a served index may contain of each machine even if the total then exceeds
+ * IMAGES_SENT_MAX. */
 #define IMAGES_PER_MACHINE_MIN 4
 
 static void on_copy_timer(void *arg);
@@ -90,7 +93,7 @@
         uint64_t hash = (uint64_t)json_integer_value(json_array_get(list, i));
         double gb = json_number_value(json_array_get(list, i + 1));
         if (!rp_machine_has_image(machine, hash))
-            rp_machine_note_image(cluster, machine, hash, gb);
+            rp_machine_record_image(cluster, machine, hash, gb);
     }
 }
 
@@ -119,7 +122,7 @@
 }
 
 static void request_images(struct rp_image_index *index, const struct rp_peer *peer) {
-    index->net.call(index->net.ctx, peer->addr, "GET", RP_PATH_IMAGES, NULL, ANSWER_TIMEOUT_S,
+    index->net.call(index->net.ctx, peer->addr, "GET", RP_PATH_IMAGES, NULL, RESPONSE_TIMEOUT_S,
                     on_images, index);
 }
 
--- a/src/cluster/image_index.h
+++ b/src/cluster/image_index.h
@@ -1,8 +1,8 @@
 /** @file
  * The image index: which images the machines have on their disks. The other nodes copy it from the
  * leader, so that the next leader has it, too; without the copy a new leader would have only the
- * images of running tasks. Entries are hints: a wrong one costs a fetch, and no rule depends on
- * them.
+ * images of running tasks. Entries are hints: a wrong one costs a fetch, and no safety rule depends
+ * on them.
  *
  * Owned by the node, which serves RP_PATH_IMAGES with rp_image_index_json. */
 #ifndef RP_CLUSTER_IMAGE_INDEX_H
--- a/src/cluster/machine.c
+++ b/src/cluster/machine.c
@@ -47,10 +47,10 @@
 }
 
 bool rp_machine_is_usable(const struct rp_machine *machine) {
-    bool is_known = machine->state == RP_MACHINE_UP && is_durable(machine) &&
+    bool is_ready = machine->state == RP_MACHINE_UP && is_durable(machine) &&
                     machine->contact.fencing_token_seen && is_kind_known(machine);
-    bool is_staying = !machine->spot_notice.received && is_healthy(machine);
-    return is_known && is_staying && !rp_machine_is_one_way_partitioned(machine) &&
+    bool is_retained = !machine->spot_notice.received && is_healthy(machine);
+    return is_ready && is_retained && !rp_machine_is_one_way_partitioned(machine) &&
            machine->n_unknown_not_exited == 0;
 }
 
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -17,7 +17,7 @@
     RP_MACHINE_UNRECONCILED, /* loaded from an earlier leader's records: may hold any task */
     RP_MACHINE_UP,           /* its heartbeats list every task that it holds */
     RP_MACHINE_LOST, /* silent until its lease expired: holds no task; released unless it reports
-                        again */
+                        again in time */
     RP_MACHINE_RELEASING /* is being deleted in the cloud; never used again */
 };
 
@@ -54,10 +54,11 @@
     bool listed; /* used only while a heartbeat is read: this heartbeat lists the task */
 };
 
-/** Number of images remembered for a machine, at 24 bytes each; when it is reached, the least
- * recently used image is forgotten. */
+/** Maximum number of images recorded for a machine, at 24 bytes each; when it is reached, the least
+ * recently used image is evicted. */
 #define RP_IMAGES_MAX 128
-/** Number of tasks of unknown jobs remembered for a machine; further ones are only counted. */
+/** Maximum number of tasks of unknown jobs recorded for a machine; further ones are only
+ * counted. */
 #define RP_UNKNOWN_TASKS_MAX 256
 
 /** A task on a machine whose job this leader has no record of, or no longer has: it is stopped and
@@ -81,8 +82,10 @@
 /** The message exchange with a machine's worker, and what it proves. An instant of zero means that
  * the event has not happened. */
 struct rp_machine_contact {
-    uint64_t incarnation; /* of the worker: increases each time the worker's lease expires */
-    /* Sequence number of the newest message: a heartbeat or the answer to a direct command. */
+    /* The worker's incarnation, which increases each time its lease expires. */
+    uint64_t incarnation;
+    /* Sequence number of the newest message: a heartbeat or the response to a direct command or
+     * probe. */
     uint64_t seq;
     uint64_t heartbeat_seq; /* sequence number of the newest heartbeat */
     unsigned n_direct;      /* direct commands and probes sent since the newest heartbeat */
@@ -91,17 +94,19 @@
     bool probing;     /* a probe is in flight */
     unsigned n_probes_failed; /* consecutive probes without a response */
     struct timespec probed_at;
-    bool fencing_token_seen;    /* the newest heartbeat shows this leader's token */
-    bool known_by_fencing_only; /* it has answered this leader's fencing command, but not yet sent a
-                                   heartbeat */
+    bool fencing_token_seen;       /* the newest heartbeat shows this leader's token */
+    bool fenced_without_heartbeat; /* the machine has responded to this leader's fencing command,
+                                      and no heartbeat has arrived since */
     struct timespec last_heartbeat_at;
     struct timespec last_message_at; /* when the newest message of any kind arrived */
     struct timespec lease_expiry; /* no task runs there after this instant unless a later heartbeat
                                      is answered */
-    struct timespec first_answer_at, last_answer_at; /* answers to heartbeats sent by this leader */
-    uint64_t lost_incarnation;          /* incarnation in which this leader lost it; 0: none */
-    struct timespec answers_lost_since; /* heartbeats arrive, but nothing shows that the worker
-                                           receives answers */
+    /* Times of this leader's answers to heartbeats. */
+    struct timespec first_answer_at, last_answer_at;
+    uint64_t lost_incarnation; /* incarnation in which the machine last entered RP_MACHINE_LOST; 0:
+                                  none */
+    struct timespec answers_lost_since; /* since when heartbeats have arrived, but nothing shows
+                                           that the worker receives answers */
 };
 
 /** The cloud's notice that it is about to reclaim a spot machine. */
@@ -131,8 +136,8 @@
     bool draining;         /* its tasks are moved to other machines before it is released */
     struct timespec since; /* when it entered RP_MACHINE_RELEASING */
     bool delete_sent;
-    unsigned n_lists_missing; /* complete lists of the cloud since the last that named it, counting
-                                 that one */
+    unsigned n_lists_missing; /* complete lists of the cloud since the one that last named the
+                                 machine, including that one */
     bool listed_failed;       /* the cloud lists it as failed */
 };
 
@@ -155,7 +160,7 @@
     struct rp_spot_notice spot_notice;
     struct rp_machine_health health;
     struct rp_reservation reservation;
-    /* What may be on it. */
+    /* Tasks and images that may be on it. */
     struct rp_allocation *allocations;
     size_t n_allocations, cap_allocations;
     struct rp_unknown_task *unknown_tasks;
--- a/src/cluster/machine_images.c
+++ b/src/cluster/machine_images.c
@@ -2,6 +2,7 @@
 
 #include "base/memory.h"
 
+/* Initial length of a machine's array of images. */
 #define INITIAL_CAPACITY 8
 
 static struct rp_image *find_image(const struct rp_machine *machine, uint64_t hash) {
@@ -38,8 +39,8 @@
     }
 }
 
-void rp_machine_note_image(struct rp_cluster *cluster, struct rp_machine *machine, uint64_t hash,
-                           double gb) {
+void rp_machine_record_image(struct rp_cluster *cluster, struct rp_machine *machine, uint64_t hash,
+                             double gb) {
     struct timespec now = rp_loop_now(cluster->loop);
     struct rp_image *existing = find_image(machine, hash);
     if (existing) {
--- a/src/cluster/machine_images.h
+++ b/src/cluster/machine_images.h
@@ -8,10 +8,10 @@
 #include "cluster/cluster_state.h"
 
 /** Records that the machine has the image, or will have fetched it, and that the image is used now.
- * The least recently used images are forgotten if there are RP_IMAGES_MAX already, or if the total
+ * The least recently used images are evicted if there are RP_IMAGES_MAX already, or if the total
  * does not fit on the disk of the machine's type. */
-void rp_machine_note_image(struct rp_cluster *cluster, struct rp_machine *machine, uint64_t hash,
-                           double gb);
+void rp_machine_record_image(struct rp_cluster *cluster, struct rp_machine *machine, uint64_t hash,
+                             double gb);
 /** Whether the image is recorded for the machine. */
 bool rp_machine_has_image(const struct rp_machine *machine, uint64_t hash);
 
--- a/src/cluster/machine_lifecycle.c
+++ b/src/cluster/machine_lifecycle.c
@@ -27,7 +27,8 @@
 void rp_machine_remove(struct rp_cluster *cluster, struct rp_machine *machine,
                        enum rp_task_evidence evidence) {
     rp_machine_drop_tasks(cluster, machine, evidence);
-    /* Machines without a contact that are not releasing were never announced to the standbys. */
+    /* A machine that has sent no message and is not being released was never announced to the
+     * standbys. */
     if (machine->contact.incarnation > 0 || machine->state == RP_MACHINE_RELEASING)
         notify(cluster, machine, true);
     rp_cluster_unlink(cluster, machine);
@@ -73,8 +74,8 @@
     }
 }
 
-void rp_machine_note_contact(struct rp_cluster *cluster, struct rp_machine *machine,
-                             const char *addr, uint64_t incarnation) {
+void rp_machine_set_contact(struct rp_cluster *cluster, struct rp_machine *machine,
+                            const char *addr, uint64_t incarnation) {
     bool is_changed =
         machine->contact.incarnation != incarnation || strcmp(machine->addr, addr) != 0;
     machine->contact.incarnation = incarnation;
@@ -83,8 +84,8 @@
         notify(cluster, machine, false);
 }
 
-void rp_machine_note_fencing_token(struct rp_cluster *cluster, struct rp_machine *machine,
-                                   bool seen) {
+void rp_machine_set_fencing_token_seen(struct rp_cluster *cluster, struct rp_machine *machine,
+                                       bool seen) {
     if (machine->contact.fencing_token_seen != seen)
         cluster->unreconciled_stale = true;
     machine->contact.fencing_token_seen = seen;
--- a/src/cluster/machine_lifecycle.h
+++ b/src/cluster/machine_lifecycle.h
@@ -18,13 +18,13 @@
 void rp_machine_set_state(struct rp_cluster *cluster, struct rp_machine *machine,
                           enum rp_machine_state state);
 /** Sets the machine's address and incarnation to those of its newest message. */
-void rp_machine_note_contact(struct rp_cluster *cluster, struct rp_machine *machine,
-                             const char *addr, uint64_t incarnation);
+void rp_machine_set_contact(struct rp_cluster *cluster, struct rp_machine *machine,
+                            const char *addr, uint64_t incarnation);
 /** Sets whether the machine's newest heartbeat shows this leader's fencing token. */
-void rp_machine_note_fencing_token(struct rp_cluster *cluster, struct rp_machine *machine,
-                                   bool seen);
-/** The worker shows a newer incarnation: drops all allocations, since no task of the previous
- * incarnation is on the machine any more. */
+void rp_machine_set_fencing_token_seen(struct rp_cluster *cluster, struct rp_machine *machine,
+                                       bool seen);
+/** Called when the machine's worker shows a newer incarnation: drops all allocations, since no task
+ * of the previous incarnation is on the machine any more. */
 void rp_machine_end_incarnation(struct rp_cluster *cluster, struct rp_machine *machine);
 
 #endif
--- a/src/cluster/provision_loading.c
+++ b/src/cluster/provision_loading.c
@@ -5,6 +5,7 @@
 #include "base/log.h"
 #include "base/memory.h"
 
+/* Number of records requested from the store in one page. */
 #define RECORDS_PER_PAGE 1000
 
 struct load_call {
@@ -25,8 +26,8 @@
 }
 
 /* The latest instant at which a worker's lease renewed by an earlier leader can expire. No earlier
- * leader can have answered a machine after this node acquired the leader key or, if that leader was
- * fenced, after the expiry of the leadership that it had renewed. */
+ * leader can have answered a machine after this node acquired the leader's key or, if that leader
+ * was fenced, after the expiry of the leadership that it had renewed. */
 static struct timespec earlier_leaders_lease_expiry(const struct rp_fleet_context *context) {
     struct timespec now = rp_loop_now(context->loop);
     struct timespec fenced_leader_expiry = context->election->fenced_leader_expiry;
@@ -55,7 +56,7 @@
     struct rp_provision_request *request =
         rp_provision_request_add(&provisioning->requests, item->key + strlen(RP_KEY_PROVISION));
     if (!rp_record_provision_read(item->value, &request->record)) {
-        rp_error("unreadable provision record ignored: key=%s", item->key);
+        rp_error("provision record skipped: reason=unreadable key=%s", item->key);
         rp_provision_request_remove(&provisioning->requests, request);
         return;
     }
--- a/src/cluster/provision_loading.h
+++ b/src/cluster/provision_loading.h
@@ -6,8 +6,8 @@
 
 #include "cluster/provisioning.h"
 
-/** Called when loading ends; not `is_loaded`: a page could not be read, the requests are
- * incomplete. */
+/** Called when the loading ends; `is_loaded` is false if a page could not be read, so that the
+ * requests are incomplete. */
 typedef void (*rp_provision_loaded_fn)(void *arg, bool is_loaded);
 
 /** Loads all records into the provisioning, which must have been cleared, and their machines into
--- a/src/cluster/provision_request.c
+++ b/src/cluster/provision_request.c
@@ -43,12 +43,12 @@
 }
 
 /* The edges:
- * - (new) -> RECORDING_INTENT: machines are wanted (rp_scale_out);
- * - RECORDING_INTENT -> REQUESTING: the record is durable, and so the next leader can repeat the
- *   request by its name;
+ * - (new) -> RECORDING_INTENT: machines are required (rp_scale_out);
+ * - RECORDING_INTENT -> REQUESTING: the record is durable, so that the next leader can repeat the
+ *   request under its name;
  * - (new) -> REQUESTING: a record without names was loaded; the cloud may have carried the request
  *   out;
- * - REQUESTING -> RECORDING_NAMES: the cloud has answered with the machines' names;
+ * - REQUESTING -> RECORDING_NAMES: the cloud has responded with the machines' names;
  * - REQUESTING -> ENDED: the cloud has refused or rejected the request, or provided no machine;
  * - (new) -> RECORDING_NAMES: a machine that no record names is adopted, or a record was split and
  *   this request takes over half of its machines;
--- a/src/cluster/provision_request.h
+++ b/src/cluster/provision_request.h
@@ -1,7 +1,7 @@
 /** @file
- * Provision requests: each is one call to the cloud for machines, with one stored record, and the
- * machines received by it (docs/safety.md). Every machine that may hold tasks is named by the
- * durable record of exactly one request.
+ * Provision requests. A provision request is one call to the cloud for machines, with one stored
+ * record and the machines that the cloud provided (docs/safety.md). Every machine that may hold
+ * tasks is named by the durable record of exactly one request.
  *
  * This module has the list of requests and their state machine; provisioning.h performs the steps
  * of each state. */
@@ -14,8 +14,8 @@
 /** The state of a request; rp_provision_request_set_state lists the edges. */
 enum rp_provision_state {
     RP_PROVISION_RECORDING_INTENT, /* the record of the intent is being written */
-    RP_PROVISION_REQUESTING,      /* the request is being sent to the cloud, by a name that is never
-                                     reused */
+    RP_PROVISION_REQUESTING, /* the request is being sent to the cloud, under a name that is never
+                                reused */
     RP_PROVISION_RECORDING_NAMES, /* the record with the machines' names is being written */
     RP_PROVISION_LIVE,            /* the durable record names its machines */
     RP_PROVISION_ENDED            /* has no machine: its record is being deleted */
--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -130,8 +130,8 @@
         return;
     }
     /* Each write carries the revision that it replaces, so that a copy that arrives late cannot
-     * remove names again. After a lost answer, or a conflict with a write whose answer was lost,
-     * the revision must be read before the next write. */
+     * remove names again. After a lost response, or a conflict with a write whose response was
+     * lost, the revision must be read before the next write. */
     request->revision_known = false;
     rp_provision_request_retry_after(context, request, WRITE_RETRY_S);
 }
@@ -201,10 +201,10 @@
 }
 
 /* Splits a record that is larger than a value may be. Such records exist because the previous
- * version wrote up to 50 names and the store's limit was lowered since. A new record takes over the
- * second half of the names and is written first, then the old record is written without them. A
- * leader that loads both in between uses, for each machine, the first record that names it. Returns
- * false if no split is needed. */
+ * version wrote up to 50 names, and the store's limit has been lowered since. A new record takes
+ * over the second half of the names and is written first, then the old record is written without
+ * them. A leader that loads both records between the two writes uses, for each machine, the first
+ * record that names it. Returns false if no split is needed. */
 static bool split_record(struct rp_provisioning *provisioning,
                          struct rp_provision_request *request) {
     const struct rp_fleet_context *context = provisioning->context;
@@ -268,14 +268,14 @@
     const struct rp_provision_record *record = &request->record;
     int type = rp_catalog_type_index(context->catalog, record->type);
     int zone = rp_catalog_zone_index(context->catalog, record->zone);
-    if (rp_capacity_refusals_note(&provisioning->refusals, type, zone, record->spot,
-                                  context->settings->tuning.refused_pause_s,
-                                  rp_loop_now(context->loop)))
+    if (rp_capacity_refusals_record(&provisioning->refusals, type, zone, record->spot,
+                                    context->settings->tuning.refused_pause_s,
+                                    rp_loop_now(context->loop)))
         rp_debug("machine kind refused for lack of capacity: type=%s zone=%s spot=%d", record->type,
                  record->zone, record->spot);
 }
 
-/* Adds a machine that the cloud has named in its answer to the request. */
+/* Adds a machine that the cloud has named in its response to the request. */
 static void add_named_machine(const struct rp_provisioning *provisioning,
                               struct rp_provision_request *request, const char *name) {
     const struct rp_fleet_context *context = provisioning->context;
@@ -321,7 +321,7 @@
     rp_provisioning_step(provisioning, request);
 }
 
-static void on_cloud_answer(void *arg, const struct rp_answer *answer) {
+static void on_cloud_response(void *arg, const struct rp_answer *answer) {
     struct provision_call *call = arg;
     struct rp_provisioning *provisioning = call->provisioning;
     struct rp_provision_request *request = request_of_call(call);
@@ -340,7 +340,8 @@
                  answer->body);
         end_request(provisioning, request);
     } else {
-        /* The cloud may have provided machines; only repeating the request by its name shows it. */
+        /* The cloud may have provided machines; only repeating the request under its name shows
+         * it. */
         rp_provision_request_retry_after(provisioning->context, request,
                                          answer->status == 429 ? CLOUD_RATE_LIMITED_RETRY_S
                                                                : CLOUD_RETRY_S);
@@ -354,7 +355,7 @@
     rp_cloud_call(provisioning->context->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_MACHINES,
                   rp_cloud_codec_write_provision_request(request->name, record->type, record->zone,
                                                          record->spot, record->count),
-                  on_cloud_answer, provision_call_new(provisioning, request));
+                  on_cloud_response, provision_call_new(provisioning, request));
 }
 
 /* ---- steps ---- */
--- a/src/cluster/provisioning.h
+++ b/src/cluster/provisioning.h
@@ -3,8 +3,8 @@
  * the requests' records up to date.
  *
  * Invariants: a request is recorded before it is sent to the cloud, so that the next leader can
- * repeat it by the same name and gets the same machines; a machine's name is durable before the
- * machine counts as recorded; that a machine is up is durable before any task is started on it.
+ * repeat it under the same name and receives the same machines; a machine's name is durable before
+ * the machine counts as recorded; that a machine is up is durable before any task is started on it.
  * Each write carries the revision that it replaces, so that a copy that arrives late cannot remove
  * names. */
 #ifndef RP_CLUSTER_PROVISIONING_H
@@ -25,13 +25,14 @@
 
 /** The context is borrowed and must be initialized already. */
 void rp_provisioning_init(struct rp_provisioning *provisioning, struct rp_fleet_context *context);
-/** Removes all requests and refusals. Answers to calls in flight are discarded because the
+/** Removes all requests and refusals. Responses to calls in flight are discarded because the
  * context's generation has changed. */
 void rp_provisioning_clear(struct rp_provisioning *provisioning);
-/** The machine has sent a heartbeat: records that it is up, unless that is recorded already. */
+/** Called when the machine has sent a heartbeat: records that it is up, unless that is recorded
+ * already. */
 void rp_provisioning_record_up(struct rp_provisioning *provisioning, struct rp_machine *machine);
-/** A machine of the request has been terminated and removed. The request is freed in a later step
- * if this was its last machine. */
+/** Called when a machine of the request has been terminated and removed. The request is freed in a
+ * later step if this was its last machine. */
 void rp_provisioning_on_machine_terminated(struct rp_provisioning *provisioning,
                                            struct rp_provision_request *request);
 /** Performs the next step of the request's state, unless a call is in flight or the step has to
--- a/src/cluster/quarantine.c
+++ b/src/cluster/quarantine.c
@@ -7,11 +7,11 @@
 
 /* Number of machines on which a job must have failed, without any success, to be suspected. */
 #define JOB_SUSPECTED_MACHINES 2
-/* Number of jobs that must have failed on a machine, without a success between, for it to be faulty
- * regardless of how these jobs do on other machines. */
+/* Number of jobs that must have failed on a machine, without a success in between, for it to be
+ * faulty regardless of the results of these jobs on other machines. */
 #define MACHINE_AT_FAULT_JOBS 2
-/* How long a suspected machine gets no tasks: meanwhile the job may show on other machines whether
- * it is the faulty one. */
+/* Time for which no task is started on a suspected machine: the results of the job's tasks on other
+ * machines may show during that time whether the job is at fault. */
 #define SUSPICION_S 20.0
 /* Backoff before a job that failed is started again; it doubles while the job fails on every
  * machine. */
@@ -40,7 +40,7 @@
     return i;
 }
 
-bool rp_quarantine_note_job_failure(struct rp_job *job, const struct rp_machine *machine) {
+bool rp_quarantine_record_job_failure(struct rp_job *job, const struct rp_machine *machine) {
     if (failed_machine_index(job, machine) < job->n_failed_machines)
         return false;
     if (job->n_failed_machines < RP_JOB_FAILED_MACHINES_MAX) {
@@ -133,7 +133,7 @@
 
 void rp_quarantine_on_task_error(struct rp_cluster *cluster, struct rp_job *job,
                                  struct rp_machine *machine, struct timespec now) {
-    (void)rp_quarantine_note_job_failure(job, machine);
+    (void)rp_quarantine_record_job_failure(job, machine);
     if (!rp_quarantine_is_job_suspected(job)) {
         job->start_backoff_until = rp_ts_after(now, START_BACKOFF_S);
         rp_quarantine_count_machine_error(cluster, job, machine, now);
--- a/src/cluster/quarantine.h
+++ b/src/cluster/quarantine.h
@@ -11,15 +11,15 @@
 
 #include "cluster/cluster.h"
 
-/** A task of the job ended with an error on the machine: counts the error against either the
- * machine or the job. */
+/** Called when a task of the job ended with an error on the machine: counts the error against
+ * either the machine or the job. */
 void rp_quarantine_on_task_error(struct rp_cluster *cluster, struct rp_job *job,
                                  struct rp_machine *machine, struct timespec now);
-/** A task of the job, already counted as done, succeeded on the machine. */
+/** Called when a task of the job, already counted as done, succeeded on the machine. */
 void rp_quarantine_on_task_success(struct rp_cluster *cluster, struct rp_job *job,
                                    struct rp_machine *machine);
 /** Records that the job failed on the machine. Returns false if it had failed there before. */
-bool rp_quarantine_note_job_failure(struct rp_job *job, const struct rp_machine *machine);
+bool rp_quarantine_record_job_failure(struct rp_job *job, const struct rp_machine *machine);
 /** Counts an error of the job against the machine alone. */
 void rp_quarantine_count_machine_error(struct rp_cluster *cluster, const struct rp_job *job,
                                        struct rp_machine *machine, struct timespec now);
--- a/src/cluster/reconciliation.c
+++ b/src/cluster/reconciliation.c
@@ -11,19 +11,22 @@
 #include "cluster/scale_out.h"
 #include "protocol/cloud_codec.h"
 
+/* Number of machines requested in one page of the cloud's list. */
 #define MACHINES_PER_PAGE 500
 /* Time between two lists; the shorter one applies while any machine is silent. */
 #define LIST_INTERVAL_S 4.0
 #define LIST_INTERVAL_SILENT_S 1.5
 /* Share of the cloud's requests per second that lists may use at most. */
 #define LIST_RATE_SHARE 0.5
+/* Time between two requests for the catalog's prices. */
 #define PRICES_INTERVAL_S 30.0
 /* The list shows a machine's start or end up to list_lag_s late. Each limit below is a number of
  * such lags plus a margin in seconds. */
 /* Age above which a listed machine that no record names is an orphan. */
 #define ORPHAN_LAGS 4
 #define ORPHAN_MARGIN_S 60
-/* How long this node must have led before a machine is an orphan, since it may report itself. */
+/* How long this node must have led before a listed machine that no record names is an orphan, since
+ * until then the machine may send a heartbeat. */
 #define ORPHAN_LEADING_S 30
 /* Time since its request after which a machine must have been listed. */
 #define MISSING_LAGS 4
@@ -31,7 +34,8 @@
 /* Value of n_lists_missing above which a machine is missing: lists are received out of order, so
  * several in a row must lack it. */
 #define MISSING_LISTS 2
-/* Difference above which the age in the list corrects the request time of a machine. */
+/* Difference between the recorded request time of a machine and the one that its age in the list
+ * implies, above which the recorded one is corrected. */
 #define AGE_LAGS 3
 #define AGE_MARGIN_S 2
 
@@ -119,8 +123,8 @@
 
 /* Whether the machine has probably been terminated, since the lists lack it. A machine that has
  * been listed is listed until it is terminated, and every machine of this age has been listed.
- * Since lists are received out of order, several in a row must lack it; the answer to its deletion
- * then proves it. */
+ * Since lists are received out of order, several in a row must lack it; the response to its
+ * deletion then proves it. */
 static bool is_missing(const struct rp_fleet_context *context, const struct rp_machine *machine,
                        struct timespec now) {
     return machine->scale_in.n_lists_missing > MISSING_LISTS &&
--- a/src/cluster/reconciliation.h
+++ b/src/cluster/reconciliation.h
@@ -2,7 +2,7 @@
  * Reconciliation with the cloud. The cloud's list of machines shows which machines failed or were
  * terminated, and which orphans exist that no record names; its catalog has the current prices. The
  * list lags behind and versions of it arrive out of order, so absence alone proves nothing: a
- * machine that the list lacks is released, and only the answer to its deletion proves that it is
+ * machine that the list lacks is released, and only the response to its deletion proves that it is
  * terminated.
  *
  * Called by the fleet in each tick of a provable leadership. */
@@ -27,10 +27,10 @@
 void rp_reconciliation_init(struct rp_reconciliation *reconciliation,
                             struct rp_fleet_context *context, struct rp_provisioning *provisioning,
                             struct rp_release *release);
-/** A term has ended. Answers to calls in flight are discarded because the context's generation has
- * changed. */
+/** Called when a term ends. Responses to calls in flight are discarded because the context's
+ * generation has changed. */
 void rp_reconciliation_clear(struct rp_reconciliation *reconciliation);
-/** A term begins: makes the list due at once. */
+/** Called when a term begins: makes the list due at once. */
 void rp_reconciliation_start(struct rp_reconciliation *reconciliation);
 /** Requests the list and the catalog's prices when they are due. */
 void rp_reconciliation_step(struct rp_reconciliation *reconciliation);
--- a/src/cluster/release.c
+++ b/src/cluster/release.c
@@ -7,7 +7,8 @@
 #include "base/string_copy.h"
 #include "protocol/cloud_codec.h"
 
-#define MACHINES_PER_DELETE_MAX 100 /* machines per call (PROTOCOL) */
+/* Number of machines that one deletion call may name (PROTOCOL). */
+#define MACHINES_PER_DELETE_MAX 100
 /* Time after which the standbys have received a release, as they request changes more often. */
 #define STANDBY_DELAY_S 0.4
 /* Time from the start of a term in which machines are deleted without waiting for the standbys, so
@@ -31,11 +32,11 @@
     release->delete_in_flight = false;
 }
 
-/* The machine is certainly terminated, because the cloud has answered 200 to its deletion. */
+/* The machine is certainly terminated, because the cloud has responded with 200 to its deletion. */
 static void on_terminated(struct rp_release *release, struct rp_machine *machine) {
     struct rp_provision_request *request = machine->provision_request;
     release->n_released++;
-    rp_capacity_refusals_forget(&release->provisioning->refusals, machine->type, machine->zone,
+    rp_capacity_refusals_remove(&release->provisioning->refusals, machine->type, machine->zone,
                                 machine->spot);
     rp_tombstones_add(&release->context->tombstones, machine->name);
     rp_machine_remove(release->context->cluster, machine, RP_EVIDENCE_DELETION_CONFIRMED);
@@ -43,7 +44,7 @@
         rp_provisioning_on_machine_terminated(release->provisioning, request);
 }
 
-static void on_delete_answer(void *arg, const struct rp_answer *answer) {
+static void on_delete_response(void *arg, const struct rp_answer *answer) {
     struct delete_call *call = arg;
     struct rp_release *release = call->release;
     bool is_deleted = answer->status == 200;
@@ -109,7 +110,7 @@
         return;
     release->delete_in_flight = true;
     rp_cloud_call(context->cloud, RP_CLOUD_URGENT, "POST", RP_PATH_RELEASE,
-                  rp_cloud_codec_write_release(names, n), on_delete_answer,
+                  rp_cloud_codec_write_release(names, n), on_delete_response,
                   delete_call_new(release, names, n));
 }
 
--- a/src/cluster/release.h
+++ b/src/cluster/release.h
@@ -1,8 +1,8 @@
 /** @file
  * Scale-in: machines in RP_MACHINE_RELEASING are deleted in the cloud, up to 100 per call; a call
- * is repeated until the cloud answers 200. Only that answer proves that a machine is terminated,
- * and with it every task on it; the machine is then removed from the cluster state and gets a
- * tombstone.
+ * is repeated until the cloud responds with 200. Only that response proves that a machine is
+ * terminated, and with it every task on it; the machine is then removed from the cluster state and
+ * gets a tombstone.
  *
  * Called by the fleet, the release policy and the reconciliation. */
 #ifndef RP_CLUSTER_RELEASE_H
@@ -22,8 +22,8 @@
 /** Context and provisioning are borrowed. */
 void rp_release_init(struct rp_release *release, struct rp_fleet_context *context,
                      struct rp_provisioning *provisioning);
-/** A term has ended. Answers to calls in flight are discarded because the context's generation has
- * changed. */
+/** Called when a term ends. Responses to calls in flight are discarded because the context's
+ * generation has changed. */
 void rp_release_clear(struct rp_release *release);
 /** Starts releasing the machine. `reason` is written to the log. Does nothing for a machine that is
  * being released already. */
--- a/src/cluster/release_policy.c
+++ b/src/cluster/release_policy.c
@@ -2,7 +2,8 @@
 
 #include "cluster/quarantine.h"
 
-/* Time within which a machine whose lease expired because no leader answered it reports again. */
+/* Time within which a machine reports again after its lease expired because no leader answered
+ * it. */
 #define LOST_GRACE_S 16.0
 /* Time within which a lost machine reports again if most of its zone, or many others, fell silent
  * with it. */
@@ -24,7 +25,8 @@
     struct timespec now;
 };
 
-/* Whether the machine has received no answers for too long, with no suspicion against this node. */
+/* Whether the machine has received no answers for too long, and this node is not suspected to be
+ * the cause. */
 static bool has_lost_answers_too_long(const struct policy *policy,
                                       const struct rp_machine *machine) {
     return !policy->detector->is_node_suspected &&
@@ -69,8 +71,8 @@
 }
 
 static void check_lost(const struct policy *policy, struct rp_machine *machine) {
-    /* After a network partition its machines report again one by one. The longer grace period keeps
-     * the remaining ones from being released once the first have reported. */
+    /* After a network partition ends, the partitioned machines report again one by one. The longer
+     * grace period prevents the release of the remaining ones once the first have reported. */
     bool was_partitioned =
         rp_failure_detector_was_partitioned(policy->detector, machine, policy->now);
     double grace_s = was_partitioned ? PARTITION_GRACE_S : LOST_GRACE_S;
--- a/src/cluster/scale_out.c
+++ b/src/cluster/scale_out.c
@@ -5,7 +5,8 @@
 #include "base/string_copy.h"
 #include "cluster/catalog_index.h"
 
-#define MACHINES_PER_REQUEST_MAX 50 /* the cloud's limit (PROTOCOL) */
+/* Number of machines that the cloud allows in one request (PROTOCOL). */
+#define MACHINES_PER_REQUEST_MAX 50
 /* Size of a record without its machines' names. */
 #define RECORD_HEAD_BYTES 320
 /* Usual size of a machine's name in a record; a record whose names are longer is split. */
--- a/src/cluster/scale_out.h
+++ b/src/cluster/scale_out.h
@@ -1,5 +1,5 @@
 /** @file
- * Scale-out: creates provision requests, for machines that are wanted and for existing machines
+ * Scale-out: creates provision requests, for machines that are required and for existing machines
  * that no record names. Provisioning performs the requests' further steps. Called by the fleet and
  * by the reconciliation. */
 #ifndef RP_CLUSTER_SCALE_OUT_H
@@ -7,8 +7,8 @@
 
 #include "cluster/provisioning.h"
 
-/** Requests at most `count` machines of a kind of the catalog; fewer if a single request or its
- * record cannot contain as many. */
+/** Requests at most `count` machines of a kind of the catalog; fewer if `count` exceeds the limit
+ * of a request or of its record. */
 void rp_scale_out(struct rp_provisioning *provisioning, int type, int zone, bool spot,
                   unsigned count);
 /** Creates a request for a machine that no record names, so that the next leader loads the machine.
--- a/src/cluster/start_permission.h
+++ b/src/cluster/start_permission.h
@@ -3,8 +3,8 @@
  * every task that MAY be on a machine: starts in flight, tasks that are fetching or stopping, and
  * tasks on unreachable machines. The proof is in docs/safety.md, "Where a task may run".
  *
- * Planning needs no permission. A caller checks here before it adds an allocation, in the same turn
- * of the event loop. */
+ * Planning needs no permission. A caller must check the permission before it adds an allocation, in
+ * the same turn of the event loop. */
 #ifndef RP_CLUSTER_START_PERMISSION_H
 #define RP_CLUSTER_START_PERMISSION_H
 
--- a/src/cluster/task_evidence.h
+++ b/src/cluster/task_evidence.h
@@ -19,8 +19,8 @@
      * worker counts it from the earlier instant when it sent that heartbeat. For answers of an
      * earlier leader, the bound is set when the records are loaded. */
     RP_EVIDENCE_LEASE_EXPIRED,
-    /** The cloud has answered 200 to the machine's deletion. Neither the machine's absence from the
-     * cloud's list nor its silence proves that it is terminated. */
+    /** The cloud has responded with 200 to the machine's deletion. Neither the machine's absence
+     * from the cloud's list nor its silence proves that it is terminated. */
     RP_EVIDENCE_DELETION_CONFIRMED,
     /** No evidence that the tasks have ended: the term has ended, and the cluster state is
      * discarded. The next leader loads all machines from the records, and assumes that each one
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -9,8 +9,8 @@
 /* Seconds before the stored records are read again after a failure: far shorter than any lease, and
  * long enough not to exhaust the store's request budget. */
 #define RECOVERY_RETRY_S 0.3
-/* Seconds for which a node that resigns for good does not claim the leader's key: longer than any
- * process takes to end. */
+/* Seconds for which a node that resigns permanently does not claim the leader's key: longer than
+ * any process takes to end. */
 #define RESIGN_BACKOFF_S 3600
 
 /* ---- leadership: record format, machine types, elections ---- */
@@ -97,13 +97,13 @@
 }
 
 /* The only function that changes the node's state. Its edges, each with its cause and its event:
- *   following  -> recovering  this node has won the election (on_elected)
- *   recovering -> leading     jobs and machines have been read (on_machines_loaded)
- *   recovering -> recovering  reading has failed (on_recovery_due): it starts over, because records
- *                             may have changed meanwhile
- *   any        -> following   leadership was lost or given up (on_leadership_lost)
- * A leader that has to read the records again first gives up its leadership: the election calls
- * on_leadership_lost before on_elected. */
+ * - following -> recovering: this node has won the election (on_elected);
+ * - recovering -> leading: jobs and machines have been read (on_machines_loaded);
+ * - recovering -> recovering: reading has failed, and the node starts over because records may have
+ *   changed since (on_recovery_due);
+ * - any -> following: leadership was lost or given up (on_leadership_lost). A leader that has to
+ *   read the records again first gives up its leadership: the election calls on_leadership_lost
+ *   before on_elected. */
 static void set_state(struct rp_node *node, enum rp_node_state state) {
     node->state = state;
     node->workers.is_leading = state == RP_NODE_LEADING;
@@ -337,7 +337,8 @@
 }
 
 bool rp_node_is_healthy(const struct rp_node *node) {
-    bool is_staying = !node->is_shutting_down && node->upgrade.state != RP_UPGRADE_TOO_OLD;
+    bool is_in_service = !node->is_shutting_down && node->upgrade.state != RP_UPGRADE_TOO_OLD;
     bool has_started = node->catalog_source.is_known && node->store.n_ok > 0;
-    return is_staying && has_started && !rp_peer_health_is_isolated(&node->peer_health);
+    return is_in_service && has_started &&
+           !rp_peer_health_is_isolated_from_store(&node->peer_health);
 }
--- a/src/controller/peer_health.c
+++ b/src/controller/peer_health.c
@@ -11,12 +11,13 @@
 /* Seconds without a response from the store and from any other node before this node counts as
  * partitioned. docs/safety.md relies on this time. */
 #define PARTITION_TIMEOUT_S 2.5
-/* Seconds for which this node counts as isolated after a check that found it so: four checks, so
- * that one lost response does not send users back to this node for a moment. */
-#define ISOLATION_S (4 * CHECK_PERIOD_S)
+/* Seconds for which this node counts as isolated from the store after a check that found it
+ * isolated: four checks, so that a single lost response does not make the load balancer send users
+ * to this node again for a moment. */
+#define STORE_ISOLATION_S (4 * CHECK_PERIOD_S)
 
-static void note_isolated(struct rp_peer_health *health) {
-    health->isolated_until = rp_ts_after(rp_loop_now(health->loop), ISOLATION_S);
+static void record_store_isolation(struct rp_peer_health *health) {
+    health->isolated_from_store_until = rp_ts_after(rp_loop_now(health->loop), STORE_ISOLATION_S);
     rp_jobs_record_store_isolation(health->jobs);
 }
 
@@ -28,7 +29,7 @@
     json_t *body = rp_codec_parse_object(answer->body, answer->len);
     if (json_is_true(json_object_get(body, "state_answers")) &&
         rp_kv_failing_s(health->store) > STORE_FAILING_S)
-        note_isolated(health);
+        record_store_isolation(health);
     json_decref(body);
 }
 
@@ -43,7 +44,7 @@
     bool is_partitioned =
         rp_ts_since(rp_loop_now(health->loop), health->last_response_at) > PARTITION_TIMEOUT_S;
     if (settings->n_peers > 0 && is_partitioned)
-        note_isolated(health);
+        record_store_isolation(health);
     for (size_t i = 0; i < settings->n_peers; i++)
         health->net.call(health->net.ctx, settings->peers[i].addr, "GET", RP_PATH_PEER_HEALTH, NULL,
                          CHECK_PERIOD_S, on_health_response, health);
@@ -68,8 +69,8 @@
     rp_timer_cancel(health->loop, &health->timer);
 }
 
-bool rp_peer_health_is_isolated(const struct rp_peer_health *health) {
-    return !rp_ts_is_reached(rp_loop_now(health->loop), health->isolated_until);
+bool rp_peer_health_is_isolated_from_store(const struct rp_peer_health *health) {
+    return !rp_ts_is_reached(rp_loop_now(health->loop), health->isolated_from_store_until);
 }
 
 bool rp_peer_health_is_store_answering(const struct rp_peer_health *health) {
--- a/src/controller/peer_health.h
+++ b/src/controller/peer_health.h
@@ -1,10 +1,11 @@
 /** @file
- * Detects whether the key-value store fails for this node alone. While the store does not respond
- * to this node, this node checks with the other nodes whether the store responds to them. An outage
- * of the store affects all nodes alike, and taking this node out of the load balancer would not
- * help. If the store responds to the other nodes, users are served better by them, and this node
- * does not receive the changes that are made there. A node that receives responses neither from the
- * store nor from any other node is partitioned itself, which counts as isolated, too.
+ * Detects whether this node is isolated from the key-value store: the store fails for this node
+ * alone. While the store does not respond to this node, this node checks with the other nodes
+ * whether the store responds to them. An outage of the store affects all nodes alike, and taking
+ * this node out of the load balancer would not help. If the store responds to the other nodes, they
+ * serve users better, and this node does not receive the changes that they make. A node that
+ * receives responses neither from the store nor from any other node is partitioned itself, which
+ * counts as isolation from the store, too.
  *
  * The node (node.h) starts and stops the checks and reads their result; node_requests.c answers the
  * checks of the other nodes. */
@@ -25,12 +26,13 @@
     struct rp_net net;
     const struct rp_settings *settings;
     const struct rp_kv_client *store;
-    /* Notified while this node is isolated, which limits what this node may still answer. */
+    /* Notified while this node is isolated from the store: its task starts are then suspended. */
     struct rp_jobs *jobs;
     struct rp_timer timer;
     /* When another node, or the store, last responded. */
     struct timespec last_response_at;
-    struct timespec isolated_until; /* until then this node counts as isolated */
+    /* Until then this node counts as isolated from the store. */
+    struct timespec isolated_from_store_until;
 };
 
 /** Initializes the checks without starting them. */
@@ -42,7 +44,7 @@
 /** Stops the checks. A response that is in flight may still arrive. */
 void rp_peer_health_stop(struct rp_peer_health *health);
 /** Whether the store responds to other nodes but not to this one, or this node is partitioned. */
-bool rp_peer_health_is_isolated(const struct rp_peer_health *health);
+bool rp_peer_health_is_isolated_from_store(const struct rp_peer_health *health);
 /** Whether the store has ever responded to this node, and its last response was not a failure. */
 bool rp_peer_health_is_store_answering(const struct rp_peer_health *health);
 
--- a/src/worker/answer_queue.c
+++ b/src/worker/answer_queue.c
@@ -4,6 +4,7 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 
+/* Initial length of the queue's array. */
 #define INITIAL_CAPACITY 64
 
 void rp_answer_queue_add(struct rp_answer_queue *queue, struct rp_request *req,
--- a/src/worker/answer_queue.h
+++ b/src/worker/answer_queue.h
@@ -1,10 +1,10 @@
 /** @file
  * A queue of heartbeats that have been read and whose answers wait for the next scheduling cycle.
- * Cycles keep a minimum interval, and on a large fleet nearly every heartbeat frees capacity
- * between two cycles. Without the queue, a start that is planned shortly after the answer waits for
- * the machine's next heartbeat, seconds later. The wait for the cycle is a small part of the time
- * for which a worker waits for its answer (docs/safety.md, "Answers that wait for a cycle"). Owned
- * by struct rp_workers (workers.h), used by workers.c. */
+ * Cycles run at a minimum interval, and on a large fleet nearly every heartbeat that frees capacity
+ * arrives between two cycles. Without the queue, a start that is planned shortly after the answer
+ * waits for the machine's next heartbeat, seconds later. The wait for the cycle is a small part of
+ * the time for which a worker waits for its answer (docs/safety.md, "Answers that wait for a
+ * cycle"). Owned by struct rp_workers (workers.h), used by workers.c. */
 #ifndef RP_WORKER_ANSWER_QUEUE_H
 #define RP_WORKER_ANSWER_QUEUE_H
 
@@ -30,8 +30,8 @@
 /** Adds the answer to the machine's newest heartbeat, which was received at `received_at`. */
 void rp_answer_queue_add(struct rp_answer_queue *queue, struct rp_request *req,
                          const struct rp_machine *machine, struct timespec received_at);
-/** Moves all answers out of the queue, which is empty afterwards. Sending the answers may add new
- * ones to it. The caller must send the answers and free them with rp_answer_queue_clear. */
+/** Returns all answers and leaves the queue empty. Sending the answers may add new ones to `queue`.
+ * The caller must send the returned answers and free them with rp_answer_queue_clear. */
 struct rp_answer_queue rp_answer_queue_take(struct rp_answer_queue *queue);
 /** Frees the queue's entries without sending the answers. */
 void rp_answer_queue_clear(struct rp_answer_queue *queue);
--- a/src/worker/command_batch.c
+++ b/src/worker/command_batch.c
@@ -57,7 +57,7 @@
         0);
 }
 
-/* ---- stops and forgets: harmless when repeated or late ---- */
+/* ---- stop and forget commands, which are harmless when repeated or late ---- */
 
 void rp_command_batch_add_unknown_tasks(struct rp_command_batch *batch,
                                         const struct rp_machine *machine) {
@@ -70,10 +70,10 @@
     }
 }
 
-/* A worker that has forgotten an attempt would begin it again on a late copy of its start
+/* A worker that has forgotten an attempt would begin it again when a late copy of its start arrives
  * (PROTOCOL, `forget`). Starts in answers to heartbeats have no late copies. Direct starts may have
- * them, but the copies become void when the incarnation changes, or when the token changes, which
- * is part of the attempt's number. */
+ * them, but the copies have no effect once the incarnation has changed, or the token, which is part
+ * of the attempt's number. */
 static bool may_forget(const struct rp_worker_context *context, const struct rp_machine *machine,
                        const struct rp_allocation *allocation) {
     /* Until the machine shows this leader's token, an earlier leader's start may still arrive. */
@@ -88,7 +88,7 @@
            rp_job_is_task_durable(allocation->job, allocation->task);
 }
 
-static void note_stop_sent(struct rp_allocation *allocation, struct timespec now) {
+static void record_stop_sent(struct rp_allocation *allocation, struct timespec now) {
     allocation->stop_sent_at = now;
     allocation->job->was_interrupted = true;
 }
@@ -98,7 +98,7 @@
     bool is_saving = allocation->task_state == RP_TASK_SAVING && allocation->grace_s > 0;
     if (is_saving)
         return;
-    note_stop_sent(allocation, now);
+    record_stop_sent(allocation, now);
     /* A direct start without any confirmation may still arrive after this stop. With a start and a
      * stop in one message, the worker lists the attempt as ended, so that the late start has no
      * effect (docs/safety.md, "Direct commands"). */
@@ -130,7 +130,7 @@
         struct rp_allocation *allocation = &machine->allocations[i];
         if (allocation->stop_requested && allocation->grace_s <= 0 &&
             allocation->state == RP_ALLOCATION_SEEN) {
-            note_stop_sent(allocation, now);
+            record_stop_sent(allocation, now);
             add_stop(batch, allocation, 0);
         }
     }
@@ -177,13 +177,13 @@
 static bool may_start_directly(const struct rp_worker_context *context,
                                const struct rp_machine *machine, const struct rp_job *job) {
     bool is_delayed_by_failover =
-        job->spec.kind == RP_JOB_ARRAY && machine->contact.known_by_fencing_only;
+        job->spec.kind == RP_JOB_ARRAY && machine->contact.fenced_without_heartbeat;
     return job->spec.kind == RP_JOB_SERVICE ||
            (is_delayed_by_failover && context->n_direct_array_starts_left > 0);
 }
 
-static void note_start_sent(struct rp_worker_context *context, struct rp_machine *machine,
-                            struct rp_allocation *allocation, bool directly) {
+static void record_start_sent(struct rp_worker_context *context, struct rp_machine *machine,
+                              struct rp_allocation *allocation, bool directly) {
     const struct rp_job *job = allocation->job;
     rp_allocation_set_state(context->cluster, machine, allocation, RP_ALLOCATION_SENT);
     allocation->sent_seq = machine->contact.heartbeat_seq;
@@ -211,7 +211,7 @@
         if (is_full(batch))
             return;
         add_start(batch, allocation);
-        note_start_sent(context, machine, allocation, directly);
+        record_start_sent(context, machine, allocation, directly);
     }
 }
 
--- a/src/worker/command_batch.h
+++ b/src/worker/command_batch.h
@@ -20,7 +20,8 @@
 /** Frees the batch's commands. */
 void rp_command_batch_free(struct rp_command_batch *batch);
 
-/** Adds stops of the tasks of unknown jobs, and forgets for those that have exited. */
+/** Adds stop commands for the tasks of unknown jobs, and forget commands for those that have
+ * exited. */
 void rp_command_batch_add_unknown_tasks(struct rp_command_batch *batch,
                                         const struct rp_machine *machine);
 /** Adds all commands for the answer to a heartbeat: stops and forgets first, then, if the machine
--- a/src/worker/direct_commands.c
+++ b/src/worker/direct_commands.c
@@ -126,7 +126,7 @@
 void rp_direct_commands_send_fenced(struct rp_worker_context *context) {
     struct rp_machine *machine = context->cluster->first;
     for (; machine && context->n_direct_array_starts_left > 0; machine = machine->next)
-        if (machine->contact.known_by_fencing_only && has_planned_starts(machine))
+        if (machine->contact.fenced_without_heartbeat && has_planned_starts(machine))
             rp_direct_commands_send(context, machine);
 }
 
--- a/src/worker/direct_commands.h
+++ b/src/worker/direct_commands.h
@@ -15,8 +15,8 @@
  * Their workers may still wait for the previous leader's answer, for up to four seconds, and send a
  * heartbeat only afterwards. */
 void rp_direct_commands_send_fenced(struct rp_worker_context *context);
-/** Whether the worker already has to keep so many exited attempts in its list that the machine gets
- * no more direct starts. */
+/** Whether the number of exited attempts that the worker must keep in its list has reached the
+ * limit, so that the machine gets no more direct starts. */
 bool rp_direct_commands_is_attempt_limit_reached(const struct rp_machine *machine);
 
 #endif
--- a/src/worker/heartbeat_queue.c
+++ b/src/worker/heartbeat_queue.c
@@ -4,8 +4,8 @@
 #include <string.h>
 #include "base/memory.h"
 
-/* Seconds for which a heartbeat may wait: the 4 s after which a worker turns to another node
- * (PROTOCOL, "Workers"), less CHECK_INTERVAL_S and the transit time of a message.
+/* Seconds for which a heartbeat may wait: the 4 s after which a worker sends its heartbeat to
+ * another node (PROTOCOL, "Workers"), less CHECK_INTERVAL_S and the transit time of a message.
  * election/election.c relies on this time. */
 #define WAIT_MAX_S 3.7
 #define CHECK_INTERVAL_S 0.1
--- a/src/worker/heartbeat_queue.h
+++ b/src/worker/heartbeat_queue.h
@@ -4,7 +4,8 @@
  * seconds for one that does not respond, and may find the next leader only after its lease has
  * expired. Instead, its heartbeat waits for a short time at a node where a leader is expected to be
  * known soon. The queue copies the body of each request, because the connection and its buffer may
- * be closed meanwhile. Owned by struct rp_workers (workers.h), used by workers.c. */
+ * be closed while the heartbeat waits. Owned by struct rp_workers (workers.h), used by
+ * workers.c. */
 #ifndef RP_WORKER_HEARTBEAT_QUEUE_H
 #define RP_WORKER_HEARTBEAT_QUEUE_H
 
--- a/src/worker/heartbeat_reader.c
+++ b/src/worker/heartbeat_reader.c
@@ -5,8 +5,8 @@
 #include "worker/spot_notice.h"
 #include "worker/task_reader.h"
 
-/* Seconds for which a worker waits for an answer before it turns to another node (PROTOCOL,
- * "Workers"). */
+/* Seconds for which a worker waits for an answer before it sends its heartbeat to another node
+ * (PROTOCOL, "Workers"). */
 #define ANSWER_TIMEOUT_S 4.0
 /* The longest interval between two heartbeats as a multiple of report_s: intervals vary by a
  * quarter (PROTOCOL, "Workers"). */
@@ -25,9 +25,10 @@
                                          const struct rp_heartbeat *heartbeat) {
     const struct rp_machine_contact *contact = &machine->contact;
     /* A limit of ANSWER_TIMEOUT_S alone is too short where report_s is 4 s: every second heartbeat
-     * of a healthy machine comes later than 4 s after the one before, and a quarter of a large
+     * of a healthy machine arrives more than 4 s after the previous one, and a quarter of a large
      * fleet stays idle as partitioned. The longer limit still detects partitions: a worker that
-     * received no answer tries another node first, and 6 s have passed by then. */
+     * received no answer tries another node first, and 6 s have passed when its next heartbeat
+     * arrives at this node. */
     double interval_max_s =
         fmax(ANSWER_TIMEOUT_S,
              context->settings->report_s * HEARTBEAT_INTERVAL_FACTOR + HEARTBEAT_DELAY_S);
@@ -38,10 +39,10 @@
            rp_ts_since(rp_loop_now(context->loop), contact->last_heartbeat_at) < interval_max_s;
 }
 
-/* A machine behind a one-way partition appears healthy: occasionally a heartbeat arrives that shows
- * free capacity and a newer incarnation, but tasks that are started on the machine are lost. Its
- * worker has turned to another node when its next heartbeat is due here. Until a heartbeat shows
- * that answers arrive, the machine gets no work; if none does, it is scaled in
+/* A machine in a one-way partition appears healthy: occasionally a heartbeat arrives that shows
+ * free capacity and a newer incarnation, but tasks that are started on the machine are lost. When
+ * its next heartbeat to this node is due, its worker sends the heartbeat to another node. Until a
+ * heartbeat shows that answers arrive, the machine gets no work; if none does, it is scaled in
  * (cluster/release_policy.c). */
 static void detect_one_way_partition(const struct rp_worker_context *context,
                                      struct rp_machine *machine,
@@ -84,8 +85,8 @@
 }
 
 /* Reads the list of a heartbeat that arrived after a newer response to a direct command. The list
- * is older than the cluster state, but it still shows what became of starts in the answers to
- * earlier heartbeats. */
+ * is older than the cluster state, but it still shows which starts in the answers to earlier
+ * heartbeats took effect. */
 static void mark_listed(const struct rp_worker_context *context, const struct rp_machine *machine,
                         const struct rp_heartbeat *heartbeat) {
     for (size_t i = 0; i < heartbeat->n_tasks; i++) {
@@ -104,16 +105,16 @@
         rp_task_reader_read(context, machine, &heartbeat->tasks[i]);
 }
 
-static void note_heartbeat(const struct rp_worker_context *context, struct rp_machine *machine,
-                           const struct rp_heartbeat *heartbeat) {
+static void record_heartbeat(const struct rp_worker_context *context, struct rp_machine *machine,
+                             const struct rp_heartbeat *heartbeat) {
     struct rp_machine_contact *contact = &machine->contact;
-    rp_machine_note_contact(context->cluster, machine, heartbeat->addr, heartbeat->incarnation);
+    rp_machine_set_contact(context->cluster, machine, heartbeat->addr, heartbeat->incarnation);
     contact->heartbeat_seq = heartbeat->seq;
     contact->n_direct = 0;
     contact->last_heartbeat_at = contact->last_message_at = rp_loop_now(context->loop);
-    contact->unreachable = contact->known_by_fencing_only = false;
-    rp_machine_note_fencing_token(context->cluster, machine,
-                                  heartbeat->fencing_token == context->election->fencing_token);
+    contact->unreachable = contact->fenced_without_heartbeat = false;
+    rp_machine_set_fencing_token_seen(context->cluster, machine,
+                                      heartbeat->fencing_token == context->election->fencing_token);
 }
 
 void rp_heartbeat_read(struct rp_worker_context *context, struct rp_machine *machine,
@@ -124,7 +125,7 @@
         rp_machine_end_incarnation(context->cluster, machine);
     bool is_overtaken = heartbeat->incarnation == machine->contact.incarnation &&
                         heartbeat->seq < machine->contact.seq;
-    note_heartbeat(context, machine, heartbeat);
+    record_heartbeat(context, machine, heartbeat);
     for (size_t i = 0; i < machine->n_allocations; i++)
         machine->allocations[i].listed = false;
     if (is_overtaken)
--- a/src/worker/heartbeat_reader.h
+++ b/src/worker/heartbeat_reader.h
@@ -19,8 +19,8 @@
 void rp_heartbeat_read_response(struct rp_worker_context *context, struct rp_machine *machine,
                                 const struct rp_heartbeat *heartbeat);
 /** Reads only the results of a heartbeat from an incarnation that may have ended. A heartbeat that
- * a partition delayed lists tasks that run elsewhere by now, but a task that was done remains done.
- */
+ * a partition delayed may list tasks that now run on other machines, but a task that was done
+ * remains done. */
 void rp_heartbeat_read_results(struct rp_worker_context *context, const struct rp_machine *machine,
                                const struct rp_heartbeat *heartbeat);
 /** The number of allocations on the machine whose tasks have not exited. A lower number after a
--- a/src/worker/spot_notice.c
+++ b/src/worker/spot_notice.c
@@ -2,11 +2,11 @@
 
 #include "base/log.h"
 
-/* The time for a task to save a checkpoint is the job's `brace_s` (save_s) times SAVE_TIME_FACTOR
- * plus SAVE_SLACK_S seconds. PROTOCOL requires at least `brace_s`; the rest covers the transit time
- * of the command and machines that are slower than others. */
+/* The time for a task to save a checkpoint is the job's `brace_s` (save_duration_s) times
+ * SAVE_TIME_FACTOR plus SAVE_MARGIN_S seconds. PROTOCOL requires at least `brace_s`; the rest
+ * covers the transit time of the command and machines that are slower than others. */
 #define SAVE_TIME_FACTOR 1.5
-#define SAVE_SLACK_S 1.0
+#define SAVE_MARGIN_S 1.0
 
 /* Stops one allocation. May also remove other allocations of the machine: those of a gang whose
  * starts have not been sent yet. */
@@ -14,7 +14,7 @@
                             size_t index) {
     struct rp_allocation *allocation = &machine->allocations[index];
     const struct rp_job_spec *spec = &allocation->job->spec;
-    double save_s = spec->save_duration_s * SAVE_TIME_FACTOR + SAVE_SLACK_S;
+    double save_s = spec->save_duration_s * SAVE_TIME_FACTOR + SAVE_MARGIN_S;
     bool has_begun =
         allocation->task_state != RP_TASK_FETCHING && allocation->task_state != RP_TASK_WAITING;
     bool can_save = has_begun && spec->checkpoint_interval_s > 0;
@@ -25,8 +25,8 @@
     else if (allocation->state == RP_ALLOCATION_PLANNED)
         rp_allocation_remove(context->cluster, machine, index);
     else if (spec->kind == RP_JOB_SERVICE)
-        /* Stopped now, the replica runs elsewhere sooner than if it were stopped when the machine
-         * is reclaimed. */
+        /* If the replica is stopped now, it runs elsewhere sooner than if it is stopped when the
+         * machine is reclaimed. */
         rp_allocation_request_stop(allocation, 0);
     else if (!has_begun)
         rp_allocation_request_stop(allocation, 0);
--- a/src/worker/task_exit.c
+++ b/src/worker/task_exit.c
@@ -16,7 +16,7 @@
  * the task's earlier attempt, is listed in the next heartbeat. */
 #define REFUSED_START_BACKOFF_S 1.0
 /* Seconds until a job is started again after a worker reported its task as unknown: the worker
- * fetches the job's description by itself, from where its user uploads it. */
+ * itself fetches the job's description from the place to which the user uploads it. */
 #define UNKNOWN_TASK_BACKOFF_S 5.0
 
 static bool is_early_exit(const struct rp_allocation *allocation, struct timespec now) {
@@ -45,7 +45,7 @@
     }
     bool is_first_machine = job->n_failed_machines == 0;
     bool is_backing_off = !rp_ts_is_reached(now, job->start_backoff_until);
-    if (!rp_quarantine_note_job_failure(job, machine) && is_backing_off)
+    if (!rp_quarantine_record_job_failure(job, machine) && is_backing_off)
         return;
     if (!rp_quarantine_is_job_suspected(job) && allocation->exit_reason == RP_EXIT_ERROR)
         rp_quarantine_count_machine_error(context->cluster, job, machine, now);
--- a/src/worker/task_reader.c
+++ b/src/worker/task_reader.c
@@ -59,8 +59,8 @@
 
 /* Updates the job's count of running tasks, and records the job's image on the machine when the
  * task has finished fetching it. */
-static void note_task_state(struct rp_worker_context *context, struct rp_machine *machine,
-                            struct rp_allocation *allocation, enum rp_task_state state) {
+static void record_task_state(struct rp_worker_context *context, struct rp_machine *machine,
+                              struct rp_allocation *allocation, enum rp_task_state state) {
     struct rp_job *job = allocation->job;
     bool was_running = allocation->task_state == RP_TASK_RUNNING;
     if (state == RP_TASK_RUNNING && !was_running) {
@@ -73,13 +73,13 @@
         job->n_running--;
     }
     if (state != RP_TASK_FETCHING && allocation->task_state == RP_TASK_FETCHING)
-        rp_machine_note_image(context->cluster, machine, job->image_hash, job->spec.image_gb);
+        rp_machine_record_image(context->cluster, machine, job->image_hash, job->spec.image_gb);
     allocation->task_state = state;
 }
 
 /* Raises the lower bound of the job's run times to the time for which this task has run so far. */
-static void note_run_floor(const struct rp_worker_context *context,
-                           const struct rp_allocation *allocation) {
+static void record_run_floor(const struct rp_worker_context *context,
+                             const struct rp_allocation *allocation) {
     struct rp_job *job = allocation->job;
     if (rp_ts_is_zero(allocation->running_since))
         return;
@@ -110,8 +110,8 @@
         return;
     }
     rp_allocation_set_state(context->cluster, machine, allocation, RP_ALLOCATION_SEEN);
-    note_task_state(context, machine, allocation, status->state);
-    note_run_floor(context, allocation);
+    record_task_state(context, machine, allocation, status->state);
+    record_run_floor(context, allocation);
     if (job->state != RP_JOB_OPEN || rp_job_is_task_done(job, status->task))
         rp_allocation_request_stop(allocation, 0);
 }
--- a/src/worker/worker_fencing.c
+++ b/src/worker/worker_fencing.c
@@ -12,8 +12,9 @@
 
 /* Seconds to wait for the response to a direct command. */
 #define RESPONSE_TIMEOUT_S 1.0
-/* The maximum number of direct commands that are sent to a machine: two until the incarnation is
- * right, one with the stops of tasks whose jobs have ended, and one with the forgets. */
+/* The maximum number of direct commands that are sent to a machine: two until the command names the
+ * current incarnation, one with the stops of tasks whose jobs have ended, and one with the forget
+ * commands. */
 #define COMMANDS_SENT_MAX 4
 
 /* The fencing of one machine, in progress. */
@@ -42,7 +43,7 @@
     const struct rp_worker_context *context = fencing->call.context;
     struct rp_command_batch batch;
     rp_command_batch_init(&batch);
-    if (machine->contact.known_by_fencing_only)
+    if (machine->contact.fenced_without_heartbeat)
         rp_command_batch_add_unknown_tasks(&batch, machine);
     char *body = rp_worker_codec_write_direct_commands(
         fencing->call.fencing_token, fencing->call.incarnation, batch.commands, batch.n);
@@ -67,7 +68,7 @@
 static bool read_as_heartbeat(struct rp_worker_context *context, struct rp_machine *machine,
                               const struct rp_heartbeat *heartbeat) {
     bool is_first = machine->state == RP_MACHINE_UNRECONCILED;
-    bool may_count = is_first || machine->contact.known_by_fencing_only;
+    bool may_count = is_first || machine->contact.fenced_without_heartbeat;
     if (heartbeat->fencing_token != context->election->fencing_token || !may_count ||
         !is_newer(&machine->contact, heartbeat))
         return false;
@@ -78,7 +79,7 @@
             rp_ts_after(rp_loop_now(context->loop), rp_settings_worker_lease_s(context->settings));
     }
     rp_heartbeat_read(context, machine, heartbeat);
-    machine->contact.known_by_fencing_only = true;
+    machine->contact.fenced_without_heartbeat = true;
     return true;
 }
 
@@ -124,7 +125,7 @@
     if (progress.resend && fencing->n_sent < COMMANDS_SENT_MAX)
         send_command(fencing, machine);
     else
-        end_fencing(fencing, machine && machine->contact.known_by_fencing_only);
+        end_fencing(fencing, machine && machine->contact.fenced_without_heartbeat);
 }
 
 void rp_worker_fence(struct rp_worker_context *context, struct rp_machine *machine,
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -8,9 +8,9 @@
 #include "worker/command_batch.h"
 #include "worker/heartbeat_reader.h"
 
-/* Seconds after this leader's first answer to a machine from before the failover. If answers reach
- * the machine, it has shown this leader's token by then: the time covers two heartbeats and,
- * between them, a worker's wait for an answer. */
+/* Seconds from this leader's first answer to a machine that was provisioned before the failover. A
+ * machine that receives the answers has shown this leader's token within this time, which covers
+ * two heartbeats and, between them, a worker's wait for an answer. */
 #define TOKEN_TIMEOUT_S 8.0
 
 /* ---- responses ---- */
@@ -40,10 +40,10 @@
            rp_jobs_may_answer_heartbeats(context->jobs);
 }
 
-/* The lease recorded here is counted from `received_at`. The worker counts it from the sending of
- * its heartbeat, which is earlier (PROTOCOL, "Leases"). */
-static void note_answer(const struct rp_worker_context *context, struct rp_machine *machine,
-                        struct timespec received_at) {
+/* The lease expiry that this function records is counted from `received_at`. The worker counts it
+ * from the sending of its heartbeat, which is earlier (PROTOCOL, "Leases"). */
+static void record_answer(const struct rp_worker_context *context, struct rp_machine *machine,
+                          struct timespec received_at) {
     struct rp_machine_contact *contact = &machine->contact;
     struct timespec now = rp_loop_now(context->loop);
     struct timespec lease_expiry =
@@ -65,7 +65,7 @@
         return;
     }
     if (machine)
-        note_answer(context, machine, received_at);
+        record_answer(context, machine, received_at);
     respond(req, 200,
             rp_worker_codec_write_heartbeat_response(context->election->fencing_token,
                                                      batch->commands, batch->n));
@@ -135,7 +135,7 @@
 
 /* A machine that may hold tasks of an earlier leader and does not show that answers reach it gets
  * no more answers. Its lease then expires, and with the lease its tasks end. Once the machine is
- * lost (RP_MACHINE_LOST), it may return. */
+ * lost (RP_MACHINE_LOST), it may become RP_MACHINE_UP again. */
 static bool must_lease_expire(const struct rp_workers *workers, const struct rp_machine *machine) {
     struct timespec first_answer_at = machine->contact.first_answer_at;
     return machine->state == RP_MACHINE_UNRECONCILED && !rp_ts_is_zero(first_answer_at) &&
@@ -195,7 +195,8 @@
         answer_with_commands(workers, req, machine, received_at);
 }
 
-/* Whether a leader, which may be this node itself, is expected to be known here soon. */
+/* Whether this node is expected to have the name of the leader soon; the leader may be this node
+ * itself. */
 static bool can_wait_for_leader(void *arg) {
     const struct rp_workers *workers = arg;
     const struct rp_election *election = workers->context.election;
