--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -101,9 +101,9 @@
  * - recovering -> leading: jobs and machines have been read (on_machines_loaded);
  * - recovering -> recovering: reading has failed, and the node starts over because records may have
  *   changed since (on_recovery_due);
- * - any -> following: leadership was lost or given up (on_leadership_lost). A leader that has to
- *   read the records again first gives up its leadership: the election calls on_leadership_lost
- *   before on_elected. */
+ * - any -> following: leadership was lost or given up (on_leadership_lost).
+ * A leader that has to read the records again first gives up its leadership: the election calls
+ * on_leadership_lost before on_elected. */
 static void set_state(struct rp_node *node, enum rp_node_state state) {
     node->state = state;
     node->workers.is_leading = state == RP_NODE_LEADING;
