--- a/src/controller/cycle_trigger.c
+++ b/src/controller/cycle_trigger.c
@@ -23,7 +23,7 @@
     double since_last_s = rp_ts_since(rp_loop_now(trigger->loop), scheduler->last_cycle_at);
     double core_share =
         fmin(CYCLE_CPU_SHARE * fmin(1, trigger->settings->cpu_share), CYCLE_CORE_SHARE_MAX);
-    return fmax(scheduler->last_cycle_s / core_share, CYCLE_INTERVAL_MIN_S) - since_last_s;
+    return fmax(scheduler->last_cycle_duration_s / core_share, CYCLE_INTERVAL_MIN_S) - since_last_s;
 }
 
 static void run_cycle(struct rp_cycle_trigger *trigger) {
--- a/src/scheduler/array_packing.c
+++ b/src/scheduler/array_packing.c
@@ -20,11 +20,11 @@
     if (!rp_plan_group_may_use_machine(group, machine))
         return;
     uint32_t n_fitting = rp_packing_zone_limit(current, machine->zone);
-    n_fitting =
-        rp_plan_n_fitting(&group->each, &packing->bins[machine_index].free_later, n_fitting);
+    n_fitting = rp_plan_n_fitting(&group->task_resources, &packing->bins[machine_index].free_later,
+                                  n_fitting);
     if (!later)
-        n_fitting =
-            rp_plan_n_fitting(&group->each, &packing->bins[machine_index].free_now, n_fitting);
+        n_fitting = rp_plan_n_fitting(&group->task_resources,
+                                      &packing->bins[machine_index].free_now, n_fitting);
     if (n_fitting == 0)
         return;
     double end_s = (later ? machine->free_later_after_s : 0) + group->run_s +
@@ -50,8 +50,9 @@
         const struct rp_plan_machine *machine = &packing->input->machines[machine_index];
         /* The cheap checks come first: under overload hardly any machine has free capacity. */
         if (group->has_image && group->has_image[machine_index] &&
-            rp_plan_n_fitting(&group->each, &packing->bins[machine_index].free_later, 1) &&
-            rp_plan_machine_fits_after_s(machine, &group->each) <
+            rp_plan_n_fitting(&group->task_resources, &packing->bins[machine_index].free_later,
+                              1) &&
+            rp_plan_machine_fits_after_s(machine, &group->task_resources) <
                 IMAGE_WAIT_FETCH_TIME_SHARE *
                     rp_plan_fetch_s(group, machine->fetch_gb_per_s, false))
             place_on_machine(packing, current, machine_index, true);
@@ -104,10 +105,10 @@
             if (has_image != (with_image == 1) || !may_use_spare(group, machine, has_image))
                 continue;
             uint32_t n_fitting =
-                rp_plan_n_fitting(&group->each, &packing->bins[machine_index].free_spare,
+                rp_plan_n_fitting(&group->task_resources, &packing->bins[machine_index].free_spare,
                                   rp_packing_zone_limit(current, machine->zone));
-            n_fitting =
-                rp_plan_n_fitting(&group->each, &packing->bins[machine_index].free_now, n_fitting);
+            n_fitting = rp_plan_n_fitting(&group->task_resources,
+                                          &packing->bins[machine_index].free_now, n_fitting);
             if (n_fitting > 0)
                 rp_packing_place(packing, current, machine_index, n_fitting, true, 0);
         }
--- a/src/scheduler/candidate_list.c
+++ b/src/scheduler/candidate_list.c
@@ -54,10 +54,11 @@
 void rp_candidate_lists_assign(struct rp_packing *packing) {
     for (size_t i = 0; i < packing->input->n_groups; i++) {
         const struct rp_plan_group *group = &packing->input->groups[i];
-        packing->group_list[i] = candidate_list_for(packing, group->types, &group->each);
-        packing->spare_list[i] = group->spare_types
-                                     ? candidate_list_for(packing, group->spare_types, &group->each)
-                                     : packing->group_list[i];
+        packing->group_list[i] = candidate_list_for(packing, group->types, &group->task_resources);
+        packing->spare_list[i] =
+            group->spare_types
+                ? candidate_list_for(packing, group->spare_types, &group->task_resources)
+                : packing->group_list[i];
     }
 }
 
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -290,8 +290,8 @@
            sizeof scheduler->short_of_capacity);
     log_plan(scheduler, &input.plan_input, &plan, winner);
     apply_plan(scheduler, &input, &plan, now);
-    scheduler->last_cycle_s = rp_ts_since(rp_loop_now(scheduler->loop), now);
-    rp_metrics_add(scheduler->metrics, RP_METRIC_CYCLE, scheduler->last_cycle_s);
+    scheduler->last_cycle_duration_s = rp_ts_since(rp_loop_now(scheduler->loop), now);
+    rp_metrics_add(scheduler->metrics, RP_METRIC_CYCLE, scheduler->last_cycle_duration_s);
 out:
     rp_plan_free(&plan);
     rp_cycle_input_free(&input);
--- a/src/scheduler/group_input.c
+++ b/src/scheduler/group_input.c
@@ -117,7 +117,7 @@
         .kind = spec->kind,
         .priority = spec->priority,
         .n_tasks = n,
-        .each = spec->task_resources,
+        .task_resources = spec->task_resources,
         .run_s = spec->kind == RP_JOB_SERVICE ? scheduler->settings->tuning.billing_unit_s : run_s,
         .image_gb = spec->image_gb,
         .age_s = rp_job_age_s(job, now),
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -113,7 +113,7 @@
         size_t machine_index = list->machines[RP_CAPACITY_NOW][i];
         const struct rp_plan_machine *machine = &packing->input->machines[machine_index];
         if (!rp_plan_group_may_use_machine(group, machine) || machine->fetch_gb_per_s <= 0 ||
-            !rp_plan_n_fitting(&group->each, &machine->free_now, 1))
+            !rp_plan_n_fitting(&group->task_resources, &machine->free_now, 1))
             continue;
         if (group->has_image && group->has_image[machine_index])
             return 0;
@@ -175,10 +175,10 @@
         const struct rp_plan_group *group = &packing->input->groups[i];
         struct job_key_input input = {.group = group,
                                       .position = i,
-                                      .size = group->each.cpus +
-                                              SIZE_CPUS_PER_GPU * group->each.gpus +
-                                              group->each.memory_gb / SIZE_GB_PER_CPU,
-                                      .fleet_share = fleet_share(&group->each, &fleet),
+                                      .size = group->task_resources.cpus +
+                                              SIZE_CPUS_PER_GPU * group->task_resources.gpus +
+                                              group->task_resources.memory_gb / SIZE_GB_PER_CPU,
+                                      .fleet_share = fleet_share(&group->task_resources, &fleet),
                                       .work_weight = work_weight(packing, group)};
         double key = criteria[order](&input);
         if (order == RP_JOB_ORDER_ESW)
--- a/src/scheduler/load_shedding.c
+++ b/src/scheduler/load_shedding.c
@@ -36,7 +36,8 @@
 /* The group's work, in seconds of a CPU or, if it needs GPUs, of a GPU. */
 static double group_work(const struct rp_plan_group *group) {
     return group->n_tasks * group->run_s *
-           (rp_plan_group_needs_gpus(group) ? group->each.gpus : group->each.cpus);
+           (rp_plan_group_needs_gpus(group) ? group->task_resources.gpus
+                                            : group->task_resources.cpus);
 }
 
 /* Among the first `n` sorted groups, returns the array with the most work, weighted by its class
--- a/src/scheduler/new_machine_packing.c
+++ b/src/scheduler/new_machine_packing.c
@@ -18,7 +18,7 @@
         if (!rp_plan_group_may_use(current->group, offering->type, offering->zone, offering->spot))
             continue;
         uint32_t n_fitting =
-            rp_plan_n_fitting(&current->group->each, &packing->bins[bin].free_later,
+            rp_plan_n_fitting(&current->group->task_resources, &packing->bins[bin].free_later,
                               rp_packing_zone_limit(current, offering->zone));
         if (n_fitting)
             rp_packing_place(packing, current, bin, n_fitting, false,
@@ -31,18 +31,21 @@
 static double capacity_per_price(const struct rp_plan_group *group,
                                  const struct rp_plan_offering *offering) {
     const struct rp_resources *capacity_of_type = &offering->capacity;
-    double cpu_share = capacity_of_type->cpus > 0 ? group->each.cpus / capacity_of_type->cpus : 0;
-    double gpu_share = capacity_of_type->gpus > 0 ? group->each.gpus / capacity_of_type->gpus : 0;
-    double memory_share =
-        capacity_of_type->memory_gb > 0 ? group->each.memory_gb / capacity_of_type->memory_gb : 0;
+    double cpu_share =
+        capacity_of_type->cpus > 0 ? group->task_resources.cpus / capacity_of_type->cpus : 0;
+    double gpu_share =
+        capacity_of_type->gpus > 0 ? group->task_resources.gpus / capacity_of_type->gpus : 0;
+    double memory_share = capacity_of_type->memory_gb > 0
+                              ? group->task_resources.memory_gb / capacity_of_type->memory_gb
+                              : 0;
     double capacity = gpu_share >= cpu_share && gpu_share >= memory_share ? capacity_of_type->gpus
                       : cpu_share >= memory_share                         ? capacity_of_type->cpus
                                                   : capacity_of_type->memory_gb;
     /* The capacity is counted in tasks, so that types with different main resources can be
      * compared. */
-    double need = gpu_share >= cpu_share && gpu_share >= memory_share ? group->each.gpus
-                  : cpu_share >= memory_share                         ? group->each.cpus
-                                                                      : group->each.memory_gb;
+    double need = gpu_share >= cpu_share && gpu_share >= memory_share ? group->task_resources.gpus
+                  : cpu_share >= memory_share                         ? group->task_resources.cpus
+                                              : group->task_resources.memory_gb;
     return need > 0 && offering->price > 0 ? capacity / need / offering->price : capacity;
 }
 
@@ -56,7 +59,7 @@
             !rp_plan_group_may_use(current->group, offering->type, offering->zone,
                                    offering->spot) ||
             rp_packing_zone_limit(current, offering->zone) == 0 ||
-            !rp_plan_n_fitting(&current->group->each, &offering->capacity, 1))
+            !rp_plan_n_fitting(&current->group->task_resources, &offering->capacity, 1))
             continue;
         double value = capacity_per_price(current->group, offering);
         if (value > best_value + RP_PLAN_EPSILON) {
@@ -117,7 +120,7 @@
             continue;
         usable.n_machines += pool->n_machines;
         usable.work_s += pool->work_s;
-        usable.share = rp_plan_share_of_machine(&group->each, pool->capacity);
+        usable.share = rp_plan_share_of_machine(&group->task_resources, pool->capacity);
         usable.types |= 1u << pool->type;
     }
     for (size_t i = 0; i < packing->plan->n_new_machines; i++) {
@@ -126,7 +129,7 @@
         if (!rp_plan_group_may_use(group, offering->type, offering->zone, offering->spot))
             continue;
         usable.n_machines++;
-        usable.share = rp_plan_share_of_machine(&group->each, &offering->capacity);
+        usable.share = rp_plan_share_of_machine(&group->task_resources, &offering->capacity);
         usable.types |= 1u << offering->type;
     }
     for (int type = 0; type < RP_TYPES_MAX; type++)
--- a/src/scheduler/packing.c
+++ b/src/scheduler/packing.c
@@ -130,16 +130,16 @@
     const struct rp_plan_group *group = current->group;
     if (!append_placement(packing, current->index, index, count, starts_now))
         return;
-    rp_plan_take_resources(&bin->free_later, &group->each, count);
+    rp_plan_take_resources(&bin->free_later, &group->task_resources, count);
     if (starts_now) {
-        rp_plan_take_resources(&bin->free_now, &group->each, count);
-        rp_plan_take_resources(&bin->free_spare, &group->each, count);
+        rp_plan_take_resources(&bin->free_now, &group->task_resources, count);
+        rp_plan_take_resources(&bin->free_spare, &group->task_resources, count);
     }
     bin->end_s = fmax(bin->end_s, end_s);
     if (index < packing->input->n_machines)
         rp_candidate_lists_mark_stale(packing, index);
     packing->queued_s[kind.type] +=
-        count * group->run_s * rp_plan_share_of_machine(&group->each, kind.capacity);
+        count * group->run_s * rp_plan_share_of_machine(&group->task_resources, kind.capacity);
     current->n_left -= count;
     current->zone_used[kind.zone] += count;
     if (group->one_zone)
@@ -153,10 +153,10 @@
         const struct rp_placement *placement = &plan->placements[--plan->n_placements];
         struct rp_bin *bin = &packing->bins[placement->machine];
         double count = placement->count;
-        rp_plan_take_resources(&bin->free_later, &current->group->each, -count);
+        rp_plan_take_resources(&bin->free_later, &current->group->task_resources, -count);
         if (placement->starts_now) {
-            rp_plan_take_resources(&bin->free_now, &current->group->each, -count);
-            rp_plan_take_resources(&bin->free_spare, &current->group->each, -count);
+            rp_plan_take_resources(&bin->free_now, &current->group->task_resources, -count);
+            rp_plan_take_resources(&bin->free_spare, &current->group->task_resources, -count);
         }
     }
     plan->n_new_machines = n_new_before;
--- a/src/scheduler/plan_input.h
+++ b/src/scheduler/plan_input.h
@@ -61,9 +61,9 @@
     void *ref; /* the caller's object */
     enum rp_job_kind kind;
     enum rp_priority priority;
-    uint32_t n_tasks;         /* startable tasks */
-    struct rp_resources each; /* needed by one task */
-    double run_s;             /* estimated run time of a task */
+    uint32_t n_tasks;                   /* startable tasks */
+    struct rp_resources task_resources; /* needed by one task */
+    double run_s;                       /* estimated run time of a task */
     double image_gb;
     double age_s;          /* of the job */
     double slack_s;        /* until the job is late; RP_NO_OBJECTIVE_SLACK_S without an objective */
--- a/src/scheduler/plan_resources.h
+++ b/src/scheduler/plan_resources.h
@@ -53,7 +53,7 @@
 
 /** Whether the group's tasks need GPUs. */
 static inline bool rp_plan_group_needs_gpus(const struct rp_plan_group *group) {
-    return group->each.gpus > 0;
+    return group->task_resources.gpus > 0;
 }
 
 /** Seconds that a machine needs to fetch the group's image at this rate, in GB per second; a rate
--- a/src/scheduler/planner.c
+++ b/src/scheduler/planner.c
@@ -25,10 +25,10 @@
     uint32_t n_allowed = group->n_tasks;
     if (group->team < 0)
         return n_allowed;
-    n_allowed = rp_plan_n_fitting_resource(packing->team_cpus_left[group->team], group->each.cpus,
-                                           n_allowed);
-    return rp_plan_n_fitting_resource(packing->team_gpus_left[group->team], group->each.gpus,
-                                      n_allowed);
+    n_allowed = rp_plan_n_fitting_resource(packing->team_cpus_left[group->team],
+                                           group->task_resources.cpus, n_allowed);
+    return rp_plan_n_fitting_resource(packing->team_gpus_left[group->team],
+                                      group->task_resources.gpus, n_allowed);
 }
 
 /* Adds the group's placed tasks and its unplaced work to the plan's sums, and deducts the placed
@@ -38,11 +38,12 @@
     const struct rp_plan_group *group = current->group;
     struct rp_plan *plan = packing->plan;
     if (group->team >= 0) {
-        packing->team_cpus_left[group->team] -= n_placed * group->each.cpus;
-        packing->team_gpus_left[group->team] -= n_placed * group->each.gpus;
+        packing->team_cpus_left[group->team] -= n_placed * group->task_resources.cpus;
+        packing->team_gpus_left[group->team] -= n_placed * group->task_resources.gpus;
     }
     double weight =
-        (group->each.cpus + UNPLACED_WORK_CPUS_PER_GPU * group->each.gpus + TASK_BASE_SIZE_CPUS) *
+        (group->task_resources.cpus + UNPLACED_WORK_CPUS_PER_GPU * group->task_resources.gpus +
+         TASK_BASE_SIZE_CPUS) *
         group->run_s;
     plan->unplaced_work +=
         current->n_left * weight * pow(PRIORITY_WEIGHT_FACTOR, (double)group->priority);
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -31,7 +31,7 @@
     struct rp_resources full_gpu_work[RP_TYPES_MAX];
     /* Whether not all work can be in time, as of the last plan: [0] without GPUs, [1] with. */
     bool short_of_capacity[2];
-    double last_cycle_s; /* duration of the last cycle */
+    double last_cycle_duration_s; /* duration of the last cycle */
     struct rp_timer timer;
     bool active;
 };
--- a/tests/unit/test_cycle_example.c
+++ b/tests/unit/test_cycle_example.c
@@ -39,7 +39,7 @@
     return (struct rp_plan_group){.n_tasks = n_tasks,
                                   .kind = RP_JOB_ARRAY,
                                   .priority = RP_PRIORITY_NORMAL,
-                                  .each = {cpus, 0, cpus * 3},
+                                  .task_resources = {cpus, 0, cpus * 3},
                                   .run_s = run_s,
                                   .slack_s = slack_s,
                                   .class_jobs = 1,
--- a/tests/unit/test_plan.c
+++ b/tests/unit/test_plan.c
@@ -26,7 +26,7 @@
 
 static struct rp_plan_group make_group(uint32_t n, double cpus, double run_s) {
     return (struct rp_plan_group){.n_tasks = n,
-                                  .each = {cpus, 0, 1},
+                                  .task_resources = {cpus, 0, 1},
                                   .run_s = run_s,
                                   .team = -1,
                                   .types = 3,
@@ -263,7 +263,7 @@
                : NULL;
     int zone = is_new ? offering->zone : drawn->machines[placement->machine].zone;
     bool is_spot = is_new ? offering->spot : drawn->machines[placement->machine].spot;
-    double cpus = placement->count * placed->each.cpus;
+    double cpus = placement->count * placed->task_resources.cpus;
     usage->cpus[placement->machine] += cpus;
     usage->now_cpus[placement->machine] += placement->starts_now ? cpus : 0;
     usage->team_cpus += placed->team == 0 ? cpus : 0;
