--- a/src/scheduler/array_packing.c
+++ b/src/scheduler/array_packing.c
@@ -11,8 +11,8 @@
  * the task may use the machine's spare capacity. */
 #define SPARE_TASK_TIME_SHARE 0.7
 
-/* Places as many tasks as fit on the machine's capacity now or, with `later`, on the capacity that
- * it will have. */
+/* Places as many tasks as fit on the machine's capacity that is free now or, with `later`, on the
+ * capacity that is free later. */
 static void place_on_machine(struct rp_packing *packing, struct rp_group_packing *current,
                              size_t machine_index, bool later) {
     const struct rp_plan_machine *machine = &packing->input->machines[machine_index];
@@ -39,8 +39,8 @@
 static void place_on_machines_with_image(struct rp_packing *packing,
                                          struct rp_group_packing *current) {
     const struct rp_plan_group *group = current->group;
-    /* Work of a high or critical priority does not wait, because it can get capacity by preemption;
-     * it did worse when it waited here. */
+    /* Work of a high or critical priority does not wait, because it can get capacity by preemption,
+     * and its results were worse when it waited for machines with the image. */
     if (group->priority >= RP_PRIORITY_HIGH)
         return;
     const struct rp_candidate_list *list = &packing->lists[packing->group_list[current->index]];
--- a/src/scheduler/candidate_list.c
+++ b/src/scheduler/candidate_list.c
@@ -29,14 +29,14 @@
     list->is_stale = false;
 }
 
-static void update_smallest_need(struct rp_candidate_list *list, const struct rp_resources *each) {
-    list->smallest_need.cpus = fmin(list->smallest_need.cpus, each->cpus);
-    list->smallest_need.gpus = fmin(list->smallest_need.gpus, each->gpus);
-    list->smallest_need.memory_gb = fmin(list->smallest_need.memory_gb, each->memory_gb);
+static void update_smallest_need(struct rp_candidate_list *list, const struct rp_resources *need) {
+    list->smallest_need.cpus = fmin(list->smallest_need.cpus, need->cpus);
+    list->smallest_need.gpus = fmin(list->smallest_need.gpus, need->gpus);
+    list->smallest_need.memory_gb = fmin(list->smallest_need.memory_gb, need->memory_gb);
 }
 
 static size_t candidate_list_for(struct rp_packing *packing, uint32_t types,
-                                 const struct rp_resources *each) {
+                                 const struct rp_resources *need) {
     size_t list = 0;
     while (list < packing->n_lists && packing->lists[list].types != types)
         list++;
@@ -47,7 +47,7 @@
         packing->lists[packing->n_lists++] = (struct rp_candidate_list){
             .types = types, .is_stale = true, .smallest_need = {INFINITY, INFINITY, INFINITY}};
     }
-    update_smallest_need(&packing->lists[list], each);
+    update_smallest_need(&packing->lists[list], need);
     return list;
 }
 
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -154,8 +154,8 @@
                           const struct rp_plan *plan, struct timespec now) {
     const struct rp_tuning *tuning = &scheduler->settings->tuning;
     double target_cpus = rp_service_headroom_target_cpus(scheduler->services);
-    /* Computed once per cycle: computed again for each idle machine, it takes a cycle with
-     * thousands of them seconds. */
+    /* Computed once per cycle. If it were computed again for each idle machine, a cycle with
+     * thousands of idle machines would take seconds. */
     double ready_cpus = rp_service_headroom_ready_cpus(scheduler->services);
     bool *is_used = calloc(input->plan_input.n_machines + 1, sizeof *is_used);
     if (!is_used)
@@ -167,8 +167,8 @@
         struct rp_machine *machine = input->machines[i].ref;
         /* A machine that is reserved for a gang is idle until the last of the gang's machines is
          * free, and no plan places other work on it. Without this check, it is released at the end
-         * of its billing unit and provisioned again at once, for minutes on end, and the gang never
-         * has all its machines at the same time. */
+         * of its billing unit and provisioned again at once, repeatedly for minutes, and the gang
+         * never has all its machines at the same time. */
         if (!machine || is_used[i] || !rp_machine_is_idle(machine) ||
             machine->state != RP_MACHINE_UP || rp_reservation_job(scheduler, machine))
             continue;
@@ -176,7 +176,8 @@
         double unit_age_s = fmod(age_s, tuning->billing_unit_s);
         double machine_ready_cpus =
             rp_service_headroom_machine_ready_cpus(scheduler->services, machine);
-        /* The first minute of a machine is charged in any case (PROTOCOL, price). */
+        /* The first minute of a machine is charged even if the machine is released earlier
+         * (PROTOCOL, price). */
         if (age_s >= RP_MIN_CHARGE_S - tuning->return_margin_s &&
             unit_age_s >= tuning->billing_unit_s - tuning->return_margin_s &&
             !(is_headroom_machine(scheduler, machine) &&
@@ -247,8 +248,8 @@
         log_utilization(scheduler);
 }
 
-/* Starts what the plan places now and provisions the machines that it needs, then does what is in
- * no plan: preemption, reservations, draining and scale in. */
+/* Starts what the plan places now and provisions the machines that it needs, then does what plans
+ * do not contain: preemption, reservations, draining and scale in. */
 static void apply_plan(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                        struct rp_plan *plan, struct timespec now) {
     rp_preemption_prefer_image_holders(scheduler, input, plan, now);
--- a/src/scheduler/cycle_input_build.c
+++ b/src/scheduler/cycle_input_build.c
@@ -6,12 +6,12 @@
 #include "scheduler/image_input.h"
 #include "scheduler/machine_input.h"
 
-/* Number of CPUs or GPUs that is left to a team without a limit. */
+/* Number of CPUs or GPUs that a team without a limit may still use. */
 #define NO_TEAM_LIMIT 1e15
 /* Greatest number of machines that one plan may provision. */
 #define NEW_MACHINES_MAX 60
 /* When this many machines of an offering are requested, no more are requested until the cloud has
- * answered. */
+ * responded. */
 #define REQUESTED_MACHINES_MAX 8
 
 static void build_offerings(struct rp_scheduler *scheduler, struct rp_cycle_input *input) {
@@ -28,8 +28,8 @@
                     .type = (int)t,
                     .zone = (int)z,
                     .spot = spot,
-                    /* Until the cloud has answered the outstanding requests, it is unknown whether
-                     * it has more machines of this offering. */
+                    /* Until the cloud has responded to the outstanding requests, it is unknown
+                     * whether it has more machines of this offering. */
                     .refused = rp_fleet_is_zone_silent(scheduler->fleet, (int)z) ||
                                rp_fleet_is_refused(scheduler->fleet, (int)t, (int)z, spot) ||
                                rp_fleet_n_requested(scheduler->fleet, (int)t, (int)z, spot) >=
--- a/src/scheduler/gang_repair.c
+++ b/src/scheduler/gang_repair.c
@@ -9,7 +9,8 @@
 /* A gang's attempt, as its allocations show it. */
 struct gang_attempt {
     uint64_t number;
-    bool is_join_impossible;    /* a task runs, saves, is being stopped or has another attempt */
+    bool is_join_impossible;    /* a task runs, saves its progress, is being stopped or has another
+                                   attempt number */
     struct timespec planned_at; /* when the attempt's first allocation was planned */
 };
 
@@ -123,9 +124,9 @@
     else if (rp_ts_is_zero(job->machine_missing_since))
         job->machine_missing_since = now;
     else if (rp_ts_since(now, job->machine_missing_since) > scheduler->settings->gang_wait_s)
-        /* Machines are provisioned only for what a plan places, and a gang that holds some is in no
-         * plan. Without this stop, the gang waits forever if no other work causes machines to be
-         * provisioned. A stopped gang is planned again as a whole. */
+        /* Machines are provisioned only for what a plan places, and a gang of which some tasks are
+         * allocated is in no plan. Without this stop, the gang waits forever if no other work
+         * causes machines to be provisioned. A stopped gang is planned again as a whole. */
         rp_cluster_stop_job(scheduler->cluster, job, 0);
 }
 
--- a/src/scheduler/gang_reservation.c
+++ b/src/scheduler/gang_reservation.c
@@ -9,12 +9,14 @@
 #include "scheduler/reservation.h"
 
 #define FREE_WITHIN_MAX_S 60 /* seconds within which a machine must be free to be reserved */
-#define RUN_TIME_MARGIN_S 6  /* seconds added to a reservation: run times are estimates */
-/* Machines may be reserved for one gang of one task, and for one more for each this many machines
- * of the fleet, once the gang has waited for SINGLE_TASK_GANG_WAIT_S. */
+#define RUN_TIME_MARGIN_S 6  /* seconds added to a reservation, because run times are estimates */
+/* At a time, one gang of one task may have a machine reserved, and one more gang for each
+ * MACHINES_PER_SINGLE_TASK_GANG machines of the fleet, once the gang has waited for
+ * SINGLE_TASK_GANG_WAIT_S seconds. */
 #define MACHINES_PER_SINGLE_TASK_GANG 8
 #define SINGLE_TASK_GANG_WAIT_S 45
-#define EXCLUSIVE_SHARE_MIN 0.5 /* share of a machine above which a task has it to itself */
+/* Share of a machine above which a task is counted as needing the whole machine. */
+#define EXCLUSIVE_SHARE_MIN 0.5
 
 /* A machine that may be reserved, and when it could start one of the gang's tasks. */
 struct candidate {
@@ -73,8 +75,8 @@
                                   const struct rp_cycle_input *input, const struct rp_job *job,
                                   struct candidate *candidates, struct timespec now) {
     size_t n_zones = job->spec.one_zone ? rp_scheduler_catalog(scheduler)->n_zones : 1;
-    size_t n_wanted = job->spec.n_tasks;
-    struct candidate *best = calloc(n_wanted, sizeof *best);
+    size_t n_needed = job->spec.n_tasks;
+    struct candidate *best = calloc(n_needed, sizeof *best);
     bool is_found = false;
     for (size_t zone = 0; best && zone < n_zones; zone++) {
         size_t n = 0;
@@ -82,14 +84,14 @@
             if (n_zones == 1 || input->machines[i].zone == (int)zone)
                 n += find_candidate(scheduler, job, &input->machines[i], &candidates[n], now);
         qsort(candidates, n, sizeof *candidates, compare_starts);
-        if (n < n_wanted || (is_found && candidates[n_wanted - 1].start_after_s >=
-                                             best[n_wanted - 1].start_after_s))
+        if (n < n_needed || (is_found && candidates[n_needed - 1].start_after_s >=
+                                             best[n_needed - 1].start_after_s))
             continue;
-        memcpy(best, candidates, n_wanted * sizeof *best);
+        memcpy(best, candidates, n_needed * sizeof *best);
         is_found = true;
     }
     if (is_found)
-        memcpy(candidates, best, n_wanted * sizeof *best);
+        memcpy(candidates, best, n_needed * sizeof *best);
     free(best);
     return is_found;
 }
@@ -131,7 +133,7 @@
     return rp_reservation_is_exclusive(job) && job->spec.n_tasks == 1;
 }
 
-/* A task that takes a whole machine usually finds one soon. Without a reservation, it waits forever
+/* A task that takes a whole machine usually gets one soon. Without a reservation, it waits forever
  * on a fleet of few machines that smaller work of its priority keeps full (incident f8f1). It needs
  * only one machine, so several such gangs can have one reserved at the same time. */
 static void reserve_for_single_task_gangs(struct rp_scheduler *scheduler,
--- a/src/scheduler/group_input.c
+++ b/src/scheduler/group_input.c
@@ -11,7 +11,7 @@
 #define SUSPECTED_JOB_TASKS_MAX 2
 /* Slack, in seconds, of a job that has just become late. */
 #define LATE_SLACK_S 100
-/* Greatest number of groups in a cycle, far more than can start in one. */
+/* Greatest number of groups in the input of one cycle, far more than can start in one cycle. */
 #define GROUPS_MAX 8192
 #define GROUPS_PER_JOB_MAX 3
 /* Age, in seconds, beyond which a job's first task becomes a group of its own during a shortage. */
@@ -50,8 +50,9 @@
         avoids_gpu_types && spec->kind == RP_JOB_ARRAY ? types & ~types_without_gpus : 0;
 }
 
-/* Seconds of slack until the earliest objective of its class that the job can still meet. Sets the
- * group's `is_late` if it has objectives and can meet none. */
+/* Seconds of slack until the earliest objective of its class that the job can still meet;
+ * RP_NO_OBJECTIVE_SLACK_S if its class has no objective. Sets the group's `is_late` if it has
+ * objectives and can meet none. */
 static double find_slack_s(const struct rp_scheduler *scheduler, const struct rp_job *job,
                            struct rp_plan_group *group) {
     const struct rp_settings *settings = scheduler->settings;
@@ -86,13 +87,13 @@
  * collision does no more harm than changing the order of jobs. */
 struct class_count {
     uint64_t hash;
-    uint32_t jobs;
+    uint32_t n_jobs;
 };
 
 static struct class_count *find_class_count(struct class_count *counts, const struct rp_job *job) {
     uint64_t hash = rp_hash_string(job->spec.class_name);
     size_t i = 0;
-    while (i < RP_CLASSES_MAX - 1 && counts[i].jobs > 0 && counts[i].hash != hash)
+    while (i < RP_CLASSES_MAX - 1 && counts[i].n_jobs > 0 && counts[i].hash != hash)
         i++; /* the last element counts all classes beyond RP_CLASSES_MAX */
     counts[i].hash = hash;
     return &counts[i];
@@ -102,9 +103,9 @@
     struct class_count counts[RP_CLASSES_MAX] = {0};
     for (const struct rp_job *job = scheduler->jobs->table.first; job; job = job->next)
         if (job->state == RP_JOB_OPEN)
-            find_class_count(counts, job)->jobs++;
+            find_class_count(counts, job)->n_jobs++;
     for (size_t g = 0; g < input->plan_input.n_groups; g++)
-        input->groups[g].class_jobs = find_class_count(counts, input->groups[g].ref)->jobs;
+        input->groups[g].class_jobs = find_class_count(counts, input->groups[g].ref)->n_jobs;
 }
 
 static void build_group(const struct rp_scheduler *scheduler, struct rp_job *job, uint32_t n,
@@ -143,21 +144,21 @@
 }
 
 /* Returns how many of the job's `n` tasks fit in the rest of its team's guaranteed quota, and
- * deducts them from it. A gang fits as a whole or not at all. */
+ * deducts what they need from it. A gang fits as a whole or not at all. */
 static uint32_t take_guarantee(struct rp_cycle_input *input, const struct rp_job *job, uint32_t n) {
     if (job->team < 0)
         return 0;
     struct rp_resources *left = &input->guarantees_left[job->team];
-    const struct rp_resources *each = &job->spec.task_resources;
+    const struct rp_resources *need = &job->spec.task_resources;
     if (left->cpus <= 0 && left->gpus <= 0)
         return 0;
     uint32_t n_units_max = job->spec.kind == RP_JOB_GANG ? 1 : n;
     uint32_t n_units = 0;
     double tasks_per_unit = job->spec.kind == RP_JOB_GANG ? n : 1;
-    while (n_units < n_units_max && tasks_per_unit * each->cpus <= left->cpus + 1e-9 &&
-           tasks_per_unit * each->gpus <= left->gpus + 1e-9) {
-        left->cpus -= tasks_per_unit * each->cpus;
-        left->gpus -= tasks_per_unit * each->gpus;
+    while (n_units < n_units_max && tasks_per_unit * need->cpus <= left->cpus + 1e-9 &&
+           tasks_per_unit * need->gpus <= left->gpus + 1e-9) {
+        left->cpus -= tasks_per_unit * need->cpus;
+        left->gpus -= tasks_per_unit * need->gpus;
         n_units++;
     }
     return job->spec.kind == RP_JOB_GANG ? n_units * n : n_units;
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -96,10 +96,10 @@
     [RP_JOB_ORDER_ESW] = key_esw, /* earliest slack, weighted by work: slack + work (ours) */
 };
 
-static double fleet_share(const struct rp_resources *each, const struct rp_resources *fleet) {
-    double share = fleet->cpus > 0 ? each->cpus / fleet->cpus : 0;
-    if (each->gpus > 0 && fleet->gpus > 0)
-        share = fmax(share, each->gpus / fleet->gpus);
+static double fleet_share(const struct rp_resources *need, const struct rp_resources *fleet) {
+    double share = fleet->cpus > 0 ? need->cpus / fleet->cpus : 0;
+    if (need->gpus > 0 && fleet->gpus > 0)
+        share = fmax(share, need->gpus / fleet->gpus);
     return share;
 }
 
@@ -154,7 +154,7 @@
 }
 
 /* Seconds of slack that are added to the group's key for each second of fleet work. Gangs keep the
- * weight without a shortage: they are never shed, and behind all smaller arrays they would wait too
+ * weight without a shortage: they are never shed, and after all smaller arrays they would wait too
  * long. */
 static double work_weight(const struct rp_packing *packing, const struct rp_plan_group *group) {
     double shortage_weight = ESW_SLACK_S_PER_FLEET_WORK_S * ESW_SHORTAGE_WORK_FACTOR *
--- a/src/scheduler/machine_draining.c
+++ b/src/scheduler/machine_draining.c
@@ -8,17 +8,20 @@
 #include "scheduler/service_headroom.h"
 #include "scheduler/task_moves.h"
 
-/* One machine, and one more for each this many machines of the fleet, may be draining at once. */
+/* One machine, and one more for each MACHINES_PER_DRAINING machines of the fleet, may be draining
+ * at a time. */
 #define MACHINES_PER_DRAINING 40
 /* Largest share of a machine that its replicas may hold for the machine to be drained. */
 #define REPLICA_SHARE_MAX 0.25
-/* Seconds between two machines with replicas, which are drained one after the other. */
+/* Least number of seconds from the beginning of draining of one machine with replicas to that of
+ * the next. */
 #define REPLICA_DRAIN_INTERVAL_S 20
 
 /* The state of one run. */
 struct draining {
     struct rp_task_moves moves;
-    /* CPUs that are ready for services on all machines; added up once, not for each machine. */
+    /* CPUs that are ready for services on all machines; added up once per run, not for each
+     * machine. */
     double ready_cpus;
 };
 
--- a/src/scheduler/machine_input.c
+++ b/src/scheduler/machine_input.c
@@ -6,11 +6,12 @@
 #include "scheduler/remaining_time.h"
 #include "scheduler/reservation.h"
 
-/* A machine whose boot takes more than this many times its type's boot time is not planned on. */
+/* No work is planned on a machine whose boot takes more than this many times its type's boot time.
+ */
 #define BOOT_OVERDUE_FACTOR 2.2
-/* Least remaining boot time, in seconds, that is assumed for a booting machine, even if it should
- * be up already. */
-#define BOOT_LEFT_MIN_S 2
+/* Least remaining boot time, in seconds, that is assumed for a booting machine, even if the machine
+ * should be up already. */
+#define BOOT_REMAINING_MIN_S 2
 
 static void insert_release(struct rp_plan_release *releases, size_t *n, double after_s,
                            const struct rp_resources *released) {
@@ -39,7 +40,7 @@
         out->last_arrival_s =
             task_age_sum_s == 0 ? task_age_s : fmin(out->last_arrival_s, task_age_s);
         task_age_sum_s += task_age_s;
-        /* For formula (1) a service ends with its machine's billing unit, as do tasks without an
+        /* For formula (1) a service ends with its machine's billing unit, as does a task without an
          * estimate. Its resources are not counted as released, because no other work may rely on
          * them. */
         if (is_service) {
@@ -58,7 +59,7 @@
 }
 
 /* Resources of a GPU machine that its GPU work does not use even when it fills the machine
- * (full_gpu_work), without those of other work there. Nothing while an image is fetched for a GPU
+ * (full_gpu_work), less what other work on it uses. Nothing while an image is fetched for a GPU
  * task, because another fetch would slow it down. */
 static struct rp_resources spare_capacity(const struct rp_scheduler *scheduler,
                                           const struct rp_machine *machine) {
@@ -100,7 +101,7 @@
                                     .free_later_after_s = type->boot_s,
                                     .age_s = rp_ts_since(now, machine->requested_at)};
     if (machine->state == RP_MACHINE_BOOTING) {
-        out->free_later_after_s = fmax(type->boot_s - out->age_s, BOOT_LEFT_MIN_S);
+        out->free_later_after_s = fmax(type->boot_s - out->age_s, BOOT_REMAINING_MIN_S);
         return;
     }
     if (rp_machine_is_usable(machine))
@@ -140,17 +141,17 @@
     struct rp_resources smaller_sum = {0};
     double n_smaller = 0;
     for (const struct rp_job *job = scheduler->jobs->table.first; job; job = job->next) {
-        const struct rp_resources *each = &job->spec.task_resources;
-        if (each->gpus <= 0 || !rp_resources_fit(each, capacity))
+        const struct rp_resources *need = &job->spec.task_resources;
+        if (need->gpus <= 0 || !rp_resources_fit(need, capacity))
             continue;
-        double n = floor(capacity->gpus / each->gpus + 1e-9);
+        double n = floor(capacity->gpus / need->gpus + 1e-9);
         if (n <= 1) {
-            largest.cpus = fmax(largest.cpus, each->cpus);
-            largest.memory_gb = fmax(largest.memory_gb, each->memory_gb);
+            largest.cpus = fmax(largest.cpus, need->cpus);
+            largest.memory_gb = fmax(largest.memory_gb, need->memory_gb);
         } else {
             n_smaller++;
-            smaller_sum.cpus += n * each->cpus;
-            smaller_sum.memory_gb += n * each->memory_gb;
+            smaller_sum.cpus += n * need->cpus;
+            smaller_sum.memory_gb += n * need->memory_gb;
         }
         largest.gpus = capacity->gpus;
     }
--- a/src/scheduler/new_machine_packing.h
+++ b/src/scheduler/new_machine_packing.h
@@ -1,7 +1,8 @@
 /** @file
  * Selects the machines that a plan provisions: those of the offering with the most capacity per
- * price, which is the paper's Cost-Efficient criterion (section 3.3). Decides also whether a group
- * waits for the machines that there are already instead. */
+ * price, which is the paper's Cost-Efficient criterion (section 3.3). Also decides whether a group
+ * waits for machines that exist or that the plan already provisions, instead of having more of them
+ * provisioned. */
 #ifndef RP_SCHEDULER_NEW_MACHINE_PACKING_H
 #define RP_SCHEDULER_NEW_MACHINE_PACKING_H
 
@@ -13,9 +14,9 @@
  * offering can hold another one, or the plan's limit of new machines is reached. */
 void rp_new_machine_packing_place_rest(struct rp_packing *packing,
                                        struct rp_group_packing *current);
-/** Whether the machines that the group may use will have capacity for the rest of the group within
- * a share of its job's slack. In that case the group waits, nothing is provisioned for it, and its
- * work is added to `queued_s`. */
+/** Whether the existing and new machines that the group may use will have capacity for the rest of
+ * the group within a share of its job's slack. In that case the group waits, nothing is provisioned
+ * for it, and its work is added to `queued_s`. */
 bool rp_new_machine_packing_can_wait(struct rp_packing *packing,
                                      const struct rp_group_packing *current);
 
--- a/src/scheduler/packing.h
+++ b/src/scheduler/packing.h
@@ -22,7 +22,7 @@
  * sets `n_left`. */
 void rp_packing_begin_group(struct rp_packing *packing, struct rp_group_packing *current,
                             size_t index);
-/** Places `count` tasks of the group on the bin with this index, where they end after `end_s`
+/** Places `count` tasks of the group on the bin with this index; their estimated end is in `end_s`
  * seconds. With `starts_now` false they hold capacity that the bin will have free later. When
  * memory is short, sets the plan's `failed`. */
 void rp_packing_place(struct rp_packing *packing, struct rp_group_packing *current, size_t index,
--- a/src/scheduler/packing_state.h
+++ b/src/scheduler/packing_state.h
@@ -15,11 +15,12 @@
 #include "scheduler/plan_input.h"
 
 /** Greatest number of candidate lists. Each set of machine types has a list of its own until this
- * number is reached; further sets share the last list. Only the time of planning depends on it. */
+ * number is reached; further sets share the last list. The number affects only the time that
+ * planning takes. */
 #define RP_CANDIDATE_LISTS_MAX 16
 
-/** Kinds of a machine's capacity, with a list for each: free now, free later (see rp_plan_machine),
- * and spare capacity, which the machine's GPU work does not use. */
+/** Kinds of a machine's capacity, with a candidate list for each: free now, free later (see
+ * rp_plan_machine), and spare capacity, which the machine's GPU work does not use. */
 enum rp_capacity_kind {
     RP_CAPACITY_NOW,
     RP_CAPACITY_LATER,
@@ -30,7 +31,7 @@
 /** A machine's capacity that the plan has not used yet. */
 struct rp_bin {
     struct rp_resources free_now, free_later, free_spare;
-    double end_s; /* estimated end of the last task */
+    double end_s; /* seconds until the estimated end of the last task */
 };
 
 /** The machines, in the heuristic's order, that have capacity for at least one task of the groups
@@ -47,7 +48,7 @@
 struct rp_machine_pool {
     int type, zone;
     bool spot;
-    double n_machines, work_s; /* both without the shares that services hold */
+    double n_machines, work_s; /* without the shares of the machines that services hold */
     const struct rp_resources *capacity;
 };
 
@@ -62,7 +63,7 @@
 struct rp_packing {
     const struct rp_plan_input *input;
     struct rp_plan *plan;
-    struct rp_bin *bins; /* of existing machines, then of new ones */
+    struct rp_bin *bins; /* those of existing machines, then those of new machines */
     size_t *group_order, *machine_order;
     size_t *group_list, *spare_list; /* for each group, the index in `lists` for its allowed types,
                                         and for its spare types */
--- a/src/scheduler/plan.h
+++ b/src/scheduler/plan.h
@@ -10,9 +10,10 @@
 /** Tasks of one group on one machine. */
 struct rp_placement {
     size_t group;
-    size_t machine; /* index of an existing machine; from n_machines on, of a new one */
+    size_t machine; /* index of an existing machine, or the number of existing machines plus the
+                       index in `new_machines` */
     uint32_t count;
-    bool starts_now; /* false: it holds capacity that is not free on the machine yet */
+    bool starts_now; /* false: the tasks wait, and hold capacity that is not free yet */
 };
 
 /** A placement of tasks, and the machines to provision for it. */
@@ -21,12 +22,12 @@
     size_t n_placements, cap_placements;
     size_t *new_machines; /* for each new machine, the index of its offering */
     size_t n_new_machines, cap_new_machines;
-    uint32_t n_starting, n_waiting; /* placed tasks that start now, and that wait for capacity */
+    uint32_t n_starting, n_waiting; /* placed tasks that start now, and that wait */
     bool short_of_capacity[2];      /* for work without GPUs, and with GPUs: not all of it can meet
                                        its objectives */
     double unplaced_work;           /* work without capacity, weighted by priority */
     double cost;                    /* formula (1) of the paper */
-    unsigned long n_machines_examined; /* sum over all groups */
+    unsigned long n_machines_examined; /* sum of the machines examined for each group */
     bool failed;                       /* out of memory; the plan must not be applied */
 };
 
--- a/src/scheduler/plan_input.h
+++ b/src/scheduler/plan_input.h
@@ -1,8 +1,8 @@
 /** @file
  * The planner's input: a snapshot of the cluster, of the waiting work and of the cloud's offerings.
- * cycle_input.h builds it for each scheduling cycle; the planner and the modules that act on its
- * plan only read it. All tasks of a job have the same requirements, which is why work is planned by
- * groups: the startable tasks of a job together. */
+ * cycle_input_build.h builds it for each scheduling cycle; the planner and the modules that act on
+ * its plan only read it. All tasks of a job have the same requirements, which is why work is
+ * planned by groups: the startable tasks of a job together. */
 #ifndef RP_SCHEDULER_PLAN_INPUT_H
 #define RP_SCHEDULER_PLAN_INPUT_H
 
@@ -10,7 +10,7 @@
 #include "model/heuristic.h"
 #include "model/job_spec.h"
 
-/** Slack, in seconds, of jobs whose class has no service-level objective. */
+/** Slack, in seconds, that is assumed for a job whose class has no service-level objective. */
 #define RP_NO_OBJECTIVE_SLACK_S 1e6
 
 /** An offering of the cloud: machines of one type, in one zone, ordinary or spot. */
@@ -41,17 +41,18 @@
     double price; /* per hour */
     double fetch_gb_per_s;
     struct rp_resources capacity;
-    struct rp_resources free_now;   /* nothing while it boots */
-    struct rp_resources free_later; /* free when another machine of its type would be up */
+    struct rp_resources free_now;   /* all 0 while the machine boots or cannot be used */
+    struct rp_resources free_later; /* free by the time at which a machine of its type that is
+                                       requested now would be up */
     struct rp_resources free_spare; /* the part of `free_now` that work without GPUs may take from a
                                        machine type with GPUs */
     double free_later_after_s;      /* seconds until `free_later` is available */
-    double age_s;                   /* since the machine was requested */
+    double age_s;                   /* seconds since the machine was requested */
     double service_share;           /* share of the machine that services hold */
     double work_s;                  /* sum of its tasks' remaining times, each weighted by the
                                        task's share of the machine; without services */
-    double busy_s;                  /* until its last task's estimated end */
-    double gpu_busy_s;              /* until the estimated end of its last task that needs GPUs */
+    double busy_s;                  /* seconds until the estimated end of its last task */
+    double gpu_busy_s; /* seconds until the estimated end of its last task that needs GPUs */
     double first_arrival_s, last_arrival_s, mean_arrival_s; /* greatest, least and mean age of its
                                                                tasks */
 };
@@ -62,28 +63,28 @@
     enum rp_job_kind kind;
     enum rp_priority priority;
     uint32_t n_tasks;                   /* startable tasks */
-    struct rp_resources task_resources; /* needed by one task */
-    double run_s;                       /* estimated run time of a task */
+    struct rp_resources task_resources; /* resources that one task needs */
+    double run_s;                       /* estimated run time of one task */
     double image_gb;
-    double age_s;          /* of the job */
-    double slack_s;        /* until the job is late; RP_NO_OBJECTIVE_SLACK_S without an objective */
-    bool is_late;          /* the job can no longer meet any of its objectives */
+    double age_s;   /* age of the job */
+    double slack_s; /* seconds until it is late; RP_NO_OBJECTIVE_SLACK_S without an objective */
+    bool is_late;   /* the job can no longer meet any of its objectives */
     uint32_t class_jobs;   /* unfinished jobs of its class, including this one */
     bool is_first_task;    /* the first task of a job that has waited long; it is started ahead of
                               the job's other tasks */
-    int team;              /* index; -1: none */
+    int team;              /* index of its team; -1: none */
     uint32_t types, zones; /* bit sets of the allowed types and zones */
     uint32_t spare_types;  /* bit set of types of which the group may use only `free_spare` */
-    bool spot;
+    bool spot;             /* spot machines are allowed too */
     bool one_zone, spread;
-    int fixed_zone;      /* zone of its placed tasks; -1: none yet */
-    uint32_t spread_max; /* greatest number of its tasks in one zone */
-    uint32_t zone_used[RP_ZONES_MAX];
+    int fixed_zone;      /* zone of the job's allocated tasks; -1: none is allocated yet */
+    uint32_t spread_max; /* greatest number of the job's tasks in one zone */
+    uint32_t zone_used[RP_ZONES_MAX]; /* number of the job's allocated tasks by zone */
     bool is_guaranteed;    /* fits its team's guaranteed quota and is placed before the work of
                               other teams */
     bool has_reservation;  /* machines are reserved for it; capacity elsewhere is better only if it
                               is free now */
-    const bool *has_image; /* for each machine; NULL: no machine has the image */
+    const bool *has_image; /* for each machine, whether it has the image; NULL: no machine has it */
 };
 
 /** Resources that a team may still use; a very large number when the team has no limit. */
@@ -102,7 +103,7 @@
     const struct rp_plan_team *teams;
     size_t n_teams;
     double billing_unit_s;
-    unsigned long seed;      /* of the random machine order */
+    unsigned long seed;      /* seed of the random machine order */
     size_t new_machines_max; /* greatest number of machines that one plan may provision */
 };
 
--- a/src/scheduler/plan_resources.c
+++ b/src/scheduler/plan_resources.c
@@ -13,13 +13,13 @@
 }
 
 double rp_plan_machine_fits_after_s(const struct rp_plan_machine *machine,
-                                    const struct rp_resources *each) {
+                                    const struct rp_resources *need) {
     struct rp_resources available = machine->free_now;
-    if (rp_plan_n_fitting(each, &available, 1))
+    if (rp_plan_n_fitting(need, &available, 1))
         return 0;
     for (size_t i = 0; i < machine->n_releases; i++) {
         rp_plan_take_resources(&available, &machine->releases[i].released, -1);
-        if (rp_plan_n_fitting(each, &available, 1))
+        if (rp_plan_n_fitting(need, &available, 1))
             return machine->releases[i].after_s;
     }
     return INFINITY;
--- a/src/scheduler/plan_resources.h
+++ b/src/scheduler/plan_resources.h
@@ -7,7 +7,8 @@
 #include <math.h>
 #include "scheduler/plan_input.h"
 
-/** Tolerance in comparisons of sums of resources and of costs, which contain rounding errors. */
+/** Tolerance, mostly relative, in comparisons of sums of resources and of costs, which contain
+ * rounding errors. */
 #define RP_PLAN_EPSILON 1e-9
 
 /** Number of tasks, at most `limit`, that fit in the available amount of one resource when each
@@ -29,7 +30,7 @@
     return rp_plan_n_fitting_resource(available->memory_gb, need->memory_gb, limit);
 }
 
-/** Subtracts what `n` tasks need from the available resources; a negative `n` adds it. */
+/** Subtracts from the available resources what `n` tasks need; a negative `n` adds it. */
 static inline void rp_plan_take_resources(struct rp_resources *available,
                                           const struct rp_resources *need, double n) {
     available->cpus -= need->cpus * n;
@@ -67,9 +68,9 @@
  */
 double rp_plan_share_of_machine(const struct rp_resources *need,
                                 const struct rp_resources *capacity);
-/** Seconds until one task of this size fits on the machine, by the estimated ends of the machine's
- * work; INFINITY if it does not fit even after all of them. */
+/** Seconds until one task that needs these resources fits on the machine, by the estimated ends of
+ * the machine's work; INFINITY if it does not fit even after all of the work has ended. */
 double rp_plan_machine_fits_after_s(const struct rp_plan_machine *machine,
-                                    const struct rp_resources *each);
+                                    const struct rp_resources *need);
 
 #endif
--- a/src/scheduler/planner.c
+++ b/src/scheduler/planner.c
@@ -20,7 +20,7 @@
 /* Ratio of the weight of unplaced work of one priority to that of the next lower priority. */
 #define PRIORITY_WEIGHT_FACTOR 100
 
-/* Number of the group's tasks that its team's limit allows. */
+/* Number of the group's tasks that its team's limit still allows. */
 static uint32_t team_limit(const struct rp_packing *packing, const struct rp_plan_group *group) {
     uint32_t n_allowed = group->n_tasks;
     if (group->team < 0)
@@ -31,8 +31,8 @@
                                       group->task_resources.gpus, n_allowed);
 }
 
-/* Adds the group's placed tasks and its unplaced work to the plan's sums, and deducts the placed
- * tasks from the team's limit. */
+/* Adds the group's placed tasks and its unplaced work to the plan's sums, and deducts the resources
+ * of the placed tasks from what its team's limit leaves. */
 static void account_group(struct rp_packing *packing, const struct rp_group_packing *current,
                           uint32_t n_placed) {
     const struct rp_plan_group *group = current->group;
@@ -61,10 +61,10 @@
     rp_candidate_list_refresh(packing, &packing->lists[packing->spare_list[index]]);
     rp_packing_begin_group(packing, &current, index);
     const struct rp_plan_group *group = current.group;
-    uint32_t n_wanted = team_limit(packing, group);
-    if (group->kind == RP_JOB_GANG && n_wanted < group->n_tasks)
+    uint32_t n_to_place = team_limit(packing, group);
+    if (group->kind == RP_JOB_GANG && n_to_place < group->n_tasks)
         return; /* the whole gang exceeds the team's limit, and no part of it may start */
-    current.n_left = n_wanted;
+    current.n_left = n_to_place;
     if (group->kind == RP_JOB_GANG)
         rp_gang_packing_place(packing, &current);
     else
@@ -73,7 +73,7 @@
         packing->plan->n_waiting += current.n_left;
         current.n_left = 0;
     }
-    account_group(packing, &current, n_wanted - current.n_left);
+    account_group(packing, &current, n_to_place - current.n_left);
 }
 
 void rp_plan_build(const struct rp_plan_input *input, struct rp_heuristic heuristic,
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -4,10 +4,12 @@
 #include "base/log.h"
 #include "scheduler/reservation.h"
 
-#define LONG_FETCH_S 15         /* fetch time that is worth freeing a machine with the image */
-#define GRACE_FACTOR 1.2        /* multiple of the time that a task declares it needs to save */
-#define GRACE_MARGIN_S 1        /* seconds added to the grace period */
-#define PROGRESS_LOST_MAX_S 5.0 /* assumed bound on what a task with checkpoints loses */
+/* Seconds of fetching, from which on a machine with the image is freed instead. */
+#define LONG_FETCH_S 15
+#define GRACE_FACTOR 1.2 /* multiple of the time that a task declares it needs to save */
+#define GRACE_MARGIN_S 1 /* seconds added to the grace period */
+/* Assumed bound, in seconds, on the run time that a stopped task with checkpoints loses. */
+#define PROGRESS_LOST_MAX_S 5.0
 
 double rp_preemption_grace_s(const struct rp_job_spec *spec) {
     return spec->checkpoint_interval_s > 0 ? spec->save_duration_s * GRACE_FACTOR + GRACE_MARGIN_S
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -3,9 +3,9 @@
  * preempted. This module frees machines only for gangs of one task with a high or critical
  * priority: capacity freed for a larger gang would be idle until the last of its machines is free,
  * so gang_reservation.h frees and reserves all of them together. The machine is reserved for the
- * job until the job starts there. Other teams' work beyond its guarantee is preempted by quota.h,
- * work that is preempted for a service's replica by replica_preemption.h. Called by the scheduling
- * cycle after the plan is made; the cycle's input is only read. */
+ * job until the job starts there. Work of other teams beyond their guaranteed quotas is preempted
+ * by quota.h, and work is preempted for a service's replica by replica_preemption.h. Called by the
+ * scheduling cycle after the plan is made; the cycle's input is only read. */
 #ifndef RP_SCHEDULER_PREEMPTION_H
 #define RP_SCHEDULER_PREEMPTION_H
 
@@ -30,9 +30,9 @@
 
 /** Prefers a machine that holds the image, for a gang of one task with a high or critical priority
  * that the plan starts where the image is missing: if another machine holds the image and only has
- * to be freed of lower-priority work, that machine is freed and reserved, and the gang's placement
- * is emptied. Saving that work takes less time than the fetch, during which a whole machine would
- * be idle. */
+ * to be freed of lower-priority work, that machine is freed and reserved, and the `count` of the
+ * gang's placement is set to 0. Saving that work takes less time than the fetch, during which a
+ * whole machine would be idle. */
 void rp_preemption_prefer_image_holders(struct rp_scheduler *scheduler,
                                         const struct rp_cycle_input *input, struct rp_plan *plan,
                                         struct timespec now);
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -6,9 +6,11 @@
 #include "scheduler/reservation.h"
 
 #define RESOURCE_TOLERANCE 1e-9 /* rounding error allowed in sums of resources */
-#define FREED_MACHINES_MAX 64   /* upper bound of the machines freed in one cycle */
+/* Upper bound of the number of tasks for which a machine is freed in one cycle. */
+#define FREED_MACHINES_MAX 64
 
-/* For each team, what it uses beyond its guarantee, without tasks that are being stopped. */
+/* For each team, the resources that it uses beyond its guaranteed quota, without tasks that are
+ * being stopped; negative while the team uses less than the quota. */
 struct team_surplus {
     struct rp_resources *by_team;
 };
@@ -36,16 +38,16 @@
 }
 
 /* Whether the task may be stopped for the job: it is an array task of another team, which still
- * uses its whole guarantee without the task. */
+ * uses its whole guaranteed quota without the task. */
 static bool may_stop(const struct team_surplus *surplus, const struct rp_allocation *allocation,
                      const struct rp_job *job) {
     if (!is_counted(allocation) || allocation->job->team == job->team ||
         allocation->job->spec.kind != RP_JOB_ARRAY)
         return false;
     const struct rp_resources *surplus_of_owner = &surplus->by_team[allocation->job->team];
-    const struct rp_resources *each = &allocation->job->spec.task_resources;
-    return surplus_of_owner->cpus >= each->cpus - RESOURCE_TOLERANCE &&
-           surplus_of_owner->gpus >= each->gpus - RESOURCE_TOLERANCE;
+    const struct rp_resources *need = &allocation->job->spec.task_resources;
+    return surplus_of_owner->cpus >= need->cpus - RESOURCE_TOLERANCE &&
+           surplus_of_owner->gpus >= need->gpus - RESOURCE_TOLERANCE;
 }
 
 /* The machine's free resources once the tasks that are being stopped there have ended. */
@@ -73,19 +75,19 @@
     uint32_t tasks = 0;
     for (const struct rp_machine *machine = scheduler->cluster->first; machine;
          machine = machine->next) {
-        struct rp_resources now = rp_machine_free_resources(scheduler->cluster, machine);
-        struct rp_resources soon = free_after_stops(scheduler, machine);
+        struct rp_resources free_now = rp_machine_free_resources(scheduler->cluster, machine);
+        struct rp_resources free_soon = free_after_stops(scheduler, machine);
         if (!is_usable_for(scheduler, machine, job))
             continue;
-        for (; rp_resources_fit(&job->spec.task_resources, &soon); tasks++)
-            rp_resources_sub(&soon, &job->spec.task_resources);
-        for (; tasks > 0 && rp_resources_fit(&job->spec.task_resources, &now); tasks--)
-            rp_resources_sub(&now, &job->spec.task_resources);
+        for (; rp_resources_fit(&job->spec.task_resources, &free_soon); tasks++)
+            rp_resources_sub(&free_soon, &job->spec.task_resources);
+        for (; tasks > 0 && rp_resources_fit(&job->spec.task_resources, &free_now); tasks--)
+            rp_resources_sub(&free_now, &job->spec.task_resources);
     }
     return tasks;
 }
 
-/* Run time that is lost, in seconds, if capacity for one task of the job is freed on the machine;
+/* Seconds of run time that are lost if capacity for one task of the job is freed on the machine;
  * negative if it cannot be freed or need not be. */
 static double stop_cost_s(const struct rp_scheduler *scheduler, const struct team_surplus *surplus,
                           const struct rp_machine *machine, const struct rp_job *job,
--- a/src/scheduler/remaining_time.c
+++ b/src/scheduler/remaining_time.c
@@ -6,10 +6,11 @@
  * has run, plus OVERRUN_MIN_S seconds. */
 #define OVERRUN_RAN_SHARE 0.3
 #define OVERRUN_MIN_S 1
-/* Least remaining time, in seconds, that is assumed for a fetch, even if it should be over already.
+/* Least remaining time, in seconds, that is assumed for a fetch, even if the fetch should have
+ * ended already. */
+#define FETCH_REMAINING_MIN_S 0.5
+/* Seconds from the end of a stopped task's grace period until the task is expected to have ended.
  */
-#define FETCH_LEFT_MIN_S 0.5
-/* Seconds until a stopped task's end beyond the time that it is given to save its state. */
 #define STOP_MARGIN_S 1
 
 double rp_allocation_remaining_s(const struct rp_scheduler *scheduler,
@@ -29,7 +30,8 @@
         double rate = rp_scheduler_catalog(scheduler)->types[machine->type].fetch_gb_per_s;
         bool has_image = rp_machine_has_image(machine, job->image_hash);
         double fetch_s = has_image || rate <= 0 ? 0 : job->spec.image_gb / rate;
-        return run_s + fmax(FETCH_LEFT_MIN_S, fetch_s - rp_ts_since(now, allocation->planned_at));
+        return run_s +
+               fmax(FETCH_REMAINING_MIN_S, fetch_s - rp_ts_since(now, allocation->planned_at));
     }
     /* Run times have long tails: a task that has exceeded its estimate is expected to continue for
      * some time. */
--- a/src/scheduler/replica_moves.c
+++ b/src/scheduler/replica_moves.c
@@ -4,7 +4,8 @@
 #include "scheduler/replica_preemption.h"
 #include "scheduler/task_moves.h"
 
-#define TARGET_PENALTY_MAX_S 3.0 /* bound on the penalty of a machine that a replica moves to */
+/* Upper bound, in seconds, of the penalty of a machine that a replica moves to. */
+#define TARGET_PENALTY_MAX_S 3.0
 
 /* Whether some replica is missing, being stopped, or not running yet. */
 static bool is_any_replica_in_transition(const struct rp_services *services) {
--- a/src/scheduler/replica_placement.c
+++ b/src/scheduler/replica_placement.c
@@ -8,8 +8,8 @@
 
 /* All penalties of a machine for a replica are in seconds of a later start. */
 
-/* Penalty for each replica of the job on the machine, which the loss of the machine would also
- * stop. */
+/* Penalty for each replica of the job on the machine, which would be lost together with the
+ * machine. */
 #define SAME_MACHINE_PENALTY_S 0.4
 /* Upper bound of the replicas that count towards a penalty, of the machine and of its zone. */
 #define PENALIZED_REPLICAS_MAX 4
@@ -23,14 +23,14 @@
 #define FAILED_BEFORE_PENALTY_S 20.0
 #define SPOT_PENALTY_S 40.0
 /* Penalty for a machine with GPUs, if the replica uses none: other work needs such machines as a
- * whole, and they cost many times as much. */
+ * whole, and they cost many times as much as machines without GPUs. */
 #define WASTED_GPU_PENALTY_S 120.0
 /* Penalty for a machine without replicas: one that already holds some is not kept longer by one
  * more. */
 #define NO_REPLICAS_PENALTY_S 0.3
 /* Least time, in seconds, that is assumed until a fetch under way ends. */
 #define FETCH_REMAINING_MIN_S 0.3
-/* Penalty for a machine where the start has to wait for the answer to the next heartbeat. */
+/* Penalty for a machine where the start has to wait for the response to the next heartbeat. */
 #define NEXT_HEARTBEAT_PENALTY_S 1.5
 /* Upper bound of the other images, fetched at the same time, that count towards the fetch time. */
 #define FETCHES_COUNTED_MAX 8
@@ -80,7 +80,7 @@
 /* The replicas that the machine holds. */
 struct held_replicas {
     bool has_any;
-    unsigned n_of_job; /* those of the same job, up to PENALIZED_REPLICAS_MAX */
+    unsigned n_of_job; /* those of the given job, counted up to PENALIZED_REPLICAS_MAX */
 };
 
 static struct held_replicas find_held_replicas(const struct rp_machine *machine,
--- a/src/scheduler/replica_preemption.c
+++ b/src/scheduler/replica_preemption.c
@@ -5,9 +5,11 @@
 
 /* On a machine with more allocations, nothing is preempted for a replica. */
 #define ALLOCATIONS_MAX 1024
-/* Cost added for each level of priority, so that work of the lowest priority is preempted first. */
+/* Cost, in seconds, that is added for each level of priority, so that work of the lowest priority
+ * is preempted first. */
 #define COST_PER_PRIORITY_S 1000.0
-#define STOP_COST_S 1 /* cost of stopping a task that has just begun to run */
+/* Cost, in seconds, of stopping a started task, in addition to the run time that is lost. */
+#define STOP_COST_S 1
 
 static bool is_lower_priority(const struct rp_allocation *allocation, const struct rp_job *job) {
     return allocation->job->spec.kind == RP_JOB_ARRAY &&
@@ -24,14 +26,16 @@
            (allocation->state == RP_ALLOCATION_SEEN || allocation->state == RP_ALLOCATION_PLANNED);
 }
 
-/* Seconds of work that are lost if the task is stopped. */
+/* Seconds of run time that are lost if the task is stopped, plus STOP_COST_S; 0 for a task whose
+ * start is only planned. */
 static double lost_work_s(const struct rp_allocation *allocation, struct timespec now) {
     double ran_s =
         rp_ts_is_zero(allocation->running_since) ? 0 : rp_ts_since(now, allocation->running_since);
-    double checkpoint_s = allocation->job->spec.checkpoint_interval_s;
+    double checkpoint_interval_s = allocation->job->spec.checkpoint_interval_s;
     return allocation->state == RP_ALLOCATION_PLANNED
                ? 0
-               : STOP_COST_S + (checkpoint_s > 0 ? fmin(ran_s, checkpoint_s) : ran_s);
+               : STOP_COST_S +
+                     (checkpoint_interval_s > 0 ? fmin(ran_s, checkpoint_interval_s) : ran_s);
 }
 
 static void add_release(struct rp_released_resources *freed, const struct rp_allocation *allocation,
@@ -123,7 +127,7 @@
         if (allocation->state == RP_ALLOCATION_PLANNED) {
             rp_allocation_remove(services->cluster, machine,
                                  (size_t)(allocation - machine->allocations));
-            continue; /* its capacity and its team's quota are free and counted anew */
+            continue; /* the removal has freed its capacity and its team's quota already */
         }
         rp_allocation_request_stop(allocation, 0);
         add_release(&freed, allocation, job);
--- a/src/scheduler/replica_preemption.h
+++ b/src/scheduler/replica_preemption.h
@@ -10,7 +10,7 @@
 /** Whether the task is being stopped without time to save: it has ended by the time that a
  * subsequent start is executed. */
 bool rp_replica_preemption_is_ending(const struct rp_allocation *allocation);
-/** Seconds of work that are lost if capacity for one task of the job is freed on the machine;
+/** Seconds of run time that are lost if capacity for one task of the job is freed on the machine;
  * negative if it cannot be freed. */
 double rp_replica_preemption_cost_s(const struct rp_services *services, struct rp_machine *machine,
                                     const struct rp_job *job, struct timespec now);
--- a/src/scheduler/reservation.c
+++ b/src/scheduler/reservation.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include "base/string_copy.h"
 
-/* Seconds that a reservation lasts beyond the estimated end of what it waits for. */
+/* Seconds that a reservation lasts beyond the estimated time until its capacity is free. */
 #define RESERVATION_MARGIN_S 6
 
 bool rp_reservation_is_exclusive(const struct rp_job *job) {
--- a/src/scheduler/reservation.h
+++ b/src/scheduler/reservation.h
@@ -8,7 +8,8 @@
 /** Whether whole machines are reserved for the job, rather than capacity on one. A gang of one task
  * that gets its capacity by preemption needs no whole machine reserved for it. */
 bool rp_reservation_is_exclusive(const struct rp_job *job);
-/** Reserves the machine for the job, for `for_s` seconds and a margin. */
+/** Reserves the machine for the job, for `for_s` seconds, the estimated time until its capacity is
+ * free, and a margin. */
 void rp_reservation_make(const struct rp_scheduler *scheduler, struct rp_machine *machine,
                          const struct rp_job *job, double for_s);
 /** The job that the machine is reserved for, as long as the job still waits for the machine; NULL
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -23,15 +23,17 @@
     size_t n_heuristics;
     unsigned long n_wins[RP_HEURISTICS_MAX];
     unsigned long n_cycles, n_preempted;
-    unsigned long n_over_bounds;       /* cycles whose input left some jobs out */
+    unsigned long n_over_bounds; /* cycles whose jobs may have needed more groups than the input may
+                                    hold, so that some were left out */
     unsigned long n_machines_examined; /* machines examined by the winning plans */
     struct timespec last_cycle_at;
     struct timespec replicas_moved_at; /* when a machine with replicas was last drained */
     /* For each machine type, the resources that GPU work takes of a machine that it fills. */
     struct rp_resources full_gpu_work[RP_TYPES_MAX];
-    /* Whether not all work can be in time, as of the last plan: [0] without GPUs, [1] with. */
+    /* Whether not all work can meet its objectives, as of the last plan: [0] without GPUs, [1] with
+     * GPUs. */
     bool short_of_capacity[2];
-    double last_cycle_duration_s; /* duration of the last cycle */
+    double last_cycle_duration_s; /* of the last cycle that applied a plan */
     struct rp_timer timer;
     bool active;
 };
--- a/src/scheduler/service_controller.h
+++ b/src/scheduler/service_controller.h
@@ -2,9 +2,9 @@
  * The reconciling controller of services. The desired state is as many running replicas as each
  * open service has tasks; the observed state is what the machines report. Missing replicas are
  * placed as soon as they are detected, also between two scheduling cycles, on the machine where
- * they run soonest; lower-priority work is preempted for them if necessary. Replicas for which
- * there is no machine are left to the plan, which provisions machines for them. Called by the
- * scheduling cycle and when messages of workers change the observed state. */
+ * they run soonest; lower-priority work is preempted for them if necessary. For replicas that no
+ * machine can take, the plan provisions machines. Called by the scheduling cycle and when messages
+ * of workers change the observed state. */
 #ifndef RP_SCHEDULER_SERVICE_CONTROLLER_H
 #define RP_SCHEDULER_SERVICE_CONTROLLER_H
 
--- a/src/scheduler/silent_machines.c
+++ b/src/scheduler/silent_machines.c
@@ -6,16 +6,20 @@
 
 /* Multiple of the heartbeat period after which a heartbeat is late. */
 #define LATE_HEARTBEAT_FACTOR 1.25
-#define SILENT_MARGIN_S 0.6 /* seconds from a late heartbeat until the machine counts as silent */
-#define PROBE_MARGIN_S 0.15 /* seconds from a late heartbeat until the machine is probed */
-/* Consecutive probes without an answer before a machine is scaled in. */
+/* Seconds after a heartbeat is late until the machine counts as silent. */
+#define SILENT_MARGIN_S 0.6
+/* Seconds after a heartbeat is late until the machine is probed. */
+#define PROBE_MARGIN_S 0.15
+/* Number of consecutive probes without a response before a machine is scaled in. */
 #define FAILED_PROBES_MIN 2
-/* Share of all machines. If more are silent, the cause is a network partition, which ends. */
+/* Share of all machines. If a greater share is silent, the cause is a network partition, which
+ * ends. */
 #define PARTITION_SHARE 0.2
-/* Share of a zone's machines. If more are silent, the cause is a network partition, which ends. */
+/* Share of a zone's machines. If a greater share is silent, the cause is a network partition, which
+ * ends. */
 #define ZONE_PARTITION_SHARE 0.4
-/* Seconds, beyond the time of a late heartbeat, within which a new leader has received a message
- * from every machine that is running. */
+/* Seconds, beyond the time after which a heartbeat is late, within which a new leader has received
+ * a message from every machine that is running. */
 #define NEW_LEADER_GRACE_S 3.0
 
 bool rp_silent_machines_is_reporting(const struct rp_services *services,
@@ -25,14 +29,15 @@
                LATE_HEARTBEAT_FACTOR * services->settings->report_s + SILENT_MARGIN_S;
 }
 
-/* The zones, as a bit set, in which so many machines are silent that the cause is a network
- * partition, which ends, rather than machines that hang or have died. Returns all zones if this
- * holds for the whole fleet. When a zone's partition begins, its machines become silent within one
+/* The zones, as a bit set, in which more than one machine and more than ZONE_PARTITION_SHARE of the
+ * machines are silent: the cause is a network partition, which ends, rather than machines that hang
+ * or have died. Returns all zones if more than one machine and more than PARTITION_SHARE of all
+ * machines are silent. When a zone's partition begins, its machines become silent within one
  * heartbeat period, before the first of them is scaled in. */
 static uint32_t find_partitioned_zones(const struct rp_services *services, struct timespec now) {
-    double n_known[RP_ZONES_MAX] = {0};
+    double n_machines[RP_ZONES_MAX] = {0};
     double n_silent[RP_ZONES_MAX] = {0};
-    double n_known_all = 0;
+    double n_machines_all = 0;
     double n_silent_all = 0;
     uint32_t zones = 0;
     for (const struct rp_machine *machine = services->cluster->first; machine;
@@ -40,16 +45,16 @@
         if (machine->contact.incarnation == 0 || machine->zone < 0 ||
             machine->state == RP_MACHINE_RELEASING)
             continue;
-        n_known[machine->zone]++;
+        n_machines[machine->zone]++;
         n_silent[machine->zone] += !rp_silent_machines_is_reporting(services, machine, now);
     }
     for (int z = 0; z < RP_ZONES_MAX; z++) {
-        n_known_all += n_known[z];
+        n_machines_all += n_machines[z];
         n_silent_all += n_silent[z];
-        if (n_silent[z] > fmax(1, ZONE_PARTITION_SHARE * n_known[z]))
+        if (n_silent[z] > fmax(1, ZONE_PARTITION_SHARE * n_machines[z]))
             zones |= UINT32_C(1) << z;
     }
-    return n_silent_all > fmax(1, PARTITION_SHARE * n_known_all) ? UINT32_MAX : zones;
+    return n_silent_all > fmax(1, PARTITION_SHARE * n_machines_all) ? UINT32_MAX : zones;
 }
 
 static void check_machine(struct rp_services *services, struct rp_machine *machine,
--- a/src/scheduler/task_moves.c
+++ b/src/scheduler/task_moves.c
@@ -6,9 +6,13 @@
 #include "scheduler/remaining_time.h"
 #include "scheduler/reservation.h"
 
-#define TASK_RUN_MIN_S 31    /* a start that is stopped sooner counts for no objective (PROTOCOL) */
-#define REPLICA_RUN_MIN_S 60 /* a replica that was started more recently is not moved again */
-#define REPLICA_REMAINING_S 300 /* assumed time that a replica will still be needed */
+/* Least run time, in seconds, before a task is moved: a start that is stopped sooner counts for no
+ * objective (PROTOCOL). */
+#define TASK_RUN_MIN_S 31
+/* Least run time, in seconds, before a replica is moved, so that it is not moved again at once. */
+#define REPLICA_RUN_MIN_S 60
+/* Time, in seconds, for which a replica is assumed to be still needed. */
+#define REPLICA_REMAINING_S 300
 
 bool rp_task_moves_init(struct rp_task_moves *moves, const struct rp_scheduler *scheduler) {
     size_t n = scheduler->cluster->n_machines;
@@ -75,8 +79,9 @@
            rp_machine_has_image(target, job->image_hash);
 }
 
-/* Stores the index of the machine that has to be kept least longer for the task if the task moves
- * there. Returns what that costs, or -1 if no machine can take the task. */
+/* Stores the index of the machine to which the task moves at the least cost: the cost of keeping
+ * that machine longer for the task. Returns the cost, as hourly price times seconds, or -1 if no
+ * machine can take the task. */
 static double cheapest_move(const struct rp_scheduler *scheduler, const struct rp_task_moves *moves,
                             const struct rp_machine *from, const struct rp_allocation *allocation,
                             size_t *target, struct timespec now) {
--- a/src/scheduler/task_moves.h
+++ b/src/scheduler/task_moves.h
@@ -1,7 +1,8 @@
 /** @file
  * Finds where the tasks of a machine could continue if it were drained, and how much longer other
- * machines would have to be kept for them. The capacity found for one task is taken, so that it is
- * not found again for another. Used by machine_draining.h within one cycle. */
+ * machines would have to be kept for them. The capacity found for one task is deducted from a copy
+ * of the free resources, so that it is not found again for another. Used by machine_draining.h
+ * within one cycle. */
 #ifndef RP_SCHEDULER_TASK_MOVES_H
 #define RP_SCHEDULER_TASK_MOVES_H
 
@@ -24,7 +25,7 @@
 /** Frees the arrays. */
 void rp_task_moves_free(struct rp_task_moves *moves);
 /** Whether the task may be moved: it keeps its progress when stopped, or is a replica, which has
- * none, and it has run for long enough that its start counts already. */
+ * none, and it has run for long enough that its start counts for an objective. */
 bool rp_task_moves_is_movable(const struct rp_allocation *allocation, struct timespec now);
 /** Whether the job's one_zone and spread settings allow one of its tasks to move from its machine
  * to the target machine. */
--- a/tests/unit/test_plan.c
+++ b/tests/unit/test_plan.c
@@ -69,16 +69,16 @@
 static void tasks_fill_machines_in_heuristic_order(void **state) {
     struct rp_plan_machine machines[] = {make_machine(1, 32, 32), make_machine(0, 8, 5)};
     struct rp_plan_group groups[] = {make_group(8, 1, 50)};
-    struct rp_plan_input planned = make_input(NULL, 0, machines, 2, groups, 1);
+    struct rp_plan_input input = make_input(NULL, 0, machines, 2, groups, 1);
     struct rp_plan plan;
     (void)state;
-    rp_plan_build(&planned, fcfs_sm, &plan); /* smallest machine first */
+    rp_plan_build(&input, fcfs_sm, &plan); /* smallest machine first */
     assert_int_equal(n_placed_on(&plan, 0, 1), 5);
     assert_int_equal(n_placed_on(&plan, 0, 0), 3);
     assert_int_equal(plan.n_starting, 8);
     assert_int_equal(plan.n_new_machines, 0);
     rp_plan_free(&plan);
-    rp_plan_build(&planned, (struct rp_heuristic){RP_JOB_ORDER_FCFS, RP_MACHINE_ORDER_LM}, &plan);
+    rp_plan_build(&input, (struct rp_heuristic){RP_JOB_ORDER_FCFS, RP_MACHINE_ORDER_LM}, &plan);
     assert_int_equal(n_placed_on(&plan, 0, 0), 8);
     rp_plan_free(&plan);
 }
@@ -88,20 +88,20 @@
                                            make_offering(1, false, 32, 1.5),
                                            make_offering(1, true, 32, 0.4)};
     struct rp_plan_group groups[] = {make_group(40, 1, 50)};
-    struct rp_plan_input planned = make_input(offerings, 3, NULL, 0, groups, 1);
+    struct rp_plan_input input = make_input(offerings, 3, NULL, 0, groups, 1);
     struct rp_plan plan;
     (void)state;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(plan.n_new_machines, 2);
     assert_int_equal(plan.new_machines[0], 2); /* spot: 80 CPUs per unit of price */
     assert_int_equal(plan.n_waiting, 40);
     rp_plan_free(&plan);
     groups[0].spot = false;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(plan.new_machines[0], 1); /* 21 CPUs per unit of price, against 16 */
     rp_plan_free(&plan);
     offerings[1].refused = true;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     /* The second best offering is provisioned while the best one is refused. */
     assert_int_equal(plan.n_new_machines, 5);
     rp_plan_free(&plan);
@@ -111,11 +111,11 @@
     struct rp_plan_offering offerings[] = {make_offering(0, false, 8, 0.5)};
     struct rp_plan_machine machines[] = {make_machine(0, 8, 0)};
     struct rp_plan_group groups[] = {make_group(8, 1, 50)};
-    struct rp_plan_input planned = make_input(offerings, 1, machines, 1, groups, 1);
+    struct rp_plan_input input = make_input(offerings, 1, machines, 1, groups, 1);
     struct rp_plan plan;
     (void)state;
     machines[0].free_later.cpus = 8; /* free before a new machine could be up */
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(plan.n_new_machines, 0);
     assert_int_equal(plan.n_starting, 0);
     assert_int_equal(plan.n_waiting, 8);
@@ -125,12 +125,12 @@
 static void gang_is_placed_whole_or_not_at_all(void **state) {
     struct rp_plan_machine machines[] = {make_machine(0, 8, 8), make_machine(0, 8, 8)};
     struct rp_plan_group groups[] = {make_group(3, 8, 50), make_group(2, 8, 50)};
-    struct rp_plan_input planned = make_input(NULL, 0, machines, 2, groups, 2);
+    struct rp_plan_input input = make_input(NULL, 0, machines, 2, groups, 2);
     struct rp_plan plan;
     (void)state;
     groups[0].kind = groups[1].kind = RP_JOB_GANG;
     groups[0].age_s = 100;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(n_placed_on(&plan, 0, 0) + n_placed_on(&plan, 0, 1), 0);
     assert_int_equal(n_placed_on(&plan, 1, 0) + n_placed_on(&plan, 1, 1), 2);
     rp_plan_free(&plan);
@@ -139,7 +139,7 @@
     machines[1].capacity.cpus = machines[1].free_now.cpus = machines[1].free_later.cpus = 16;
     groups[1].one_zone = true;
     groups[0].n_tasks = 9;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(n_placed_on(&plan, 1, 1), 2);
     rp_plan_free(&plan);
 }
@@ -148,19 +148,19 @@
     struct rp_plan_machine machines[] = {make_machine(0, 64, 64), make_machine(0, 64, 64)};
     struct rp_plan_group groups[] = {make_group(9, 1, 50)};
     struct rp_plan_team team[] = {{.cpus_left = 4, .gpus_left = 1e9}};
-    struct rp_plan_input planned = make_input(NULL, 0, machines, 2, groups, 1);
+    struct rp_plan_input input = make_input(NULL, 0, machines, 2, groups, 1);
     struct rp_plan plan;
     (void)state;
     machines[1].zone = 1;
     groups[0].spread = true;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(n_placed_on(&plan, 0, 0), 5);
     assert_int_equal(n_placed_on(&plan, 0, 1), 4);
     rp_plan_free(&plan);
-    planned.teams = team;
-    planned.n_teams = 1;
+    input.teams = team;
+    input.n_teams = 1;
     groups[0].team = 0;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(plan.n_starting, 4);
     rp_plan_free(&plan);
 }
@@ -168,12 +168,12 @@
 static void higher_priority_is_placed_first(void **state) {
     struct rp_plan_machine machines[] = {make_machine(0, 8, 8)};
     struct rp_plan_group groups[] = {make_group(8, 1, 50), make_group(1, 8, 50)};
-    struct rp_plan_input planned = make_input(NULL, 0, machines, 1, groups, 2);
+    struct rp_plan_input input = make_input(NULL, 0, machines, 1, groups, 2);
     struct rp_plan plan;
     (void)state;
     groups[0].age_s = 1000;
     groups[1].priority = RP_PRIORITY_HIGH;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(n_placed_on(&plan, 1, 0), 1);
     assert_int_equal(n_placed_on(&plan, 0, 0), 0);
     rp_plan_free(&plan);
@@ -256,21 +256,21 @@
 
 static void check_placement(const struct random_case *drawn, const struct rp_plan *plan,
                             const struct rp_placement *placement, struct usage *usage) {
-    const struct rp_plan_group *placed = &drawn->groups[placement->group];
+    const struct rp_plan_group *group = &drawn->groups[placement->group];
     bool is_new = placement->machine >= drawn->n_machines;
     const struct rp_plan_offering *offering =
         is_new ? &drawn->offerings[plan->new_machines[placement->machine - drawn->n_machines]]
                : NULL;
     int zone = is_new ? offering->zone : drawn->machines[placement->machine].zone;
     bool is_spot = is_new ? offering->spot : drawn->machines[placement->machine].spot;
-    double cpus = placement->count * placed->task_resources.cpus;
+    double cpus = placement->count * group->task_resources.cpus;
     usage->cpus[placement->machine] += cpus;
     usage->now_cpus[placement->machine] += placement->starts_now ? cpus : 0;
-    usage->team_cpus += placed->team == 0 ? cpus : 0;
+    usage->team_cpus += group->team == 0 ? cpus : 0;
     usage->placed[placement->group] += placement->count;
     usage->in_zone[placement->group][zone] += placement->count;
-    assert_true(placed->zones >> zone & 1);
-    assert_true(!is_spot || placed->spot);
+    assert_true(group->zones >> zone & 1);
+    assert_true(!is_spot || group->spot);
     assert_false(is_new && placement->starts_now);
 }
 
@@ -289,13 +289,13 @@
 
 static void check_groups(const struct random_case *drawn, const struct usage *usage) {
     for (size_t i = 0; i < drawn->n_groups; i++) {
-        const struct rp_plan_group *planned = &drawn->groups[i];
-        assert_at_most(usage->placed[i], planned->n_tasks);
-        assert_true(planned->kind != RP_JOB_GANG || usage->placed[i] == 0 ||
-                    usage->placed[i] == planned->n_tasks);
-        assert_true(!planned->one_zone || !usage->in_zone[i][0] || !usage->in_zone[i][1]);
+        const struct rp_plan_group *group = &drawn->groups[i];
+        assert_at_most(usage->placed[i], group->n_tasks);
+        assert_true(group->kind != RP_JOB_GANG || usage->placed[i] == 0 ||
+                    usage->placed[i] == group->n_tasks);
+        assert_true(!group->one_zone || !usage->in_zone[i][0] || !usage->in_zone[i][1]);
         for (int zone = 0; zone < 2; zone++)
-            assert_true(!planned->spread || usage->in_zone[i][zone] <= planned->spread_max);
+            assert_true(!group->spread || usage->in_zone[i][zone] <= group->spread_max);
     }
 }
 
@@ -339,9 +339,9 @@
     for (int i = 0; i < 4; i++)
         groups[i].slack_s = 100;
     groups[0].slack_s = 10;         /* about to be late, and far too large to meet its objective */
-    groups[1].is_first_task = true; /* the first task of another large one */
-    struct rp_plan_input planned = make_input(NULL, 0, machines, MACHINES, groups, 4);
-    rp_plan_build(&planned, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
+    groups[1].is_first_task = true; /* the first task of another large job */
+    struct rp_plan_input input = make_input(NULL, 0, machines, MACHINES, groups, 4);
+    rp_plan_build(&input, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
     uint32_t placed[4] = {0};
     for (size_t i = 0; i < plan.n_placements; i++)
         placed[plan.placements[i].group] += plan.placements[i].count;
@@ -354,7 +354,7 @@
     /* With enough slack for all jobs, nothing is shed. */
     for (int i = 0; i < 4; i++)
         groups[i].slack_s = 2000;
-    rp_plan_build(&planned, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
+    rp_plan_build(&input, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
     assert_false(plan.short_of_capacity[0]);
     rp_plan_free(&plan);
 }
@@ -365,7 +365,7 @@
     struct rp_plan_machine machines[] = {make_machine(0, 8, 8), make_machine(0, 8, 0),
                                          make_machine(0, 8, 8)};
     struct rp_plan_group groups[] = {make_group(2, 8, 50), make_group(5, 2, 50)};
-    struct rp_plan_input planned = make_input(NULL, 0, machines, 3, groups, 2);
+    struct rp_plan_input input = make_input(NULL, 0, machines, 3, groups, 2);
     struct rp_plan plan;
     int gang;
     int other;
@@ -376,13 +376,13 @@
     groups[1].ref = &other;
     machines[0].reserved_for = machines[1].reserved_for = &gang;
     machines[2].free_now.cpus = machines[2].free_later.cpus = 6;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(n_placed_on(&plan, 1, 0) + n_placed_on(&plan, 1, 1), 0);
     assert_int_equal(n_placed_on(&plan, 1, 2), 3);
     assert_int_equal(n_placed_on(&plan, 0, 0), 0);
     rp_plan_free(&plan);
     machines[1].free_now.cpus = machines[1].free_later.cpus = 8;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(n_placed_on(&plan, 0, 0) + n_placed_on(&plan, 0, 1), 2);
     assert_int_equal(n_placed_on(&plan, 1, 2), 3);
     rp_plan_free(&plan);
@@ -393,7 +393,7 @@
 static void spare_capacity_of_busy_gpu_machines_is_used(void **state) {
     struct rp_plan_machine machines[] = {make_machine(1, 24, 24), make_machine(1, 24, 24)};
     struct rp_plan_group groups[] = {make_group(10, 1, 40)};
-    struct rp_plan_input planned = make_input(NULL, 0, machines, 2, groups, 1);
+    struct rp_plan_input input = make_input(NULL, 0, machines, 2, groups, 1);
     struct rp_plan plan;
     (void)state;
     for (int i = 0; i < 2; i++) {
@@ -401,11 +401,11 @@
         machines[i].free_spare = (struct rp_resources){3, 0, 20};
     }
     machines[0].busy_s = machines[0].gpu_busy_s = 60;
-    machines[1].busy_s = 60; /* in use by work without GPUs, which would keep the machine forever */
+    machines[1].busy_s = 60; /* used by work without GPUs, which would keep it in use forever */
     machines[1].gpu_busy_s = 5;
     groups[0].types = 1;
     groups[0].spare_types = 2;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(n_placed_on(&plan, 0, 0), 3);
     assert_int_equal(n_placed_on(&plan, 0, 1), 0);
     rp_plan_free(&plan);
@@ -425,8 +425,8 @@
     }
     for (int i = 0; i < GROUPS; i++)
         groups[i] = make_group(100, 1, 30);
-    struct rp_plan_input planned = make_input(NULL, 0, machines, MACHINES, groups, GROUPS);
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    struct rp_plan_input input = make_input(NULL, 0, machines, MACHINES, groups, GROUPS);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(plan.n_starting, 320);
     assert_true(plan.n_machines_examined > 0 && plan.n_machines_examined < 1000);
     rp_plan_free(&plan);
@@ -450,8 +450,8 @@
         groups[i].class_jobs = i == 3 ? 40 : 1;
     }
     groups[3].kind = RP_JOB_GANG;
-    struct rp_plan_input planned = make_input(NULL, 0, machines, 10, groups, 4);
-    rp_plan_build(&planned, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
+    struct rp_plan_input input = make_input(NULL, 0, machines, 10, groups, 4);
+    rp_plan_build(&input, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
     assert_true(plan.short_of_capacity[0]);
     for (size_t i = 0; i < 10; i++)
         small += n_placed_on(&plan, 2, i);
@@ -459,21 +459,21 @@
     rp_plan_free(&plan);
 }
 
-/* Work within a team's guaranteed quota is placed before the work of other teams, whatever the
+/* Work within a team's guaranteed quota is placed before the work of other teams, regardless of the
  * priorities. */
 static void guaranteed_work_precedes_higher_priority(void **state) {
     struct rp_plan_machine machines[] = {make_machine(0, 8, 8)};
     struct rp_plan_group groups[] = {make_group(8, 1, 50), make_group(6, 1, 50)};
-    struct rp_plan_input planned = make_input(NULL, 0, machines, 1, groups, 2);
+    struct rp_plan_input input = make_input(NULL, 0, machines, 1, groups, 2);
     struct rp_plan plan;
     (void)state;
     groups[0].priority = RP_PRIORITY_CRITICAL;
     groups[1].priority = RP_PRIORITY_LOW;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(n_placed_on(&plan, 1, 0), 0);
     rp_plan_free(&plan);
     groups[1].is_guaranteed = true;
-    rp_plan_build(&planned, fcfs_sm, &plan);
+    rp_plan_build(&input, fcfs_sm, &plan);
     assert_int_equal(n_placed_on(&plan, 1, 0), 6);
     assert_int_equal(n_placed_on(&plan, 0, 0), 2);
     rp_plan_free(&plan);
@@ -497,8 +497,8 @@
     groups[40] = make_group(160, 1, 10);
     groups[40].slack_s = 60;
     groups[40].class_jobs = 1;
-    struct rp_plan_input planned = make_input(NULL, 0, machines, 10, groups, 41);
-    rp_plan_build(&planned, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
+    struct rp_plan_input input = make_input(NULL, 0, machines, 10, groups, 41);
+    rp_plan_build(&input, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
     assert_true(plan.short_of_capacity[0]);
     for (size_t i = 0; i < 10; i++)
         rare += n_placed_on(&plan, 40, i);
@@ -506,7 +506,7 @@
     rp_plan_free(&plan);
     /* As one of forty jobs of its class, the large job is shed. */
     groups[40].class_jobs = 40;
-    rp_plan_build(&planned, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
+    rp_plan_build(&input, (struct rp_heuristic){RP_JOB_ORDER_ESW, RP_MACHINE_ORDER_SM}, &plan);
     rare = 0;
     for (size_t i = 0; i < 10; i++)
         rare += n_placed_on(&plan, 40, i);
