--- a/src/api/refusal.h
+++ b/src/api/refusal.h
@@ -7,7 +7,7 @@
 #include "api/response_status.h"
 #include "protocol/codec.h"
 
-/** The text for every user whose request cannot be answered now, but may be later. */
+/** The error text for a request that cannot be answered now, but may be later. */
 #define RP_TEXT_UNAVAILABLE "not possible just now"
 
 /** The reason for which a submission is refused. */
--- a/src/api/response_status.h
+++ b/src/api/response_status.h
@@ -11,7 +11,7 @@
     RP_RESPONSE_MALFORMED = 400,          /* the body cannot be read as a job */
     RP_RESPONSE_NOT_FOUND = 404,          /* no such path, or no such job */
     RP_RESPONSE_METHOD_NOT_ALLOWED = 405, /* the path exists, but does not support the method */
-    RP_RESPONSE_UNACCEPTABLE = 422,       /* a job that could never run here */
+    RP_RESPONSE_UNACCEPTABLE = 422,       /* a job that this cluster could never run */
     RP_RESPONSE_UNAVAILABLE = 503         /* not possible now: the same request may succeed later */
 };
 
--- a/src/api/status.c
+++ b/src/api/status.c
@@ -77,7 +77,7 @@
 static json_t *class_counts(const struct rp_status_sources *sources) {
     json_t *classes = json_object();
     for (const struct rp_job *job = sources->jobs->table.first; job; job = job->next) {
-        /* A closed job stays in the table while machines still list tasks of it. */
+        /* A closed job remains in the table while machines still list tasks of it. */
         if (job->state == RP_JOB_CLOSED)
             continue;
         const struct counter counters[] = {
--- a/src/api/submission_check.h
+++ b/src/api/submission_check.h
@@ -1,7 +1,7 @@
 /** @file
- * Checks whether a well-formed submission could ever run here. A job that never could is refused at
- * once, so that it does not wait forever. The users' API calls this before it writes a job; jobs
- * that were accepted earlier are not checked again. */
+ * Checks whether a well-formed submission could ever run on this cluster. A job that never could is
+ * refused at once, so that it does not wait forever. The users' API calls this before it writes a
+ * job; jobs that were accepted earlier are not checked again. */
 #ifndef RP_API_SUBMISSION_CHECK_H
 #define RP_API_SUBMISSION_CHECK_H
 
--- a/src/api/submission_record.h
+++ b/src/api/submission_record.h
@@ -1,6 +1,6 @@
 /** @file
  * Makes the stored record of an accepted submission. The store limits the size of a value: a record
- * that is too large is made shorter without a change of its meaning, or cut into parts that are
+ * that is too large is made shorter without a change of its meaning, or split into parts that are
  * written in the same transaction. */
 #ifndef RP_API_SUBMISSION_RECORD_H
 #define RP_API_SUBMISSION_RECORD_H
@@ -18,13 +18,13 @@
 
 /** Makes the record of a job that is accepted now, in pieces of at most `value_max_bytes` and no
  * more pieces than a transaction may have. Before the format is activated no node reads parts, so a
- * record too large for one value gets no pieces. Machine types that no machine has may be removed
- * from `spec`. */
+ * record too large for one value gets no pieces. Repeated machine types, and those that are not in
+ * the catalog, may be removed from `spec`. */
 void rp_submission_record(const struct rp_upgrade *upgrade, const struct rp_catalog *catalog,
                           struct rp_job_spec *spec, size_t value_max_bytes,
                           struct rp_submission_pieces *out);
-/** The maximum size of a value in bytes. Until every node supports the format it is the store's
- * limit of today; afterwards it is the limit that fits today's limits and those to come. */
+/** The maximum size of a value in bytes. Before the format is active it is the store's current
+ * limit; afterwards it is the lower one of the current and the future limit. */
 size_t rp_submission_value_max_bytes(const struct rp_upgrade *upgrade);
 
 #endif
--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -173,8 +173,8 @@
     }
 }
 
-/* A node of the version before would run a service like an array, and report it as done: a service
- * is accepted only once no such node is left. */
+/* A node of the previous version would run a service like an array, and report it as done: a
+ * service is accepted only once no such node is left. */
 static void on_format_read(void *arg, const struct rp_kv_result *result) {
     struct user_request *request = arg;
     struct rp_upgrade *upgrade = request->api->upgrade;
@@ -221,7 +221,7 @@
         request->value_max_bytes = value_max_bytes(request) / 2;
         set_state(request, REQUEST_WRITING);
     } else {
-        /* A conflict: the job exists, or has changed in the meantime. No response: only a read
+        /* A conflict: the job exists, or has changed since it was read. No response: only a read
          * shows whether the write was carried out. If it was not, it may still be, and a second
          * write is harmless since both carry the same conditions. */
         set_state(request, REQUEST_READING_OPEN);
@@ -335,7 +335,7 @@
 
 /* ---- requests ---- */
 
-/* Creates a request. `id` is "" if it is not known yet. */
+/* Creates a request. `id` is "" if it has not been parsed yet. */
 static struct user_request *request_new(struct rp_user_api *api, struct rp_request *req,
                                         enum request_kind kind, const char *id) {
     struct user_request *request = rp_alloc(1, sizeof *request);
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -1,7 +1,7 @@
 /** @file
  * The users' interface: submissions, queries and cancellations of jobs. Every node serves it
  * directly from the key-value store, whose reads and conditional writes are linearizable, so no
- * node can give an older answer than another. The leader reads the jobs from the store, too.
+ * node can return an older state than another. The leader reads the jobs from the store, too.
  *
  * The module keeps no state but the requests in flight. The node routes requests to it
  * (controller/node_requests.h). */
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -63,7 +63,7 @@
     return true;
 }
 
-static void on_cloud_answer(void *arg, const struct rp_answer *answer) {
+static void on_cloud_response(void *arg, const struct rp_answer *answer) {
     struct rp_catalog_source *source = arg;
     json_t *value =
         answer->status == STATUS_OK ? rp_codec_parse_object(answer->body, answer->len) : NULL;
@@ -79,7 +79,7 @@
 
 static void on_cloud_timer(void *arg) {
     struct rp_catalog_source *source = arg;
-    rp_cloud_call(source->cloud, RP_CLOUD_URGENT, "GET", RP_PATH_CATALOG, NULL, on_cloud_answer,
+    rp_cloud_call(source->cloud, RP_CLOUD_URGENT, "GET", RP_PATH_CATALOG, NULL, on_cloud_response,
                   source);
 }
 
@@ -107,7 +107,7 @@
 static void on_catalog_written(void *arg, const struct rp_kv_result *result) {
     (void)arg;
     if (result->outcome != RP_KV_OK)
-        /* There is no retry: the next leader stores them. */
+        /* There is no retry: the next leader stores the machine types. */
         rp_debug("machine types not stored: reason=%s", rp_kv_outcome_name(result->outcome));
 }
 
@@ -123,8 +123,8 @@
     struct rp_catalog_source *source = arg;
     struct rp_kv_item item = {0};
     bool is_stored = rp_kv_result_item(result, &item);
-    bool is_known = is_stored || result->outcome == RP_KV_NOT_FOUND;
-    if (!is_known || source->election->state != RP_ELECTION_HOLDING_KEY || !source->cloud_catalog)
+    bool was_read = is_stored || result->outcome == RP_KV_NOT_FOUND;
+    if (!was_read || source->election->state != RP_ELECTION_HOLDING_KEY || !source->cloud_catalog)
         return;
     json_t *record = rp_record_mark(json_copy(source->cloud_catalog));
     bool is_same = is_stored && json_equal(record, item.value);
--- a/src/cloud/cloud_client.c
+++ b/src/cloud/cloud_client.c
@@ -71,7 +71,7 @@
 
 /* ---- requests ---- */
 
-static void on_answer(void *arg, const struct rp_answer *answer) {
+static void on_response(void *arg, const struct rp_answer *answer) {
     struct rp_cloud_call *call = arg;
     struct rp_cloud_client *client = call->client;
     rp_answer_fn callback = call->fn;
@@ -86,7 +86,7 @@
     struct rp_cloud_client *client = call->client;
     rp_token_bucket_take(&client->rate_limiter, 1);
     client->net.call(client->net.ctx, client->addr, call->method, call->target, call->body,
-                     RESPONSE_TIMEOUT_S, on_answer, call);
+                     RESPONSE_TIMEOUT_S, on_response, call);
 }
 
 /* Sends the waiting requests that the rate limit permits, urgent ones first. */
--- a/src/controller/running_counts.c
+++ b/src/controller/running_counts.c
@@ -43,7 +43,7 @@
     bool is_silent = !is_answered &&
                      rp_ts_since(rp_loop_now(counts->loop), counts->polled_at) > UNANSWERED_MIN_S;
     if (is_answered || is_silent)
-        rp_election_note_leader_answer(counts->election, is_answered);
+        rp_election_record_leader_response(counts->election, is_answered);
     json_t *body =
         answer->status == RP_RESPONSE_OK ? rp_codec_parse_object(answer->body, answer->len) : NULL;
     json_t *jobs = json_object_get(body, "jobs");
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -9,30 +9,30 @@
 #include "base/string_copy.h"
 #include "store/records.h"
 
-/* Share of a lease's length by which this node trusts its own lease for less time, and a fenced
- * leader's for more. The steady clock may run 0.05% fast against the store's clock; this is four
- * times that. */
+/* Margin for clock drift, as a share of a lease's length. It shortens the time for which this node
+ * trusts its own lease, and lengthens the time for which it assumes that a fenced leader may still
+ * act. The steady clock may run 0.05% fast against the store's clock; this is four times that. */
 #define CLOCK_DRIFT_SHARE 0.002
-/* Margin added to that of the drift, for steps of the clock and for a turn of the event loop that
- * ends between the check of the lease and the sending of a message. */
+/* Margin in addition to that for clock drift, for steps of the clock and for an iteration of the
+ * event loop that ends between the check of the lease and the sending of a message. */
 #define CLOCK_MARGIN_S 0.15
-/* Time beyond the lease's length for which the leader read last is reported as the leader. One
- * whose key was read longer ago may have lost it since. */
-#define STALE_LEADER_SLACK_S 2.0
-/* Time beyond the lease's length during which a silent leader is taken to have stopped. One that is
- * silent for longer and still has the key must be renewing its lease. */
-#define SILENT_LEADER_SLACK_S 0.5
+/* Time beyond the lease's length for which the leader that the last read of the key found is still
+ * reported as the leader. If that read is longer ago, the leader may have lost the key since. */
+#define STALE_LEADER_TOLERANCE_S 2.0
+/* Time beyond the lease's length during which a silent leader is presumed to have stopped. A leader
+ * that is silent for longer and still has the key must be renewing its lease. */
+#define SILENT_LEADER_TOLERANCE_S 0.5
 /* Delay before the next attempt after a request has failed. */
 #define RETRY_DELAY_S 0.25
-/* Longest time between renewals. When an outage of the store begins, the lease has already lost the
- * time since its last renewal. */
+/* Longest time between renewals of the leader's lease. When an outage of the store begins, the
+ * lease has already lost the time since its last renewal. */
 #define RENEWAL_PERIOD_MAX_S 0.5
 /* Fewest renewals within the length of a lease; shortens the renewal period of a short lease. */
 #define RENEWALS_PER_LEASE_MIN 8
 /* Longest lease of a term that begins because the previous leader fell silent. One node is then
  * probably down, and if this leader falls silent too, workers have too few nodes left to try. A
- * worker waits 4 s for an answer, tries the next node a second later, and is held there for up to
- * 3.7 s (worker/heartbeat_queue.c); by then the next leader has to be known. */
+ * worker waits 4 s for a response and a second later sends its heartbeat to the next node, which
+ * holds it for up to 3.7 s (worker/heartbeat_queue.c); by then the next leader has to be known. */
 #define TTL_AFTER_SILENT_LEADER_MAX_S 7.5
 
 static void on_timer(void *arg);
@@ -63,26 +63,26 @@
            !rp_ts_is_reached(now, election->valid_until);
 }
 
-/* Whether the leader has stalled or terminated. A leader that still has the key when any lease
- * would have ended is running, and only this node cannot reach it. */
+/* Whether the leader is presumed to have stalled or terminated. A leader that still has the key
+ * when any lease would have ended is running, and only this node cannot reach it. */
 static bool is_leader_silent(const struct rp_election *election, struct timespec now) {
     return !rp_ts_is_zero(election->leader_silent_since) &&
            rp_ts_since(now, election->leader_silent_since) <
-               election->ttl_s + SILENT_LEADER_SLACK_S;
+               election->ttl_s + SILENT_LEADER_TOLERANCE_S;
 }
 
-/* Whether the leader was read recently enough to be reported. A node that is cut off from the store
- * would otherwise report a leader that may have terminated long ago, and workers would be
- * redirected in circles. */
-static bool is_leader_known(const struct rp_election *election, struct timespec now) {
+/* Whether the last read of the key found a leader, recently enough to be reported. A node that is
+ * partitioned from the store would otherwise report a leader that may have terminated long ago, and
+ * workers would be redirected in circles. */
+static bool has_recent_leader(const struct rp_election *election, struct timespec now) {
     double age_s = rp_ts_since(now, election->leader_key_read_at);
-    return election->leader[0] && age_s <= election->ttl_s + STALE_LEADER_SLACK_S;
+    return election->leader[0] && age_s <= election->ttl_s + STALE_LEADER_TOLERANCE_S;
 }
 
 const char *rp_election_leader(const struct rp_election *election, struct timespec now) {
     bool is_own =
         election->state == RP_ELECTION_HOLDING_KEY || strcmp(election->leader, election->node) == 0;
-    if (is_own || !is_leader_known(election, now) || is_leader_silent(election, now))
+    if (is_own || !has_recent_leader(election, now) || is_leader_silent(election, now))
         return NULL;
     return election->leader;
 }
@@ -91,9 +91,9 @@
     rp_kv_txn_if(txn, RP_KEY_LEADER, election->fencing_token);
 }
 
-/* Whether the time has passed for which this node leaves a key that it gave up to the other nodes.
- * The backoff applies also while the key still names this node, since the revocation of its lease
- * may be carried out seconds later. */
+/* Whether the backoff after a resignation is over, during which this node does not claim the key
+ * and the other nodes can. It applies also while the key still names this node, since the
+ * revocation of its lease may be carried out seconds later. */
 static bool is_backoff_over(const struct rp_election *election) {
     return rp_ts_is_reached(rp_loop_now(election->loop), election->backoff_until);
 }
@@ -117,15 +117,15 @@
     {RP_ELECTION_FOLLOWING, RP_ELECTION_REVOKING_LEASE},
     /* The key was read. Either it is free, because the lease of its last holder has ended, or it
      * names this node and no fenced leader. In the second case it was written by an earlier
-     * process, which has terminated, or by a claim whose answer was lost. No node acts on that
+     * process, which has terminated, or by a claim whose response was lost. No node acts on that
      * claim, hence this node need not wait for its lease to end. */
     {RP_ELECTION_FOLLOWING, RP_ELECTION_ACQUIRING_LEASE},
     /* The store confirmed that the key was overwritten, at a known revision. Every guarded write of
      * the earlier leader fails from now on, but that leader may still answer workers. */
     {RP_ELECTION_OVERWRITING_KEY, RP_ELECTION_REVOKING_LEASE},
-    /* Overwriting the key failed with a conflict, was refused, or was not answered. If the write
-     * was carried out nevertheless, the next read shows this node's name with the lease that has to
-     * be revoked. */
+    /* Overwriting the key failed with a conflict, was refused, or received no response. If the
+     * write was carried out nevertheless, the next read shows this node's name with the lease that
+     * has to be revoked. */
     {RP_ELECTION_OVERWRITING_KEY, RP_ELECTION_FOLLOWING},
     /* The store did not confirm the revocation of the lease, which is requested again. */
     {RP_ELECTION_REVOKING_LEASE, RP_ELECTION_REVOKING_LEASE},
@@ -134,15 +134,15 @@
     {RP_ELECTION_REVOKING_LEASE, RP_ELECTION_ACQUIRING_LEASE},
     /* The store granted a lease to this node. */
     {RP_ELECTION_ACQUIRING_LEASE, RP_ELECTION_CLAIMING_KEY},
-    /* No lease was granted, or no answer came. No key is attached to a lease that was granted
-     * without an answer. */
+    /* No lease was granted, or no response was received. No key is attached to a lease whose grant
+     * was not received. */
     {RP_ELECTION_ACQUIRING_LEASE, RP_ELECTION_FOLLOWING},
     /* The store confirmed that the key was written, attached to the lease, on the condition that
      * it still had the revision with which the claim began. No other node has held the key since.
      * The revision of the write is the fencing token. */
     {RP_ELECTION_CLAIMING_KEY, RP_ELECTION_HOLDING_KEY},
     /* The claim failed: another node wrote the key first, or the store refused the claim or did not
-     * answer. */
+     * respond. */
     {RP_ELECTION_CLAIMING_KEY, RP_ELECTION_FOLLOWING},
     /* The lease has ended, a read showed the key to be free or another node's, a fence of a later
      * revision was received, or this node gave up the key. A period in which leadership could not
@@ -205,8 +205,8 @@
         schedule_renewal(election);
         return;
     }
-    /* A claim that was not answered may have been carried out. Its lease is then left to expire,
-     * and the next read shows this node's own name, upon which the key is claimed again. */
+    /* A claim without a response may have been carried out. Its lease is then left to expire, and
+     * the next read shows this node's own name, upon which the key is claimed again. */
     if (result->outcome == RP_KV_CONDITION_FAILED)
         rp_kv_lease_revoke(election->store, election->lease, ignore_result, NULL);
     follow(election, RETRY_DELAY_S);
@@ -329,7 +329,7 @@
     return true;
 }
 
-void rp_election_note_fence(struct rp_election *election, uint64_t revision) {
+void rp_election_record_fence(struct rp_election *election, uint64_t revision) {
     if (election->state != RP_ELECTION_HOLDING_KEY || revision <= election->fencing_token)
         return;
     rp_info("fenced by another node: fence_revision=%" PRIu64, revision);
@@ -341,15 +341,15 @@
 /* A stalled leader keeps the key until its lease ends. If its silence were not recorded, workers
  * would be redirected to it and wait there once more, and many would lose their lease before they
  * found the next leader. */
-void rp_election_note_leader_answer(struct rp_election *election, bool answered) {
-    if (answered)
+void rp_election_record_leader_response(struct rp_election *election, bool has_responded) {
+    if (has_responded)
         election->leader_silent_since = (struct timespec){0};
     else if (rp_ts_is_zero(election->leader_silent_since))
         election->leader_silent_since = rp_loop_now(election->loop);
 }
 
-static void note_leader(struct rp_election *election, const struct rp_leader_record *record,
-                        uint64_t revision) {
+static void record_leader(struct rp_election *election, const struct rp_leader_record *record,
+                          uint64_t revision) {
     /* The recorded silence was that of the previous leader. */
     if (strcmp(record->node, election->leader) != 0)
         election->leader_silent_since = (struct timespec){0};
@@ -379,7 +379,7 @@
         claim_key(election, item.revision, record.fenced);
         return true;
     }
-    note_leader(election, &record, item.revision);
+    record_leader(election, &record, item.revision);
     return false;
 }
 
@@ -407,7 +407,7 @@
     struct renewal renewal = *(struct renewal *)arg;
     struct rp_election *election = renewal.election;
     free(arg);
-    /* The answer to a renewal of an earlier term's lease does not apply to this term's lease.
+    /* The response to a renewal of an earlier term's lease does not apply to this term's lease.
      * Without this check, it proves a lease that was not renewed, or ends a valid term. */
     if (election->state != RP_ELECTION_HOLDING_KEY || renewal.lease != election->lease)
         return;
@@ -465,8 +465,8 @@
 
 /* ---- the timer ---- */
 
-/* Starts the next step of the current state. In the states without one, this node waits for an
- * answer, which always arrives. */
+/* Starts the next step of the current state. In the states without one, this node awaits the result
+ * of a request, which always arrives. */
 static void on_timer(void *arg) {
     struct rp_election *election = arg;
     switch (election->state) {
--- a/src/election/election.h
+++ b/src/election/election.h
@@ -63,9 +63,9 @@
     uint64_t leader_key_revision;        /* RP_KV_ABSENT: the key was free */
     struct timespec leader_key_read_at;  /* when a read last found the key */
     char leader[RP_TEXT_MAX];            /* node that held the key; "": no node */
-    struct timespec leader_silent_since; /* the leader has not answered since; zero: it answers */
+    struct timespec leader_silent_since; /* the leader has not responded since; zero: it responds */
 
-    struct timespec backoff_until; /* until then this node leaves a free key to the other nodes */
+    struct timespec backoff_until; /* until then this node does not claim the key */
     struct rp_timer timer;
     rp_election_fn on_elected, on_lost;
     void *arg;
@@ -84,7 +84,7 @@
  */
 void rp_election_stop(struct rp_election *election);
 
-/** Whether this node may act as leader. Callers must check it immediately before every answer or
+/** Whether this node may act as leader. Callers must check it immediately before every response or
  * command that needs leadership, with a fresh reading of the clock. */
 bool rp_election_is_valid(const struct rp_election *election, struct timespec now);
 /** The other node that leads, according to the latest reads of the key; NULL when this node holds
@@ -97,23 +97,25 @@
  * leader fail. */
 void rp_election_guard(const struct rp_election *election, struct rp_kv_txn *txn);
 
-/** Records whether the leader answered a request of this node. */
-void rp_election_note_leader_answer(struct rp_election *election, bool answered);
+/** Records whether the leader has responded to this node, or has fallen silent. A silent leader is
+ * not named by rp_election_leader until any lease would have ended. */
+void rp_election_record_leader_response(struct rp_election *election, bool has_responded);
 /** Reads the key now, and ends the term if this node no longer holds it. For use when a fencing
  * token above this node's was received, or a guarded write failed. */
 void rp_election_verify(struct rp_election *election);
 
-/** Takes the key from the leader read last, which may still act, without waiting for its lease to
- * end: overwrites the key, revokes that lease, and only then requests a lease for this node. The
- * earlier leader can renew nothing from then on; it may act on earlier renewals until
- * `fenced_leader_expiry`. Returns false when that is not possible now, for example because that
- * leader's node does not take part in failovers, or another step is in progress. */
+/** Takes the key from the leader that the last read of the key found, and that may still act,
+ * without waiting for its lease to end: overwrites the key, revokes that lease, and only then
+ * requests a lease for this node. The earlier leader can renew nothing from then on; it may act on
+ * earlier renewals until `fenced_leader_expiry`. Returns false when that is not possible now, for
+ * example because that leader's node does not take part in failovers, or another step is in
+ * progress. */
 bool rp_election_fence_leader(struct rp_election *election);
-/** Ends the term if `revision`, that of a fence in the watch of the open jobs, is later than the
- * term's. */
-void rp_election_note_fence(struct rp_election *election, uint64_t revision);
+/** Records a fence that a list or the watch of the open jobs has returned: ends the term if
+ * `revision`, the revision of the fence, is later than the term's. */
+void rp_election_record_fence(struct rp_election *election, uint64_t revision);
 
-/** Gives up the key, and leaves it to the other nodes for `backoff_s`. */
+/** Gives up the key, and does not claim it again for `backoff_s`, so that another node can. */
 void rp_election_resign(struct rp_election *election, double backoff_s);
 
 #endif
--- a/src/jobs/garbage_collector.c
+++ b/src/jobs/garbage_collector.c
@@ -52,8 +52,8 @@
     rp_stored_records_delete(txn, job_id, records, collector->max_changes);
 }
 
-/* A job's move to its terminal state, which must be atomic, takes two changes and is sent whatever
- * this limit is. */
+/* A job's move to its terminal state, which must be atomic, takes two changes and is sent
+ * regardless of this limit. */
 void rp_garbage_collector_on_txn_refused(struct rp_garbage_collector *collector) {
     collector->max_changes = collector->max_changes > 2 ? collector->max_changes / 2 : 1;
     rp_error(
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,5 +1,5 @@
 /** @file
- * A job that has not ended, as known to the leader: its specification, its progress, and the state
+ * A job that has not ended, as the leader keeps it: its specification, its progress, and the state
  * that the cluster and the scheduler keep for it. The job table (job_table.h) owns the job, and
  * alone changes its state and frees it; allocations hold references that keep a closed job until
  * the last reference is dropped.
@@ -21,7 +21,7 @@
     RP_JOB_CLOSED /* the store shows that it ended, done or cancelled; kept for its references */
 };
 
-/** How many of the machines on which its tasks failed a job records at most. */
+/** Maximum number of machines that a job records as those on which its tasks failed. */
 #define RP_JOB_FAILED_MACHINES_MAX 4
 
 /** A job. Members without a comment are counts or flags that their names explain. */
--- a/src/jobs/job_loader.c
+++ b/src/jobs/job_loader.c
@@ -109,7 +109,7 @@
 
 static void read_open_item(struct rp_job_loader *loader, const struct rp_kv_item *item) {
     if (rp_job_watch_is_fence(item))
-        rp_election_note_fence(loader->context->election, item->revision);
+        rp_election_record_fence(loader->context->election, item->revision);
     else if (!rp_job_table_find(loader->table, item->key + strlen(RP_KEY_OPEN)))
         rp_record_reader_read(loader->reader, item);
 }
--- a/src/jobs/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -8,8 +8,8 @@
 
 /* Conditions that the store accepts in a transaction for each change that it allows (PROTOCOL). */
 #define CONDITIONS_PER_CHANGE 4
-/* Queries in a batch at most: bounds the memory of a batch and the number of users who wait for one
- * response. */
+/* Maximum number of queries in a batch: bounds the memory of a batch and the number of users who
+ * wait for one response. */
 #define BATCH_QUERIES_MAX 64
 /* Seconds between two checks whether the budget has headroom again. */
 #define POLL_PERIOD_S 0.02
@@ -46,7 +46,7 @@
 }
 
 bool rp_job_lookup_should_batch(struct rp_job_lookup *lookup) {
-    return lookup->collecting || rp_kv_must_wait(lookup->store, RP_KV_BUDGET_QUERIES);
+    return lookup->collecting || rp_kv_is_budget_exhausted(lookup->store, RP_KV_BUDGET_QUERIES);
 }
 
 static enum rp_lookup_result lookup_result(const struct rp_kv_result *result, const char *job_id) {
@@ -98,7 +98,7 @@
     if (!lookup->collecting)
         return;
     bool has_waited = rp_ts_since(now, lookup->collecting_since) >= COLLECT_MAX_S;
-    if (has_waited || !rp_kv_must_wait(lookup->store, RP_KV_BUDGET_QUERIES))
+    if (has_waited || !rp_kv_is_budget_exhausted(lookup->store, RP_KV_BUDGET_QUERIES))
         send_batch(lookup);
     else
         rp_timer_set(lookup->loop, &lookup->timer, POLL_PERIOD_S);
--- a/src/jobs/job_lookup.h
+++ b/src/jobs/job_lookup.h
@@ -13,7 +13,7 @@
 enum rp_lookup_result {
     RP_LOOKUP_OPEN,       /* the job's record was among the open jobs after the query arrived */
     RP_LOOKUP_NOT_OPEN,   /* the job's record was not among them after the query arrived */
-    RP_LOOKUP_UNAVAILABLE /* undetermined: the budget is exhausted, or no response came */
+    RP_LOOKUP_UNAVAILABLE /* undetermined: the budget is exhausted, or no response was received */
 };
 
 /** Called once for each query. */
--- a/src/jobs/job_progress.c
+++ b/src/jobs/job_progress.c
@@ -120,11 +120,11 @@
     switch (event) {
     case RP_PROGRESS_TASK_DONE: /* a request in flight was sent without the task */
         return is_in_flight ? RP_PROGRESS_IN_FLIGHT_DIRTY : RP_PROGRESS_DIRTY;
-    case RP_PROGRESS_WRITE_SENT: /* it carries all done tasks; also applies to clean units of a
-                                    chunk */
+    case RP_PROGRESS_WRITE_SENT: /* the write carries all done tasks; a write of a chunk also covers
+                                    its clean units */
         return RP_PROGRESS_IN_FLIGHT;
-    case RP_PROGRESS_READ_SENT: /* it carries no tasks; no write is sent before the revision is
-                                   known */
+    case RP_PROGRESS_READ_SENT: /* the read carries no tasks; no write is sent before the revision
+                                   has been read */
         return is_dirty ? RP_PROGRESS_IN_FLIGHT_DIRTY : RP_PROGRESS_IN_FLIGHT;
     case RP_PROGRESS_WRITE_SUCCEEDED: /* tasks done since it was sent are still to be written */
     case RP_PROGRESS_READ_RETURNED:
--- a/src/jobs/job_progress.h
+++ b/src/jobs/job_progress.h
@@ -36,8 +36,8 @@
     RP_PROGRESS_READ_RETURNED
 };
 
-/** Stands for the revision of a progress record that has to be read before the record is written
- * again. */
+/** Placeholder for the revision of a progress record, if it has to be read before the record is
+ * written again. */
 #define RP_PROGRESS_REVISION_UNKNOWN UINT64_MAX
 
 /** A job's progress. Instants are on the steady clock. */
@@ -47,7 +47,8 @@
     uint64_t dirty_units, in_flight_units; /* bit sets over the units */
     uint64_t *revisions; /* of the progress records: first of the chunks, then of the units */
     struct timespec dirty_since; /* time of the oldest change that no request has carried */
-    struct timespec write_back_backoff_until; /* no write before, after the store refused one */
+    /* No write is sent before this instant; set when the store refuses one. */
+    struct timespec write_back_backoff_until;
 };
 
 /** Writes the key of a job's progress record to `key`. */
--- a/src/jobs/job_watch.c
+++ b/src/jobs/job_watch.c
@@ -11,12 +11,12 @@
 #define WATCH_HOLD_MAX_S 3.0
 #define WATCH_HOLD_STALENESS_SHARE 0.3
 /* Maximum staleness of the table in seconds at which tasks are started: a start needs a fresher
- * table than an answer to a heartbeat. */
+ * table than a response to a heartbeat. */
 #define START_STALENESS_MAX_S 9.0
 /* Seconds for the first watch to be answered after the leader's lease has become provable again. */
 #define WATCH_CATCH_UP_S 3.0
-/* Seconds for which a leader that resigns because its watch is not answered leaves the leader key
- * to the other nodes. */
+/* Seconds for which a leader that resigned because its watch was not answered does not claim the
+ * leader's key again, so that another node can. */
 #define RESIGN_BACKOFF_S 5.0
 
 /* A watch request in flight. */
@@ -145,7 +145,7 @@
     for (size_t i = 0; i < n_events; i++) {
         struct rp_kv_item event;
         if (rp_kv_result_event_at(result, i, &event) && rp_job_watch_is_fence(&event))
-            rp_election_note_fence(watch->context->election, event.revision);
+            rp_election_record_fence(watch->context->election, event.revision);
     }
 }
 
@@ -196,7 +196,7 @@
         /* The store no longer keeps the changes after the watched revision: the table has to be
          * loaded again, and with it the cluster's state of which task may be on which machine. With
          * the same fencing token, old copies of heartbeats and old attempt numbers would be
-         * accepted as new ones there, so another term has to begin. */
+         * accepted as new, so another term has to begin. */
         rp_election_resign(watch->context->election, 0);
     } else {
         watch->sent_at = (struct timespec){0}; /* zero: the next tick sends the request again */
@@ -206,8 +206,8 @@
     free(request);
 }
 
-/* After a failure the first watch request returns immediately, with all changes made in the
- * meantime: answers to workers wait for it. */
+/* After a failure the first watch request returns immediately, with all changes made since the
+ * watch's revision: responses to workers wait for it. */
 static void send_watch(struct rp_job_watch *watch) {
     const struct rp_jobs_context *context = watch->context;
     double max_staleness_s = rp_settings_max_staleness_s(context->settings);
--- a/src/jobs/jobs.h
+++ b/src/jobs/jobs.h
@@ -60,8 +60,8 @@
 struct rp_job *rp_jobs_find(const struct rp_jobs *jobs, const char *id);
 /** Seconds since the latest instant of which the table is known to contain all changes. */
 double rp_jobs_staleness_s(const struct rp_jobs *jobs);
-/** Whether this node receives cancellations fast enough to answer workers' heartbeats. Every answer
- * renews the worker's lease. */
+/** Whether this node receives cancellations fast enough to answer workers' heartbeats. Every
+ * response renews the worker's lease. */
 bool rp_jobs_may_answer_heartbeats(const struct rp_jobs *jobs);
 /** Whether this node receives cancellations fast enough to start tasks. */
 bool rp_jobs_may_start_tasks(const struct rp_jobs *jobs);
--- a/src/jobs/progress_writer.c
+++ b/src/jobs/progress_writer.c
@@ -5,14 +5,15 @@
 #include "base/memory.h"
 #include "base/string_copy.h"
 
-/* Progress records in a transaction at most: a record has some 2.2 KB, and a transaction may have
- * 64 KiB. */
+/* Maximum number of progress records in a transaction: a record has some 2.2 KB, and a transaction
+ * may have 64 KiB. */
 #define TXN_RECORDS_MAX 24
 /* Seconds for which progress waits so that more progress shares its transaction. The end of a
  * finished job is written without this delay. */
 #define WRITE_BACK_DELAY_S 2.0
-/* The part of the write budget that progress leaves to finishing jobs: so many changes, or this
- * share of the allowed changes per second if that is less. */
+/* Headroom of the write budget that progress leaves to the transactions that finish jobs:
+ * FINISH_RESERVE_CHANGES changes, or FINISH_RESERVE_SHARE of the allowed changes per second if that
+ * is less. */
 #define FINISH_RESERVE_CHANGES 3.0
 #define FINISH_RESERVE_SHARE 0.1
 /* Bytes of a stored progress record besides its digits. */
@@ -98,8 +99,8 @@
 
 /* ---- responses to writes ---- */
 
-/* The store refused a record for its size or a transaction for its length although all of them
- * should fit: its limits are lower than configured. The next transactions carry fewer records; a
+/* The store refused a record for its size or a transaction for its length, although both are within
+ * the configured limits: the store's limits are lower. The next transactions carry fewer records; a
  * record refused alone backs off, so that the same write is never sent again at once. */
 static void reduce_write_size(struct rp_progress_writer *writer,
                               const struct progress_write *write) {
--- a/src/jobs/progress_writer.h
+++ b/src/jobs/progress_writer.h
@@ -14,7 +14,8 @@
     const struct rp_jobs_context *context;
     struct rp_job_table *table;
     struct rp_garbage_collector *collector;
-    size_t max_records; /* in a transaction; reduced when the store has refused so many */
+    size_t max_records; /* per transaction; halved when the store refuses one, raised again by 1
+                           with each that succeeds */
 };
 
 /** Initializes a writer for the jobs of `table`; all pointers are borrowed. */
--- a/src/jobs/record_reader.h
+++ b/src/jobs/record_reader.h
@@ -13,16 +13,16 @@
     char job_id[RP_ID_MAX];
     json_t *record;
     uint64_t revision;
-    bool is_cancelled; /* the job has ended in the meantime: the record is dropped once it is first
-                          in the queue */
+    bool is_cancelled; /* the job ended while the record was queued: the record is dropped once it
+                          is first in the queue */
     struct rp_partial_record *next;
 };
 
 /** The outcome of reading the parts of the first partial record. */
 enum rp_parts_outcome {
-    RP_PARTS_FAILED,  /* no response; the record remains in the queue */
+    RP_PARTS_FAILED,  /* the request failed; the record remains in the queue */
     RP_PARTS_READ,    /* the job is in the table, or its record cannot be read */
-    RP_PARTS_DROPPED, /* the job had ended in the meantime */
+    RP_PARTS_DROPPED, /* the job had ended while its record was queued */
 };
 
 /** Called after each response about parts. After a success the next request, if one is needed, has
--- a/src/jobs/run_time_estimator.c
+++ b/src/jobs/run_time_estimator.c
@@ -22,9 +22,9 @@
 
 static struct rp_class_stats *find_or_add_class(struct rp_run_time_estimator *estimator,
                                                 const char *name) {
-    const struct rp_class_stats *known = find_class(estimator, name);
-    if (known)
-        return &estimator->classes[known - estimator->classes];
+    const struct rp_class_stats *found = find_class(estimator, name);
+    if (found)
+        return &estimator->classes[found - estimator->classes];
     if (estimator->n_classes == RP_CLASSES_MAX) {
         if (estimator->n_unclassified++ == 0)
             rp_error("too many job classes, further ones get no run time statistics: n_classes=%d "
--- a/src/jobs/terminal_states.h
+++ b/src/jobs/terminal_states.h
@@ -1,8 +1,8 @@
 /** @file
  * A cache of the terminal states of jobs that this node has read from the key-value store or
- * written to it. A job that is done or cancelled stays in that state, and its record is never
- * written again: a cached state is as good as a new read, costs no request, and is available during
- * an outage of the store. Used by the users' API. */
+ * written to it. A job that is done or cancelled remains in that state, and its record is never
+ * written again: a cached state equals a new read, costs no request, and is available during an
+ * outage of the store. Used by the users' API. */
 #ifndef RP_JOBS_TERMINAL_STATES_H
 #define RP_JOBS_TERMINAL_STATES_H
 
--- a/src/standby/change_log.h
+++ b/src/standby/change_log.h
@@ -1,7 +1,7 @@
 /** @file
  * The leader's log of changes, from which stream_server.c serves standbys. It owns a ring of the
- * latest RP_CHANGES_KEPT changes of the term and never waits for a standby: one that is further
- * behind receives a snapshot. Changes are numbered from 1 in each term, without gaps. */
+ * latest RP_CHANGES_KEPT changes of the term and never waits for a standby: one that lacks older
+ * changes receives a snapshot. Changes are numbered from 1 in each term, without gaps. */
 #ifndef RP_STANDBY_CHANGE_LOG_H
 #define RP_STANDBY_CHANGE_LOG_H
 
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -122,7 +122,7 @@
     if (answer->status == 0 || standby->state > RP_STANDBY_SUSPECTING)
         return;
     rp_leader_suspicion_record_response(&standby->suspicion);
-    rp_election_note_leader_answer(standby->election, true);
+    rp_election_record_leader_response(standby->election, true);
     if (standby->state == RP_STANDBY_SUSPECTING)
         set_state(standby, RP_STANDBY_FOLLOWING);
     if (rp_stream_client_read(&standby->client, answer, &message)) {
@@ -174,7 +174,7 @@
         set_state(standby, RP_STANDBY_SUSPECTING);
         /* From now on the election names no leader, and workers' heartbeats wait at this node
          * rather than being redirected to the silent one. */
-        rp_election_note_leader_answer(standby->election, false);
+        rp_election_record_leader_response(standby->election, false);
     }
     rp_leader_suspicion_query_peers(suspicion, now);
     if (may_fail_over(standby, now))
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -8,7 +8,8 @@
  *
  * Invariants: the directory is never evidence of what runs on a machine; a node whose standby is
  * not enabled stays in RP_STANDBY_OFF and neither fences nor is fenced; only set_state in standby.c
- * changes the state. The node (controller/node.h) owns it and reports its terms to it. */
+ * changes the state. The node (controller/node.h) owns the standby, and reports to it when the
+ * node's terms begin and end. */
 #ifndef RP_STANDBY_STANDBY_H
 #define RP_STANDBY_STANDBY_H
 
--- a/src/standby/stream_server.h
+++ b/src/standby/stream_server.h
@@ -2,7 +2,7 @@
  * The leader's side of the stream: records each change of a machine in a log, and responds to
  * standbys with the changes after the last one that they have applied, or with a snapshot of all
  * machines. The leader does not wait for standbys and keeps no state of them. A node that does not
- * lead responds, too (standby.c): it reports which leader it follows and for how long that leader
+ * lead also responds (standby.c): it reports which leader it follows and for how long that leader
  * has been silent.
  *
  * standby.c begins and ends the terms and passes requests on. The cluster state (cluster/cluster.h)
@@ -28,8 +28,8 @@
                            const struct rp_settings *settings);
 /** Unsubscribes the server from changes and frees the log. */
 void rp_stream_server_close(struct rp_stream_server *server);
-/** Empties the log when this node's term begins, before any machine is known; `term` 0: when its
- * term has ended. */
+/** Empties the log when this node's term begins, while its cluster state is still empty; `term` 0:
+ * when its term has ended. */
 void rp_stream_server_begin_term(struct rp_stream_server *server, uint64_t term);
 /** The leader's response to a request: changes, or a snapshot if some of them are no longer in the
  * log or the request is of another term. The caller must free `out` by rp_stream_message_free. */
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -13,9 +13,9 @@
 #define RP_KEY_ROOT "rp/main/"
 /** Key of the record that names the leader. */
 #define RP_KEY_LEADER RP_KEY_ROOT "leader"
-/** Key that every failover from a leader that may still act writes. It has the prefix of the open
- * jobs so that the earlier leader's watch receives it before any job that is accepted later. No job
- * has such an id. */
+/** Key of the fence, which is written by every failover from a leader that may still act. It has
+ * the prefix of the open jobs so that the earlier leader's watch receives it before any job that is
+ * accepted later. No job has such an id. */
 #define RP_KEY_FENCE RP_KEY_ROOT "open/!fence"
 /** Prefix of the jobs that are not in a terminal state, by id. */
 #define RP_KEY_OPEN RP_KEY_ROOT "open/"
@@ -32,7 +32,7 @@
 #define RP_KEY_ANNOUNCEMENT RP_KEY_ROOT "version/"
 /** Key of the activation record: all nodes support RP_FORMAT. It is never deleted. */
 #define RP_KEY_ACTIVATION RP_KEY_ROOT "format"
-/** Key of the machine types, which are read when the cloud does not answer. */
+/** Key of the machine types, which are read when the cloud does not respond. */
 #define RP_KEY_CATALOG RP_KEY_ROOT "catalog"
 /** Bytes of a buffer for any key with its NUL. The store allows 200 bytes for a key. */
 #define RP_KEY_MAX 200
--- a/src/store/kv_budget.c
+++ b/src/store/kv_budget.c
@@ -12,7 +12,7 @@
 #define SUBMISSIONS_REQUEST_SHARE 0.1
 #define SUBMISSIONS_REQUEST_BURST_S 0.05
 /* Share that the leader uses of its part of the changes (setting `leader_write_share`); the rest is
- * left for what other nodes write about themselves. */
+ * reserved for what other nodes write about themselves. */
 #define LEADER_WRITE_USED_SHARE 0.9
 /* Largest burst of the leader's changes, in seconds of the rate of its part. */
 #define LEADER_WRITE_BURST_S 0.6
--- a/src/store/kv_budget.h
+++ b/src/store/kv_budget.h
@@ -4,8 +4,8 @@
  *
  * The store's limits apply to all nodes together, and no node has information about the use of the
  * others. Each budget is a token bucket with a fixed share of a limit, so that the leader, users
- * who submit or cancel, and users who query cannot exhaust each other's budgets. A budget never
- * cuts a request short: one that costs more than a bucket holds is sent once the bucket is full,
+ * who submit or cancel, and users who query cannot exhaust each other's budgets. No request is too
+ * large for its budget: one that costs more than a bucket holds is sent once the bucket is full,
  * and the tokens are paid back afterwards. Called by store/kv_client.c, which queues the requests
  * that a budget does not let through. */
 #ifndef RP_STORE_KV_BUDGET_H
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -9,9 +9,9 @@
 #include "protocol/codec.h"
 #include "protocol/kv_codec.h"
 
-/* Timeout of a request. An answer takes milliseconds, occasionally a few hundred. */
-#define ANSWER_TIMEOUT_S 1.5
-/* Timeout of a list, whose answer can have up to 512 KiB. */
+/* Timeout of a request. A response takes milliseconds, occasionally a few hundred. */
+#define RESPONSE_TIMEOUT_S 1.5
+/* Timeout of a list, whose response can have up to 512 KiB. */
 #define LIST_TIMEOUT_S 3.0
 /* Longest time that a request waits for its budget before it is refused. Users retry at once when
  * they are refused; the leader would only repeat its request. */
@@ -23,8 +23,8 @@
 #define RATE_LIMIT_ATTEMPTS_MAX 3
 /* Backoff before the second attempt; before the third it is twice that. */
 #define RATE_LIMIT_BACKOFF_S 0.1
-/* Rate-limited answers for each log line about them. */
-#define RATE_LIMITED_ANSWERS_PER_LOG_LINE 100
+/* Number of rate-limited responses for each log line about them. */
+#define RATE_LIMITED_RESPONSES_PER_LOG_LINE 100
 /* Shortest time between log lines about requests shed for one budget. */
 #define SHED_LOG_INTERVAL_S 5.0
 
@@ -81,7 +81,7 @@
     return client->queues[budget].first ? 0 : headroom;
 }
 
-bool rp_kv_must_wait(struct rp_kv_client *client, enum rp_kv_budget budget) {
+bool rp_kv_is_budget_exhausted(struct rp_kv_client *client, enum rp_kv_budget budget) {
     return client->queues[budget].first ||
            !rp_token_bucket_has(&client->budgets.requests[budget], 1, rp_loop_now(client->loop));
 }
@@ -94,7 +94,7 @@
     return rp_ts_since(rp_loop_now(client->loop), client->failing_since) + just_failed_s;
 }
 
-/* ---- answers ---- */
+/* ---- responses ---- */
 
 static void call_free(struct rp_kv_call *call) {
     rp_timer_cancel(call->client->loop, &call->retry_timer);
@@ -132,7 +132,7 @@
     }
 }
 
-static void note_health(struct rp_kv_client *client, enum rp_kv_outcome outcome, int status) {
+static void record_health(struct rp_kv_client *client, enum rp_kv_outcome outcome, int status) {
     if (outcome == RP_KV_UNKNOWN || status == STATUS_UNAVAILABLE) {
         if (rp_ts_is_zero(client->failing_since))
             client->failing_since = rp_loop_now(client->loop);
@@ -144,8 +144,8 @@
     client->n_unknown += outcome == RP_KV_UNKNOWN;
 }
 
-static void note_rate_limit(struct rp_kv_client *client, const struct rp_kv_call *call) {
-    if (client->n_rate_limited++ % RATE_LIMITED_ANSWERS_PER_LOG_LINE == 0)
+static void record_rate_limit(struct rp_kv_client *client, const struct rp_kv_call *call) {
+    if (client->n_rate_limited++ % RATE_LIMITED_RESPONSES_PER_LOG_LINE == 0)
         rp_info("key-value store refuses requests over its rate limit: budget=%s n_refused=%lu",
                 rp_kv_budget_name(call->budget), client->n_rate_limited);
     rp_kv_budgets_penalize(&client->budgets, call->budget, call->n_writes);
@@ -157,13 +157,13 @@
     enqueue(arg);
 }
 
-static void on_answer(void *arg, const struct rp_answer *answer) {
+static void on_response(void *arg, const struct rp_answer *answer) {
     struct rp_kv_call *call = arg;
     struct rp_kv_client *client = call->client;
     enum rp_kv_outcome outcome = outcome_of_status(answer->status);
-    note_health(client, outcome, answer->status);
+    record_health(client, outcome, answer->status);
     if (answer->status == STATUS_TOO_MANY_REQUESTS) {
-        note_rate_limit(client, call);
+        record_rate_limit(client, call);
         if (++call->n_rate_limited < RATE_LIMIT_ATTEMPTS_MAX) {
             rp_timer_set(client->loop, &call->retry_timer,
                          RATE_LIMIT_BACKOFF_S * call->n_rate_limited);
@@ -211,7 +211,7 @@
     struct rp_kv_client *client = call->client;
     rp_kv_budgets_spend(&client->budgets, call->budget, call->n_writes);
     client->net.call(client->net.ctx, client->addr, call->method, call->target, call->body,
-                     call->timeout_s, on_answer, call);
+                     call->timeout_s, on_response, call);
 }
 
 /* Refuses a request that has waited too long, and logs which budget is too small, at most once in
@@ -326,7 +326,7 @@
 void rp_kv_get(struct rp_kv_client *client, enum rp_kv_budget budget, const char *key, rp_kv_fn fn,
                void *arg) {
     struct request request = {
-        .method = "GET", .target = format("/kv/%s", key), .timeout_s = ANSWER_TIMEOUT_S};
+        .method = "GET", .target = format("/kv/%s", key), .timeout_s = RESPONSE_TIMEOUT_S};
     start(client, budget, request, fn, arg);
 }
 
@@ -345,7 +345,7 @@
     struct request request = {.method = "POST",
                               .target = format("/txn"),
                               .body = rp_kv_txn_encode(txn),
-                              .timeout_s = ANSWER_TIMEOUT_S,
+                              .timeout_s = RESPONSE_TIMEOUT_S,
                               .n_writes = (unsigned)rp_kv_txn_n_ops(txn)};
     rp_kv_txn_discard(txn);
     start(client, budget, request, fn, arg);
@@ -355,21 +355,21 @@
     struct request request = {.method = "POST",
                               .target = format("/leases"),
                               .body = rp_kv_codec_write_lease_request(ttl_s),
-                              .timeout_s = ANSWER_TIMEOUT_S};
+                              .timeout_s = RESPONSE_TIMEOUT_S};
     start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
 
 void rp_kv_lease_renew(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg) {
     struct request request = {.method = "POST",
                               .target = format("/leases/%" PRIu64 "/touch", lease),
-                              .timeout_s = ANSWER_TIMEOUT_S};
+                              .timeout_s = RESPONSE_TIMEOUT_S};
     start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
 
 void rp_kv_lease_revoke(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg) {
     struct request request = {.method = "DELETE",
                               .target = format("/leases/%" PRIu64, lease),
-                              .timeout_s = ANSWER_TIMEOUT_S};
+                              .timeout_s = RESPONSE_TIMEOUT_S};
     start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
 
@@ -378,6 +378,6 @@
     struct request request = {.method = "GET",
                               .target = format("/follow?prefix=%s&from=%" PRIu64 "&hold_ms=%d",
                                                prefix, from, (int)(hold_s * 1000)),
-                              .timeout_s = hold_s + ANSWER_TIMEOUT_S};
+                              .timeout_s = hold_s + RESPONSE_TIMEOUT_S};
     start(client, RP_KV_BUDGET_LEADERSHIP, request, fn, arg);
 }
--- a/src/store/kv_client.h
+++ b/src/store/kv_client.h
@@ -22,7 +22,7 @@
 /** Receives a request's result, which is valid during the call only. */
 typedef void (*rp_kv_fn)(void *arg, const struct rp_kv_result *result);
 
-/** A request that waits in a queue or for its answer. */
+/** A request that waits in a queue or for its response. */
 struct rp_kv_call;
 
 /** The requests that wait for one budget. */
@@ -40,22 +40,22 @@
     struct rp_kv_rate_limits limits;
     struct rp_kv_budgets budgets;
     struct rp_kv_queue queues[RP_KV_BUDGETS];
-    struct rp_timer queue_timer;   /* is set while requests wait */
-    struct timespec failing_since; /* first failure since the last success; zero: no failure */
-    unsigned long n_ok;            /* answers of any known status except 503 */
-    unsigned long n_refused, n_unknown;
-    unsigned long n_shed;         /* requests that this client refused for lack of budget */
-    unsigned long n_rate_limited; /* answers with status 429 */
-    unsigned long n_rejected;     /* answers with status 400 */
+    struct rp_timer queue_timer;        /* is set while requests wait */
+    struct timespec failing_since;      /* first failure since the last success; zero: no failure */
+    unsigned long n_ok;                 /* responses of any known status except 503 */
+    unsigned long n_refused, n_unknown; /* attempts that ended as RP_KV_REFUSED, RP_KV_UNKNOWN */
+    unsigned long n_shed;               /* requests that this client refused for lack of budget */
+    unsigned long n_rate_limited;       /* responses with status 429 */
+    unsigned long n_rejected;           /* responses with status 400 */
 };
 
-/** `addr` is borrowed, and has to stay valid as long as the client is used. */
+/** `addr` is borrowed, and must outlive the client. */
 void rp_kv_client_init(struct rp_kv_client *client, struct rp_loop *loop, struct rp_net net,
                        const char *addr, double rps, double write_rps, size_t n_nodes,
                        double leader_write_share);
 /** Applies new limits of the store: requests per second and changes per second. */
 void rp_kv_client_set_limits(struct rp_kv_client *client, double rps, double write_rps);
-/** Discards the waiting requests without calling back. The caller must ensure that no answer
+/** Discards the waiting requests without calling back. The caller must ensure that no response
  * arrives afterwards. */
 void rp_kv_client_close(struct rp_kv_client *client);
 
@@ -83,10 +83,11 @@
 
 /** The number of changes that the budget allows now; 0 while requests wait for it. */
 double rp_kv_write_headroom(struct rp_kv_client *client, enum rp_kv_budget budget);
-/** Whether a request without changes would have to wait for the budget. */
-bool rp_kv_must_wait(struct rp_kv_client *client, enum rp_kv_budget budget);
-/** For how many seconds the store has not been answering; 0 when its last answer was good, or no
- * answer has been due yet. */
+/** Whether a request without changes would have to wait for the budget, because other requests wait
+ * for it or its tokens are used up. */
+bool rp_kv_is_budget_exhausted(struct rp_kv_client *client, enum rp_kv_budget budget);
+/** For how many seconds requests have received no usable response, or one with status 503; 0 when
+ * the latest response was good, or no request has ended yet. */
 double rp_kv_failing_s(const struct rp_kv_client *client);
 
 #endif
--- a/src/upgrade/format_upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -9,11 +9,11 @@
  * support the format after this time. */
 #define ANNOUNCEMENT_TTL_S 10.0
 #define ANNOUNCEMENT_RENEWAL_PERIOD_S 2.0
-/* Most announcements that are listed at once: as many items as the store lists, and more than there
- * are nodes. */
+/* Maximum number of announcements that are listed at once: as many items as the store lists in one
+ * response, and more than there are nodes. */
 #define ANNOUNCEMENTS_LIMIT 1000
-/* Number of conditions that the store accepts in a transaction for each change that it accepts. */
-#define CONDITIONS_PER_OP 4
+/* Conditions that the store accepts in a transaction for each change that it allows (PROTOCOL). */
+#define CONDITIONS_PER_CHANGE 4
 /* Conditions of the activation besides the announcements: leadership, and that no activation exists
  * yet. */
 #define OTHER_CONDITIONS 2
@@ -68,12 +68,12 @@
 }
 
 /* Changes the state; no other function assigns it. The transitions are:
- * - UNANNOUNCED to ACQUIRING_LEASE: the store answered that no activation exists, and this node has
- *   no lease for its announcement.
- * - UNANNOUNCED to ANNOUNCING: the store answered that no activation exists, and this node still
- *   has a lease from an earlier announcement whose write was not confirmed.
+ * - UNANNOUNCED to ACQUIRING_LEASE: a read showed that no activation exists, and this node has no
+ *   lease for its announcement.
+ * - UNANNOUNCED to ANNOUNCING: a read showed that no activation exists, and this node still has a
+ *   lease from an earlier announcement whose write was not confirmed.
  * - ACQUIRING_LEASE to ANNOUNCING: the store granted a lease.
- * - ACQUIRING_LEASE to UNANNOUNCED: the store granted no lease, or did not answer.
+ * - ACQUIRING_LEASE to UNANNOUNCED: the store granted no lease, or did not respond.
  * - ANNOUNCING to ANNOUNCED: the store confirmed that the announcement was written.
  * - ANNOUNCING to UNANNOUNCED: the store did not confirm that the announcement was written.
  * - ANNOUNCED to UNANNOUNCED: the lease has ended, which deleted the announcement.
@@ -164,7 +164,7 @@
     struct rp_upgrade *upgrade = arg;
     upgrade->is_activating = false;
     if (result->outcome == RP_KV_OK) {
-        rp_info("every node knows the record format, activated: format=%d", RP_FORMAT);
+        rp_info("record format activated, every node supports it: format=%d", RP_FORMAT);
         set_state(upgrade, RP_UPGRADE_ACTIVE);
     }
 }
@@ -191,7 +191,7 @@
                                           const struct rp_kv_result *announcements) {
     const struct rp_settings *settings = upgrade->settings;
     size_t n_conditions_left =
-        CONDITIONS_PER_OP * settings->kv_limits_lowest.txn_ops - OTHER_CONDITIONS;
+        CONDITIONS_PER_CHANGE * settings->kv_limits_lowest.txn_ops - OTHER_CONDITIONS;
     char key[RP_KEY_MAX];
     struct rp_kv_txn *txn = rp_kv_txn_begin();
     rp_election_guard(upgrade->election, txn);
--- a/src/upgrade/format_upgrade.h
+++ b/src/upgrade/format_upgrade.h
@@ -45,7 +45,7 @@
     uint64_t lease; /* lease of the announcement */
     struct timespec renewed_at;
     bool is_activating; /* as leader: awaits the list of announcements or the activation's write */
-    bool has_read_activation; /* the store has answered whether a format is active */
+    bool has_read_activation; /* a read has shown whether a format is active */
     size_t n_nodes_announced; /* as leader: nodes whose announcement was in the latest list */
     struct rp_timer timer;
     rp_upgrade_fn on_change;
--- a/tests/unit/test_election.c
+++ b/tests/unit/test_election.c
@@ -75,7 +75,7 @@
     assert_true(rp_token_bucket_has(&bucket, 1, rp_ts(105)));
 }
 
-/* A leader that was read too long ago is not named. Otherwise, a node that is cut off from the
+/* A leader that was read too long ago is not named. Otherwise, a node that is partitioned from the
  * key-value store redirects workers in circles. */
 static void stale_or_silent_leader_is_not_named(void **state) {
     struct rp_election election = {.state = RP_ELECTION_FOLLOWING,
@@ -86,15 +86,15 @@
     (void)state;
     assert_string_equal(rp_election_leader(&election, rp_ts(55)), "n1");
     assert_null(rp_election_leader(&election, rp_ts(63)));
-    /* A leader that does not answer is not named. It is named again once its lease would have ended
-     * and it still has the key. */
+    /* A leader that does not respond is not named. It is named again once its lease would have
+     * ended and it still has the key. */
     struct rp_loop loop = {.is_virtual = true, .virtual_now = rp_ts(51)};
     election.loop = &loop;
-    rp_election_note_leader_answer(&election, false);
+    rp_election_record_leader_response(&election, false);
     assert_null(rp_election_leader(&election, rp_ts(52)));
     election.leader_key_read_at = rp_ts(61);
     assert_string_equal(rp_election_leader(&election, rp_ts(61.6)), "n1");
-    rp_election_note_leader_answer(&election, true);
+    rp_election_record_leader_response(&election, true);
     assert_string_equal(rp_election_leader(&election, rp_ts(62)), "n1");
     election.state = RP_ELECTION_HOLDING_KEY;
     assert_null(rp_election_leader(&election, rp_ts(62)));
@@ -133,7 +133,7 @@
 
 /* Submissions and queries have queues of their own, a burst of submissions is sent at once, and
  * requests that wait too long are refused. With a single queue, submissions on five nodes waited
- * behind polls, and each node let less than two of them through at once. */
+ * behind the polling queries, and each node sent fewer than two of them at once. */
 static void waiting_queries_do_not_delay_submissions(void **state) {
     struct rp_loop loop;
     struct rp_kv_client client;
@@ -168,7 +168,7 @@
 
 /* Users of one node may make more changes than its even share of the changes of all nodes, since
  * the leader rarely needs all of its own. With the even share, 3 changes per second of 20 on one of
- * five nodes waited and were refused in the swarm of incident 5bf9. */
+ * five nodes waited and were refused (incident 5bf9). */
 static void submissions_above_even_share_are_not_refused(void **state) {
     struct rp_loop loop;
     struct rp_kv_client client;
@@ -254,10 +254,10 @@
     rp_loop_close(&node->loop);
 }
 
-/* The answer to a renewal of an earlier term's lease arrives during the next term. If it is taken
- * for the answer to the renewal in progress, it proves a lease that was not renewed, or ends a
+/* The response to a renewal of an earlier term's lease arrives during the next term. If it is taken
+ * for the response to the renewal in progress, it proves a lease that was not renewed, or ends a
  * valid term. */
-static void late_answer_to_earlier_renewal_is_ignored(void **state) {
+static void late_response_to_earlier_renewal_is_ignored(void **state) {
     struct leading_node node;
     (void)state;
     leading_node_open(&node);
@@ -306,7 +306,7 @@
         cmocka_unit_test(timers_fire_in_order_of_due_time),
         cmocka_unit_test(token_bucket_keeps_rate_and_repays_large_take),
         cmocka_unit_test(stale_or_silent_leader_is_not_named),
-        cmocka_unit_test(late_answer_to_earlier_renewal_is_ignored),
+        cmocka_unit_test(late_response_to_earlier_renewal_is_ignored),
         cmocka_unit_test(resigned_node_does_not_reclaim_key_during_backoff),
         cmocka_unit_test(waiting_queries_do_not_delay_submissions),
         cmocka_unit_test(submissions_above_even_share_are_not_refused)};
--- a/tests/unit/test_stream.c
+++ b/tests/unit/test_stream.c
@@ -126,7 +126,7 @@
     free(text);
 }
 
-/* Messages with random bytes replaced, or cut short, are either decoded or refused. The sanitizers
+/* Messages with random bytes replaced, or truncated, are either decoded or refused. The sanitizers
  * detect invalid memory accesses. */
 static void mutated_messages_are_decoded_or_refused(void **state) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
