--- a/tests/behaviour/behaviour_digest.c
+++ b/tests/behaviour/behaviour_digest.c
@@ -26,23 +26,23 @@
 
 /* Changes the nodes' behaviour on purpose, so that a test can check that the hashes change: the
  * nodes run scheduling cycles less often. */
-static void apply_planted_change(struct sim *world) {
-    for (int i = 0; i < world->n_nodes; i++)
-        world->settings[i].tuning.round_period_s = PLANTED_ROUND_PERIOD_S;
+static void apply_planted_change(struct sim *sim) {
+    for (int i = 0; i < sim->n_nodes; i++)
+        sim->settings[i].tuning.round_period_s = PLANTED_ROUND_PERIOD_S;
 }
 
 /* A request of an operator, passed to a node directly and not over the simulated network. `request`
  * must be the first member, since on_operator_response casts its address. */
 struct operator_request {
     struct rp_request request;
-    const struct sim *world;
+    const struct sim *sim;
 };
 
 /* Hashes a node's response to an operator's request. */
 static void on_operator_response(struct rp_request *request, int status, const char *body,
                                  int retry_after) {
     const struct operator_request *operator_request = (const struct operator_request *)request;
-    digest_add_message(&(struct sim_message){.time = operator_request->world->now,
+    digest_add_message(&(struct sim_message){.time = operator_request->sim->now,
                                              .to = "operator",
                                              .method = request->method,
                                              .target = request->target,
@@ -53,13 +53,12 @@
 
 /* Sends every running node the requests of operators and of the load balancer, to which nodes
  * respond immediately. */
-static void request_status_of_nodes(struct sim *world) {
-    for (int i = 0; i < world->n_nodes; i++) {
-        struct rp_node *node = world->nodes[i].node;
+static void request_status_of_nodes(struct sim *sim) {
+    for (int i = 0; i < sim->n_nodes; i++) {
+        struct rp_node *node = sim->nodes[i].node;
         struct operator_request operator_request = {
-            .request = {.method = "GET", .body = "", .respond = on_operator_response},
-            .world = world};
-        if (!world->nodes[i].alive)
+            .request = {.method = "GET", .body = "", .respond = on_operator_response}, .sim = sim};
+        if (!sim->nodes[i].alive)
             continue;
         operator_request.request.target = "/status";
         rp_node_peer_request(node, &operator_request.request);
@@ -77,19 +76,19 @@
     static const struct sim_size small = {64, 6, 2, 14, 39, 200, 20, 5};
     digest_begin(dump);
     sim_standby = scenario->has_standby;
-    struct sim *world = sim_new_sized(seed, &scenario->faults, SIM_NO_BREAKAGE, scenario->n_nodes,
-                                      scenario->size ? scenario->size : &small);
-    digest_set_world(world);
+    struct sim *sim = sim_new_sized(seed, &scenario->faults, SIM_NO_BREAKAGE, scenario->n_nodes,
+                                    scenario->size ? scenario->size : &small);
+    digest_set_simulation(sim);
     if (getenv(PLANTED_CHANGE))
-        apply_planted_change(world);
-    scenario->run(world, seed);
-    request_status_of_nodes(world);
-    if (world->violation[0])
-        fprintf(stderr, "%s %lu: a rule broke: %s\n", scenario->name, seed, world->violation);
-    struct digest digest = digest_end(world);
+        apply_planted_change(sim);
+    scenario->run(sim, seed);
+    request_status_of_nodes(sim);
+    if (sim->violation[0])
+        fprintf(stderr, "%s %lu: a rule broke: %s\n", scenario->name, seed, sim->violation);
+    struct digest digest = digest_end(sim);
     snprintf(line, RESULT_MAX, "%s %lu %lu %s %s\n", scenario->name, seed, digest.n_messages,
              digest.messages, digest.store);
-    sim_free(world);
+    sim_free(sim);
 }
 
 /* A run of a scenario with one seed, in a process of its own. */
--- a/tests/behaviour/digest_hash.c
+++ b/tests/behaviour/digest_hash.c
@@ -12,7 +12,7 @@
 
 /* State of the current run. */
 static struct {
-    const struct sim *world; /* NULL until digest_set_world */
+    const struct sim *sim; /* NULL until digest_set_simulation */
     XXH3_state_t *messages;
     unsigned long n_messages;
     bool dump;
@@ -21,7 +21,7 @@
 /* Replaces the C library's function by the wall clock of the simulation, since records contain
  * wall-clock times. The simulated nodes read no other clock. */
 int clock_gettime(clockid_t clock, struct timespec *out) {
-    double now = current.world ? current.world->now : 0;
+    double now = current.sim ? current.sim->now : 0;
     (void)clock;
     out->tv_sec = WALL_CLOCK_START_S + (time_t)now;
     out->tv_nsec = (long)((now - (double)(time_t)now) * 1e9);
@@ -79,12 +79,12 @@
 }
 
 /* Hashes the key-value store's records, in the order of their keys. */
-static XXH128_hash_t hash_store(struct sim *world) {
+static XXH128_hash_t hash_store(struct sim *sim) {
     XXH3_state_t *state = XXH3_createState();
     XXH3_128bits_reset(state);
-    qsort(world->keys, (size_t)world->n_keys, sizeof world->keys[0], compare_keys);
-    for (int i = 0; i < world->n_keys; i++)
-        hash_record(state, &world->keys[i]);
+    qsort(sim->keys, (size_t)sim->n_keys, sizeof sim->keys[0], compare_keys);
+    for (int i = 0; i < sim->n_keys; i++)
+        hash_record(state, &sim->keys[i]);
     XXH128_hash_t hash = XXH3_128bits_digest(state);
     XXH3_freeState(state);
     return hash;
@@ -103,16 +103,16 @@
     sim_observer = digest_add_message;
 }
 
-void digest_set_world(const struct sim *world) {
-    current.world = world;
+void digest_set_simulation(const struct sim *sim) {
+    current.sim = sim;
 }
 
-struct digest digest_end(struct sim *world) {
+struct digest digest_end(struct sim *sim) {
     struct digest digest = {.n_messages = current.n_messages};
     write_hash(XXH3_128bits_digest(current.messages), digest.messages);
-    write_hash(hash_store(world), digest.store);
+    write_hash(hash_store(sim), digest.store);
     sim_observer = NULL;
-    current.world = NULL;
+    current.sim = NULL;
     XXH3_freeState(current.messages);
     current.messages = NULL;
     return digest;
--- a/tests/behaviour/digest_hash.h
+++ b/tests/behaviour/digest_hash.h
@@ -23,13 +23,13 @@
 
 /** Begins a run: from now on each message is hashed and, if `dump`, printed. It must be called
  * before the simulation is created, since nodes send messages when they start. The clock does not
- * advance until digest_set_world. */
+ * advance until digest_set_simulation. */
 void digest_begin(bool dump);
 /** Sets the simulation whose virtual time determines the clock from now on. */
-void digest_set_world(const struct sim *world);
+void digest_set_simulation(const struct sim *sim);
 /** Hashes a message. The simulated network calls it for each message; others are passed directly.
  */
 void digest_add_message(const struct sim_message *message);
-/** Ends the run: hashes the store (sorts world->keys) and returns the result. The caller may free
- * the world afterwards. */
-struct digest digest_end(struct sim *world);
+/** Ends the run: hashes the store (sorts sim->keys) and returns the result. The caller may free
+ * the sim afterwards. */
+struct digest digest_end(struct sim *sim);
--- a/tests/behaviour/digest_scenarios.c
+++ b/tests/behaviour/digest_scenarios.c
@@ -1,7 +1,7 @@
 #include "digest_scenarios.h"
 
 #include <string.h>
-#include "digest_days.h"
+#include "digest_workloads.h"
 
 /* More than 500 machines, of two types in two zones, ordinary and spot. */
 static const struct sim_size large_fleet = {560, 64, 4, 22, 47, 800, 80, 10};
--- a/tests/behaviour/digest_scenarios.h
+++ b/tests/behaviour/digest_scenarios.h
@@ -19,8 +19,8 @@
     const struct sim_size *size; /**< NULL: the small fleet defined in run_scenario */
     struct sim_faults faults;
     bool has_standby; /**< whether the nodes run with a standby */
-    /** Submits jobs and runs the simulation to its end (digest_days.h). */
-    void (*run)(struct sim *world, unsigned long seed);
+    /** Submits jobs and runs the simulation to its end (digest_workloads.h). */
+    void (*run)(struct sim *sim, unsigned long seed);
 };
 
 /** All scenarios, in the order in which they are run. */
--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -39,7 +39,7 @@
 
 /* The server at which one of the simulated workers is reached. */
 struct worker_server {
-    struct world *world;
+    struct cluster *cluster;
     struct rp_http_server server;
     char addr[ADDR_MAX];
 };
@@ -56,7 +56,7 @@
     DRAINING    /* no more ends and no new jobs; the submitted jobs finish */
 };
 
-struct world {
+struct cluster {
     struct rp_loop loop;
     struct rp_http_client client;
     struct rp_http_server store;
@@ -92,22 +92,22 @@
 }
 
 static void on_store_request(void *arg, struct rp_request *req) {
-    struct world *world = arg;
-    sim_remote_request(world->sim, "state", req->method, req->target, req->body, on_sim_response,
+    struct cluster *cluster = arg;
+    sim_remote_request(cluster->sim, "state", req->method, req->target, req->body, on_sim_response,
                        req);
 }
 
 static void on_cloud_request(void *arg, struct rp_request *req) {
-    struct world *world = arg;
-    sim_remote_request(world->sim, "cloud", req->method, req->target, req->body, on_sim_response,
+    struct cluster *cluster = arg;
+    sim_remote_request(cluster->sim, "cloud", req->method, req->target, req->body, on_sim_response,
                        req);
 }
 
 static void on_worker_request(void *arg, struct rp_request *req) {
     struct worker_server *self = arg;
-    const struct sim_worker *worker = &self->world->sim->workers[self - self->world->workers];
+    const struct sim_worker *worker = &self->cluster->sim->workers[self - self->cluster->workers];
     if (worker->used && worker->up)
-        sim_remote_request(self->world->sim, worker->name, req->method, req->target, req->body,
+        sim_remote_request(self->cluster->sim, worker->name, req->method, req->target, req->body,
                            on_sim_response, req);
     else
         req->respond(req, 503, "{}", 0);
@@ -115,18 +115,18 @@
 
 static void call_node(void *ctx, int node, const char *method, const char *target, const char *body,
                       rp_answer_fn on_response, void *arg) {
-    struct world *world = ctx;
-    struct rp_net net = rp_http_client_net(&world->client);
-    net.call_on_own_connection(net.ctx, world->nodes[node].client_addr, method, target, body,
+    struct cluster *cluster = ctx;
+    struct rp_net net = rp_http_client_net(&cluster->client);
+    net.call_on_own_connection(net.ctx, cluster->nodes[node].client_addr, method, target, body,
                                CALL_TIMEOUT_S, on_response, arg);
 }
 
 static const char *worker_addr(void *ctx, int worker) {
-    struct world *world = ctx;
-    return world->workers[worker].addr;
+    struct cluster *cluster = ctx;
+    return cluster->workers[worker].addr;
 }
 
-static void open_server(struct world *world, struct rp_http_server *server, char addr[ADDR_MAX],
+static void open_server(struct cluster *cluster, struct rp_http_server *server, char addr[ADDR_MAX],
                         rp_request_fn fn, void *arg) {
     static const struct rp_http_limits limits = {.max_connections = 500,
                                                  .max_body_bytes = MAX_BODY_BYTES,
@@ -134,8 +134,8 @@
                                                  .receive_timeout_s = 10,
                                                  .send_timeout_s = 10};
     for (int tries = 0; tries < PORT_TRIES; tries++) {
-        snprintf(addr, ADDR_MAX, "127.0.0.1:%d", world->next_port++);
-        if (rp_http_server_open(server, &world->loop, addr, &limits, fn, arg) == 0)
+        snprintf(addr, ADDR_MAX, "127.0.0.1:%d", cluster->next_port++);
+        if (rp_http_server_open(server, &cluster->loop, addr, &limits, fn, arg) == 0)
             return;
     }
     fprintf(stderr, "no free port\n");
@@ -144,16 +144,16 @@
 
 /* ---- the processes ---- */
 
-static void spawn_node(struct world *world, int index) {
-    struct process *process = &world->nodes[index];
+static void spawn_node(struct cluster *cluster, int index) {
+    struct process *process = &cluster->nodes[index];
     char log[160];
-    snprintf(log, sizeof log, "%s/node-%d.log", world->directory, index);
+    snprintf(log, sizeof log, "%s/node-%d.log", cluster->directory, index);
     process->pid = fork();
     if (process->pid == 0) {
         int fd = open(log, O_WRONLY | O_CREAT | O_APPEND, 0644);
         if (fd >= 0)
             dup2(fd, STDERR_FILENO);
-        execl(world->program, world->program, "--operator", world->operator_file, "--config",
+        execl(cluster->program, cluster->program, "--operator", cluster->operator_file, "--config",
               process->settings_file, (char *)NULL);
         _exit(127);
     }
@@ -174,10 +174,10 @@
 }
 
 /* Writes a node's settings: those of the simulation, with real addresses. */
-static void write_node_settings(struct world *world, int index, char peers[NODES][ADDR_MAX],
+static void write_node_settings(struct cluster *cluster, int index, char peers[NODES][ADDR_MAX],
                                 const char *store, const char *cloud) {
-    struct process *process = &world->nodes[index];
-    json_t *settings = json_loads(world->sim->nodes[index].settings, 0, NULL);
+    struct process *process = &cluster->nodes[index];
+    json_t *settings = json_loads(cluster->sim->nodes[index].settings, 0, NULL);
     json_t *seed;
     size_t k;
     json_object_set_new(settings, "client_listen", json_string(process->client_addr));
@@ -189,7 +189,7 @@
         json_object_set_new(seed, "addr", json_string(peers[name[1] - '0']));
     }
     snprintf(process->settings_file, sizeof process->settings_file, "%s/node-%d.json",
-             world->directory, index);
+             cluster->directory, index);
     if (json_dump_file(settings, process->settings_file, JSON_INDENT(1)) < 0) {
         perror(process->settings_file);
         exit(2);
@@ -197,37 +197,38 @@
     json_decref(settings);
 }
 
-static void write_settings(struct world *world, const char *store, const char *cloud) {
+static void write_settings(struct cluster *cluster, const char *store, const char *cloud) {
     char peers[NODES][ADDR_MAX];
     for (int i = 0; i < NODES; i++) {
-        struct process *process = &world->nodes[i];
+        struct process *process = &cluster->nodes[i];
         snprintf(process->client_addr, sizeof process->client_addr, "127.0.0.1:%d",
-                 world->next_port++);
-        snprintf(peers[i], sizeof peers[i], "127.0.0.1:%d", world->next_port++);
+                 cluster->next_port++);
+        snprintf(peers[i], sizeof peers[i], "127.0.0.1:%d", cluster->next_port++);
     }
     for (int i = 0; i < NODES; i++)
-        write_node_settings(world, i, peers, store, cloud);
+        write_node_settings(cluster, i, peers, store, cloud);
 }
 
 /* ---- the course of a run ---- */
 
-static int key_holder(const struct world *world) {
-    const json_t *key = sim_find_record(world->sim, RP_KEY_LEADER);
+static int key_holder(const struct cluster *cluster) {
+    const json_t *key = sim_find_record(cluster->sim, RP_KEY_LEADER);
     const char *node = json_string_value(json_object_get(key, "node"));
     return node ? node[1] - '0' : -1;
 }
 
 /* The only function that changes the run's phase. */
-static void set_phase(struct world *world, enum phase phase) {
-    world->phase = phase;
-    world->phase_since = world->sim->now;
+static void set_phase(struct cluster *cluster, enum phase phase) {
+    cluster->phase = phase;
+    cluster->phase_since = cluster->sim->now;
 }
 
-static void submit_next_job(struct world *world) {
-    struct sim *sim = world->sim;
-    if (sim->now < world->next_job_at || sim->n_jobs >= SIM_JOBS - 8 || world->phase == DRAINING)
+static void submit_next_job(struct cluster *cluster) {
+    struct sim *sim = cluster->sim;
+    if (sim->now < cluster->next_job_at || sim->n_jobs >= SIM_JOBS - 8 ||
+        cluster->phase == DRAINING)
         return;
-    world->next_job_at = sim->now + JOB_INTERVAL_S;
+    cluster->next_job_at = sim->now + JOB_INTERVAL_S;
     int n = sim->n_jobs;
     double cancel_at = n % 6 == 5 ? sim->now + 2 + n % 4 : 0;
     if (n == 0)
@@ -238,179 +239,184 @@
         (void)sim_submit(sim, sim->now, "sweep", 2 + (unsigned)(n % 4), 1, 2.5, cancel_at);
 }
 
-static void end_leader(struct world *world, int leader) {
-    struct process *process = &world->nodes[leader];
-    world->was_stopped = world->downtime_s == 0 && (world->n_ends + (int)world->seed) % 4 == 3;
-    world->ended_token = world->sim->started_token;
-    world->ended_at = world->sim->now;
-    world->claimed_at = 0;
-    if (world->was_stopped) {
+static void end_leader(struct cluster *cluster, int leader) {
+    struct process *process = &cluster->nodes[leader];
+    cluster->was_stopped =
+        cluster->downtime_s == 0 && (cluster->n_ends + (int)cluster->seed) % 4 == 3;
+    cluster->ended_token = cluster->sim->started_token;
+    cluster->ended_at = cluster->sim->now;
+    cluster->claimed_at = 0;
+    if (cluster->was_stopped) {
         kill(process->pid, SIGSTOP);
         process->is_stopped = true;
-        process->resumes_at = world->sim->now + 6 + world->n_ends % 5;
-        world->n_stopped++;
+        process->resumes_at = cluster->sim->now + 6 + cluster->n_ends % 5;
+        cluster->n_stopped++;
     } else {
         kill_node(process);
         process->resumes_at =
-            world->sim->now + (world->downtime_s > 0 ? world->downtime_s : 4 + world->n_ends % 3);
+            cluster->sim->now +
+            (cluster->downtime_s > 0 ? cluster->downtime_s : 4 + cluster->n_ends % 3);
     }
-    set_phase(world, LEADERLESS); /* STEADY -> LEADERLESS: the leader was killed or stopped */
+    set_phase(cluster, LEADERLESS); /* STEADY -> LEADERLESS: the leader was killed or stopped */
 }
 
 /* Restarts killed nodes and continues stopped ones once their downtime is over. Exits if a node has
  * terminated by itself. */
-static void restart_or_continue_nodes(struct world *world) {
+static void restart_or_continue_nodes(struct cluster *cluster) {
     for (int i = 0; i < NODES; i++) {
-        struct process *process = &world->nodes[i];
+        struct process *process = &cluster->nodes[i];
         if (process->pid && !process->is_stopped &&
             waitpid(process->pid, NULL, WNOHANG) == process->pid) {
             fprintf(stderr, "node %d terminated unexpectedly\n", i);
             exit(1);
         }
-        if (world->sim->now < process->resumes_at)
+        if (cluster->sim->now < process->resumes_at)
             continue;
         if (process->is_stopped) {
             kill(process->pid, SIGCONT);
             process->is_stopped = false;
         } else if (process->pid == 0) {
-            spawn_node(world, i);
+            spawn_node(cluster, i);
         }
     }
 }
 
-static bool are_all_running(const struct world *world) {
+static bool are_all_running(const struct cluster *cluster) {
     for (int i = 0; i < NODES; i++)
-        if (!world->nodes[i].pid || world->nodes[i].is_stopped)
+        if (!cluster->nodes[i].pid || cluster->nodes[i].is_stopped)
             return false;
     return true;
 }
 
 /* Kills the nodes, prints the result and exits with the code. */
-static _Noreturn void finish(struct world *world, int exit_code) {
+static _Noreturn void finish(struct cluster *cluster, int exit_code) {
     for (int i = 0; i < NODES; i++) {
-        if (world->nodes[i].is_stopped)
-            kill(world->nodes[i].pid, SIGCONT);
-        kill_node(&world->nodes[i]);
+        if (cluster->nodes[i].is_stopped)
+            kill(cluster->nodes[i].pid, SIGCONT);
+        kill_node(&cluster->nodes[i]);
     }
-    printf("world seed=%lu ends=%d stopped=%d jobs=%d done=%lu starts=%lu rules=%s\n", world->seed,
-           world->n_ends, world->n_stopped, world->sim->n_jobs, world->sim->n_done_jobs,
-           world->sim->n_starts, *world->sim->violation ? world->sim->violation : "kept");
+    printf("cluster seed=%lu ends=%d stopped=%d jobs=%d done=%lu starts=%lu rules=%s\n",
+           cluster->seed, cluster->n_ends, cluster->n_stopped, cluster->sim->n_jobs,
+           cluster->sim->n_done_jobs, cluster->sim->n_starts,
+           *cluster->sim->violation ? cluster->sim->violation : "kept");
     fflush(stdout);
     exit(exit_code);
 }
 
-static bool is_key_held_by_running_node(const struct world *world) {
-    int holder = key_holder(world);
-    return holder >= 0 && world->nodes[holder].pid && !world->nodes[holder].is_stopped;
+static bool is_key_held_by_running_node(const struct cluster *cluster) {
+    int holder = key_holder(cluster);
+    return holder >= 0 && cluster->nodes[holder].pid && !cluster->nodes[holder].is_stopped;
 }
 
 /* In phase LEADERLESS: checks whether another leader has started a task, and ends the run if none
  * has within START_TIMEOUT_S. */
-static void check_failover(struct world *world) {
-    struct sim *sim = world->sim;
-    if (world->claimed_at == 0 && is_key_held_by_running_node(world))
-        world->claimed_at = sim->now;
-    if (sim->started_token > world->ended_token) {
-        printf("end seed=%lu n=%d how=%s claimed_s=%.2f first_start_s=%.2f\n", world->seed,
-               world->n_ends, world->was_stopped ? "stop" : "kill",
-               world->claimed_at - world->ended_at, sim->started_at - world->ended_at);
+static void check_failover(struct cluster *cluster) {
+    struct sim *sim = cluster->sim;
+    if (cluster->claimed_at == 0 && is_key_held_by_running_node(cluster))
+        cluster->claimed_at = sim->now;
+    if (sim->started_token > cluster->ended_token) {
+        printf("end seed=%lu n=%d how=%s claimed_s=%.2f first_start_s=%.2f\n", cluster->seed,
+               cluster->n_ends, cluster->was_stopped ? "stop" : "kill",
+               cluster->claimed_at - cluster->ended_at, sim->started_at - cluster->ended_at);
         fflush(stdout);
-        world->n_ends++;
+        cluster->n_ends++;
         /* LEADERLESS -> STEADY or DRAINING: the next leader has started a task. */
-        set_phase(world, world->n_ends == world->n_required_ends ? DRAINING : STEADY);
-    } else if (sim->now - world->ended_at > START_TIMEOUT_S) {
-        printf("end seed=%lu n=%d how=%s no start for %d s\n", world->seed, world->n_ends,
-               world->was_stopped ? "stop" : "kill", START_TIMEOUT_S);
-        finish(world, 1);
+        set_phase(cluster, cluster->n_ends == cluster->n_required_ends ? DRAINING : STEADY);
+    } else if (sim->now - cluster->ended_at > START_TIMEOUT_S) {
+        printf("end seed=%lu n=%d how=%s no start for %d s\n", cluster->seed, cluster->n_ends,
+               cluster->was_stopped ? "stop" : "kill", START_TIMEOUT_S);
+        finish(cluster, 1);
     }
 }
 
 /* In phase DRAINING: ends the run once all jobs have finished or DRAIN_TIMEOUT_S has passed. */
-static void finish_when_drained(struct world *world) {
-    struct sim *sim = world->sim;
+static void finish_when_drained(struct cluster *cluster) {
+    struct sim *sim = cluster->sim;
     if (sim->faults_ended_at == 0) {
         sim_end_faults(sim);
         sim->jobs[0].cancel_at = sim->now; /* the service ends only by its cancellation */
     }
-    if (!sim_all_terminal(sim) && sim->now < world->phase_since + DRAIN_TIMEOUT_S)
+    if (!sim_all_terminal(sim) && sim->now < cluster->phase_since + DRAIN_TIMEOUT_S)
         return;
     sim_check_served(sim);
-    finish(world, *sim->violation ? 1 : 0);
+    finish(cluster, *sim->violation ? 1 : 0);
 }
 
-static bool is_ready_for_next_end(const struct world *world) {
-    bool has_been_steady = world->sim->now > world->phase_since + STEADY_S;
-    return are_all_running(world) && has_been_steady && key_holder(world) >= 0;
+static bool is_ready_for_next_end(const struct cluster *cluster) {
+    bool has_been_steady = cluster->sim->now > cluster->phase_since + STEADY_S;
+    return are_all_running(cluster) && has_been_steady && key_holder(cluster) >= 0;
 }
 
 static void on_step(void *arg) {
-    struct world *world = arg;
-    struct sim *sim = world->sim;
-    rp_timer_set(&world->loop, &world->timer, STEP_S);
-    submit_next_job(world);
-    sim_step(sim, rp_ts_since(rp_loop_now(&world->loop), world->started_at));
-    restart_or_continue_nodes(world);
+    struct cluster *cluster = arg;
+    struct sim *sim = cluster->sim;
+    rp_timer_set(&cluster->loop, &cluster->timer, STEP_S);
+    submit_next_job(cluster);
+    sim_step(sim, rp_ts_since(rp_loop_now(&cluster->loop), cluster->started_at));
+    restart_or_continue_nodes(cluster);
     if (*sim->violation)
-        finish(world, 1);
-    switch (world->phase) {
+        finish(cluster, 1);
+    switch (cluster->phase) {
     case STARTING:
         if (sim->started_token > 0 && sim->now > STARTUP_S)
-            set_phase(world, STEADY); /* STARTING -> STEADY: the first leader has started a task */
+            set_phase(cluster,
+                      STEADY); /* STARTING -> STEADY: the first leader has started a task */
         break;
     case STEADY:
-        if (is_ready_for_next_end(world))
-            end_leader(world, key_holder(world));
+        if (is_ready_for_next_end(cluster))
+            end_leader(cluster, key_holder(cluster));
         break;
     case LEADERLESS:
-        check_failover(world);
+        check_failover(cluster);
         break;
     case DRAINING:
-        finish_when_drained(world);
+        finish_when_drained(cluster);
         break;
     }
 }
 
 /* Opens the servers of the simulated services and workers and writes the nodes' settings. */
-static void open_world(struct world *world) {
+static void open_cluster(struct cluster *cluster) {
     char store[ADDR_MAX];
     char cloud[ADDR_MAX];
-    open_server(world, &world->store, store, on_store_request, world);
-    open_server(world, &world->cloud, cloud, on_cloud_request, world);
+    open_server(cluster, &cluster->store, store, on_store_request, cluster);
+    open_server(cluster, &cluster->cloud, cloud, on_cloud_request, cluster);
     for (int i = 0; i < WORKERS; i++) {
-        struct worker_server *worker = &world->workers[i];
-        worker->world = world;
-        open_server(world, &worker->server, worker->addr, on_worker_request, worker);
+        struct worker_server *worker = &cluster->workers[i];
+        worker->cluster = cluster;
+        open_server(cluster, &worker->server, worker->addr, on_worker_request, worker);
     }
-    write_settings(world, store, cloud);
+    write_settings(cluster, store, cloud);
 }
 
 int main(int argc, char **argv) {
     static const struct sim_size size = {WORKERS, 6, 2, 14, 39, 200, 20, 5};
-    static struct world world;
+    static struct cluster cluster;
     if (argc < 7 || argc > 8) {
         fprintf(stderr,
                 "usage: takeovers PROGRAM OPERATOR_FILE DIRECTORY PORT SEED ENDS [DOWNTIME_S]\n");
         return 2;
     }
-    world.program = argv[1];
-    world.operator_file = argv[2];
-    world.directory = argv[3];
-    world.next_port = (int)strtol(argv[4], NULL, 10);
-    world.seed = strtoul(argv[5], NULL, 10);
-    world.n_required_ends = (int)strtol(argv[6], NULL, 10);
-    world.downtime_s = argc > 7 ? strtod(argv[7], NULL) : 0;
-    const struct sim_remote remote = {.ctx = &world, .call = call_node, .worker_addr = worker_addr};
+    cluster.program = argv[1];
+    cluster.operator_file = argv[2];
+    cluster.directory = argv[3];
+    cluster.next_port = (int)strtol(argv[4], NULL, 10);
+    cluster.seed = strtoul(argv[5], NULL, 10);
+    cluster.n_required_ends = (int)strtol(argv[6], NULL, 10);
+    cluster.downtime_s = argc > 7 ? strtod(argv[7], NULL) : 0;
+    const struct sim_remote remote = {
+        .ctx = &cluster, .call = call_node, .worker_addr = worker_addr};
     signal(SIGPIPE, SIG_IGN);
-    rp_log_setup("world", rp_log_level_named("error"));
-    if (rp_loop_init(&world.loop, false) < 0)
+    rp_log_setup("cluster", rp_log_level_named("error"));
+    if (rp_loop_init(&cluster.loop, false) < 0)
         return 2;
-    rp_http_client_init(&world.client, &world.loop, 64, 400, MAX_BODY_BYTES);
-    world.sim = sim_new_remote(world.seed, NODES, &size, &remote);
-    open_world(&world);
+    rp_http_client_init(&cluster.client, &cluster.loop, 64, 400, MAX_BODY_BYTES);
+    cluster.sim = sim_new_remote(cluster.seed, NODES, &size, &remote);
+    open_cluster(&cluster);
     for (int i = 0; i < NODES; i++)
-        spawn_node(&world, i);
-    world.started_at = rp_loop_now(&world.loop);
-    world.timer = (struct rp_timer){.fn = on_step, .arg = &world};
-    rp_timer_set(&world.loop, &world.timer, STEP_S);
-    return rp_loop_run(&world.loop) < 0 ? 2 : 0;
+        spawn_node(&cluster, i);
+    cluster.started_at = rp_loop_now(&cluster.loop);
+    cluster.timer = (struct rp_timer){.fn = on_step, .arg = &cluster};
+    rp_timer_set(&cluster.loop, &cluster.timer, STEP_S);
+    return rp_loop_run(&cluster.loop) < 0 ? 2 : 0;
 }
--- a/tests/simulation/rules.c
+++ b/tests/simulation/rules.c
@@ -1,7 +1,7 @@
 /* The rules that the nodes must keep in the simulation: those of PROTOCOL and those that the users
  * added. The first violation is recorded with the simulated time, the name of the rule and what
- * broke it. The test broken_worlds_are_caught shows that each rule fails on a simulation with a
- * deliberate defect (enum sim_breakage). */
+ * broke it. The test broken_simulations_are_caught shows that each rule fails on a simulation with
+ * a deliberate defect (enum sim_breakage). */
 #include "internal.h"
 
 #include <math.h>
--- a/tests/simulation/day.c
+++ b/tests/simulation/scenario.c
@@ -1,38 +1,38 @@
 #include "test.h"
 
-#include "day.h"
+#include "scenario.h"
 
 #define NO_LIMIT_CPUS 1e6
 #define LEADER_WAIT_STEPS 200 /* steps of 0.1 s to wait for a leader */
 
-const struct sim_faults day_no_faults = {0};
-const struct sim_size day_large_limits = {64, 6, 4, 22, 47, 800, 80, 10};
+const struct sim_faults scenario_no_faults = {0};
+const struct sim_size scenario_large_limits = {64, 6, 4, 22, 47, 800, 80, 10};
 
-void day_keep_answer(struct rp_request *req, int status, const char *body, int retry_after) {
-    struct day_answer *answer = (struct day_answer *)(void *)req;
+void scenario_keep_answer(struct rp_request *req, int status, const char *body, int retry_after) {
+    struct scenario_answer *answer = (struct scenario_answer *)(void *)req;
     (void)retry_after;
     answer->status = status;
     snprintf(answer->body, sizeof answer->body, "%s", body);
 }
 
-struct sim *day_new(unsigned long seed, int n_nodes) {
-    struct sim *sim = sim_new(seed, &day_no_faults, SIM_NO_BREAKAGE, n_nodes);
+struct sim *scenario_new(unsigned long seed, int n_nodes) {
+    struct sim *sim = sim_new(seed, &scenario_no_faults, SIM_NO_BREAKAGE, n_nodes);
     assert_non_null(sim);
     return sim;
 }
 
-void day_remove_team_limit(struct sim *sim) {
+void scenario_remove_team_limit(struct sim *sim) {
     for (int i = 0; i < sim->n_nodes; i++)
         sim->settings[i].teams[0].cpus_max = NO_LIMIT_CPUS;
 }
 
-void day_submit_arrays(struct sim *sim, int count, double first_at, double every_s, unsigned tasks,
-                       double cpus, double run_s) {
+void scenario_submit_arrays(struct sim *sim, int count, double first_at, double every_s,
+                            unsigned tasks, double cpus, double run_s) {
     for (int i = 0; i < count; i++)
         sim_submit(sim, first_at + i * every_s, "sweep", tasks, cpus, run_s, 0);
 }
 
-void day_submit_mixed_work(struct sim *sim, unsigned long seed) {
+void scenario_submit_mixed_work(struct sim *sim, unsigned long seed) {
     sim_submit(sim, 1, "sweep", 20, 1, 8, 0);
     sim_submit(sim, 2, "sweep", 40, 1, 15, 0);
     sim_submit(sim, 3, "ensemble", 3, 8, 12, 0);
@@ -45,7 +45,7 @@
     sim_submit(sim, 15, "sweep", 2, 1, 200, 40); /* runs until it is cancelled */
 }
 
-void day_submit_long_work(struct sim *sim, double run_s) {
+void scenario_submit_long_work(struct sim *sim, double run_s) {
     sim_submit(sim, 1, "sweep", 20, 1, run_s, 0);
     sim_submit(sim, 1, "sweep", 40, 1, 8, 0);
     sim_submit(sim, 2, "ensemble", 3, 4, run_s / 2, 0);
@@ -54,33 +54,33 @@
     sim_submit(sim, 30, "ensemble", 2, 6, 10, 0);
 }
 
-void day_submit_array_stream(struct sim *sim, double from) {
+void scenario_submit_array_stream(struct sim *sim, double from) {
     for (int i = 0; i < 6; i++)
         sim_submit(sim, from + 1 + i * 12, "sweep", 40, 1, 14, 0);
     sim_submit(sim, from + 20, "ensemble", 2, 8, 20, 0);
 }
 
-void day_submit_services(struct sim *sim, double from) {
+void scenario_submit_services(struct sim *sim, double from) {
     sim_submit(sim, from + 1, "service", 3, 1, 0, from + 260);
     sim_submit(sim, from + 2, "service", 6, 1, 0, from + 120);
     sim_submit(sim, from + 5, "service", 2, 2, 0, from + 255);
     sim_submit(sim, from + 40, "service", 4, 1, 0, from + 250);
 }
 
-void day_expect_no_violation(struct sim *sim, unsigned long seed) {
+void scenario_expect_no_violation(struct sim *sim, unsigned long seed) {
     if (sim->violation[0])
         fail_msg("seed %lu: a rule was broken: %s", seed, sim->violation);
 }
 
-void day_run(struct sim *sim, double seconds) {
+void scenario_run(struct sim *sim, double seconds) {
     sim_run(sim, seconds);
     if (sim->violation[0])
         fail_msg("a rule was broken: %s", sim->violation);
 }
 
-void day_end(struct sim *sim) {
+void scenario_end(struct sim *sim) {
     sim_end_faults(sim);
-    sim_run(sim, DAY_COMPLETION_S);
+    sim_run(sim, SCENARIO_COMPLETION_S);
     sim_check_served(sim);
     if (sim->violation[0])
         fail_msg("a rule was broken: %s", sim->violation);
@@ -88,27 +88,27 @@
         const struct sim_job *job = &sim->jobs[i];
         if (!job->reported_done && !job->reported_cancelled && !job->fails_always)
             fail_msg("%s is not terminal %d s after the end of the faults", job->spec.id,
-                     DAY_COMPLETION_S);
+                     SCENARIO_COMPLETION_S);
     }
     assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
 
-struct rp_node *day_leader(const struct sim *sim) {
+struct rp_node *scenario_leader(const struct sim *sim) {
     assert_true(sim_leader(sim) >= 0);
     struct rp_node *node = sim->nodes[sim_leader(sim)].node;
     assert_non_null(node);
     return node;
 }
 
-void day_crash_leader(struct sim *sim, double restart_after_s) {
+void scenario_crash_leader(struct sim *sim, double restart_after_s) {
     for (int i = 0; i < LEADER_WAIT_STEPS && sim_leader(sim) < 0; i++)
-        day_run(sim, 0.1);
+        scenario_run(sim, 0.1);
     assert_true(sim_leader(sim) >= 0);
     sim_crash(sim, sim_leader(sim), restart_after_s);
 }
 
-int day_count_running_tasks(const struct sim *sim, int job) {
+int scenario_count_running_tasks(const struct sim *sim, int job) {
     int n = 0;
     for (int i = 0; i < sim->size.n_workers; i++) {
         const struct sim_worker *worker = &sim->workers[i];
@@ -118,9 +118,9 @@
     return n;
 }
 
-int day_count_all_running_tasks(const struct sim *sim) {
+int scenario_count_all_running_tasks(const struct sim *sim) {
     int n = 0;
     for (int i = 0; i < sim->n_jobs; i++)
-        n += day_count_running_tasks(sim, i);
+        n += scenario_count_running_tasks(sim, i);
     return n;
 }
--- a/tests/simulation/test_combined_leaders.c
+++ b/tests/simulation/test_combined_leaders.c
@@ -4,7 +4,7 @@
 #include "test.h"
 
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 
 /* Jobs are cancelled around a change of the leader, one every 0.5 s, the first one 0.5 s before it.
  * The change is caused by a crash of the leader (its process restarts after 3 s, or after 0.2 s) or
@@ -13,23 +13,23 @@
     int n_confirmed = 0;
     (void)state;
     for (unsigned long seed = 100; seed < 108; seed++) {
-        struct sim *sim = day_new(seed, 3);
-        day_submit_arrays(sim, 10, 1, 0, 6, 1, 120);
-        day_run(sim, 40);
-        uint64_t token = day_leader(sim)->election.fencing_token;
+        struct sim *sim = scenario_new(seed, 3);
+        scenario_submit_arrays(sim, 10, 1, 0, 6, 1, 120);
+        scenario_run(sim, 40);
+        uint64_t token = scenario_leader(sim)->election.fencing_token;
         for (int i = 0; i < 10; i++)
             sim->jobs[i].cancel_at = sim->now - 0.5 + 0.5 * i;
         if (seed % 3 == 0)
-            day_crash_leader(sim, 3);
+            scenario_crash_leader(sim, 3);
         else if (seed % 3 == 1)
-            day_crash_leader(sim, 0.2);
+            scenario_crash_leader(sim, 0.2);
         else
-            rp_election_resign(&day_leader(sim)->election, 5);
-        day_run(sim, 16);
-        assert_more_than(day_leader(sim)->election.fencing_token, token);
+            rp_election_resign(&scenario_leader(sim)->election, 5);
+        scenario_run(sim, 16);
+        assert_more_than(scenario_leader(sim)->election.fencing_token, token);
         for (int i = 0; i < 10; i++)
             n_confirmed += sim->jobs[i].reported_cancelled;
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_at_least(n_confirmed, 70);
 }
@@ -44,35 +44,35 @@
     (void)state;
     for (unsigned long seed = 110; seed < 116; seed++) {
         struct sim *sim =
-            sim_new_sized(seed, &day_no_faults, SIM_NO_BREAKAGE, 3, &day_large_limits);
-        day_submit_arrays(sim, 5, 1, 0, 12, 1, 100);
-        day_run(sim, 40);
+            sim_new_sized(seed, &scenario_no_faults, SIM_NO_BREAKAGE, 3, &scenario_large_limits);
+        scenario_submit_arrays(sim, 5, 1, 0, 12, 1, 100);
+        scenario_run(sim, 40);
         int leader = sim_leader(sim);
         sim->nodes[leader].store_refusal_until = sim->now + 60;
         for (int i = 0; i < 3; i++)
             sim->jobs[i].cancel_at = sim->now;
-        day_run(sim, 2.5);
+        scenario_run(sim, 2.5);
         assert_true(sim->jobs[0].reported_cancelled || sim->jobs[1].reported_cancelled);
         sim->store_outage_until = sim->now + 8;
-        day_run(sim, 8);
+        scenario_run(sim, 8);
         for (int i = 0; i < 1000 && (sim_leader(sim) < 0 || sim_leader(sim) == leader); i++)
-            day_run(sim, 0.02);
+            scenario_run(sim, 0.02);
         assert_true(sim_leader(sim) != leader);
         for (int i = 0; i < 150; i++) {
-            day_run(sim, 0.02);
+            scenario_run(sim, 0.02);
             for (int k = 0; k < sim->size.n_workers; k++) {
                 struct sim_worker *worker = &sim->workers[k];
                 /* The machine hangs as soon as it has accepted the new leader's first answer. */
                 if (worker->used && worker->up && worker->n_tasks > 0 &&
                     worker->paused_until <= 0 && worker->incarnation == 1 &&
-                    worker->fencing_token == day_leader(sim)->election.fencing_token) {
+                    worker->fencing_token == scenario_leader(sim)->election.fencing_token) {
                     worker->paused_until = sim->now + 21;
                     n_hung++;
                 }
             }
         }
-        day_run(sim, 40);
-        day_end(sim);
+        scenario_run(sim, 40);
+        scenario_end(sim);
     }
     assert_at_least(n_hung, 20);
 }
@@ -81,11 +81,11 @@
  * did not contain the commands that stop its cancelled tasks. These tasks must have stopped 8 s
  * after the cancellations. */
 static void machine_being_released_receives_stops(void **state) {
-    struct sim *sim = day_new(118, 3);
+    struct sim *sim = scenario_new(118, 3);
     (void)state;
-    day_submit_arrays(sim, 5, 1, 0, 12, 1, 100);
-    day_run(sim, 40);
-    struct rp_node *node = day_leader(sim);
+    scenario_submit_arrays(sim, 5, 1, 0, 12, 1, 100);
+    scenario_run(sim, 40);
+    struct rp_node *node = scenario_leader(sim);
     int n_allocations = 0;
     sim->cloud_outage_until = sim->now + 60;
     for (struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
@@ -94,12 +94,12 @@
             rp_fleet_scale_in(&node->fleet, machine, "to see what becomes of its tasks");
         }
     assert_at_least(n_allocations, 50);
-    day_run(sim, 1);
+    scenario_run(sim, 1);
     for (int i = 0; i < 5; i++)
         sim->jobs[i].cancel_at = sim->now;
-    day_run(sim, 8);
-    assert_int_equal(day_count_all_running_tasks(sim), 0);
-    day_end(sim);
+    scenario_run(sim, 8);
+    assert_int_equal(scenario_count_all_running_tasks(sim), 0);
+    scenario_end(sim);
 }
 
 /* The leader crashes twelve times, once every 10 s, while jobs run; one job is cancelled, and the
@@ -108,23 +108,24 @@
 static void repeated_leader_crashes_lose_no_job(void **state) {
     (void)state;
     for (unsigned long seed = 120; seed < 124; seed++) {
-        struct sim *sim = day_new(seed, 3);
+        struct sim *sim = scenario_new(seed, 3);
         unsigned n_leader_changes = 0;
-        day_submit_long_work(sim, 40);
-        day_run(sim, 20);
+        scenario_submit_long_work(sim, 40);
+        scenario_run(sim, 20);
         for (int i = 0; i < 12; i++) {
             sim->jobs[i % sim->n_jobs].cancel_at = i == 5 ? sim->now : 0;
-            uint64_t token = sim_leader(sim) >= 0 ? day_leader(sim)->election.fencing_token : 0;
+            uint64_t token =
+                sim_leader(sim) >= 0 ? scenario_leader(sim)->election.fencing_token : 0;
             if (sim_leader(sim) >= 0)
                 sim_crash(sim, sim_leader(sim), i % 2 ? 0.1 : 3);
             if (i == 6)
                 sim->store_outage_until = sim->now + 12;
-            day_run(sim, 10);
+            scenario_run(sim, 10);
             n_leader_changes +=
-                sim_leader(sim) >= 0 && day_leader(sim)->election.fencing_token != token;
+                sim_leader(sim) >= 0 && scenario_leader(sim)->election.fencing_token != token;
         }
         assert_at_least(n_leader_changes, 10);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -133,24 +134,24 @@
 static void only_node_restarted_leads_after_resignations(void **state) {
     (void)state;
     for (unsigned long seed = 130; seed < 136; seed++) {
-        struct sim *sim = day_new(seed, 3);
-        day_submit_long_work(sim, 60);
-        day_run(sim, 25);
+        struct sim *sim = scenario_new(seed, 3);
+        scenario_submit_long_work(sim, 60);
+        scenario_run(sim, 25);
         int first_leader = sim_leader(sim);
         for (int turn = 0; turn < 4; turn++) {
             if (sim_leader(sim) >= 0)
-                rp_election_resign(&day_leader(sim)->election, 1);
-            day_run(sim, 0.3 + 0.7 * (turn % 2));
+                rp_election_resign(&scenario_leader(sim)->election, 1);
+            scenario_run(sim, 0.3 + 0.7 * (turn % 2));
             sim->jobs[turn].cancel_at = turn == 1 ? sim->now : 0;
         }
         for (int i = 0; i < sim->n_nodes; i++)
             sim_crash(sim, i, i == first_leader ? 0.05 + 0.1 * (double)(seed % 8) : 25);
         /* The key of another node is deleted only when its lease expires. */
-        day_run(sim, 13);
+        scenario_run(sim, 13);
         /* Only the first leader runs again: it has restarted within a second. */
         assert_int_equal(sim_leader(sim), first_leader);
-        day_run(sim, 30);
-        day_end(sim);
+        scenario_run(sim, 30);
+        scenario_end(sim);
     }
 }
 
@@ -159,16 +160,16 @@
 static void tasks_end_while_all_nodes_are_down_beyond_lease(void **state) {
     (void)state;
     for (unsigned long seed = 140; seed < 144; seed++) {
-        struct sim *sim = day_new(seed, 3);
-        day_submit_long_work(sim, 60);
-        day_run(sim, 25);
+        struct sim *sim = scenario_new(seed, 3);
+        scenario_submit_long_work(sim, 60);
+        scenario_run(sim, 25);
         sim->jobs[0].cancel_at = sim->now - 0.3;
-        day_run(sim, 0.1);
+        scenario_run(sim, 0.1);
         for (int i = 0; i < sim->n_nodes; i++)
             sim_crash(sim, i, sim->size.lease_s + 3 + i);
-        day_run(sim, sim->size.lease_s + 2);
-        assert_int_equal(day_count_all_running_tasks(sim), 0);
-        day_end(sim);
+        scenario_run(sim, sim->size.lease_s + 2);
+        assert_int_equal(scenario_count_all_running_tasks(sim), 0);
+        scenario_end(sim);
     }
 }
 
@@ -184,11 +185,11 @@
             int array = sim_submit(sim, 1 + i, "sweep", 3, 1, 6, 0);
             sim->jobs[array].stagger_s = 25;
         }
-        day_run(sim, 30);
-        day_crash_leader(sim, 3);
-        day_run(sim, 60);
+        scenario_run(sim, 30);
+        scenario_crash_leader(sim, 3);
+        scenario_run(sim, 60);
         n_delayed_writes += sim->n_delayed_writes;
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_at_least(n_delayed_writes, 100);
 }
@@ -200,18 +201,18 @@
 static void cancellations_hold_while_old_leader_is_partitioned(void **state) {
     (void)state;
     for (unsigned long seed = 520; seed < 526; seed++) {
-        struct sim *sim = sim_new_sized(seed, &day_no_faults, SIM_NO_BREAKAGE, seed % 2 ? 3 : 5,
-                                        &day_large_limits);
-        day_submit_arrays(sim, 8, 1, 0, 7, 1, 120);
-        day_run(sim, 40);
+        struct sim *sim = sim_new_sized(seed, &scenario_no_faults, SIM_NO_BREAKAGE,
+                                        seed % 2 ? 3 : 5, &scenario_large_limits);
+        scenario_submit_arrays(sim, 8, 1, 0, 7, 1, 120);
+        scenario_run(sim, 40);
         int leader = sim_leader(sim);
         sim->nodes[leader].partitioned_until = sim->now + 45;
         for (int i = 0; i < 6; i++)
             sim->jobs[i].cancel_at = sim->now + 3 * i;
-        day_run(sim, 20);
+        scenario_run(sim, 20);
         assert_true(sim_leader(sim) != leader);
-        day_run(sim, 50);
-        day_end(sim);
+        scenario_run(sim, 50);
+        scenario_end(sim);
     }
 }
 
--- a/tests/simulation/test_combined_machines.c
+++ b/tests/simulation/test_combined_machines.c
@@ -4,7 +4,7 @@
 #include "test.h"
 
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 
 /* The leader crashes while half of the machines, with long tasks on them, reach no node, receive no
  * answers from any node, or hang, for 5 to 45 s. The new leader must not start their tasks
@@ -12,11 +12,11 @@
 static void leader_crash_while_machines_are_silent_breaks_no_rule(void **state) {
     (void)state;
     for (unsigned long seed = 400; seed < 409; seed++) {
-        struct sim *sim = day_new(seed, 3);
+        struct sim *sim = scenario_new(seed, 3);
         int n_silent = 0;
         for (int i = 0; i < 8; i++)
             sim_submit(sim, 1, "sweep", 7, 1, 100, i % 2 ? 50 : 0);
-        day_run(sim, 45);
+        scenario_run(sim, 45);
         double until = sim->now + 5 + 5 * (double)(seed % 9);
         for (int i = 0; i < sim->size.n_workers; i++) {
             struct sim_worker *worker = &sim->workers[i];
@@ -28,9 +28,9 @@
                               : &worker->paused_until) = until;
         }
         assert_at_least(n_silent, 2);
-        day_crash_leader(sim, 3);
-        day_run(sim, 70);
-        day_end(sim);
+        scenario_crash_leader(sim, 3);
+        scenario_run(sim, 70);
+        scenario_end(sim);
     }
 }
 
@@ -43,17 +43,17 @@
     (void)state;
     for (unsigned long seed = 410; seed < 418; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_NO_BREAKAGE, 3);
-        day_submit_long_work(sim, 40);
+        scenario_submit_long_work(sim, 40);
         for (int i = 0; i < 6; i++) {
-            day_run(sim, 4 + 0.37 * (double)(seed % 5));
+            scenario_run(sim, 4 + 0.37 * (double)(seed % 5));
             sim_submit(sim, sim->now, "sweep", 12, 2, 20, 0);
-            day_run(sim, 0.5 + 0.4 * i);
+            scenario_run(sim, 0.5 + 0.4 * i);
             if (sim_leader(sim) >= 0)
                 sim_crash(sim, sim_leader(sim), i % 2 ? 0.3 : 4);
-            day_run(sim, 8);
+            scenario_run(sim, 8);
         }
         n_delayed_writes += sim->n_delayed_writes;
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_at_least(n_delayed_writes, 60);
 }
@@ -66,12 +66,12 @@
     (void)state;
     for (unsigned long seed = 420; seed < 428; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_NO_BREAKAGE, 3);
-        day_submit_long_work(sim, 30);
+        scenario_submit_long_work(sim, 30);
         for (int i = 0; i < 8; i++)
             sim_submit(sim, 15 + i * 10, "service", 3, 1, 0, 45 + i * 10);
-        day_run(sim, 120);
+        scenario_run(sim, 120);
         n_direct_commands += sim->n_direct_to_unreachable;
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_at_least(n_direct_commands, 10);
 }
@@ -84,14 +84,14 @@
     (void)state;
     for (unsigned long seed = 430; seed < 438; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_NO_BREAKAGE, 3);
-        day_submit_long_work(sim, 30);
+        scenario_submit_long_work(sim, 30);
         for (int i = 0; i < 10; i++)
             sim_submit(sim, 12 + i * 8, "service", 3, 1, 0, 12.6 + i * 8 + i % 4 * 7);
-        day_run(sim, 60);
-        day_crash_leader(sim, 0.2);
-        day_run(sim, 60);
+        scenario_run(sim, 60);
+        scenario_crash_leader(sim, 0.2);
+        scenario_run(sim, 60);
         n_direct_commands += sim->n_direct_commands;
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_at_least(n_direct_commands, 100);
 }
@@ -103,16 +103,16 @@
     int n_confirmed = 0;
     (void)state;
     for (unsigned long seed = 440; seed < 448; seed++) {
-        struct sim *sim = day_new(seed, 3);
-        day_submit_arrays(sim, 8, 1, 0, 7, 1, 150);
-        day_run(sim, 40);
+        struct sim *sim = scenario_new(seed, 3);
+        scenario_submit_arrays(sim, 8, 1, 0, 7, 1, 150);
+        scenario_run(sim, 40);
         sim_cancel_running(sim, 5, 4 + 4 * (double)(seed % 8));
         if (seed % 2)
-            day_crash_leader(sim, 3);
-        day_run(sim, 60);
+            scenario_crash_leader(sim, 3);
+        scenario_run(sim, 60);
         for (int i = 0; i < 8; i++)
             n_confirmed += sim->jobs[i].reported_cancelled;
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_int_equal(n_confirmed, 40);
 }
@@ -123,18 +123,19 @@
 static void full_team_stays_within_limit_at_failover(void **state) {
     (void)state;
     for (unsigned long seed = 450; seed < 458; seed++) {
-        struct sim *sim = day_new(seed, 3);
-        day_submit_arrays(sim, 10, 1, 0.3, 10, 1, 60);
-        day_run(sim, 40);
-        assert_at_least(day_count_all_running_tasks(sim), 55); /* of the 60 that the limit allows */
+        struct sim *sim = scenario_new(seed, 3);
+        scenario_submit_arrays(sim, 10, 1, 0.3, 10, 1, 60);
+        scenario_run(sim, 40);
+        assert_at_least(scenario_count_all_running_tasks(sim),
+                        55); /* of the 60 that the limit allows */
         for (int i = 0; i < sim->size.n_workers; i++)
             if (sim->workers[i].used && sim->workers[i].up && i % 3 == 0)
                 *(seed % 2 ? &sim->workers[i].paused_until : &sim->workers[i].unreachable_until) =
                     sim->now + 4 + 4 * (double)(seed % 8);
         sim_cancel_running(sim, 4, 0);
-        day_crash_leader(sim, seed % 4 ? 0.2 : 3);
-        day_run(sim, 60);
-        day_end(sim);
+        scenario_crash_leader(sim, seed % 4 ? 0.2 : 3);
+        scenario_run(sim, 60);
+        scenario_end(sim);
     }
 }
 
@@ -151,8 +152,8 @@
                             : sim_submit(sim, 1 + i * 5, "ensemble", 3, 4, 15, 0);
             sim_set_field(sim, job, "yard", json_string(i % 2 ? "a" : "b"));
         }
-        day_run(sim, 90);
-        day_end(sim);
+        scenario_run(sim, 90);
+        scenario_end(sim);
     }
 }
 
@@ -162,21 +163,21 @@
 static void jobs_are_cancelled_outside_partitioned_zone(void **state) {
     (void)state;
     for (unsigned long seed = 470; seed < 478; seed++) {
-        struct sim *sim = day_new(seed, 3);
-        day_submit_arrays(sim, 8, 1, 0, 7, 1, 60);
-        day_run(sim, 40);
+        struct sim *sim = scenario_new(seed, 3);
+        scenario_submit_arrays(sim, 8, 1, 0, 7, 1, 60);
+        scenario_run(sim, 40);
         int node_inside = seed % 2 ? sim_leader(sim) : (sim_leader(sim) + 1) % sim->n_nodes;
         sim->partitioned_zone = 1 + (int)(seed / 2 % 2);
         sim->node_in_partition = node_inside + 1;
         sim->nodes[node_inside].partitioned_until = sim->now + 30;
         for (int i = 0; i < 4; i++)
             sim->jobs[i].cancel_at = sim->now + i;
-        day_run(sim, 30);
+        scenario_run(sim, 30);
         sim->partitioned_zone = sim->node_in_partition = 0;
-        day_run(sim, 30);
+        scenario_run(sim, 30);
         for (int i = 0; i < 4; i++)
             assert_true(sim->jobs[i].reported_cancelled);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -194,13 +195,13 @@
     (void)state;
     for (unsigned long seed = 500; seed < 510; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_NO_BREAKAGE, 3);
-        day_submit_long_work(sim, 25);
+        scenario_submit_long_work(sim, 25);
         for (int i = 0; i < 6; i++)
             sim_submit(sim, 20 + i * 10, "sweep", 10, 2, 12, i % 3 ? 0 : 40 + i * 10);
-        day_run(sim, 120);
+        scenario_run(sim, 120);
         n_held_duplicates_delivered += sim->n_held_duplicates_delivered;
         n_leaders += sim->n_leaders;
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_true(n_held_duplicates_delivered >= 200 && n_leaders >= 30);
 }
--- a/tests/simulation/test_combined_store.c
+++ b/tests/simulation/test_combined_store.c
@@ -5,24 +5,24 @@
 
 #include <math.h>
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 
 static void run_refusal_then_outage(unsigned long seed, const struct sim_size *size,
                                     double refused_s, double outage_after_s, double outage_s,
                                     double cancel_after_s) {
-    struct sim *sim = sim_new_sized(seed, &day_no_faults, SIM_NO_BREAKAGE, 3, size);
+    struct sim *sim = sim_new_sized(seed, &scenario_no_faults, SIM_NO_BREAKAGE, 3, size);
     int n_confirmed = 0;
     int n_running = 0;
-    day_submit_arrays(sim, 5, 1, 0, 12, 1, 150);
-    day_run(sim, 45);
-    n_running = day_count_all_running_tasks(sim);
+    scenario_submit_arrays(sim, 5, 1, 0, 12, 1, 150);
+    scenario_run(sim, 45);
+    n_running = scenario_count_all_running_tasks(sim);
     assert_at_least(n_running, 50);
     int leader = sim_leader(sim);
     double refused_at = sim->now;
     sim->nodes[leader].store_refusal_until = refused_at + refused_s;
     for (int i = 0; i < 5; i++)
         sim->jobs[i].cancel_at = refused_at + cancel_after_s;
-    day_run(sim, outage_after_s);
+    scenario_run(sim, outage_after_s);
     for (int i = 0; i < 5; i++)
         n_confirmed += sim->jobs[i].reported_cancelled;
     /* The combination took place: other nodes have confirmed cancellations to users, and the leader
@@ -30,8 +30,8 @@
     assert_at_least(n_confirmed, 1);
     assert_true(rp_jobs_staleness_s(&sim->nodes[leader].node->jobs) > 0);
     sim->store_outage_until = sim->now + outage_s;
-    day_run(sim, fmax(sim->size.cancel_s + 20, outage_s + 20));
-    day_end(sim);
+    scenario_run(sim, fmax(sim->size.cancel_s + 20, outage_s + 20));
+    scenario_end(sim);
 }
 
 /* The key-value store refuses the leader alone, so that other nodes confirm cancellations that the
@@ -40,7 +40,7 @@
  * ends before, during or after the outage. */
 static void cancellations_hold_when_leader_is_refused_before_outage(void **state) {
     static const struct sim_size small = {64, 6, 2, 14, 39, 200, 20, 5};
-    const struct sim_size *sizes[] = {&small, &day_large_limits};
+    const struct sim_size *sizes[] = {&small, &scenario_large_limits};
     (void)state;
     for (int k = 0; k < 2; k++)
         for (unsigned long seed = 1; seed <= 3; seed++) {
@@ -60,23 +60,23 @@
     (void)state;
     for (unsigned long seed = 40; seed < 44; seed++) {
         struct sim *sim =
-            sim_new_sized(seed, &day_no_faults, SIM_NO_BREAKAGE, 3, &day_large_limits);
+            sim_new_sized(seed, &scenario_no_faults, SIM_NO_BREAKAGE, 3, &scenario_large_limits);
         int n_confirmed = 0;
-        day_submit_arrays(sim, 5, 1, 0, 12, 1, 150);
-        day_run(sim, 45);
+        scenario_submit_arrays(sim, 5, 1, 0, 12, 1, 150);
+        scenario_run(sim, 45);
         int leader = sim_leader(sim);
         sim->nodes[leader].store_refusal_until = sim->now + 5 * 9;
         for (int i = 0; i < 5; i++)
             sim->jobs[i].cancel_at = sim->now;
         for (int outage = 0; outage < 5; outage++) {
-            day_run(sim, 3);
+            scenario_run(sim, 3);
             for (int i = 0; i < 5; i++)
                 n_confirmed += sim->jobs[i].reported_cancelled;
             sim->store_outage_until = sim->now + 6;
-            day_run(sim, 6);
+            scenario_run(sim, 6);
         }
         assert_at_least(n_confirmed, 1);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -85,10 +85,11 @@
  * the allowed staleness. The leader must read the changes written meanwhile before it answers a
  * worker. */
 static void stale_leader_reads_changes_before_it_answers_heartbeats(void **state) {
-    struct sim *sim = sim_new_sized(50, &day_no_faults, SIM_NO_BREAKAGE, 3, &day_large_limits);
+    struct sim *sim =
+        sim_new_sized(50, &scenario_no_faults, SIM_NO_BREAKAGE, 3, &scenario_large_limits);
     (void)state;
-    day_submit_arrays(sim, 5, 1, 0, 12, 1, 200);
-    day_run(sim, 45);
+    scenario_submit_arrays(sim, 5, 1, 0, 12, 1, 200);
+    scenario_run(sim, 45);
     int leader = sim_leader(sim);
     struct rp_node *node = sim->nodes[leader].node;
     unsigned long process_number = sim->nodes[leader].process_number;
@@ -96,24 +97,24 @@
     double max_staleness_s = rp_settings_max_staleness_s(node->settings);
     sim->nodes[leader].store_refusal_until = sim->now + 2;
     sim->jobs[0].cancel_at = sim->now;
-    day_run(sim, 1.9);
+    scenario_run(sim, 1.9);
     assert_true(sim->jobs[0].reported_cancelled);
     sim->store_outage_until = sim->now + 18;
-    day_run(sim, 17.9);
+    scenario_run(sim, 17.9);
     assert_true(rp_jobs_staleness_s(&node->jobs) > max_staleness_s);
     assert_false(rp_jobs_may_answer_heartbeats(&node->jobs));
     for (int i = 0; i < 400 && !rp_jobs_may_answer_heartbeats(&node->jobs); i++)
-        day_run(sim, 0.02);
+        scenario_run(sim, 0.02);
     /* The same process leads in the same term, has read the cancellation before it answers
      * heartbeats, and lets no task of the cancelled job continue. */
     assert_true(sim->nodes[leader].process_number == process_number &&
                 node->election.fencing_token == token);
     const struct rp_job *job = rp_jobs_find(&node->jobs, sim->jobs[0].spec.id);
     assert_true(!job || job->state == RP_JOB_CLOSED);
-    day_run(sim, 8);
-    assert_int_equal(day_count_running_tasks(sim, 0), 0);
+    scenario_run(sim, 8);
+    assert_int_equal(scenario_count_running_tasks(sim, 0), 0);
     assert_true(node->election.fencing_token == token);
-    day_end(sim);
+    scenario_end(sim);
 }
 
 /* The key-value store refuses the leader alone, and other nodes confirm cancellations that the
@@ -123,19 +124,19 @@
     int n_confirmed = 0;
     (void)state;
     for (unsigned long seed = 60; seed < 66; seed++) {
-        struct sim *sim = day_new(seed, 3);
-        day_submit_arrays(sim, 40, 1, 0, 12, 1, 4);
-        day_run(sim, 30);
+        struct sim *sim = scenario_new(seed, 3);
+        scenario_submit_arrays(sim, 40, 1, 0, 12, 1, 4);
+        scenario_run(sim, 30);
         sim->nodes[sim_leader(sim)].store_refusal_until = sim->now + 12;
         for (int i = 0; i < 40; i++)
             sim->jobs[i].cancel_at = sim->now + 0.1;
-        day_run(sim, 30);
+        scenario_run(sim, 30);
         for (int i = 0; i < 40; i++)
             n_confirmed += sim->jobs[i].reported_cancelled;
         /* The leader queries the other nodes whether the store answers them, which takes at most 2
          * s; an answer that contains a start is in transit for less than that. */
         assert_less_than(sim->start_after_cancel_s, 2.6);
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_at_least(n_confirmed, 60);
 }
@@ -148,14 +149,14 @@
     (void)state;
     for (unsigned long seed = 200; seed < 208; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_NO_BREAKAGE, 3);
-        day_submit_long_work(sim, 30);
+        scenario_submit_long_work(sim, 30);
         sim->jobs[0].cancel_at = 45;
         sim->jobs[1].cancel_on_acceptance = true;
         for (int i = 0; i < 20; i++)
             sim_submit(sim, 25 + i * 4, "sweep", 1 + (unsigned)i % 4, 1, 5, i % 5 ? 0 : 30 + i * 4);
-        day_run(sim, 120);
+        scenario_run(sim, 120);
         n_delayed_writes += sim->n_delayed_writes;
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_at_least(n_delayed_writes, 100);
 }
@@ -174,14 +175,14 @@
     unsigned long n_delayed_writes = 0;
     (void)state;
     for (unsigned long seed = 210; seed < 216; seed++) {
-        struct sim *sim = day_new(seed, 3);
+        struct sim *sim = scenario_new(seed, 3);
         int array = sim_submit(sim, 1, "sweep", 40, 1, 5, 0);
         sim->jobs[array].stagger_s = 0.8;
         size_t n_stored_max = 0;
-        day_run(sim, 12);
+        scenario_run(sim, 12);
         sim->faults.delayed_write = 0.4;
         for (int i = 0; i < 300 && !sim->jobs[array].reported_done; i++) {
-            day_run(sim, 0.1);
+            scenario_run(sim, 0.1);
             size_t n_stored = n_stored_results(sim, sim->jobs[array].spec.id, 40);
             /* The record is deleted when the job has ended. */
             if (n_stored > 0 || sim_count_stored(sim, RP_KEY_OPEN) > 0)
@@ -190,7 +191,7 @@
         }
         assert_at_least(n_stored_max, 5);
         n_delayed_writes += sim->n_delayed_writes;
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_at_least(n_delayed_writes, 20);
 }
@@ -204,13 +205,13 @@
     for (unsigned long seed = 220; seed < 228; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_NO_BREAKAGE, 3);
         sim->has_concurrent_reads = true;
-        day_submit_long_work(sim, 30);
+        scenario_submit_long_work(sim, 30);
         sim->jobs[0].cancel_at = 40;
         sim->jobs[4].cancel_on_acceptance = true;
-        day_run(sim, 100);
+        scenario_run(sim, 100);
         n_dropped_answers += sim->n_dropped_answers;
         assert_at_least(sim->n_concurrent_reads, 50);
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_at_least(n_dropped_answers, 150);
 }
@@ -225,10 +226,10 @@
         for (int i = 0; i < 30; i++)
             sim_submit(sim, 1 + i * 2, i % 5 ? "sweep" : "ensemble", i % 5 ? 20 : 3, i % 5 ? 2 : 8,
                        15, i % 7 ? 0 : 40 + i);
-        day_run(sim, 100);
+        scenario_run(sim, 100);
         sim_end_faults(sim);
-        day_run(sim, 200);
-        day_end(sim);
+        scenario_run(sim, 200);
+        scenario_end(sim);
     }
 }
 
--- a/tests/simulation/test_combined_users.c
+++ b/tests/simulation/test_combined_users.c
@@ -4,9 +4,9 @@
 #include "test.h"
 
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 
-#define REST_S 250 /* simulated seconds after the faults, within which all jobs must end */
+#define COMPLETION_S 250 /* simulated seconds after the faults, within which all jobs must end */
 
 /* Users submit four jobs per second for two minutes, cancel a quarter of them, and the leader
  * crashes meanwhile. At least 440 of the 480 jobs must have been reported to their users as ended 5
@@ -14,12 +14,12 @@
 static void four_jobs_per_second_end_across_leader_crash(void **state) {
     (void)state;
     for (unsigned long seed = 300; seed < 302; seed++) {
-        struct sim *sim = day_new(seed, 3);
+        struct sim *sim = scenario_new(seed, 3);
         for (int i = 0; i < 480; i++)
             sim_submit(sim, 5 + 0.25 * i, "sweep", 1, 1, 4, i % 4 ? 0 : 5.5 + 0.25 * i + i % 7);
-        day_run(sim, 60);
-        day_crash_leader(sim, 3);
-        day_run(sim, 70);
+        scenario_run(sim, 60);
+        scenario_crash_leader(sim, 3);
+        scenario_run(sim, 70);
         int n_ended = 0;
         int n_cancelled = 0;
         for (int i = 0; i < sim->n_jobs; i++) {
@@ -28,7 +28,7 @@
         }
         assert_at_least(n_ended, 440);
         assert_at_least(n_cancelled, 40);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -41,20 +41,21 @@
     unsigned long n_cancelled = 0;
     (void)state;
     for (unsigned long seed = 310; seed < 318; seed++) {
-        struct sim *sim = sim_new(seed, seed % 2 ? &day_no_faults : &faults, SIM_NO_BREAKAGE, 3);
+        struct sim *sim =
+            sim_new(seed, seed % 2 ? &scenario_no_faults : &faults, SIM_NO_BREAKAGE, 3);
         sim->has_concurrent_reads = true;
         for (int i = 0; i < 40; i++) {
             int job = sim_submit(sim, 1 + i * 2, "sweep", 1 + (unsigned)i % 3, 1, 2 + i % 5, 0);
             sim->jobs[job].cancel_at_end = i % 2;
             sim->jobs[job].cancel_again = true;
         }
-        day_run(sim, 110);
+        scenario_run(sim, 110);
         n_cancelled_at_end += sim->n_cancelled_at_end;
         for (int i = 0; i < sim->n_jobs; i++) {
             n_done += sim->jobs[i].cancel_requested && sim->jobs[i].reported_done;
             n_cancelled += sim->jobs[i].reported_cancelled;
         }
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_at_least(n_cancelled_at_end, 100);
     /* Some jobs ended before the cancellation, others were cancelled first. */
@@ -76,9 +77,9 @@
             sim->jobs[job].cancel_on_acceptance = i % 3 == 0;
             sim->jobs[job].cancel_again = i % 2;
         }
-        day_run(sim, 110);
+        scenario_run(sim, 110);
         assert_at_least(sim->n_concurrent_reads, 40 * 9);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -95,13 +96,13 @@
     (void)state;
     for (unsigned long seed = 330; seed < 336; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_NO_BREAKAGE, 3);
-        day_submit_long_work(sim, 30);
-        day_run(sim, 110);
+        scenario_submit_long_work(sim, 30);
+        scenario_run(sim, 110);
         assert_int_equal(sim_count_stored(sim, RP_KEY_OPEN "j-9"), 0);
         assert_int_equal(sim_count_stored(sim, RP_KEY_TERMINAL "j-9"), 0);
         n_requests += sim->n_invalid_requests;
         n_refused += sim->n_invalid_refused;
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_true(n_requests >= 1000 && n_refused * 2 > n_requests);
 }
@@ -153,16 +154,16 @@
         faults.invalid_request_s = 5;
         struct sim *sim = sim_new_sized(
             seed, &faults, SIM_NO_BREAKAGE, seed % 3 ? 3 : 5,
-            seed % 2 ? &day_large_limits : &(struct sim_size){64, 6, 2, 14, 39, 200, 20, 5});
+            seed % 2 ? &scenario_large_limits : &(struct sim_size){64, 6, 2, 14, 39, 200, 20, 5});
         sim->has_concurrent_reads = seed % 2;
-        day_submit_long_work(sim, 40);
+        scenario_submit_long_work(sim, 40);
         submit_short_work(sim);
         sim_submit(sim, 30, "service", 3, 1, 0, 100);
         sim_run(sim, 70);
         sim_cancel_running(sim, 2, seed % 2 ? 10 : 0);
         sim_run(sim, 60);
         sim_end_faults(sim);
-        sim_run(sim, REST_S);
+        sim_run(sim, COMPLETION_S);
         sim_check_served(sim);
         if (sim->violation[0])
             fail_msg("seed %lu: %s", seed, sim->violation);
--- a/tests/simulation/test_failover.c
+++ b/tests/simulation/test_failover.c
@@ -3,13 +3,13 @@
 #include "test.h"
 
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 
 /* A node that is the only one to which the key-value store gives no answer must become unhealthy,
  * so that the load balancer takes it out, and healthy again after the refusal. In an outage no node
  * gets an answer, and all nodes must remain healthy. */
 static void node_refused_by_store_is_unhealthy(void **state) {
-    struct sim *sim = day_new(5, 3);
+    struct sim *sim = scenario_new(5, 3);
     (void)state;
     sim_run(sim, 5);
     sim->nodes[1].store_refusal_until = sim->now + 8;
@@ -29,9 +29,9 @@
  * leader's key for 50 s and released every machine. Within 11 s another node must lead, and the old
  * leader may have released one machine at most. */
 static void leader_without_heartbeats_resigns(void **state) {
-    struct sim *sim = day_new(6, 3);
+    struct sim *sim = scenario_new(6, 3);
     (void)state;
-    day_submit_arrays(sim, 6, 1, 0, 30, 1, 60);
+    scenario_submit_arrays(sim, 6, 1, 0, 30, 1, 60);
     sim_run(sim, 60);
     int leader = sim_leader(sim);
     unsigned long n_released = sim->nodes[leader].node->fleet.release.n_released;
@@ -49,12 +49,12 @@
  * answering the workers early enough for them to reach the next leader well within their lease, so
  * that no lease expires and no task is killed. */
 static void partitioned_leader_costs_no_worker_its_lease(void **state) {
-    struct sim *sim = day_new(10, 5);
+    struct sim *sim = scenario_new(10, 5);
     uint64_t incarnations[SIM_WORKERS] = {0};
     int n_kept = 0;
     int n_all = 0;
     (void)state;
-    day_submit_arrays(sim, 6, 1, 0, 30, 1, 60);
+    scenario_submit_arrays(sim, 6, 1, 0, 30, 1, 60);
     sim_run(sim, 40);
     int leader = sim_leader(sim);
     for (int i = 0; i < sim->size.n_workers; i++)
@@ -85,9 +85,9 @@
     int n_kept = 0;
     int n_all = 0;
     for (unsigned long seed = first_seed; seed < first_seed + (unsigned long)n_seeds; seed++) {
-        struct sim *sim = day_new(seed, n_nodes);
-        day_remove_team_limit(sim);
-        day_submit_arrays(sim, 12, 1, 0, 40, 1, 120);
+        struct sim *sim = scenario_new(seed, n_nodes);
+        scenario_remove_team_limit(sim);
+        scenario_submit_arrays(sim, 12, 1, 0, 40, 1, 120);
         sim_run(sim, 40);
         begin_fault(sim);
         sim_run(sim, 24);
@@ -167,7 +167,7 @@
 /* Fault: every failover stopped every gang of several tasks, since the new leader had not yet
  * received the heartbeats that report all of its tasks. The gang must end without another start. */
 static void failover_keeps_gangs(void **state) {
-    struct sim *sim = day_new(11, 3);
+    struct sim *sim = scenario_new(11, 3);
     (void)state;
     int gang = sim_submit(sim, 1, "ensemble", 4, 8, 60, 0);
     sim_run(sim, 30);
@@ -185,7 +185,7 @@
  * record of the images of all machines and report it to the new leader, even if that node was down
  * before. */
 static void failover_keeps_images(void **state) {
-    struct sim *sim = day_new(16, 3);
+    struct sim *sim = scenario_new(16, 3);
     size_t n_with_images_before = 0;
     size_t n_with_images_after = 0;
     (void)state;
--- a/tests/simulation/test_large_fleet.c
+++ b/tests/simulation/test_large_fleet.c
@@ -3,7 +3,7 @@
 #include "test.h"
 
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 
 static const struct sim_size large_fleet_size = {1400, 163, 4, 22, 47, 800, 80, 10};
 
@@ -17,9 +17,10 @@
 
 /* Makes a simulated cluster in which 1,304 machines are up and busy. */
 static struct sim *new_busy_fleet(unsigned long seed, double run_s) {
-    struct sim *sim = sim_new_sized(seed, &day_no_faults, SIM_NO_BREAKAGE, 5, &large_fleet_size);
-    day_remove_team_limit(sim);
-    day_submit_arrays(sim, 120, 1, 0.05, 40, 8, run_s);
+    struct sim *sim =
+        sim_new_sized(seed, &scenario_no_faults, SIM_NO_BREAKAGE, 5, &large_fleet_size);
+    scenario_remove_team_limit(sim);
+    scenario_submit_arrays(sim, 120, 1, 0.05, 40, 8, run_s);
     sim_run(sim, 45);
     assert_string_equal(sim->violation, "");
     assert_at_least(n_machines_in(sim, RP_MACHINE_UP), 1290);
@@ -154,9 +155,9 @@
 static void failover_of_4000_machines_keeps_and_uses_them(void **state) {
     static const struct sim_size users_fleet = {4200, 500, 4, 22, 47, 2400, 240, 30};
     (void)state;
-    struct sim *sim = sim_new_sized(36, &day_no_faults, SIM_NO_BREAKAGE, 5, &users_fleet);
-    day_remove_team_limit(sim);
-    day_submit_arrays(sim, 320, 1, 0.02, 40, 8, 60);
+    struct sim *sim = sim_new_sized(36, &scenario_no_faults, SIM_NO_BREAKAGE, 5, &users_fleet);
+    scenario_remove_team_limit(sim);
+    scenario_submit_arrays(sim, 320, 1, 0.02, 40, 8, 60);
     for (int i = 0; i < 20; i++)
         sim_submit(sim, 40 + i * 0.5, i % 2 ? "ensemble" : "sweep", 4, 8, 10, 0);
     sim_run(sim, 60);
--- a/tests/simulation/test_machines.c
+++ b/tests/simulation/test_machines.c
@@ -4,9 +4,9 @@
 
 #include <math.h>
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 
-#define REST_S 250 /* simulated seconds after the faults, within which all jobs must end */
+#define COMPLETION_S 250 /* simulated seconds after the faults, within which all jobs must end */
 
 static struct sim_worker *busiest_worker(struct sim *sim) {
     struct sim_worker *busiest = NULL;
@@ -21,10 +21,10 @@
  * machine for ever, and tasks were started on it again and again. It must receive no more work and
  * be released. */
 static void one_way_partitioned_machine_is_released(void **state) {
-    struct sim *sim = day_new(7, 3);
+    struct sim *sim = scenario_new(7, 3);
     char name[RP_TEXT_MAX];
     (void)state;
-    day_submit_arrays(sim, 6, 1, 0, 40, 1, 12);
+    scenario_submit_arrays(sim, 6, 1, 0, 40, 1, 12);
     sim_run(sim, 25);
     struct sim_worker *worker = busiest_worker(sim);
     worker->one_way_partition_until = sim->now + 1000;
@@ -46,9 +46,9 @@
  * token. Fault: for as long as its heartbeats were answered, it kept all work from before the
  * failover from being started. */
 static void failover_completes_despite_one_way_partition(void **state) {
-    struct sim *sim = day_new(8, 3);
+    struct sim *sim = scenario_new(8, 3);
     (void)state;
-    day_submit_arrays(sim, 4, 1, 0, 40, 1, 20);
+    scenario_submit_arrays(sim, 4, 1, 0, 40, 1, 20);
     sim_run(sim, 25);
     struct sim_worker *worker = busiest_worker(sim);
     worker->one_way_partition_until = sim->now + 1000;
@@ -67,15 +67,15 @@
     static const char heartbeat[] =
         "{\"sheave\":\"vm-ghost\",\"address\":\"vm-ghost\",\"frame\":\"wide\",\"yard\":\"a\","
         "\"loaners\":false,\"stint\":3,\"tick\":50,\"warrant\":0,\"recall_s\":null,\"lifts\":[]}";
-    struct sim *sim = day_new(9, 3);
+    struct sim *sim = scenario_new(9, 3);
     (void)state;
     sim_run(sim, 10);
     struct rp_node *node = sim->nodes[sim_leader(sim)].node;
-    struct day_answer answer = {.req = {.method = "POST",
-                                        .target = "/checkin",
-                                        .body = heartbeat,
-                                        .len = strlen(heartbeat),
-                                        .respond = day_keep_answer}};
+    struct scenario_answer answer = {.req = {.method = "POST",
+                                             .target = "/checkin",
+                                             .body = heartbeat,
+                                             .len = strlen(heartbeat),
+                                             .respond = scenario_keep_answer}};
     rp_node_client_request(node, &answer.req);
     /* An existing machine receives the fencing token with this answer and sends another
      * heartbeat. */
@@ -88,10 +88,10 @@
  * they were started was released, with its images, and all their tasks were started again and
  * again. */
 static void failing_jobs_quarantine_no_machine(void **state) {
-    struct sim *sim = day_new(18, 3);
+    struct sim *sim = scenario_new(18, 3);
     (void)state;
-    day_remove_team_limit(sim);
-    day_submit_arrays(sim, 12, 1, 6, 40, 2, 12);
+    scenario_remove_team_limit(sim);
+    scenario_submit_arrays(sim, 12, 1, 6, 40, 2, 12);
     for (int i = 0; i < 5; i++) {
         int failing_job = sim_submit(sim, 20 + i * 5, "sweep", 40, 1, 1, 100);
         sim->jobs[failing_job].fails_always = true;
@@ -121,7 +121,7 @@
     for (unsigned long seed = 40; seed < 44; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_NO_BREAKAGE, 3);
         double longest_boot_s = 0;
-        day_submit_mixed_work(sim, seed);
+        scenario_submit_mixed_work(sim, seed);
         for (int i = 0; i < 150; i++) {
             sim_run(sim, 1);
             if (i == 40)
@@ -138,7 +138,7 @@
         assert_true(longest_boot_s > 10 &&
                     longest_boot_s < 12 * sim->settings[0].tuning.boot_patience * 2 + 20);
         sim_end_faults(sim);
-        sim_run(sim, REST_S);
+        sim_run(sim, COMPLETION_S);
         sim_check_served(sim);
         assert_string_equal(sim->violation, "");
         assert_true(sim_all_terminal(sim));
@@ -151,11 +151,11 @@
  * and more work. It must be detected and released, even while there is a job that fails on every
  * machine. */
 static void failing_machines_are_released(void **state) {
-    struct sim *sim = day_new(19, 3);
+    struct sim *sim = scenario_new(19, 3);
     int n_failing = 0;
     int n_left = 0;
     (void)state;
-    day_submit_arrays(sim, 12, 1, 4, 20, 1, 8);
+    scenario_submit_arrays(sim, 12, 1, 4, 20, 1, 8);
     int job = sim_submit(sim, 15, "sweep", 10, 1, 1, 60);
     sim->jobs[job].fails_always = true;
     sim_run(sim, 20);
@@ -180,9 +180,9 @@
  * ended. Their tasks, which ran on other machines by then, were recorded on the old machines as
  * well. */
 static void heartbeats_of_ended_incarnations_add_no_allocation(void **state) {
-    struct sim *sim = day_new(13, 3);
+    struct sim *sim = scenario_new(13, 3);
     (void)state;
-    day_submit_arrays(sim, 4, 1, 0, 40, 1, 30);
+    scenario_submit_arrays(sim, 4, 1, 0, 40, 1, 30);
     sim_run(sim, 25);
     struct sim_worker *worker = busiest_worker(sim);
     sim->delayed_worker = (int)(worker - sim->workers) + 1;
@@ -211,11 +211,11 @@
  * taken for those of the lost incarnation and refused until the machines had been released. All
  * machines of the zone must be kept, with and without a failover. */
 static void run_zone_partition(bool has_failover) {
-    struct sim *sim = day_new(14, 3);
+    struct sim *sim = scenario_new(14, 3);
     int n_kept = 0;
     int n_up = 0;
-    day_remove_team_limit(sim);
-    day_submit_arrays(sim, 40, 1, 2, 40, 2, 40);
+    scenario_remove_team_limit(sim);
+    scenario_submit_arrays(sim, 40, 1, 2, 40, 2, 40);
     sim_run(sim, 45);
     for (int i = 0; i < sim->size.n_workers; i++)
         n_up += sim->workers[i].used && sim->workers[i].up && sim->workers[i].zone == 0;
--- a/tests/simulation/test_placement.c
+++ b/tests/simulation/test_placement.c
@@ -3,9 +3,9 @@
 #include "test.h"
 
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 
-#define REST_S 250 /* simulated seconds from the end of the faults to the final checks */
+#define COMPLETION_S 250 /* simulated seconds from the end of the faults to the final checks */
 
 /* A gang of several tasks loses a machine before it has begun, and there is no other machine.
  * Fault: no plan contained the missing task, so no machine was provisioned for it, and the other
@@ -14,7 +14,7 @@
     int n_failed = 0;
     (void)state;
     for (unsigned long seed = 80; seed < 83; seed++) {
-        struct sim *sim = day_new(seed, 3);
+        struct sim *sim = scenario_new(seed, 3);
         int gang = sim_submit(sim, 1, "ensemble", 3, 8, 20, 0);
         for (int step = 0; step < 1500 && !n_failed; step++) {
             sim_run(sim, 0.02);
@@ -40,10 +40,10 @@
  * them. A cloud that has no more machines must not receive requests all the time: fewer than 60 are
  * refused. */
 static void large_gang_starts_on_full_fleet(void **state) {
-    struct sim *sim = day_new(12, 3);
+    struct sim *sim = scenario_new(12, 3);
     (void)state;
-    day_remove_team_limit(sim);
-    day_submit_arrays(sim, 40, 1, 2, 40, 2, 20);
+    scenario_remove_team_limit(sim);
+    scenario_submit_arrays(sim, 40, 1, 2, 40, 2, 20);
     sim_run(sim, 40);
     int gang = sim_submit(sim, sim->now, "ensemble", 4, 24, 20, 0);
     sim_run(sim, 60);
@@ -59,10 +59,10 @@
  * at the end of their billing unit, provisioned again and booted, for minutes, so that the gang
  * never had all of them at the same time. */
 static void machines_reserved_for_gang_are_not_released(void **state) {
-    struct sim *sim = day_new(17, 3);
+    struct sim *sim = scenario_new(17, 3);
     int n_idle_reserved = 0;
     (void)state;
-    day_remove_team_limit(sim);
+    scenario_remove_team_limit(sim);
     for (int i = 0; i < 14; i++)
         sim_submit(sim, 1 + i * 2, "sweep", 40, 2, 30 + 5 * (i % 5), 0);
     sim_run(sim, 45);
@@ -92,7 +92,7 @@
 /* Incident f8f1: gangs of one task that needs a whole machine waited for seven minutes behind small
  * tasks of the same priority, which took all capacity that became free. */
 static void whole_machine_tasks_start_on_full_fleet(void **state) {
-    struct sim *sim = day_new(15, 3);
+    struct sim *sim = scenario_new(15, 3);
     int gangs[3];
     (void)state;
     for (int i = 0; i < sim->n_nodes; i++) {
@@ -106,7 +106,7 @@
             (struct rp_objective){.kind = RP_OBJECTIVE_FINISHED, .within_s = 90};
         strcpy(settings->objectives[0].class_name, "a");
     }
-    day_submit_arrays(sim, 90, 1, 2, 40, 2, 20);
+    scenario_submit_arrays(sim, 90, 1, 2, 40, 2, 20);
     sim_run(sim, 40);
     for (int i = 0; i < 3; i++)
         gangs[i] = sim_submit(sim, sim->now, "ensemble:low", 1, 24, 20, 0);
@@ -122,13 +122,13 @@
 static void guaranteed_quota_preempts_other_teams(void **state) {
     (void)state;
     for (unsigned long seed = 90; seed < 93; seed++) {
-        struct sim *sim = day_new(seed, 3);
+        struct sim *sim = scenario_new(seed, 3);
         int guest_jobs[2];
         for (int i = 0; i < sim->n_nodes; i++) {
             sim->settings[i].teams[0].cpus_max = 1e6;
             sim->settings[i].teams[1].cpus = 24;
         }
-        day_submit_arrays(sim, 14, 1, 0, 40, 4, 150);
+        scenario_submit_arrays(sim, 14, 1, 0, 40, 4, 150);
         sim_run(sim, 60);
         for (int i = 0; i < 2; i++) {
             guest_jobs[i] = sim_submit(sim, 60, "sweep", 24, 1, 20, 0);
@@ -185,7 +185,7 @@
         assert_at_least(n_begun, 70);
         assert_at_least(n_single_tasks_done, 60);
         sim_end_faults(sim);
-        sim_run(sim, REST_S);
+        sim_run(sim, COMPLETION_S);
         sim_check_served(sim);
         assert_string_equal(sim->violation, "");
         sim_free(sim);
--- a/tests/simulation/test_questions.c
+++ b/tests/simulation/test_questions.c
@@ -2,13 +2,13 @@
 #include "test.h"
 
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 
 /* Users poll twenty times as often as usual, far beyond what the key-value store accepts.
  * Submissions and cancellations must be served all the same, and queries beyond the budget must be
  * refused at once. */
 static void excess_queries_delay_no_submission_or_cancellation(void **state) {
-    struct sim *sim = day_new(60, 3);
+    struct sim *sim = scenario_new(60, 3);
     int n_late = 0;
     int n_ended = 0;
     (void)state;
@@ -42,9 +42,9 @@
  * three were refused. Queries beyond the budget must share requests to the key-value store, and at
  * least 97 % of all queries must be answered with the job's state. */
 static void queries_beyond_budget_share_requests(void **state) {
-    struct sim *sim = day_new(61, 3);
+    struct sim *sim = scenario_new(61, 3);
     (void)state;
-    day_submit_arrays(sim, 100, 1, 0.2, 2, 1, 200);
+    scenario_submit_arrays(sim, 100, 1, 0.2, 2, 1, 200);
     sim_run(sim, 40);
     sim->has_eager_users = true;
     sim_run(sim, 5);
--- a/tests/simulation/test_random_faults.c
+++ b/tests/simulation/test_random_faults.c
@@ -3,14 +3,14 @@
 #include "test.h"
 
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 
-#define DAY_S 150  /* simulated seconds with faults */
-#define REST_S 250 /* simulated seconds after the faults, within which all jobs must end */
+#define FAULTS_S 150     /* simulated seconds with faults */
+#define COMPLETION_S 250 /* simulated seconds after the faults, within which all jobs must end */
 
 static void check_status_page(struct sim *sim) {
-    struct day_answer answer = {
-        .req = {.method = "GET", .target = "/status", .body = "", .respond = day_keep_answer}};
+    struct scenario_answer answer = {
+        .req = {.method = "GET", .target = "/status", .body = "", .respond = scenario_keep_answer}};
     rp_node_peer_request(sim->nodes[sim_leader(sim)].node, &answer.req);
     json_t *status = json_loads(answer.body, 0, NULL);
     assert_int_equal(answer.status, 200);
@@ -20,12 +20,12 @@
     json_decref(status);
 }
 
-static void day_without_faults_ends_all_jobs(void **state) {
-    struct sim *sim = day_new(1, 3);
+static void scenario_without_faults_ends_all_jobs(void **state) {
+    struct sim *sim = scenario_new(1, 3);
     (void)state;
-    day_submit_mixed_work(sim, 1);
-    sim_run(sim, DAY_S);
-    sim_run(sim, REST_S);
+    scenario_submit_mixed_work(sim, 1);
+    sim_run(sim, FAULTS_S);
+    sim_run(sim, COMPLETION_S);
     assert_string_equal(sim->violation, "");
     assert_true(sim_all_terminal(sim));
     assert_at_least(sim->n_starts, 120);
@@ -33,16 +33,16 @@
     sim_free(sim);
 }
 
-/* Simulates one day with the faults for each of `n_days` seeds. Afterwards no more faults occur,
- * and every accepted job must end within REST_S seconds. */
-static void run_fault_days_on(int n_nodes, const struct sim_faults *faults,
-                              unsigned long first_seed, int n_days) {
-    for (unsigned long seed = first_seed; seed < first_seed + (unsigned long)n_days; seed++) {
+/* Simulates one day with the faults for each of `n_seeds` seeds. Afterwards no more faults occur,
+ * and every accepted job must end within COMPLETION_S seconds. */
+static void run_fault_scenarios_on(int n_nodes, const struct sim_faults *faults,
+                                   unsigned long first_seed, int n_seeds) {
+    for (unsigned long seed = first_seed; seed < first_seed + (unsigned long)n_seeds; seed++) {
         struct sim *sim = sim_new(seed, faults, SIM_NO_BREAKAGE, n_nodes);
-        day_submit_mixed_work(sim, seed);
-        sim_run(sim, DAY_S);
+        scenario_submit_mixed_work(sim, seed);
+        sim_run(sim, FAULTS_S);
         sim_end_faults(sim);
-        sim_run(sim, REST_S);
+        sim_run(sim, COMPLETION_S);
         sim_check_served(sim);
         if (sim->violation[0])
             fail_msg("seed %lu: %s", seed, sim->violation);
@@ -52,34 +52,35 @@
     }
 }
 
-static void run_fault_days(const struct sim_faults *faults, unsigned long first_seed, int n_days) {
-    run_fault_days_on(3, faults, first_seed, n_days);
+static void run_fault_scenarios(const struct sim_faults *faults, unsigned long first_seed,
+                                int n_seeds) {
+    run_fault_scenarios_on(3, faults, first_seed, n_seeds);
 }
 
 static void lossy_network_breaks_no_rule(void **state) {
     static const struct sim_faults faults = {.drop = 0.02, .delay = 0.02, .duplicate = 0.05};
     (void)state;
-    run_fault_days(&faults, 100, 8);
+    run_fault_scenarios(&faults, 100, 8);
 }
 
 static void node_crashes_break_no_rule(void **state) {
     static const struct sim_faults faults = {.crash_s = 12, .duplicate = 0.02};
     (void)state;
-    run_fault_days(&faults, 200, 8);
+    run_fault_scenarios(&faults, 200, 8);
 }
 
 static void store_outages_and_refusals_break_no_rule(void **state) {
     static const struct sim_faults faults = {
         .store_outage_s = 40, .store_refusal_s = 25, .delay = 0.01};
     (void)state;
-    run_fault_days(&faults, 300, 8);
+    run_fault_scenarios(&faults, 300, 8);
 }
 
 static void machine_faults_break_no_rule(void **state) {
     static const struct sim_faults faults = {
         .pause_s = 15, .machine_crash_s = 20, .spot_notice_s = 10, .task_error = 0.02};
     (void)state;
-    run_fault_days(&faults, 400, 8);
+    run_fault_scenarios(&faults, 400, 8);
 }
 
 static void all_faults_on_three_nodes_break_no_rule(void **state) {
@@ -94,7 +95,7 @@
                                              .node_pause_s = 30,
                                              .task_error = 0.01};
     (void)state;
-    run_fault_days(&faults, 500, 24);
+    run_fault_scenarios(&faults, 500, 24);
 }
 
 /* The heartbeats of some machines arrive, but the answers to them do not, and the leader changes
@@ -102,7 +103,7 @@
 static void one_way_partitions_break_no_rule(void **state) {
     static const struct sim_faults faults = {.one_way_partition_s = 12, .crash_s = 50};
     (void)state;
-    run_fault_days(&faults, 600, 8);
+    run_fault_scenarios(&faults, 600, 8);
 }
 
 /* Copies of heartbeats arrive seconds to five leases late: after the machine has begun another
@@ -114,7 +115,7 @@
                                              .crash_s = 30,
                                              .spot_notice_s = 20};
     (void)state;
-    run_fault_days(&faults, 620, 8);
+    run_fault_scenarios(&faults, 620, 8);
 }
 
 /* Nodes lose the key-value store and the other nodes, but not the workers. */
@@ -122,8 +123,8 @@
     static const struct sim_faults faults = {
         .partitioned_node_s = 20, .duplicate = 0.02, .delay = 0.01};
     (void)state;
-    run_fault_days(&faults, 640, 4);
-    run_fault_days_on(5, &faults, 650, 4);
+    run_fault_scenarios(&faults, 640, 4);
+    run_fault_scenarios_on(5, &faults, 650, 4);
 }
 
 /* Processes and machines restart within 50 to 500 ms at any moment: between the write of a key and
@@ -133,8 +134,8 @@
     static const struct sim_faults faults = {
         .fast_restart_s = 4, .duplicate = 0.1, .delay = 0.03, .drop = 0.01, .late_duplicate = 0.05};
     (void)state;
-    run_fault_days(&faults, 660, 6);
-    run_fault_days_on(5, &faults, 670, 6);
+    run_fault_scenarios(&faults, 660, 6);
+    run_fault_scenarios_on(5, &faults, 670, 6);
 }
 
 static void all_faults_on_five_nodes_break_no_rule(void **state) {
@@ -154,7 +155,7 @@
                                              .spot_notice_s = 30,
                                              .task_error = 0.01};
     (void)state;
-    run_fault_days_on(5, &faults, 700, 16);
+    run_fault_scenarios_on(5, &faults, 700, 16);
 }
 
 /* Shows that a check of the rules can fail: with this breakage of the simulation, a violation of
@@ -163,11 +164,11 @@
                                       const char *rule) {
     for (unsigned long seed = 900; seed < 930; seed++) {
         struct sim *sim = sim_new(seed, faults, breakage, 3);
-        day_submit_mixed_work(sim, seed);
+        scenario_submit_mixed_work(sim, seed);
         sim_set_field(sim, sim_submit(sim, 5, "sweep", 4, 1, 5, 0), "yard", json_string("a"));
-        sim_run(sim, DAY_S);
+        sim_run(sim, FAULTS_S);
         sim_end_faults(sim);
-        sim_run(sim, REST_S);
+        sim_run(sim, COMPLETION_S);
         sim_check_served(sim);
         bool caught = strstr(sim->violation, rule) != NULL;
         sim_free(sim);
@@ -177,7 +178,7 @@
     fail_msg("no %s in 30 days, world %d", rule, (int)breakage);
 }
 
-static void broken_worlds_are_caught(void **state) {
+static void broken_simulations_are_caught(void **state) {
     static const struct sim_faults pauses = {.pause_s = 6};
     static const struct sim_faults no_faults = {0};
     static const struct sim_faults lossy_network = {
@@ -208,7 +209,7 @@
 
 int main(int argc, char **argv) {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(day_without_faults_ends_all_jobs),
+        cmocka_unit_test(scenario_without_faults_ends_all_jobs),
         cmocka_unit_test(lossy_network_breaks_no_rule),
         cmocka_unit_test(node_crashes_break_no_rule),
         cmocka_unit_test(store_outages_and_refusals_break_no_rule),
@@ -219,7 +220,7 @@
         cmocka_unit_test(partitioned_nodes_break_no_rule),
         cmocka_unit_test(fast_restarts_break_no_rule),
         cmocka_unit_test(all_faults_on_five_nodes_break_no_rule),
-        cmocka_unit_test(broken_worlds_are_caught)};
+        cmocka_unit_test(broken_simulations_are_caught)};
     rp_log_setup("sim", rp_log_level_named(getenv("LOG_LEVEL")));
     choose_test(argc, argv);
     return cmocka_run_group_tests(tests, NULL, NULL);
--- a/tests/simulation/test_records.c
+++ b/tests/simulation/test_records.c
@@ -2,7 +2,7 @@
 #include "test.h"
 
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 #include "store/records.h"
 
 #define LARGE_JOB "j-777777"
@@ -58,7 +58,7 @@
  * they are no longer needed. Where they have to change before that, they must be split into smaller
  * records. None of these requests may exceed the new limits. */
 static void oversized_records_are_split_and_deleted(void **state) {
-    struct sim *sim = day_new(46, 3);
+    struct sim *sim = scenario_new(46, 3);
     (void)state;
     put_large_job(sim);
     put_large_provision_request(sim);
@@ -79,7 +79,7 @@
     cancel_large_job(sim);
     assert_int_equal(sim_count_stored(sim, RP_KEY_PROGRESS), 0);
     assert_int_equal(sim->n_oversized_writes, 0);
-    day_expect_no_violation(sim, 46);
+    scenario_expect_no_violation(sim, 46);
     sim_free(sim);
 }
 
@@ -87,7 +87,7 @@
  * The next leader must read them, the jobs must end, and no part may be left. Before the activation
  * such a job waits, or is stored whole where the current limit allows it. */
 static void long_descriptions_are_stored_in_parts_and_deleted(void **state) {
-    struct sim *sim = day_new(47, 3);
+    struct sim *sim = scenario_new(47, 3);
     (void)state;
     sim_run(sim, 5);
     sim_lower_limits(sim);
@@ -102,7 +102,7 @@
     assert_true(sim->jobs[first].reported_done && sim->jobs[second].reported_done);
     assert_int_equal(sim_count_stored(sim, RP_KEY_PART), 0);
     assert_int_equal(sim->n_oversized_writes, 0);
-    day_expect_no_violation(sim, 47);
+    scenario_expect_no_violation(sim, 47);
     sim_free(sim);
 }
 
@@ -110,16 +110,16 @@
  * at a lower rate, must not repeat refused requests in a loop, and the leader must not lose its
  * leadership because of it. */
 static void limits_below_announced_ones_cost_no_leadership(void **state) {
-    struct sim *sim = day_new(48, 3);
+    struct sim *sim = scenario_new(48, 3);
     (void)state;
-    day_submit_array_stream(sim, 0);
+    scenario_submit_array_stream(sim, 0);
     sim_run(sim, 20);
     int leader = sim_leader(sim);
     sim->limits = (struct sim_limits){.value_bytes = 700, .txn_ops = 2, .write_rps = 5};
     sim->announced_limits =
         (struct sim_limits){.value_bytes = 1e9, .txn_ops = 1e9, .write_rps = 1e9};
     sim_run(sim, 280);
-    day_expect_no_violation(sim, 48);
+    scenario_expect_no_violation(sim, 48);
     assert_true(sim_all_terminal(sim));
     assert_int_equal(sim_leader(sim), leader);
     assert_less_than(sim->n_oversized_writes, 40);
@@ -131,7 +131,7 @@
  * reserved for finishing jobs were more than the write budget could ever hold. */
 static void progress_is_written_at_low_write_rate(void **state) {
     static const struct sim_size slow = {64, 6, 2, 14, 39, 200, 6, 5};
-    struct sim *sim = sim_new_sized(53, &day_no_faults, SIM_NO_BREAKAGE, 3, &slow);
+    struct sim *sim = sim_new_sized(53, &scenario_no_faults, SIM_NO_BREAKAGE, 3, &slow);
     (void)state;
     sim_run(sim, 5);
     sim_lower_limits(sim);
@@ -140,7 +140,7 @@
     sim_run(sim, 50);
     assert_more_than(sim_count_stored(sim, RP_KEY_PROGRESS), 0);
     sim_run(sim, 180);
-    day_expect_no_violation(sim, 53);
+    scenario_expect_no_violation(sim, 53);
     assert_true(sim_all_terminal(sim));
     assert_int_equal(sim_count_stored(sim, RP_KEY_PROGRESS), 0);
     sim_free(sim);
@@ -156,15 +156,15 @@
         {RP_KEY_PROGRESS "j-900001/u07", "{\"f\":3,\"done\":\"ff\"}"},
         {RP_KEY_PROVISION "x-1", "{\"f\":9,\"machines\":\"?\"}"},
         {RP_KEY_PROVISION "x-2", "7"}};
-    struct sim *sim = day_new(49, 3);
+    struct sim *sim = scenario_new(49, 3);
     (void)state;
     for (size_t i = 0; i < sizeof records / sizeof records[0]; i++)
         sim_put_record(sim, records[i][0], records[i][1]);
-    day_submit_array_stream(sim, 0);
+    scenario_submit_array_stream(sim, 0);
     sim_run(sim, 30);
     sim_crash(sim, sim_leader(sim), 1);
     sim_run(sim, 200);
-    day_expect_no_violation(sim, 49);
+    scenario_expect_no_violation(sim, 49);
     assert_true(sim_all_terminal(sim));
     for (size_t i = 0; i < sizeof records / sizeof records[0]; i++) {
         json_t *value = json_loads(records[i][1], JSON_DECODE_ANY, NULL);
--- a/tests/simulation/test_services.c
+++ b/tests/simulation/test_services.c
@@ -3,11 +3,11 @@
 #include "test.h"
 
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 #include "store/records.h"
 
-#define DAY_S 150  /* simulated seconds with faults */
-#define REST_S 200 /* simulated seconds after the faults, within which all jobs must end */
+#define FAULTS_S 150     /* simulated seconds with faults */
+#define COMPLETION_S 200 /* simulated seconds after the faults, within which all jobs must end */
 
 static double up_share(const struct sim *sim) {
     double up_s = 0;
@@ -26,11 +26,11 @@
     static const struct sim_faults replica_exits = {.replica_exit_s = 100};
     struct sim *sim = sim_new(40, &replica_exits, SIM_NO_BREAKAGE, 3);
     (void)state;
-    day_remove_team_limit(sim);
-    day_submit_arrays(sim, 40, 1, 2, 40, 2, 20);
-    day_submit_services(sim, 30);
+    scenario_remove_team_limit(sim);
+    scenario_submit_arrays(sim, 40, 1, 2, 40, 2, 20);
+    scenario_submit_services(sim, 30);
     sim_run(sim, 300);
-    day_expect_no_violation(sim, 40);
+    scenario_expect_no_violation(sim, 40);
     /* In each 100 s, the end of a replica costs the simulated fetch of 0.5 to 1.5 s, and up to half
      * a second until the end is reported. */
     if (up_share(sim) < 0.97)
@@ -38,7 +38,7 @@
     assert_more_than(sim->n_direct_commands, 15);
     sim_end_faults(sim);
     sim_run(sim, 150);
-    day_expect_no_violation(sim, 40);
+    scenario_expect_no_violation(sim, 40);
     assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
@@ -46,10 +46,10 @@
 /* A machine that hangs must be released as soon as it neither sends heartbeats nor answers. Its
  * replicas must run elsewhere within 10 s, before its lease has expired. */
 static void replicas_of_hung_machine_are_replaced_before_lease_expiry(void **state) {
-    struct sim *sim = day_new(41, 3);
+    struct sim *sim = scenario_new(41, 3);
     (void)state;
-    day_submit_arrays(sim, 12, 1, 1, 40, 2, 30);
-    day_remove_team_limit(sim);
+    scenario_submit_arrays(sim, 12, 1, 1, 40, 2, 30);
+    scenario_remove_team_limit(sim);
     int job = sim_submit(sim, 40, "service", 6, 1, 0, 300);
     sim_run(sim, 60);
     struct sim_worker *worker = NULL;
@@ -65,16 +65,16 @@
     sim_run(sim, 10);
     for (uint32_t t = 0; t < 6; t++)
         assert_at_most(sim->jobs[job].down_since[t], 0);
-    day_expect_no_violation(sim, 41);
+    scenario_expect_no_violation(sim, 41);
     sim_free(sim);
 }
 
 /* Every replica of a service ends at once, as with an image that cannot run. The replicas must be
  * started on other machines, with growing pauses, and therefore few times. */
 static void failing_replicas_are_started_with_backoff(void **state) {
-    struct sim *sim = day_new(42, 3);
+    struct sim *sim = scenario_new(42, 3);
     (void)state;
-    day_submit_array_stream(sim, 0);
+    scenario_submit_array_stream(sim, 0);
     sim_run(sim, 60);
     int job = sim_submit(sim, sim->now + 100, "service", 4, 1, 0, 0);
     sim->jobs[job].fails_always = true;
@@ -83,7 +83,7 @@
     sim_run(sim, 120);
     assert_true(sim->jobs[job].has_started);
     assert_less_than(sim->n_starts - n_starts, 80);
-    day_expect_no_violation(sim, 42);
+    scenario_expect_no_violation(sim, 42);
     sim_free(sim);
 }
 
@@ -91,10 +91,10 @@
  * term lasts. The number of these attempts must not grow for ever: the leader must begin another
  * term, in which workers forget them. */
 static void ended_direct_attempts_are_forgotten(void **state) {
-    struct sim *sim = day_new(54, 3);
+    struct sim *sim = scenario_new(54, 3);
     size_t n_listed = 0;
     (void)state;
-    day_remove_team_limit(sim);
+    scenario_remove_team_limit(sim);
     for (int i = 0; i < 12; i++)
         sim_submit(sim, 1 + i * 14, "service", 40, 1, 0, 30 + i * 14);
     sim_run(sim, 60);
@@ -108,22 +108,22 @@
             n_listed += sim->workers[i].tasks[k].state == RP_TASK_EXITED;
     assert_less_than(n_listed, 300);
     sim_run(sim, 60);
-    day_expect_no_violation(sim, 54);
+    scenario_expect_no_violation(sim, 54);
     assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
 
-static void run_service_days(int n_nodes, const struct sim_faults *faults, unsigned long first_seed,
-                             int n_days) {
-    for (unsigned long seed = first_seed; seed < first_seed + (unsigned long)n_days; seed++) {
+static void run_service_scenarios(int n_nodes, const struct sim_faults *faults,
+                                  unsigned long first_seed, int n_seeds) {
+    for (unsigned long seed = first_seed; seed < first_seed + (unsigned long)n_seeds; seed++) {
         struct sim *sim = sim_new(seed, faults, SIM_NO_BREAKAGE, n_nodes);
-        day_submit_services(sim, 3);
-        day_submit_array_stream(sim, 0);
-        sim_run(sim, DAY_S);
+        scenario_submit_services(sim, 3);
+        scenario_submit_array_stream(sim, 0);
+        sim_run(sim, FAULTS_S);
         sim_end_faults(sim);
-        sim_run(sim, REST_S);
+        sim_run(sim, COMPLETION_S);
         sim_check_served(sim);
-        day_expect_no_violation(sim, seed);
+        scenario_expect_no_violation(sim, seed);
         if (!sim_all_terminal(sim))
             fail_msg("seed %lu: work left undone", seed);
         sim_free(sim);
@@ -144,7 +144,7 @@
                                              .replica_exit_s = 15,
                                              .spot_notice_s = 30};
     (void)state;
-    run_service_days(3, &faults, 1000, 16);
+    run_service_scenarios(3, &faults, 1000, 16);
 }
 
 static void services_under_all_faults_break_no_rule(void **state) {
@@ -164,7 +164,7 @@
                                              .replica_exit_s = 20,
                                              .task_error = 0.01};
     (void)state;
-    run_service_days(5, &faults, 1100, 12);
+    run_service_scenarios(5, &faults, 1100, 12);
 }
 
 int main(int argc, char **argv) {
--- a/tests/simulation/test_standby.c
+++ b/tests/simulation/test_standby.c
@@ -3,7 +3,7 @@
 #include "test.h"
 
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 
 /* Maximum number of seconds from a leader's crash to the first start of a task under the next
  * leader's token. */
@@ -12,14 +12,14 @@
 /* A simulation with arrays and gangs running and more arrays submitted every second. Every fifth of
  * these is cancelled. */
 static struct sim *sim_with_work(unsigned long seed, int n_nodes) {
-    struct sim *sim = day_new(seed, n_nodes);
+    struct sim *sim = scenario_new(seed, n_nodes);
     sim_submit(sim, 1, "sweep", 30, 1, 25, 0);
     sim_submit(sim, 1, "sweep", 40, 1, 8, 0);
     sim_submit(sim, 2, "ensemble", 3, 4, 20, 0);
     sim_submit(sim, 3, "ensemble", 2, 6, 12, 0);
     for (int i = 0; i < 60; i++)
         sim_submit(sim, 10 + i, "sweep", 3, 1, 2, i % 5 == 4 ? 12 + i : 0);
-    day_run(sim, 30 + (double)(seed % 7));
+    scenario_run(sim, 30 + (double)(seed % 7));
     assert_at_least(sim_leader(sim), 0);
     return sim;
 }
@@ -39,7 +39,7 @@
 static double seconds_until_start(struct sim *sim, uint64_t token, double max_s) {
     double since = sim->now;
     while (sim->started_token <= token && sim->now < since + max_s)
-        day_run(sim, 0.1);
+        scenario_run(sim, 0.1);
     return sim->started_token > token ? sim->started_at - since : max_s;
 }
 
@@ -53,7 +53,7 @@
         if (took_s > FAILOVER_MAX_S)
             fail_msg("seed %lu: first start after %.2f s", seed, took_s);
         assert_at_least(count_failovers(sim), 1);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -68,7 +68,7 @@
     assert_more_than(seconds_until_start(sim, token, 20), 7);
     assert_int_equal(count_failovers(sim), 0);
     assert_null(sim_find_record(sim, RP_KEY_FENCE));
-    day_end(sim);
+    scenario_end(sim);
 }
 
 static void short_stalls_keep_the_leader(void **state) {
@@ -78,14 +78,14 @@
         uint64_t token = token_of(sim);
         for (int i = 0; i < 4; i++) {
             sim->nodes[sim_leader(sim)].paused_until = sim->now + 2;
-            day_run(sim, 12.0 + 0.3 * i);
+            scenario_run(sim, 12.0 + 0.3 * i);
         }
         assert_int_equal(token_of(sim), token);
         unsigned long n_withdrawn = 0;
         for (int i = 0; i < sim->n_nodes; i++)
             n_withdrawn += sim->nodes[i].node->standby.n_withdrawn;
         assert_at_least(n_withdrawn, 4); /* each stall made the others suspect the leader */
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -101,13 +101,13 @@
         uint64_t token = token_of(sim);
         for (int i = 0; i < 10; i++)
             sim_submit(sim, sim->now + 0.1, "sweep", 12, 1, 3, 0);
-        day_run(sim, 0.3 + 0.07 * (double)(seed % 5));
+        scenario_run(sim, 0.3 + 0.07 * (double)(seed % 5));
         sim->nodes[leader].paused_until = sim->now + pause_s;
-        day_run(sim, 4.5);
+        scenario_run(sim, 4.5);
         assert_true(pause_s > 2 ? count_failovers(sim) == 1 : token_of(sim) == token);
-        day_run(sim, pause_s);
+        scenario_run(sim, pause_s);
         assert_true(pause_s < 2 || sim->nodes[leader].node->state == RP_NODE_FOLLOWING);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -119,12 +119,12 @@
         struct sim *sim = sim_with_work(seed, seed % 2 ? 3 : 5);
         int leader = sim_leader(sim);
         sim->nodes[leader].partitioned_until = sim->now + 15 + 5 * (double)(seed % 4);
-        day_run(sim, 2);
+        scenario_run(sim, 2);
         for (int i = 0; i < 30; i += 3)
             sim->jobs[i].cancel_at = sim->now + 0.2 * i;
-        day_run(sim, 10);
+        scenario_run(sim, 10);
         assert_true(count_failovers(sim) >= 1 && sim_leader(sim) >= 0);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -135,10 +135,10 @@
     struct sim *sim = sim_with_work(50, 3);
     uint64_t token = token_of(sim);
     sim->peer_partition_until = sim->now + 25;
-    day_run(sim, 27);
+    scenario_run(sim, 27);
     assert_int_equal(token_of(sim), token);
     assert_int_equal(count_failovers(sim), 0);
-    day_end(sim);
+    scenario_end(sim);
 }
 
 /* During an outage of the key-value store no other node can lead, and the leader keeps leading
@@ -150,12 +150,12 @@
     int leader = sim_leader(sim);
     sim->store_outage_until = sim->now + 7;
     sim->nodes[leader].paused_until = sim->now + 4.5;
-    day_run(sim, 6.5);
+    scenario_run(sim, 6.5);
     assert_int_equal(count_failovers(sim), 0);
     assert_int_equal(sim->nodes[leader].node->election.fencing_token, token);
     assert_true(rp_election_is_valid(&sim->nodes[leader].node->election,
                                      rp_loop_now(&sim->nodes[leader].loop)));
-    day_end(sim);
+    scenario_end(sim);
 }
 
 /* All followers claim the key at the same instant, although the leader is healthy. */
@@ -169,12 +169,12 @@
         for (int i = 0; i < sim->n_nodes; i++)
             n_claims += i != leader && rp_election_fence_leader(&sim->nodes[i].node->election);
         assert_at_least(n_claims, 2);
-        day_run(sim, 3);
+        scenario_run(sim, 3);
         for (int i = 0; i < sim->n_nodes; i++)
             n_holders += sim->nodes[i].node->election.state == RP_ELECTION_HOLDING_KEY;
         assert_int_equal(n_holders, 1);
         assert_true(sim_leader(sim) != leader);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -192,16 +192,16 @@
         int crashed = -1;
         sim->nodes[leader].paused_until = sim->now + 4 + (double)(seed % 3) * 3;
         for (int i = 0; i < 400 && crashed < 0; i++) {
-            day_run(sim, 0.02);
+            scenario_run(sim, 0.02);
             for (int k = 0; k < sim->n_nodes; k++)
                 if (sim->nodes[k].alive && sim->nodes[k].node->election.state == stage)
                     crashed = k;
         }
         assert_at_least(crashed, 0);
         sim_crash(sim, crashed, seed < 74 ? 0.1 : 30);
-        day_run(sim, 20);
+        scenario_run(sim, 20);
         assert_at_least(sim_leader(sim), 0);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -214,7 +214,7 @@
         sim_crash(sim, leader, 20);
         sim_crash(sim, leader ? 0 : 1, 20); /* the follower of the first rank */
         assert_at_most(seconds_until_start(sim, token, 20), FAILOVER_MAX_S);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -229,10 +229,10 @@
 static void unreachable_machines_delay_only_their_tasks(void **state) {
     (void)state;
     for (unsigned long seed = 90; seed < 96; seed++) {
-        struct sim *sim = day_new(seed, 3);
+        struct sim *sim = scenario_new(seed, 3);
         for (int i = 0; i < 30; i++)
             submit_for_guests(sim, 1 + i, 6, 6);
-        day_run(sim, 31);
+        scenario_run(sim, 31);
         uint64_t token = token_of(sim);
         int n_hung = 0;
         for (int i = 0; i < sim->size.n_workers && n_hung < 3; i++)
@@ -246,7 +246,7 @@
             submit_for_guests(sim, sim->now + 3 + 0.2 * i, 3, 4);
         assert_at_most(seconds_until_start(sim, token, 30), FAILOVER_MAX_S);
         assert_false(rp_cluster_is_reconciled(&sim->nodes[sim_leader(sim)].node->cluster));
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -256,10 +256,10 @@
  * the key-value store nor the other nodes, but answers the zone's workers for as long as its lease
  * is valid. */
 static struct sim *sim_with_partitioned_leader(unsigned long seed) {
-    struct sim *sim = day_new(seed, 3);
+    struct sim *sim = scenario_new(seed, 3);
     sim_submit(sim, 1, "sweep", 40, 1, 70, 0);
     sim_submit(sim, 1, "sweep", 20, 1, 70, 0);
-    day_run(sim, 25 + 0.37 * (double)(seed % 8));
+    scenario_run(sim, 25 + 0.37 * (double)(seed % 8));
     int leader = sim_leader(sim);
     int n_machines_inside = 0;
     assert_at_least(leader, 0);
@@ -276,7 +276,7 @@
 /* Runs the simulation until another node than `from` leads, and returns that node. */
 static int await_next_leader(struct sim *sim, int from) {
     for (int i = 0; i < 60; i++) {
-        day_run(sim, 0.1);
+        scenario_run(sim, 0.1);
         for (int k = 0; k < sim->n_nodes; k++)
             if (k != from && sim->nodes[k].alive && sim->nodes[k].node->state == RP_NODE_LEADING)
                 return k;
@@ -286,9 +286,9 @@
 }
 
 static void end_partition(struct sim *sim) {
-    day_run(sim, 50);
+    scenario_run(sim, 50);
     sim->partitioned_zone = sim->node_in_partition = 0;
-    day_end(sim);
+    scenario_end(sim);
 }
 
 /* Tasks that may run inside the partition are started elsewhere only when no answer of the earlier
@@ -331,10 +331,10 @@
 static void recent_jobs_belong_to_the_next_leader(void **state) {
     (void)state;
     for (unsigned long seed = 230; seed < 246; seed++) {
-        struct sim *sim = day_new(seed, 3);
+        struct sim *sim = scenario_new(seed, 3);
         for (int i = 0; i < 30; i++)
             submit_for_guests(sim, 1 + i, 6, 5);
-        day_run(sim, 31 + 0.1 * (double)(seed % 10));
+        scenario_run(sim, 31 + 0.1 * (double)(seed % 10));
         int leader = sim_leader(sim);
         sim->partitioned_zone = 1;
         sim->node_in_partition = leader + 1;
@@ -342,9 +342,9 @@
             submit_for_guests(sim, sim->now + 0.02 * i, 2, 8);
         assert_true(rp_election_fence_leader(&sim->nodes[leader ? 0 : 1].node->election));
         await_next_leader(sim, leader);
-        day_run(sim, 20);
+        scenario_run(sim, 20);
         sim->partitioned_zone = sim->node_in_partition = 0;
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -361,12 +361,12 @@
         assert_non_null(node->cluster.first);
         node->fleet.release.delete_in_flight = true; /* keeps the release from being sent */
         rp_fleet_scale_in(&node->fleet, node->cluster.first, "for the test");
-        day_run(sim, 0.5);
+        scenario_run(sim, 0.5);
         sim_crash(sim, leader, 20);
         assert_at_most(seconds_until_start(sim, token, 20), FAILOVER_MAX_S);
-        day_run(sim, 1);
+        scenario_run(sim, 1);
         assert_int_equal(sim->nodes[sim_leader(sim)].node->fleet.release.n_released, 1);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -386,16 +386,16 @@
             request->retry_at =
                 rp_ts_after(rp_loop_now(node->loop), 60); /* no record is written from now on */
         rp_fleet_scale_in(&node->fleet, node->cluster.first, "for the test");
-        day_run(sim, 1);
+        scenario_run(sim, 1);
         assert_null(rp_machine_find(&node->cluster, name));
         /* Standbys that restart after the release receive it with their first snapshot. */
         for (int i = 0; i < sim->n_nodes && seed % 2; i++)
             if (i != leader)
                 sim_crash(sim, i, 0.1);
-        day_run(sim, 3);
+        scenario_run(sim, 3);
         sim_crash(sim, leader, 20);
         assert_at_most(seconds_until_start(sim, token, 20), FAILOVER_MAX_S);
-        day_end(sim);
+        scenario_end(sim);
     }
 }
 
@@ -423,10 +423,10 @@
             sim_submit(sim, 5 + 2 * i, i % 9 ? "sweep" : "ensemble", 3, 1, 4,
                        i % 5 ? 0 : 8 + 2 * i);
         for (int i = 0; i < 24; i++) {
-            day_run(sim, 5);
+            scenario_run(sim, 5);
             n += count_failovers(sim);
         }
-        day_end(sim);
+        scenario_end(sim);
     }
     assert_more_than(n, 0);
 }
--- a/tests/simulation/test_upgrade.c
+++ b/tests/simulation/test_upgrade.c
@@ -3,11 +3,11 @@
 
 #include <dlfcn.h>
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 #include "store/records.h"
 
-#define DAY_S 150  /* simulated seconds with faults after the upgrade */
-#define REST_S 200 /* simulated seconds after the faults, within which all jobs must end */
+#define FAULTS_S 150     /* simulated seconds with faults after the upgrade */
+#define COMPLETION_S 200 /* simulated seconds after the faults, within which all jobs must end */
 
 /* Failovers from a leader of the new version to one of the old version, and the reverse. */
 static unsigned n_old_after_new, n_new_after_old;
@@ -32,7 +32,7 @@
 static void run_rolling_upgrade(unsigned long seed, int n_nodes, const struct sim_faults *faults) {
     struct sim *sim = sim_new(seed, faults, SIM_NO_BREAKAGE, n_nodes);
     sim_start_as_old_version(sim);
-    day_submit_array_stream(sim, 0);
+    scenario_submit_array_stream(sim, 0);
     sim_submit(sim, 10, "sweep", 30, 1, 25, 70);
     run_and_count_failovers(sim, 25 + (double)(seed % 7));
     for (int i = 0; i < n_nodes; i++) {
@@ -41,16 +41,16 @@
             node = (node + 1) % n_nodes;
         sim_upgrade(sim, node, 0.2 + (double)(seed % 4));
         run_and_count_failovers(sim, i + 1 < n_nodes ? 3 + (double)(seed % 11) : 4);
-        day_expect_no_violation(sim, seed);
+        scenario_expect_no_violation(sim, seed);
     }
     sim_lower_limits(sim);
-    day_submit_services(sim, sim->now);
-    day_submit_array_stream(sim, sim->now);
-    sim_run(sim, DAY_S);
+    scenario_submit_services(sim, sim->now);
+    scenario_submit_array_stream(sim, sim->now);
+    sim_run(sim, FAULTS_S);
     sim_end_faults(sim);
-    sim_run(sim, REST_S);
+    sim_run(sim, COMPLETION_S);
     sim_check_served(sim);
-    day_expect_no_violation(sim, seed);
+    scenario_expect_no_violation(sim, seed);
     if (!sim_all_terminal(sim) || sim->format_active_at <= 0)
         fail_msg("seed %lu: work left undone", seed);
     sim_free(sim);
@@ -80,10 +80,10 @@
  * node has restarted. No worker's lease may expire, and after the activation a service must be
  * accepted and run at once. */
 static void rolling_upgrade_without_faults_ends_no_lease(void **state) {
-    struct sim *sim = day_new(43, 5);
+    struct sim *sim = scenario_new(43, 5);
     (void)state;
     sim_start_as_old_version(sim);
-    day_submit_arrays(sim, 6, 1, 0, 40, 1, 60);
+    scenario_submit_arrays(sim, 6, 1, 0, 40, 1, 60);
     sim_run(sim, 30);
     for (int i = 0; i < sim->n_nodes; i++) {
         sim_upgrade(sim, i, 3);
@@ -105,7 +105,7 @@
     for (int i = 0; i < sim->size.n_workers; i++)
         assert_true(!sim->workers[i].used || sim->workers[i].incarnation <= 1);
     sim_run(sim, 250);
-    day_expect_no_violation(sim, 43);
+    scenario_expect_no_violation(sim, 43);
     assert_true(sim_all_terminal(sim));
     assert_int_equal(sim->n_oversized_writes, 0);
     sim_free(sim);
@@ -115,7 +115,7 @@
  * the new format must not be activated and no service may be accepted. All other work must
  * continue. */
 static void node_that_is_down_blocks_activation(void **state) {
-    struct sim *sim = day_new(44, 3);
+    struct sim *sim = scenario_new(44, 3);
     (void)state;
     sim_start_as_old_version(sim);
     sim_run(sim, 5);
@@ -132,7 +132,7 @@
     sim_run(sim, 40);
     assert_true(sim->format_active_at > 0 && sim->jobs[job].accepted);
     sim_run(sim, 100);
-    day_expect_no_violation(sim, 44);
+    scenario_expect_no_violation(sim, 44);
     assert_true(sim_all_terminal(sim));
     sim_free(sim);
 }
@@ -141,7 +141,7 @@
  * that therefore does not announce the new format must be enough: all records are still written in
  * the old form. */
 static void node_that_keeps_old_forms_blocks_activation(void **state) {
-    struct sim *sim = day_new(45, 3);
+    struct sim *sim = scenario_new(45, 3);
     (void)state;
     sim->nodes[1].restarts_as_old = true;
     sim_crash(sim, 1, 0.1);
@@ -151,14 +151,14 @@
     assert_true(sim->jobs[job].reported_done);
     assert_int_equal(sim_count_stored(sim, RP_KEY_ROOT "over/"), 1);
     assert_int_equal(rp_record_format(sim_find_record(sim, RP_KEY_ROOT "over/j-000000")), 1);
-    day_expect_no_violation(sim, 45);
+    scenario_expect_no_violation(sim, 45);
     sim_free(sim);
 }
 
 /* A node of this version that restarts after the format of a later version has been activated may
  * neither lead nor be healthy. */
 static void node_older_than_active_format_does_not_lead(void **state) {
-    struct sim *sim = day_new(55, 3);
+    struct sim *sim = scenario_new(55, 3);
     (void)state;
     sim_run(sim, 5);
     assert_at_least(sim_leader(sim), 0);
@@ -169,7 +169,7 @@
     assert_int_equal(sim_leader(sim), -1);
     for (int i = 0; i < sim->n_nodes; i++)
         assert_false(rp_node_is_healthy(sim->nodes[i].node));
-    day_expect_no_violation(sim, 55);
+    scenario_expect_no_violation(sim, 55);
     sim_free(sim);
 }
 
@@ -177,7 +177,7 @@
 static void broken_upgrades_and_services_are_caught(void **state) {
     (void)state;
     /* The key-value store holds announcements of the new format for nodes of the old version. */
-    struct sim *sim = day_new(50, 3);
+    struct sim *sim = scenario_new(50, 3);
     sim_start_as_old_version(sim);
     for (int i = 0; i < 3; i++) {
         char key[RP_KEY_MAX];
@@ -194,14 +194,14 @@
     sim_free(sim);
     /* The limits that the store will have are lower than those that the settings announce to the
      * nodes. */
-    sim = day_new(51, 3);
+    sim = scenario_new(51, 3);
     sim->announced_limits.value_bytes = 100;
-    day_submit_array_stream(sim, 5);
+    scenario_submit_array_stream(sim, 5);
     sim_run(sim, 30);
     assert_true(strstr(sim->violation, "too_large") != NULL);
     sim_free(sim);
-    sim = sim_new(52, &day_no_faults, SIM_REPLICAS_NEVER_START, 3);
-    day_submit_services(sim, 3);
+    sim = sim_new(52, &scenario_no_faults, SIM_REPLICAS_NEVER_START, 3);
+    scenario_submit_services(sim, 3);
     sim_run(sim, 10);
     sim_end_faults(sim);
     sim_run(sim, 150);
--- a/tests/simulation/world.c
+++ b/tests/simulation/world.c
@@ -77,9 +77,9 @@
     settings->tuning.standby = sim_standby || getenv("RP_SIM_STANDBY");
 }
 
-static struct sim *create_world(unsigned long seed, const struct sim_faults *faults,
-                                enum sim_breakage breakage, int n_nodes,
-                                const struct sim_size *size, const struct sim_remote *remote) {
+static struct sim *create_simulation(unsigned long seed, const struct sim_faults *faults,
+                                     enum sim_breakage breakage, int n_nodes,
+                                     const struct sim_size *size, const struct sim_remote *remote) {
     struct sim *sim = calloc(1, sizeof *sim);
     if (!sim)
         abort();
@@ -104,13 +104,13 @@
 
 struct sim *sim_new_sized(unsigned long seed, const struct sim_faults *faults,
                           enum sim_breakage breakage, int n_nodes, const struct sim_size *size) {
-    return create_world(seed, faults, breakage, n_nodes, size, NULL);
+    return create_simulation(seed, faults, breakage, n_nodes, size, NULL);
 }
 
 struct sim *sim_new_remote(unsigned long seed, int n_nodes, const struct sim_size *size,
                            const struct sim_remote *remote) {
     static const struct sim_faults none = {0};
-    struct sim *sim = create_world(seed, &none, SIM_NO_BREAKAGE, n_nodes, size, remote);
+    struct sim *sim = create_simulation(seed, &none, SIM_NO_BREAKAGE, n_nodes, size, remote);
     sim->nodes[SIM_REMOTE_NODE].alive = true;
     return sim;
 }
