--- a/tests/behaviour/behaviour_digest.c
+++ b/tests/behaviour/behaviour_digest.c
@@ -84,7 +84,7 @@
     scenario->run(sim, seed);
     request_status_of_nodes(sim);
     if (sim->violation[0])
-        fprintf(stderr, "%s %lu: a rule broke: %s\n", scenario->name, seed, sim->violation);
+        fprintf(stderr, "%s %lu: a rule was violated: %s\n", scenario->name, seed, sim->violation);
     struct digest digest = digest_end(sim);
     snprintf(line, RESULT_MAX, "%s %lu %lu %s %s\n", scenario->name, seed, digest.n_messages,
              digest.messages, digest.store);
--- a/tests/behaviour/digest_hash.h
+++ b/tests/behaviour/digest_hash.h
@@ -30,6 +30,6 @@
 /** Hashes a message. The simulated network calls it for each message; others are passed directly.
  */
 void digest_add_message(const struct sim_message *message);
-/** Ends the run: hashes the store (sorts sim->keys) and returns the result. The caller may free
- * the sim afterwards. */
+/** Ends the run: hashes the store (sorts sim->keys) and returns the result. The caller may free the
+ * simulation afterwards. */
 struct digest digest_end(struct sim *sim);
--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -80,7 +80,7 @@
     double claimed_at;    /* when another node held the leader's key after it; 0: not yet */
     uint64_t ended_token; /* token of the last leader that was ended */
     double next_job_at;
-    double downtime_s; /* each end is a kill with a restart after this time; 0: ends vary */
+    double downtime_s; /* each end is a kill with a restart after this time; 0: kills and stops */
     bool was_stopped;  /* the last leader was stopped for a while, not killed */
 };
 
--- a/tests/models/takeover.pml
+++ b/tests/models/takeover.pml
@@ -1,4 +1,4 @@
-/* Model of a takeover by a standby (src/election/election.c, src/standby/) for the model checker spin.
+/* Model of a failover to a standby (src/election/election.c, src/standby/) for the model checker spin.
  * tests/models/run checks it, and that it detects three planted faults:
  * - NO_FENCE: the new leader does not end the deposed leader's lease;
  * - NO_EXPIRY_WAIT: it does not wait until the deposed leader's own view of its lease has expired;
@@ -9,7 +9,7 @@
  * restart at any moment and then continues from the leader's key in the key-value store. Time is counted
  * in ticks, which only the clock process advances; a node may pause between any two of its steps for any
  * time. Durations in ticks: a leader regards its lease as valid for TTL after it sent a renewal; a
- * worker's task runs for LEASE after the last answer that the worker received. Direct commands of the new
+ * worker's task runs for LEASE after the last response that the worker received. Direct commands of the new
  * leader do not reach M, so the leader has to wait until the task's lease has expired. Invariant: the task
  * never runs on M when another leader starts it elsewhere. */
 #define TTL 2
@@ -36,9 +36,9 @@
 /* The local state of each node. */
 bool is_leading[NODES];
 bool is_first_term[NODES]; /* the node leads the term in which the task was started on M */
-byte valid_until[NODES]; /* its own lease, as the node knows it */
+byte valid_until[NODES]; /* the node's own view of its lease */
 byte fenced_leader_expiry[NODES]; /* until then the fenced leader may still regard its lease as valid */
-byte task_possible_until[NODES]; /* last tick at which the task may run on M, as the node knows it */
+byte task_possible_until[NODES]; /* last tick at which, in the node's view, the task may run on M */
 
 /* Ends lease n and deletes the key if it is attached to the lease. */
 inline end_lease(n) {
@@ -79,7 +79,7 @@
     do
     :: now >= TICKS -> goto done
 
-    /* Leading: renews the lease. The store carries the request out in one step and answers it in a later
+    /* Leading: renews the lease. The store carries the request out in one step and responds in a later
      * one. */
     :: is_leading[me] ->
        sent_at = now;
@@ -92,11 +92,11 @@
        :: atomic { is_renewed && is_leading[me] ->
               valid_until[me] = (valid_until[me] < sent_at + TTL -> sent_at + TTL : valid_until[me]) }
        :: !is_renewed -> is_leading[me] = false
-       :: true /* the answer is lost */
+       :: true /* the response is lost */
        fi;
        goto again
 
-    /* Leading: answers the worker of M. The lease is checked in the same step. */
+    /* Leading: responds to the worker of M. The lease is checked in the same step. */
     :: atomic {
            is_leading[me] && now < valid_until[me] ->
            /* A task whose lease has expired is not renewed. */
@@ -197,7 +197,7 @@
         :: !(is_lease_active[me] && key_version == read_version) -> goto again
         fi
     };
-    /* The store's answer to the claim. An end of the process before it is covered: the next iteration
+    /* The store's response to the claim. An end of the process before it is covered: the next iteration
      * reads the key that names this node. */
     atomic {
         is_leading[me] = true;
--- a/tests/simulation/cloud.c
+++ b/tests/simulation/cloud.c
@@ -12,7 +12,7 @@
 
 /* Time until a new machine appears in the list: list_lag_s of the settings. */
 #define LIST_LAG_S 3.0
-#define PAGE_ROWS 500 /* machines in one answer to a list request */
+#define PAGE_ROWS 500 /* machines in one response to a list request */
 
 /* The machines of a type in a zone, on-demand or spot; the cloud has size.capacity of each pool. */
 struct pool {
@@ -62,9 +62,9 @@
 /* Provisions machines; a repeated request gets the machines of the first one with its name. */
 static int cloud_provision(struct sim *sim, const json_t *body, json_t **out) {
     const char *request = json_string_value(json_object_get(body, "hire"));
-    json_t *first_answer_at = json_object_get(sim->provisioned, request);
-    if (first_answer_at) {
-        *out = json_incref(first_answer_at);
+    json_t *first_response = json_object_get(sim->provisioned, request);
+    if (first_response) {
+        *out = json_incref(first_response);
         return 200;
     }
     struct pool pool = {
--- a/tests/simulation/faults.c
+++ b/tests/simulation/faults.c
@@ -12,7 +12,7 @@
 
 /* ---- messages in transit ---- */
 
-/* Makes a transaction get no answer: it is executed at once, or 2 to 12 s later and thereby after
+/* Makes a transaction get no response: it is executed at once, or 2 to 12 s later and thereby after
  * newer transactions. The copy is executed, the original is not. */
 void sim_inject_transaction_fault(struct sim *sim, struct sim_event *event) {
     bool is_delayed = sim_chance(sim, sim->faults.delayed_write);
@@ -160,7 +160,7 @@
 }
 
 /* A fault that is enabled draws a random number in every step, even if it does not apply to the
- * machine, because the order of the draws determines what a seed means (internal.h). */
+ * machine, because the order of the draws determines the course of the run (internal.h). */
 
 static void crash_nodes(struct sim *sim, int node) {
     if (happens_within_step(sim, sim->faults.crash_s))
@@ -197,8 +197,8 @@
         restart_machine(sim, worker);
 }
 
-/* Applies faults to the machine, which is a random one. A mean time is that between faults of some
- * machine of eight, hence the division by 8. */
+/* Applies faults to the machine, which is a random one. The configured mean times are those between
+ * two faults among eight machines, hence the division by 8. */
 static void fail_machine(struct sim *sim, struct sim_worker *worker) {
     const struct sim_faults *faults = &sim->faults;
     if (happens_within_step(sim, faults->pause_s / 8))
--- a/tests/simulation/internal.h
+++ b/tests/simulation/internal.h
@@ -1,8 +1,8 @@
 /* Declarations that the parts of the simulation share. events.c has the event queue, network.c the
- * requests and answers in transit; store.c, cloud.c, workers.c with tasks.c, users.c and nodes.c
+ * requests and responses in transit; store.c, cloud.c, workers.c with tasks.c, users.c and nodes.c
  * simulate the parties; faults.c injects faults, rules.c checks the rules, world.c sets up the
  * simulation and runs its steps. The order of the random draws determines what a seed means:
- * changing it changes every simulated day. */
+ * changing it changes every simulated scenario. */
 #ifndef RP_SIM_INTERNAL_H
 #define RP_SIM_INTERNAL_H
 
@@ -10,8 +10,8 @@
 
 #define SIM_STEP_S 0.02
 #define SIM_LARGE_JOB_TASKS 40 /* a job with this many tasks or more is one of the largest */
-#define SIM_NEVER 1e9          /* a time in seconds that no simulated day reaches */
-/* Index that stands for all nodes that are processes of their own. The requests of such nodes do
+#define SIM_NEVER 1e9          /* a time in seconds that no run reaches */
+/* Index that represents all nodes that are processes of their own. The requests of such nodes do
  * not show which of them sent them, hence no fault affects a single one. */
 #define SIM_REMOTE_NODE (SIM_NODES_MAX - 1)
 
@@ -31,28 +31,28 @@
     int node;                     /* the node that sent the request, or that receives it */
     unsigned long process_number; /* the process that sent the request */
     char addr[64], method[8], *target, *body;
-    bool answered; /* no caller waits for the answer, or no longer */
+    bool answered; /* no caller waits for the response, or no longer */
     double deadline;
     rp_answer_fn on_answer;
     void *on_answer_arg;
-    bool unsent; /* never executed: the caller's answer says that no connection was made */
+    bool unsent; /* never executed: it is reported to the caller that no connection was made */
     int status;
     /* Index of the worker or, in messages of users, of the job; of an invalid request, the status
      * that it must get. */
     int index;
     uint64_t heartbeat_number;
-    int user_op;     /* enum sim_user_op */
-    double asked_at; /* when the user sent the request */
+    int user_op;    /* enum sim_user_op */
+    double sent_at; /* when the user sent the request */
     /* A copy of a heartbeat that arrives at every node when the next leader begins to lead. */
     bool held_for_next_leader;
 };
 
 enum sim_user_op { USER_SUBMITS, USER_POLLS, USER_CANCELS };
 
-/* A request of a worker or a user to a node, and how its answer is delivered. */
+/* A request of a worker or a user to a node, and how its response is delivered. */
 struct sim_call {
     const char *method, *target, *body;
-    enum event_kind answer; /* the kind of event that delivers the answer */
+    enum event_kind answer; /* the kind of event that delivers the response */
     int index;              /* as in struct sim_event */
     uint64_t heartbeat_number;
     enum sim_user_op user_op;
@@ -87,22 +87,22 @@
 struct rp_net sim_network_connect(struct sim *sim, int node, unsigned long process_number);
 /* Processes a request of a node that is due; true: it is finished, and its event can be freed. */
 bool sim_on_request(struct sim *sim, struct sim_event *event);
-/* Tells the caller that there is no answer, unless it has already received one. */
+/* Reports to the caller that there is no response, unless it has already received one. */
 void sim_time_out(struct sim *sim, struct sim_event *event);
 void sim_on_heartbeat(struct sim *sim, const struct sim_event *event);
-/* Adds a copy of the request, due in `after_s` seconds, whose answer no caller waits for. */
+/* Adds a copy of the request, due in `after_s` seconds, whose response no caller waits for. */
 void sim_request_duplicate(struct sim *sim, const struct sim_event *event, double after_s);
 /* Passes a request of a worker or a user to a node, if the node runs. */
 void sim_node_receive(struct sim *sim, int index, const struct sim_call *call);
 
 /* ---- store.c ---- */
 
-/* Executes a request and returns the answer's status; sets `out` to the body if there is one. */
+/* Executes a request and returns the response's status; sets `out` to the body if there is one. */
 int sim_store_request(struct sim *sim, const struct sim_event *event, json_t *body, json_t **out);
-/* Whether the store answers all requests of the node with 503, in an outage or because it refuses
- * this node. */
+/* Whether the store responds to all requests of the node with 503, in an outage or because it
+ * refuses this node. */
 bool sim_store_is_refusing(const struct sim *sim, int node);
-/* The answer to a watch: the changes after the revision in `target`. */
+/* The response to a watch: the changes after the revision in `target`. */
 json_t *sim_store_changes(struct sim *sim, const char *target);
 /* Expires leases; during an outage none expires. */
 void sim_store_step(struct sim *sim);
@@ -116,8 +116,8 @@
 
 /* The address at which nodes reach the worker. */
 const char *sim_worker_address(const struct sim *sim, const struct sim_worker *worker);
-/* Executes a direct command or a probe that arrives; returns the answer's status, 0: the worker
- * does not answer. */
+/* Executes a direct command or a probe that arrives; returns the response's status, 0: the worker
+ * does not respond. */
 int sim_worker_request(struct sim *sim, const struct sim_event *event, json_t *body, json_t **out);
 /* Whether the machine is paused or its zone is partitioned; requests to it are delivered later. */
 bool sim_worker_is_paused(struct sim *sim, const struct sim_event *event);
--- a/tests/simulation/network.c
+++ b/tests/simulation/network.c
@@ -1,5 +1,5 @@
 /* Simulates the network between nodes, store, cloud, workers and users, with the faults that affect
- * single messages: requests of nodes and their answers, and requests to nodes. */
+ * single messages: requests of nodes and their responses, and requests to nodes. */
 #include "internal.h"
 
 #include <stdio.h>
@@ -7,7 +7,7 @@
 #include <string.h>
 #include "protocol/worker_codec.h"
 
-/* A watch without changes is answered this long before its time-out. */
+/* A watch without changes gets its response this long before its time-out. */
 #define WATCH_MARGIN_S 1.5
 /* Time until the next attempt to deliver a message that cannot be delivered now. */
 #define REDELIVERY_INTERVAL_S 0.1
@@ -43,26 +43,27 @@
 struct sim_request {
     struct rp_request req;
     struct sim *sim;
-    struct sim_call call; /* method, target and body are no longer valid when the answer comes */
+    struct sim_call call; /* method, target and body are no longer valid when the node responds */
     int node;
-    double asked_at;
+    double sent_at;
     char *body;
 };
 
-/* Passes a node's answer to a user or a worker to the observer, without the request's target, which
- * is no longer valid. */
+/* Passes a node's response to a user or a worker to the observer, without the request's target,
+ * which is no longer valid. */
 static void observe_answer(const struct sim_request *request, int status, const char *body,
                            int retry_after) {
-    static const char *const asked[] = {"submission", "question", "cancellation"};
+    static const char *const operations[] = {"submission", "question", "cancellation"};
     const struct sim *sim = request->sim;
     const struct sim_call *call = &request->call;
     char to[128];
     if (call->answer == EV_HEARTBEAT_ANSWER)
         snprintf(to, sizeof to, "%s", sim->workers[call->index].name);
     else if (call->answer == EV_USER_ANSWER)
-        snprintf(to, sizeof to, "user:%s:%s", sim->jobs[call->index].spec.id, asked[call->user_op]);
+        snprintf(to, sizeof to, "user:%s:%s", sim->jobs[call->index].spec.id,
+                 operations[call->user_op]);
     else
-        snprintf(to, sizeof to, "user:odd:%s", asked[call->user_op]);
+        snprintf(to, sizeof to, "user:odd:%s", operations[call->user_op]);
     observe(sim, (struct sim_message){.from = request->node,
                                       .to = to,
                                       .method = "",
@@ -90,15 +91,15 @@
         event->index = call->index;
         event->heartbeat_number = call->heartbeat_number;
         event->user_op = call->user_op;
-        event->asked_at = request->asked_at;
+        event->sent_at = request->sent_at;
         if (sim_chance(sim, sim->faults.drop))
             event->due_at += is_to_worker ? SIM_NEVER : 0;
     }
     request_free(request);
 }
 
-/* Receives the answer of a node that is a process. A failed connection is reported to the caller at
- * once; a missing answer is not reported. */
+/* Receives the response of a node that is a process. A failed connection is reported to the caller
+ * at once; a missing response is not reported. */
 static void on_remote_answer(void *arg, const struct rp_answer *answer) {
     struct sim_request *request = arg;
     if (answer->status || answer->unsent)
@@ -118,7 +119,7 @@
     request->sim = sim;
     request->call = *call;
     request->node = index;
-    request->asked_at = sim->now;
+    request->sent_at = sim->now;
     request->body = strdup(call->body ? call->body : "");
     request->req = (struct rp_request){.method = call->method,
                                        .target = call->target,
@@ -221,7 +222,7 @@
         sim_request_duplicate(sim, event, 0.05 + 30 * sim_uniform(sim));
     if (strcmp(outgoing->addr, "state") == 0 && !watch && sim_chance(sim, sim->faults.slow_store))
         event->due_at += 0.2 + 1.2 * sim_uniform(sim);
-    /* A dropped request is due at its time-out: its caller gets no answer, and it is not executed
+    /* A dropped request is due at its time-out: its caller gets no response, and it is not executed
      * if it is unsent, otherwise with a probability of 0.5. */
     if (is_dropped)
         event->due_at = event->deadline;
@@ -284,8 +285,8 @@
         answer_node(sim, event, 0, NULL);
 }
 
-/* A request from one node to another. The node answers during the call, hence the request and its
- * answer are kept on the stack. */
+/* A request from one node to another. The node responds during the call, hence the request and its
+ * response are kept on the stack. */
 struct peer_request {
     struct rp_request req;
     const struct sim *sim;
@@ -337,7 +338,7 @@
     return request.status;
 }
 
-/* Whether the node that receives the request is paused: it neither answers nor refuses the
+/* Whether the node that receives the request is paused: it neither responds nor refuses the
  * connection. */
 static bool is_paused_peer(const struct sim *sim, const struct sim_event *event) {
     return is_for_peer(event) && sim->now < sim->nodes[peer_index(event)].paused_until;
@@ -348,20 +349,20 @@
 }
 
 /* Whether the request's sender, or the node that receives it, is partitioned from the store and the
- * other nodes. Without an answer to its sender, a request in transit may still be executed. */
+ * other nodes. A request in transit may still be executed, but its sender gets no response. */
 static bool is_partitioned(const struct sim *sim, const struct sim_event *event) {
     return sim->now < sim->nodes[event->node].partitioned_until ||
            (is_for_peer(event) && sim->now < sim->nodes[peer_index(event)].partitioned_until);
 }
 
-/* Has the event processed again at that time; returns false, as it is not finished. */
+/* Postpones the event to that time; returns false, since it is not finished. */
 static bool defer_until(struct sim_event *event, double due_at) {
     event->due_at = due_at;
     return false;
 }
 
-/* Answers a watch if there are changes, the store refuses the node or the time-out is near; defers
- * the event by a step otherwise. */
+/* Responds to a watch if there are changes, the store refuses the node or the time-out is near;
+ * defers the event by a step otherwise. */
 static bool answer_watch(struct sim *sim, struct sim_event *event) {
     json_t *out =
         sim_store_is_refusing(sim, event->node) ? NULL : sim_store_changes(sim, event->target);
@@ -401,7 +402,7 @@
 bool sim_on_request(struct sim *sim, struct sim_event *event) {
     const struct sim_node *caller = &sim->nodes[event->node];
     bool is_awaited = !event->answered;
-    /* A paused node receives no answer. */
+    /* A paused node receives no response. */
     if (is_awaited && caller->alive && sim->now < caller->paused_until)
         return defer_until(event, sim->now + REDELIVERY_INTERVAL_S);
     if (is_watch(event->target) && !is_awaited)
--- a/tests/simulation/rules.c
+++ b/tests/simulation/rules.c
@@ -1,6 +1,6 @@
 /* The rules that the nodes must keep in the simulation: those of PROTOCOL and those that the users
- * added. The first violation is recorded with the simulated time, the name of the rule and what
- * broke it. The test broken_simulations_are_caught shows that each rule fails on a simulation with
+ * added. The first violation is recorded with the simulated time, the name of the rule and its
+ * cause. The test broken_simulations_are_caught shows that each rule fails on a simulation with
  * a deliberate defect (enum sim_breakage). */
 #include "internal.h"
 
@@ -14,7 +14,7 @@
 
 /* The following bounds are in seconds and apply once the faults have ended. */
 
-/* A job is lost if no request about it has been answered with its state for this long. */
+/* Longest time without a response that contains a job's state; beyond it, the job is lost. */
 #define ANSWERED_WITHIN_S 75.0
 /* Longest time until a job starts, from its acceptance or the end of the faults. */
 #define STARTED_WITHIN_S 240.0
@@ -103,7 +103,7 @@
  * job is a service, which is never done. */
 void sim_check_done(struct sim *sim, const struct sim_job *job) {
     if (job->spec.kind == RP_JOB_SERVICE)
-        sim_record_violation(sim, "not_done: service %s is called done", job->spec.id);
+        sim_record_violation(sim, "not_done: service %s is reported as done", job->spec.id);
     for (uint32_t i = 0; i < job->spec.n_tasks; i++)
         if (!job->done[i])
             sim_record_violation(sim, "not_done: %s/%u", job->spec.id, i);
@@ -125,20 +125,20 @@
 }
 
 /* Rules that the users added; they apply once the faults have ended, to accepted jobs that are
- * neither cancelled nor reported as done. forgotten: no request about the job has been answered
- * with its state for ANSWERED_WITHIN_S seconds. not_started: no task of the job has started
+ * neither cancelled nor reported as done. forgotten: no response has contained the job's
+ * state for ANSWERED_WITHIN_S seconds. not_started: no task of the job has started
  * STARTED_WITHIN_S seconds after its acceptance or, if that was earlier, after the end of the
  * faults. */
-static void check_jobs_known(struct sim *sim) {
+static void check_accepted_jobs(struct sim *sim) {
     for (int i = 0; sim->faults_ended_at > 0 && i < sim->n_jobs; i++) {
         const struct sim_job *job = &sim->jobs[i];
         if (!job->accepted || job->cancel_requested || job->reported_done)
             continue;
-        double known = fmax(job->answered_at, sim->faults_ended_at);
+        double last_response_at = fmax(job->answered_at, sim->faults_ended_at);
         double since = fmax(job->accepted_at, sim->faults_ended_at);
-        if (sim->now > known + ANSWERED_WITHIN_S)
-            sim_record_violation(sim, "forgotten: %s, nothing answered for %.0f s", job->spec.id,
-                                 ANSWERED_WITHIN_S);
+        if (sim->now > last_response_at + ANSWERED_WITHIN_S)
+            sim_record_violation(sim, "forgotten: %s, no response with its state for %.0f s",
+                                 job->spec.id, ANSWERED_WITHIN_S);
         if (!job->has_started && sim->now > since + STARTED_WITHIN_S)
             sim_record_violation(sim, "not_started: %s of %u tasks", job->spec.id,
                                  job->spec.n_tasks);
@@ -184,13 +184,13 @@
     }
 }
 
-/* not_served: at the end of a day, less than half of the accepted jobs of a kind were reported as
+/* not_served: at the end of a run, less than half of the accepted jobs of a kind were reported as
  * done. Cancelled jobs and services do not count. */
 void sim_check_served(struct sim *sim) {
     /* The kinds: 0 arrays, 1 gangs, 2 the largest jobs (SIM_LARGE_JOB_TASKS tasks and more), 3 jobs
      * of the guests. */
-    unsigned asked[4] = {0};
-    unsigned served[4] = {0};
+    unsigned n_accepted[4] = {0};
+    unsigned n_done[4] = {0};
     for (int i = 0; i < sim->n_jobs; i++) {
         const struct sim_job *job = &sim->jobs[i];
         if (!job->accepted || job->cancel_requested || job->spec.kind == RP_JOB_SERVICE)
@@ -199,13 +199,13 @@
                         job->spec.n_tasks >= SIM_LARGE_JOB_TASKS ? 2 : -1, has_limit(job) ? -1 : 3};
         for (int k = 0; k < 3; k++)
             if (kinds[k] >= 0) {
-                asked[kinds[k]]++;
-                served[kinds[k]] += job->reported_done;
+                n_accepted[kinds[k]]++;
+                n_done[kinds[k]] += job->reported_done;
             }
     }
     for (int k = 0; k < 4; k++)
-        if (served[k] * 2 < asked[k])
-            sim_record_violation(sim, "not_served: %u of %u, kind %d", served[k], asked[k], k);
+        if (n_done[k] * 2 < n_accepted[k])
+            sim_record_violation(sim, "not_served: %u of %u, kind %d", n_done[k], n_accepted[k], k);
 }
 
 /* Records the longest time from the confirmation of a job's cancellation to the execution of one of
@@ -215,14 +215,14 @@
         sim->start_after_cancel_s = fmax(sim->start_after_cancel_s, sim->now - job->cancelled_at);
 }
 
-/* Called when an answer has renewed a worker's lease and its commands have been executed.
+/* Called when a response has renewed a worker's lease and its commands have been executed.
  * kept_cancelled: a task of a cancelled job has not exited, and the lease expires more than
- * cancel_s seconds after the cancellation was confirmed. A renewal keeps alive every task that it
- * does not stop: if the machine hangs now, the task may run until the lease expires, and a
- * cancelled job must have been stopped within cancel_s. */
+ * cancel_s seconds after the cancellation was confirmed. A renewal lets every task that it does
+ * not stop continue: if the machine is paused right after it, the task may run until the lease
+ * expires, and a cancelled job must have been stopped within cancel_s. */
 void sim_check_lease_renewal(struct sim *sim, const struct sim_worker *worker) {
     if (sim->breakage == SIM_WORKERS_IGNORE_STOPS)
-        return; /* this defect is to break ran_cancelled itself */
+        return; /* this defect must violate ran_cancelled instead */
     for (int k = 0; k < worker->n_tasks; k++) {
         const struct sim_job *job = &sim->jobs[worker->tasks[k].job_index];
         if (worker->tasks[k].state != RP_TASK_EXITED && job->reported_cancelled &&
@@ -233,10 +233,10 @@
     }
 }
 
-/* Called with the answer to a user's invalid request; event->index is the status that the request
+/* Called with the response to a user's invalid request; event->index is the status that the request
  * must get: 404 for an unknown job, 400 or 422 for a submission that lacks a field or cannot run.
- * invented: it gets 200 or 201. wrong_status: it gets another status; 503 is allowed, as a
- * node that cannot decide answers with it. */
+ * invented: it gets 200 or 201. wrong_status: it gets another status; 503 is allowed, since
+ * a node that cannot decide responds with it. */
 void sim_check_invalid_request(struct sim *sim, const struct sim_event *event) {
     bool unknown = event->index == 404 && sim->breakage == SIM_UNKNOWN_IS_FOUND;
     int status = unknown || (event->index != 404 && sim->breakage == SIM_INVALID_IS_ACCEPTED)
@@ -357,7 +357,7 @@
 
 void sim_check_step(struct sim *sim) {
     check_cancelled(sim);
-    check_jobs_known(sim);
+    check_accepted_jobs(sim);
     if (sim->steps % REPLICA_CHECK_STEPS == 0)
         check_replicas(sim);
     if (sim->faults_ended_at > 0 && sim->steps % WAITING_CHECK_STEPS == 0)
--- a/tests/simulation/scenario.c
+++ b/tests/simulation/scenario.c
@@ -69,13 +69,13 @@
 
 void scenario_expect_no_violation(struct sim *sim, unsigned long seed) {
     if (sim->violation[0])
-        fail_msg("seed %lu: a rule was broken: %s", seed, sim->violation);
+        fail_msg("seed %lu: expected no violation of a rule: %s", seed, sim->violation);
 }
 
 void scenario_run(struct sim *sim, double seconds) {
     sim_run(sim, seconds);
     if (sim->violation[0])
-        fail_msg("a rule was broken: %s", sim->violation);
+        fail_msg("expected no violation of a rule: %s", sim->violation);
 }
 
 void scenario_end(struct sim *sim) {
@@ -83,11 +83,11 @@
     sim_run(sim, SCENARIO_COMPLETION_S);
     sim_check_served(sim);
     if (sim->violation[0])
-        fail_msg("a rule was broken: %s", sim->violation);
+        fail_msg("expected no violation of a rule: %s", sim->violation);
     for (int i = 0; i < sim->n_jobs; i++) {
         const struct sim_job *job = &sim->jobs[i];
         if (!job->reported_done && !job->reported_cancelled && !job->fails_always)
-            fail_msg("%s is not terminal %d s after the end of the faults", job->spec.id,
+            fail_msg("expected %s to be terminal %d s after the end of the faults", job->spec.id,
                      SCENARIO_COMPLETION_S);
     }
     assert_true(sim_all_terminal(sim));
--- a/tests/simulation/scenario.h
+++ b/tests/simulation/scenario.h
@@ -1,6 +1,6 @@
-/* Helpers for tests of simulated days: they create a simulation without random faults, submit work,
- * find the leader, advance the time and check the end of the day. The rules are checked after each
- * step (rules.c). */
+/* Helpers for tests that run one simulated scenario: they create a simulation without random
+ * faults, submit work, find the leader, advance the time and check the end of the scenario. The
+ * rules are checked after each step (rules.c). */
 #ifndef RP_SCENARIO_H
 #define RP_SCENARIO_H
 
@@ -13,7 +13,7 @@
 /* Longer leases and higher request rates of the store than usual, as in the operators' settings. */
 extern const struct sim_size scenario_large_limits;
 
-/* A node's answer to a request that a test sends itself, with `req.respond` set to
+/* A node's response to a request that a test sends to it directly, with `req.respond` set to
  * scenario_keep_answer. */
 struct scenario_answer {
     struct rp_request req;
--- a/tests/simulation/sim.h
+++ b/tests/simulation/sim.h
@@ -23,10 +23,10 @@
 /* Random faults. Members that end in _s are the mean time in seconds between two occurrences, 0:
  * none; the others are probabilities. All zero: no random faults. */
 struct sim_faults {
-    /* The request or its answer never arrives. */
+    /* The request or its response never arrives. */
     double drop;
-    /* A request is executed seconds later, after its time-out, and its answer is lost; a heartbeat
-     * arrives 5 to 65 s late. */
+    /* A request is executed seconds later, after its time-out, and its response is lost; a
+     * heartbeat arrives 5 to 65 s late. */
     double delay;
     /* A copy of the request is executed once more, later. */
     double duplicate;
@@ -36,11 +36,11 @@
     double store_outage_s;
     /* The key-value store refuses a single node. */
     double store_refusal_s;
-    /* Some worker hangs. */
+    /* Some machine is paused. */
     double pause_s;
-    /* Some worker crashes and does not come back. */
+    /* Some machine crashes and does not restart. */
     double machine_crash_s;
-    /* Some node stalls. */
+    /* Some node's process is paused. */
     double node_pause_s;
     /* The cloud reclaims some spot machine, in most cases with a notice. */
     double spot_notice_s;
@@ -48,24 +48,25 @@
     double task_error;
     /* A copy of a heartbeat arrives, seconds to several lease times late. */
     double late_duplicate;
-    /* Some machine receives no answers and no direct commands, though its heartbeats arrive. */
+    /* Some machine receives no responses and no direct commands, though its heartbeats arrive. */
     double one_way_partition_s;
     /* A node is partitioned from the key-value store and the other nodes, but not from the
      * workers. */
     double partitioned_node_s;
-    /* A node's process ends, or, a quarter as often, a machine restarts; both are back at once. */
+    /* A node's process crashes, or, a quarter as often, a machine restarts; the process or the
+     * machine runs again within 0.5 s. */
     double fast_restart_s;
-    /* Some machine reaches no node, while direct commands reach it. */
+    /* Some machine reaches no node, while direct commands reach the machine. */
     double unreachable_s;
     /* The nodes cannot connect to one another for a while. */
     double peer_partition_s;
     /* A user sends an invalid request. */
     double invalid_request_s;
-    /* An answer of the key-value store takes up to 1.4 s. */
+    /* A response of the key-value store takes up to 1.4 s. */
     double slow_store;
-    /* A transaction gets no answer and is executed 2 to 12 s later. */
+    /* A transaction gets no response and is executed 2 to 12 s later. */
     double delayed_write;
-    /* A transaction is executed at once; only its answer is lost. */
+    /* A transaction is executed at once; only its response is lost. */
     double dropped_answer;
     /* A copy of a heartbeat arrives at every node just as the next leader begins to lead. */
     double held_duplicate;
@@ -92,12 +93,12 @@
     SIM_STORE_IGNORES_CONDITIONS,
     SIM_WORKERS_IGNORE_STOPS,           /* cancelled tasks keep running */
     SIM_DUPLICATES_GET_NEW_INCARNATION, /* copies of heartbeats carry a number above all others */
-    SIM_POLLS_ARE_DROPPED,              /* no poll of the first job is answered */
+    SIM_POLLS_ARE_DROPPED,              /* no poll of the first job gets a response */
     SIM_LARGE_JOBS_NEVER_START,         /* tasks of the largest jobs never finish the image fetch */
     SIM_REPLICAS_NEVER_START,           /* services' tasks never finish the image fetch */
     SIM_INVALID_IS_ACCEPTED,    /* submissions that cannot run or lack a field are accepted */
     SIM_ANSWERS_ARE_STALE,      /* a job that was reported as done is reported as pending again */
-    SIM_RENEWED_WITHOUT_STOPS,  /* workers renew leases by answers whose stops they ignore */
+    SIM_RENEWED_WITHOUT_STOPS,  /* workers renew leases by responses whose stops they ignore */
     SIM_DONE_TOO_EARLY,         /* tasks are reported as done before they are */
     SIM_GANG_ENDS_ARE_HIDDEN,   /* no user reads that a gang is done */
     SIM_LIMIT_IS_LOWER,         /* teams' limits are lower than those in the nodes' settings */
@@ -107,20 +108,20 @@
 };
 
 /* The implementation of nodes of the previous version: the one that was built from its sources
- * (tests/mixed/run), or NULL: nodes of this version that keep to the old forms and are shown none
- * of the new records. */
+ * (tests/mixed/run), or NULL: nodes of this version that write the previous record format and read
+ * no records of the new one. */
 extern const struct sim_engine *sim_old_engine;
 
-/* Whether the nodes take part in takeovers by a standby (the operators' setting `standby`). The
+/* Whether the nodes take part in failovers to a standby (the operators' setting `standby`). The
  * environment variable RP_SIM_STANDBY switches it on, too. */
 extern bool sim_standby;
 
-/* A message that leaves a node: a request, or its answer to one. */
+/* A message that leaves a node: a request, or its response to one. */
 struct sim_message {
     double time; /* simulated time in seconds */
     int from;    /* the node's index */
     const char *to;
-    const char *method, *target; /* "" in an answer to a user or a worker */
+    const char *method, *target; /* "" in a response to a user or a worker */
     int status;                  /* 0: a request */
     int retry_after;
     const char *body; /* "": none */
@@ -157,7 +158,7 @@
     bool spot;
     bool fails_tasks; /* every task that starts on it fails */
     double provisioned_at, boots_at, paused_until;
-    double one_way_partition_until; /* its heartbeats arrive, answers and direct commands do not */
+    double one_way_partition_until; /* heartbeats arrive, responses and direct commands do not */
     double unreachable_until;       /* it reaches no node, direct commands reach it */
     double reclaimed_at;            /* when the cloud takes the machine back; 0: never */
     uint64_t incarnation, sequence_number, fencing_token;
@@ -169,7 +170,7 @@
     double sent_at, next_heartbeat_at;
     uint64_t heartbeat_number; /* number of the heartbeat in flight */
     bool changed;              /* its state has changed since the last heartbeat */
-    double exited_at;          /* when a task last exited with nothing started since; 0: none */
+    double exited_at;          /* when a task last exited and no task has started since; 0: none */
 };
 
 struct sim_job {
@@ -177,7 +178,7 @@
     struct rp_job_spec spec;
     char *body;
     bool accepted, reported_done, reported_cancelled, cancel_requested, has_started;
-    double answered_at; /* when a request about the job was last answered with its state */
+    double answered_at; /* when a response last contained the job's state */
     double cancelled_at, terminal_reported_at, accepted_at, next_poll_at, submit_at, cancel_at;
     bool done[SIM_JOB_TASKS];
     bool fails_always;
@@ -186,9 +187,9 @@
     bool cancel_at_end;                   /* the user cancels just as the last task ends */
     bool cancel_on_acceptance;            /* the user cancels as soon as the job is accepted */
     bool cancel_again;                    /* the user cancels once more when the job is terminal */
-    double placeable_since;               /* it waits though there is capacity; 0: it does not */
+    double placeable_since; /* since when it waits despite free capacity; 0: it does not */
     double down_since[SIM_JOB_TASKS]; /* since when a replica has not been running; 0: it runs */
-    double down_s, up_s; /* replicas' time in seconds, summed up, from 10 s after acceptance on */
+    double down_s, up_s; /* sums over replicas: not running, running; from 10 s after acceptance */
 };
 
 struct sim_node {
@@ -220,7 +221,7 @@
 /* How the simulation reaches nodes that run in processes of their own (tests/loopback). */
 struct sim_remote {
     void *ctx;
-    /* Sends a request to a node; `answered` is called once, status 0: no answer. */
+    /* Sends a request to a node; `answered` is called once; status 0: no response. */
     void (*call)(void *ctx, int node, const char *method, const char *target, const char *body,
                  rp_answer_fn answered, void *arg);
     /* The address at which nodes reach a worker. */
@@ -263,7 +264,7 @@
     bool has_eager_users;        /* users poll twenty times as often */
     bool has_concurrent_reads;   /* users poll all nodes after each change of a job's state */
     uint64_t last_fencing_token;
-    json_t *provisioned; /* request name -> answer */
+    json_t *provisioned; /* request name -> response */
     int next_machine;
     struct sim_event *events[SIM_EVENTS];
     int n_events;
@@ -281,7 +282,7 @@
     /* Counted, so that tests can bound the cost of operations. */
     unsigned long n_state_reads, n_state_lists, n_rows_read, n_polls;
     unsigned long n_comparisons;    /* transactions without changes */
-    unsigned long n_polls_answered; /* polls that were answered with the job's state */
+    unsigned long n_polls_answered; /* polls whose responses contained the job's state */
     double idle_s; /* from a task's exit to the next start on its machine, summed up */
     unsigned long n_idle_periods;
 };
@@ -314,8 +315,8 @@
 void sim_set_field(struct sim *sim, int index, const char *field, json_t *value);
 /* Adds an array whose description is longer than one value may be under the lowered limits. */
 int sim_submit_long(struct sim *sim, double submit_at, unsigned tasks, double run_s);
-/* Users cancel `count` running jobs at once; with `pause_s` > 0, some of their machines hang for
- * so many seconds. */
+/* Users cancel `count` running jobs at once; with `pause_s` > 0, some of their machines are
+ * paused for `pause_s` seconds. */
 void sim_cancel_running(struct sim *sim, int count, double pause_s);
 bool sim_all_terminal(const struct sim *sim);
 /* Crashes a node's process; it restarts after `restart_after_s` seconds. */
--- a/tests/simulation/store.c
+++ b/tests/simulation/store.c
@@ -75,8 +75,7 @@
 }
 
 /* Checks a write while a node of the previous version runs or will restart as one, or the new
- * format is not active yet. activated_early: the activation is stored while a node
- * of the previous version is left.
+ * format is not active yet. activated_early: the activation is stored while such a node exists.
  * too_early: a record is stored that the previous version does not read, or a service, which the
  * previous version would run as an array. */
 static void check_format(struct sim *sim, const char *key, const json_t *value) {
@@ -386,7 +385,7 @@
 }
 
 void sim_store_step(struct sim *sim) {
-    /* No lease expires during an outage; from its end, each has its full time again. */
+    /* No lease expires during an outage; at its end, each lease has its full time-to-live again. */
     for (int i = 0; i < SIM_LEASES; i++) {
         struct sim_lease *lease = &sim->leases[i];
         if (lease->id && sim->now < sim->store_outage_until)
--- a/tests/simulation/test_combined_leaders.c
+++ b/tests/simulation/test_combined_leaders.c
@@ -34,11 +34,12 @@
     assert_at_least(n_confirmed, 70);
 }
 
-/* Fault: the first answers of a new leader renewed the leases of cancelled tasks, but did not
- * contain the commands that stop them. A machine that hung right after such an answer ran its
- * cancelled tasks for one more lease. Here the key-value store refuses the old leader, and then an
- * outage extends the validity of the leader's key by another 10 s. The workers therefore still hold
- * their leases when the new leader begins, more than cancel_s - lease_s after the cancellations. */
+/* Fault: the first responses of a new leader renewed the leases of cancelled tasks, but did not
+ * contain the commands that stop them. A machine that hung right after one of them ran its
+ * cancelled tasks for one more lease. In this test the key-value store refuses the old leader, and
+ * then an outage extends the validity of the leader's key by another 10 s. The workers therefore
+ * still hold their leases when the new leader begins, more than cancel_s - lease_s after the
+ * cancellations. */
 static void first_answers_of_new_leader_stop_cancelled_tasks(void **state) {
     int n_hung = 0;
     (void)state;
@@ -62,7 +63,7 @@
             scenario_run(sim, 0.02);
             for (int k = 0; k < sim->size.n_workers; k++) {
                 struct sim_worker *worker = &sim->workers[k];
-                /* The machine hangs as soon as it has accepted the new leader's first answer. */
+                /* The machine hangs as soon as it has accepted the new leader's first response. */
                 if (worker->used && worker->up && worker->n_tasks > 0 &&
                     worker->paused_until <= 0 && worker->incarnation == 1 &&
                     worker->fencing_token == scenario_leader(sim)->election.fencing_token) {
@@ -77,9 +78,9 @@
     assert_at_least(n_hung, 20);
 }
 
-/* Fault: while the cloud did not answer, the leader's answers to a machine that was being released
- * did not contain the commands that stop its cancelled tasks. These tasks must have stopped 8 s
- * after the cancellations. */
+/* Fault: while the cloud did not respond, the leader's responses to a machine that was being
+ * released did not contain the commands that stop its cancelled tasks. These tasks must have
+ * stopped 8 s after the cancellations. */
 static void machine_being_released_receives_stops(void **state) {
     struct sim *sim = scenario_new(118, 3);
     (void)state;
@@ -91,7 +92,7 @@
     for (struct rp_machine *machine = node->cluster.first; machine; machine = machine->next)
         if (machine->state == RP_MACHINE_UP && machine->n_allocations > 0) {
             n_allocations += (int)machine->n_allocations;
-            rp_fleet_scale_in(&node->fleet, machine, "to see what becomes of its tasks");
+            rp_fleet_scale_in(&node->fleet, machine, "for the test");
         }
     assert_at_least(n_allocations, 50);
     scenario_run(sim, 1);
--- a/tests/simulation/test_combined_machines.c
+++ b/tests/simulation/test_combined_machines.c
@@ -7,7 +7,7 @@
 #include "scenario.h"
 
 /* The leader crashes while half of the machines, with long tasks on them, reach no node, receive no
- * answers from any node, or hang, for 5 to 45 s. The new leader must not start their tasks
+ * responses from any node, or hang, for 5 to 45 s. The new leader must not start their tasks
  * elsewhere while they may still run. */
 static void leader_crash_while_machines_are_silent_breaks_no_rule(void **state) {
     (void)state;
@@ -76,7 +76,7 @@
     assert_at_least(n_direct_commands, 10);
 }
 
-/* A machine is paused, which delays a direct command to it, or its answer, until the machine
+/* A machine is paused, which delays a direct command to it, or its response, until the machine
  * resumes. Meanwhile the job is cancelled, or its replicas are started on other machines. */
 static void direct_commands_delayed_by_paused_machines_break_no_rule(void **state) {
     static const struct sim_faults faults = {.pause_s = 5};
--- a/tests/simulation/test_combined_store.c
+++ b/tests/simulation/test_combined_store.c
@@ -1,5 +1,5 @@
 /* The key-value store refuses the leader, has an outage, carries transactions out late, or its
- * answers are lost, combined with other faults. In every test the rules (rules.c) must hold, and
+ * responses are lost, combined with other faults. In every test the rules (rules.c) must hold, and
  * every accepted job must end. */
 #include "test.h"
 
@@ -25,8 +25,8 @@
     scenario_run(sim, outage_after_s);
     for (int i = 0; i < 5; i++)
         n_confirmed += sim->jobs[i].reported_cancelled;
-    /* The combination took place: other nodes have confirmed cancellations to users, and the leader
-     * has not been able to read them. */
+    /* The combination has occurred: other nodes have confirmed cancellations to users, and the
+     * leader has not been able to read them. */
     assert_at_least(n_confirmed, 1);
     assert_true(rp_jobs_staleness_s(&sim->nodes[leader].node->jobs) > 0);
     sim->store_outage_until = sim->now + outage_s;
@@ -81,9 +81,9 @@
 }
 
 /* The key-value store refuses the leader, and then has an outage, during which the leader's lease
- * does not expire. When the store answers the leader again, what the leader has read is older than
- * the allowed staleness. The leader must read the changes written meanwhile before it answers a
- * worker. */
+ * does not expire. When the store responds to the leader again, what the leader has read is older
+ * than the allowed staleness. The leader must read the changes written meanwhile before it responds
+ * to a worker. */
 static void stale_leader_reads_changes_before_it_answers_heartbeats(void **state) {
     struct sim *sim =
         sim_new_sized(50, &scenario_no_faults, SIM_NO_BREAKAGE, 3, &scenario_large_limits);
@@ -105,8 +105,8 @@
     assert_false(rp_jobs_may_answer_heartbeats(&node->jobs));
     for (int i = 0; i < 400 && !rp_jobs_may_answer_heartbeats(&node->jobs); i++)
         scenario_run(sim, 0.02);
-    /* The same process leads in the same term, has read the cancellation before it answers
-     * heartbeats, and lets no task of the cancelled job continue. */
+    /* The same process leads in the same term, has read the cancellation before it responds
+     * to heartbeats, and lets no task of the cancelled job continue. */
     assert_true(sim->nodes[leader].process_number == process_number &&
                 node->election.fencing_token == token);
     const struct rp_job *job = rp_jobs_find(&node->jobs, sim->jobs[0].spec.id);
@@ -133,19 +133,19 @@
         scenario_run(sim, 30);
         for (int i = 0; i < 40; i++)
             n_confirmed += sim->jobs[i].reported_cancelled;
-        /* The leader queries the other nodes whether the store answers them, which takes at most 2
-         * s; an answer that contains a start is in transit for less than that. */
+        /* The leader queries the other nodes whether the store responds to them, which takes at
+         * most 2 s; a response that contains a start is in transit for less than that. */
         assert_less_than(sim->start_after_cancel_s, 2.6);
         scenario_end(sim);
     }
     assert_at_least(n_confirmed, 60);
 }
 
-/* Transactions get no answer and are carried out seconds later, after newer transactions of the
+/* Transactions get no response and are carried out seconds later, after newer transactions of the
  * same node, while nodes crash. */
 static void delayed_transactions_break_no_rule(void **state) {
     static const struct sim_faults faults = {.delayed_write = 0.15, .crash_s = 40};
-    unsigned long n_delayed_writes = 0; /* counted to show that the fault took place */
+    unsigned long n_delayed_writes = 0; /* counted to check that the fault occurred */
     (void)state;
     for (unsigned long seed = 200; seed < 208; seed++) {
         struct sim *sim = sim_new(seed, &faults, SIM_NO_BREAKAGE, 3);
@@ -196,7 +196,7 @@
     assert_at_least(n_delayed_writes, 20);
 }
 
-/* Transactions are carried out at once and only their answers are lost, while users read from all
+/* Transactions are carried out at once and only their responses are lost, while users read from all
  * nodes what the transactions wrote, and nodes crash. */
 static void lost_transaction_answers_break_no_rule(void **state) {
     static const struct sim_faults faults = {.dropped_answer = 0.3, .crash_s = 50};
@@ -217,7 +217,7 @@
 }
 
 /* More work than the machines have capacity for, urgent gangs and arrays of low priority, with slow
- * answers of the key-value store and lost messages. All jobs must still end. */
+ * responses of the key-value store and lost messages. All jobs must still end. */
 static void work_beyond_capacity_ends_despite_slow_store(void **state) {
     static const struct sim_faults faults = {.slow_store = 0.3, .drop = 0.02};
     (void)state;
--- a/tests/simulation/test_combined_users.c
+++ b/tests/simulation/test_combined_users.c
@@ -33,7 +33,7 @@
 }
 
 /* Cancellations, queries and repeated submissions arrive at the moment at which the last task of a
- * job ends. No node may answer with an earlier state than the user has already received. */
+ * job ends. No node may respond with an earlier state than the user has already received. */
 static void requests_at_end_of_job_get_consistent_answers(void **state) {
     static const struct sim_faults faults = {.crash_s = 30, .delayed_write = 0.05};
     unsigned long n_cancelled_at_end = 0;
@@ -63,7 +63,7 @@
 }
 
 /* Users query all nodes within milliseconds after a job was accepted, ended or cancelled, and
- * submit it again; some cancel it at once. No node may answer with an earlier state than the user
+ * submit it again; some cancel it at once. No node may respond with an earlier state than the user
  * has already received. */
 static void concurrent_reads_from_all_nodes_are_consistent(void **state) {
     static const struct sim_faults faults = {
@@ -83,8 +83,8 @@
     }
 }
 
-/* A submission that cannot run, or lacks a field, must be refused by every node, during faults too,
- * and never be accepted. A job that no user submitted must remain unknown. */
+/* A submission that cannot run, or lacks a field, must be refused by every node, also during
+ * faults, and never be accepted. A job that no user submitted must remain unknown. */
 static void invalid_requests_are_refused_during_faults(void **state) {
     static const struct sim_faults faults = {.invalid_request_s = 0.5,
                                              .crash_s = 30,
@@ -166,9 +166,9 @@
         sim_run(sim, COMPLETION_S);
         sim_check_served(sim);
         if (sim->violation[0])
-            fail_msg("seed %lu: %s", seed, sim->violation);
+            fail_msg("seed %lu: expected no violation of a rule: %s", seed, sim->violation);
         if (!sim_all_terminal(sim))
-            fail_msg("seed %lu: work left undone", seed);
+            fail_msg("seed %lu: expected all jobs to be terminal at the end of the run", seed);
         sim_free(sim);
     }
 }
--- a/tests/simulation/test_failover.c
+++ b/tests/simulation/test_failover.c
@@ -1,13 +1,13 @@
 /* What a change of the leader, or a partitioned node, may cost: machines keep their leases, gangs
- * and images, and neither users nor workers are sent to a node that cannot answer. */
+ * and images, and neither users nor workers are sent to a node that cannot respond. */
 #include "test.h"
 
 #include "base/log.h"
 #include "scenario.h"
 
-/* A node that is the only one to which the key-value store gives no answer must become unhealthy,
+/* A node that is the only one to which the key-value store does not respond must become unhealthy,
  * so that the load balancer takes it out, and healthy again after the refusal. In an outage no node
- * gets an answer, and all nodes must remain healthy. */
+ * gets a response, and all nodes must remain healthy. */
 static void node_refused_by_store_is_unhealthy(void **state) {
     struct sim *sim = scenario_new(5, 3);
     (void)state;
@@ -46,8 +46,8 @@
 }
 
 /* The leader loses the key-value store and the other nodes, but not its workers. It must stop
- * answering the workers early enough for them to reach the next leader well within their lease, so
- * that no lease expires and no task is killed. */
+ * responding to the workers early enough for them to reach the next leader well within their lease,
+ * so that no lease expires and no task is killed. */
 static void partitioned_leader_costs_no_worker_its_lease(void **state) {
     struct sim *sim = scenario_new(10, 5);
     uint64_t incarnations[SIM_WORKERS] = {0};
@@ -102,7 +102,8 @@
     }
     assert_at_least(n_all, 10 * n_seeds);
     if (n_kept < n_all - n_all / 10)
-        fail_msg("machines that kept their lease: %d of %d", n_kept, n_all);
+        fail_msg("expected at least 0.9 of the machines to keep their lease: %d of %d", n_kept,
+                 n_all);
 }
 
 static void pause_leader(struct sim *sim) {
@@ -124,8 +125,8 @@
     pause_leader(sim);
 }
 
-/* Of three nodes one answers nobody for minutes, and then the process of the next leader is paused
- * as well. Fault (incident 1096): a worker that the third node sent away waited for both other
+/* One of three nodes does not respond for minutes, and then the process of the next leader is
+ * paused, too. Fault (incident 1096): a worker that the third node sent away waited for both other
  * nodes in turn, returned to the third one only after ten seconds, and lost its lease. */
 static void leases_survive_paused_leader_beside_silent_node(void **state) {
     (void)state;
--- a/tests/simulation/test_large_fleet.c
+++ b/tests/simulation/test_large_fleet.c
@@ -35,10 +35,10 @@
 }
 
 /* Two faults left machines of a large fleet without work. With heartbeats 4 s apart, every second
- * machine was taken for one that receives no answers. Capacity that a heartbeat reported as free
- * was used only with the next heartbeat, 4 s later. Both show here as time without work between two
- * tasks. The test also bounds the cost of users' queries, one read for each query about an open
- * job, and of scheduling. */
+ * machine was treated as one that receives no responses. Capacity that a heartbeat reported as free
+ * was used only with the next heartbeat, 4 s later. Both faults lengthen the time without work
+ * between two tasks. The test also bounds the cost of users' queries, one read for each query about
+ * an open job, and of scheduling. */
 static void large_fleet_idles_briefly_and_reads_little(void **state) {
     (void)state;
     struct sim *sim = new_busy_fleet(31, 10);
@@ -52,7 +52,7 @@
         assert_false(rp_machine_is_one_way_partitioned(machine));
     assert_at_least(sim->n_idle_periods, 500);
     /* A worker reports the exit of a task after up to 0.5 s, and the next task starts with the
-     * answer to that report. */
+     * response to that report. */
     assert_less_than(sim->idle_s / (double)sim->n_idle_periods, 1.5);
     assert_more_than(sim->n_polls, n_polls);
     /* A query about a job that has ended costs two reads. In addition each of the five nodes reads
@@ -99,7 +99,7 @@
 }
 
 /* The leader's process is paused for longer than its lease, while its clocks continue to run, and
- * then resumes with hundreds of heartbeats waiting. By then another node leads and answers all
+ * then resumes with hundreds of heartbeats waiting. By then another node leads and responds to all
  * heartbeats, and the old leader must follow. */
 static void paused_leader_of_large_fleet_costs_few_leases(void **state) {
     (void)state;
--- a/tests/simulation/test_machines.c
+++ b/tests/simulation/test_machines.c
@@ -17,9 +17,9 @@
     return busiest;
 }
 
-/* Fault: a machine whose heartbeats arrive, but which receives no answers, was taken for a healthy
- * machine for ever, and tasks were started on it again and again. It must receive no more work and
- * be released. */
+/* Fault: a machine whose heartbeats arrive, but which receives no responses, was treated as a
+ * healthy machine for ever, and tasks were started on it again and again. It must receive no more
+ * work and be released. */
 static void one_way_partitioned_machine_is_released(void **state) {
     struct sim *sim = scenario_new(7, 3);
     char name[RP_TEXT_MAX];
@@ -42,8 +42,8 @@
     sim_free(sim);
 }
 
-/* After a failover, a machine that receives no answers never reports the new leader's fencing
- * token. Fault: for as long as its heartbeats were answered, it kept all work from before the
+/* After a failover, a machine that receives no responses never reports the new leader's fencing
+ * token. Fault: for as long as its heartbeats got responses, it kept all work from before the
  * failover from being started. */
 static void failover_completes_despite_one_way_partition(void **state) {
     struct sim *sim = scenario_new(8, 3);
@@ -77,7 +77,7 @@
                                              .len = strlen(heartbeat),
                                              .respond = scenario_keep_answer}};
     rp_node_client_request(node, &answer.req);
-    /* An existing machine receives the fencing token with this answer and sends another
+    /* An existing machine receives the fencing token with this response and sends another
      * heartbeat. */
     assert_int_equal(answer.status, 200);
     assert_null(rp_machine_find(&node->cluster, "vm-ghost"));
@@ -133,8 +133,8 @@
                     n_never_booted += sim->now - sim->workers[k].provisioned_at < 1;
                 }
         }
-        /* The slowest type boots in 12 s. A new leader measures the boot time anew here, since the
-         * simulation has no time of day. */
+        /* The slowest type boots in 12 s. In the simulation a new leader measures the boot time
+         * anew, since the simulated clocks have no time of day. */
         assert_true(longest_boot_s > 10 &&
                     longest_boot_s < 12 * sim->settings[0].tuning.boot_patience * 2 + 20);
         sim_end_faults(sim);
@@ -208,7 +208,7 @@
 /* Incident 592a: the machines of a zone that was partitioned for 35 s were all released, the last
  * of them when the first were already reachable again, and were provisioned anew, which cost a boot
  * and the fetch of every image. If the leader changed meanwhile, the machines' heartbeats were
- * taken for those of the lost incarnation and refused until the machines had been released. All
+ * treated as those of the lost incarnation and refused until the machines had been released. All
  * machines of the zone must be kept, with and without a failover. */
 static void run_zone_partition(bool has_failover) {
     struct sim *sim = scenario_new(14, 3);
--- a/tests/simulation/test_placement.c
+++ b/tests/simulation/test_placement.c
@@ -118,7 +118,8 @@
 }
 
 /* A team with a guaranteed quota must get it: other teams' work beyond their own guarantees is
- * preempted, whatever its priority. The other teams get the capacity that the guarantee leaves. */
+ * preempted, whatever its priority. The other teams get the capacity that the guarantee does not
+ * cover. */
 static void guaranteed_quota_preempts_other_teams(void **state) {
     (void)state;
     for (unsigned long seed = 90; seed < 93; seed++) {
--- a/tests/simulation/test_questions.c
+++ b/tests/simulation/test_questions.c
@@ -5,7 +5,7 @@
 #include "scenario.h"
 
 /* Users poll twenty times as often as usual, far beyond what the key-value store accepts.
- * Submissions and cancellations must be served all the same, and queries beyond the budget must be
+ * Submissions and cancellations must still be served, and queries beyond the budget must be
  * refused at once. */
 static void excess_queries_delay_no_submission_or_cancellation(void **state) {
     struct sim *sim = scenario_new(60, 3);
@@ -39,8 +39,8 @@
 }
 
 /* Fault (incidents 5bf9 and 092b): of the queries of hundreds of users about running jobs, two in
- * three were refused. Queries beyond the budget must share requests to the key-value store, and at
- * least 97 % of all queries must be answered with the job's state. */
+ * three were refused. Queries beyond the budget must share requests to the key-value store, and the
+ * responses to at least 97 % of all queries must contain the job's state. */
 static void queries_beyond_budget_share_requests(void **state) {
     struct sim *sim = scenario_new(61, 3);
     (void)state;
@@ -49,16 +49,17 @@
     sim->has_eager_users = true;
     sim_run(sim, 5);
     unsigned long n_polls = sim->n_polls;
-    unsigned long n_known = sim->n_polls_answered;
+    unsigned long n_answered = sim->n_polls_answered;
     unsigned long n_requests = sim->n_state_reads + sim->n_comparisons;
     sim_run(sim, 40);
     n_polls = sim->n_polls - n_polls;
-    n_known = sim->n_polls_answered - n_known;
+    n_answered = sim->n_polls_answered - n_answered;
     n_requests = sim->n_state_reads + sim->n_comparisons - n_requests;
     assert_more_than(n_polls, 40 * 400);
     assert_less_than((double)n_requests, 40 * 200 * 0.6);
-    if ((double)n_known < 0.97 * (double)n_polls)
-        fail_msg("questions that got the job's state: %lu of %lu", n_known, n_polls);
+    if ((double)n_answered < 0.97 * (double)n_polls)
+        fail_msg("expected at least 97 %% of the queries to get the job's state: %lu of %lu",
+                 n_answered, n_polls);
     assert_string_equal(sim->violation, "");
     sim_free(sim);
 }
--- a/tests/simulation/test_random_faults.c
+++ b/tests/simulation/test_random_faults.c
@@ -1,5 +1,5 @@
-/* Simulated days with random faults: one kind at a time, then all together. The rules (rules.c)
- * must hold throughout, and every accepted job must end after the faults. */
+/* Simulated scenarios with random faults: one kind at a time, then all together. The rules
+ * (rules.c) must hold throughout, and every accepted job must end after the faults. */
 #include "test.h"
 
 #include "base/log.h"
@@ -33,7 +33,7 @@
     sim_free(sim);
 }
 
-/* Simulates one day with the faults for each of `n_seeds` seeds. Afterwards no more faults occur,
+/* Runs one scenario with the faults for each of `n_seeds` seeds. Afterwards no more faults occur,
  * and every accepted job must end within COMPLETION_S seconds. */
 static void run_fault_scenarios_on(int n_nodes, const struct sim_faults *faults,
                                    unsigned long first_seed, int n_seeds) {
@@ -45,9 +45,9 @@
         sim_run(sim, COMPLETION_S);
         sim_check_served(sim);
         if (sim->violation[0])
-            fail_msg("seed %lu: %s", seed, sim->violation);
+            fail_msg("seed %lu: expected no violation of a rule: %s", seed, sim->violation);
         if (!sim_all_terminal(sim))
-            fail_msg("seed %lu: work left undone", seed);
+            fail_msg("seed %lu: expected all jobs to be terminal at the end of the run", seed);
         sim_free(sim);
     }
 }
@@ -98,7 +98,7 @@
     run_fault_scenarios(&faults, 500, 24);
 }
 
-/* The heartbeats of some machines arrive, but the answers to them do not, and the leader changes
+/* The heartbeats of some machines arrive, but the responses to them do not, and the leader changes
  * meanwhile. */
 static void one_way_partitions_break_no_rule(void **state) {
     static const struct sim_faults faults = {.one_way_partition_s = 12, .crash_s = 50};
@@ -128,8 +128,8 @@
 }
 
 /* Processes and machines restart within 50 to 500 ms at any moment: between the write of a key and
- * its answer, during an election, or during a failover. Requests that they sent before the restart
- * arrive late and repeatedly. */
+ * its response, during an election, or during a failover. Requests that they sent before the
+ * restart arrive late and repeatedly. */
 static void fast_restarts_break_no_rule(void **state) {
     static const struct sim_faults faults = {
         .fast_restart_s = 4, .duplicate = 0.1, .delay = 0.03, .drop = 0.01, .late_duplicate = 0.05};
@@ -159,7 +159,7 @@
 }
 
 /* Shows that a check of the rules can fail: with this breakage of the simulation, a violation of
- * the rule must be found on one of 30 days. */
+ * the rule must be found with one of 30 seeds. */
 static void assert_violation_is_found(enum sim_breakage breakage, const struct sim_faults *faults,
                                       const char *rule) {
     for (unsigned long seed = 900; seed < 930; seed++) {
@@ -175,7 +175,7 @@
         if (caught)
             return;
     }
-    fail_msg("no %s in 30 days, world %d", rule, (int)breakage);
+    fail_msg("expected a violation of %s with one of 30 seeds, breakage %d", rule, (int)breakage);
 }
 
 static void broken_simulations_are_caught(void **state) {
--- a/tests/simulation/test_records.c
+++ b/tests/simulation/test_records.c
@@ -45,8 +45,8 @@
 static void cancel_large_job(struct sim *sim) {
     int job = sim_submit(sim, sim->now, "sweep", 40, 1, 10, 0);
     /* The field is set in the body of the submission as well. With only the id changed, a repeated
-     * submission named another job, and the answer "pending" to it was taken for a state that went
-     * back, with every fourth seed. */
+     * submission named another job, and the response "pending" to it violated the rule
+     * went_back, with every fourth seed. */
     sim_set_field(sim, job, "ref", json_string(LARGE_JOB));
     sim->jobs[job].accepted = true;
     sim->jobs[job].cancel_at = sim->now;
--- a/tests/simulation/test_services.c
+++ b/tests/simulation/test_services.c
@@ -1,4 +1,4 @@
-/* Services: their replicas run, are replaced at once when they end, and cost little where they
+/* Services: their replicas run, are replaced at once when they end, and are started rarely if they
  * cannot run. */
 #include "test.h"
 
@@ -21,7 +21,7 @@
 
 /* On a fleet that is full of work of low priority, replicas must run within the time that it takes
  * to fetch their image, and again after one has ended by itself, whatever its exit reason. No
- * array's work may be stopped for longer than that takes. */
+ * task of an array may be stopped for longer than that takes, and all arrays must end. */
 static void replicas_run_on_full_fleet(void **state) {
     static const struct sim_faults replica_exits = {.replica_exit_s = 100};
     struct sim *sim = sim_new(40, &replica_exits, SIM_NO_BREAKAGE, 3);
@@ -34,7 +34,7 @@
     /* In each 100 s, the end of a replica costs the simulated fetch of 0.5 to 1.5 s, and up to half
      * a second until the end is reported. */
     if (up_share(sim) < 0.97)
-        fail_msg("up share %.4f", up_share(sim));
+        fail_msg("expected replicas to run for at least 0.97 of the time: %.4f", up_share(sim));
     assert_more_than(sim->n_direct_commands, 15);
     sim_end_faults(sim);
     sim_run(sim, 150);
@@ -43,7 +43,7 @@
     sim_free(sim);
 }
 
-/* A machine that hangs must be released as soon as it neither sends heartbeats nor answers. Its
+/* A machine that hangs must be released as soon as it neither sends heartbeats nor responds. Its
  * replicas must run elsewhere within 10 s, before its lease has expired. */
 static void replicas_of_hung_machine_are_replaced_before_lease_expiry(void **state) {
     struct sim *sim = scenario_new(41, 3);
@@ -125,7 +125,7 @@
         sim_check_served(sim);
         scenario_expect_no_violation(sim, seed);
         if (!sim_all_terminal(sim))
-            fail_msg("seed %lu: work left undone", seed);
+            fail_msg("seed %lu: expected all jobs to be terminal at the end of the run", seed);
         sim_free(sim);
     }
 }
--- a/tests/simulation/test_standby.c
+++ b/tests/simulation/test_standby.c
@@ -51,7 +51,8 @@
         sim_crash(sim, sim_leader(sim), 20);
         double took_s = seconds_until_start(sim, token, 20);
         if (took_s > FAILOVER_MAX_S)
-            fail_msg("seed %lu: first start after %.2f s", seed, took_s);
+            fail_msg("seed %lu: expected the first start within 5 s, not after %.2f s", seed,
+                     took_s);
         assert_at_least(count_failovers(sim), 1);
         scenario_end(sim);
     }
@@ -89,7 +90,7 @@
     }
 }
 
-/* The leader is paused in the middle of sending starts, and resumes there after 1, 5 or 30 s. The
+/* The leader is paused in the middle of sending starts, and resumes after 1, 5 or 30 s. The
  * shortest pause causes no failover. After the longer ones it must follow the next leader. */
 static void resumed_leader_follows_after_failover(void **state) {
     static const double pauses[] = {1, 5, 30};
@@ -142,7 +143,7 @@
 }
 
 /* During an outage of the key-value store no other node can lead, and the leader keeps leading
- * until its lease expires. Here it is also paused, so that the other nodes suspect it. */
+ * until its lease expires. In this test it is also paused, so that the other nodes suspect it. */
 static void store_outage_prevents_failover(void **state) {
     (void)state;
     struct sim *sim = sim_with_work(51, 3);
@@ -253,8 +254,8 @@
 /* ---- the earlier leader keeps acting inside a partition ---- */
 
 /* A simulation in which a zone is partitioned together with the leader. The leader reaches neither
- * the key-value store nor the other nodes, but answers the zone's workers for as long as its lease
- * is valid. */
+ * the key-value store nor the other nodes, but responds to the zone's workers for as long as its
+ * lease is valid. */
 static struct sim *sim_with_partitioned_leader(unsigned long seed) {
     struct sim *sim = scenario_new(seed, 3);
     sim_submit(sim, 1, "sweep", 40, 1, 70, 0);
@@ -281,7 +282,7 @@
             if (k != from && sim->nodes[k].alive && sim->nodes[k].node->state == RP_NODE_LEADING)
                 return k;
     }
-    fail_msg("no other node leads after 6 s");
+    fail_msg("expected another node to lead within 6 s");
     return -1;
 }
 
@@ -291,8 +292,8 @@
     scenario_end(sim);
 }
 
-/* Tasks that may run inside the partition are started elsewhere only when no answer of the earlier
- * leader can have renewed their machines' leases. */
+/* Tasks that may run inside the partition are started elsewhere only when no response of the
+ * earlier leader can have renewed their machines' leases. */
 static void tasks_in_partition_run_once(void **state) {
     (void)state;
     for (unsigned long seed = 200; seed < 206; seed++) {
--- a/tests/simulation/test_upgrade.c
+++ b/tests/simulation/test_upgrade.c
@@ -26,9 +26,9 @@
     }
 }
 
-/* Replaces every node by the new version, with faults all the time: nodes also crash before their
- * turn and restart with the old version. The limits of the key-value store are lowered right after
- * the last node has restarted, and then services are submitted. */
+/* Replaces every node by the new version, with faults all the time: nodes also crash before they
+ * are upgraded and restart with the old version. The limits of the key-value store are lowered
+ * right after the last node has restarted, and then services are submitted. */
 static void run_rolling_upgrade(unsigned long seed, int n_nodes, const struct sim_faults *faults) {
     struct sim *sim = sim_new(seed, faults, SIM_NO_BREAKAGE, n_nodes);
     sim_start_as_old_version(sim);
@@ -52,7 +52,8 @@
     sim_check_served(sim);
     scenario_expect_no_violation(sim, seed);
     if (!sim_all_terminal(sim) || sim->format_active_at <= 0)
-        fail_msg("seed %lu: work left undone", seed);
+        fail_msg("seed %lu: expected all jobs to be terminal and the new format to be active",
+                 seed);
     sim_free(sim);
 }
 
@@ -139,7 +140,7 @@
 
 /* Operators may keep a return to the previous version possible (setting keep_old_forms). One node
  * that therefore does not announce the new format must be enough: all records are still written in
- * the old form. */
+ * the old format. */
 static void node_that_keeps_old_forms_blocks_activation(void **state) {
     struct sim *sim = scenario_new(45, 3);
     (void)state;
--- a/tests/simulation/users.c
+++ b/tests/simulation/users.c
@@ -1,5 +1,5 @@
-/* Simulates the users: they submit, poll and cancel jobs, and check each answer against the earlier
- * ones. */
+/* Simulates the users: they submit, poll and cancel jobs, and check each response against the
+ * earlier ones. */
 #include "internal.h"
 
 #include <stdio.h>
@@ -31,7 +31,7 @@
                       (int)gsl_rng_uniform_int(sim->rng, (unsigned long)sim->n_nodes));
 }
 
-/* The phase that the user reads in the answer, as changed by a deliberate defect; NULL: none. */
+/* The phase that the user reads in the response, as changed by a deliberate defect; NULL: none. */
 static const char *phase_seen_by_user(const struct sim *sim, const struct sim_job *job,
                                       const json_t *body) {
     const char *phase = json_string_value(json_object_get(body, "tension"));
@@ -83,7 +83,7 @@
 
 /* forgotten: a request about an accepted job is refused with 404, 400 or 422. went_back: see
  * also record_done and record_cancelled; a job that was reported as done or cancelled is reported
- * in an earlier phase by an answer to a request sent after that report. */
+ * in an earlier phase by a response to a request sent after that report. */
 void sim_user_on_answer(struct sim *sim, const struct sim_event *event) {
     struct sim_job *job = &sim->jobs[event->index];
     if (sim->breakage == SIM_POLLS_ARE_DROPPED && event->index == 0 && job->accepted)
@@ -102,8 +102,8 @@
         else if (strcmp(phase, "aborted") == 0)
             record_cancelled(sim, event->index);
         else if ((job->reported_done || job->reported_cancelled) &&
-                 event->asked_at > job->terminal_reported_at)
-            /* Answers may overtake one another: only requests sent after the report count. */
+                 event->sent_at > job->terminal_reported_at)
+            /* Responses may overtake one another: only requests sent after the report count. */
             sim_record_violation(sim, "went_back: %s is %s", job->spec.id, phase);
     }
     json_decref(body);
@@ -121,14 +121,14 @@
     }
     bool is_terminal = job->reported_cancelled || job->reported_done;
     if (job->cancel_at > 0 && sim->now > job->cancel_at && (!is_terminal || job->cancel_again)) {
-        /* If set, one more cancellation follows when the job is terminal. */
+        /* With `cancel_again`, one more cancellation follows when the job is terminal. */
         job->cancel_again = job->cancel_again && !is_terminal;
         job->cancel_requested = true;
         job->cancel_at = sim->now + 1;
         send_to_any_node(sim, index, USER_CANCELS);
     }
     if (sim->now > job->next_poll_at) {
-        /* With hundreds of jobs, most of the measured load would be polls of terminal jobs. */
+        /* With hundreds of jobs, most of the load would otherwise be polls of terminal jobs. */
         bool polls_rarely = is_terminal && sim->n_jobs > 128;
         double interval_s = (polls_rarely ? 20 : 2) + 3 * sim_uniform(sim);
         job->next_poll_at = sim->now + interval_s * (sim->has_eager_users ? 0.05 : 1);
--- a/tests/simulation/workers.c
+++ b/tests/simulation/workers.c
@@ -1,4 +1,4 @@
-/* Simulates the workers: leases, heartbeats, and the commands that they receive in answers to
+/* Simulates the workers: leases, heartbeats, and the commands that they receive in responses to
  * heartbeats or directly. */
 #include "internal.h"
 
@@ -8,13 +8,13 @@
 #include <string.h>
 #include "protocol/worker_codec.h"
 
-/* Time for which a worker waits for a heartbeat's answer before it tries the next node. */
+/* Time for which a worker waits for the response to a heartbeat before it tries the next node. */
 #define HEARTBEAT_TIMEOUT_S 4.0
-/* Time from a time-out, a failed connection or an error answer to the next heartbeat. */
+/* Time from a time-out, a failed connection or an error response to the next heartbeat. */
 #define RETRY_S 1.0
-/* Time from an answer that names the leader to the next heartbeat. */
+/* Time from a response that names the leader to the next heartbeat. */
 #define NAMED_LEADER_DELAY_S 0.2
-/* Least time from a heartbeat to one that is sent early because a state has changed. */
+/* Minimum time from a heartbeat to one that is sent early because a state has changed. */
 #define CHANGE_DELAY_S 0.5
 
 const char *sim_worker_address(const struct sim *sim, const struct sim_worker *worker) {
@@ -244,7 +244,7 @@
         send_heartbeat(sim, index);
 }
 
-/* Whether the worker still waits for this answer and receives it. */
+/* Whether the worker still waits for this response and receives it. */
 static bool is_answer_received(const struct sim *sim, const struct sim_worker *worker,
                                const struct sim_event *event) {
     bool is_awaited = worker->used && worker->alive && worker->heartbeat_in_flight &&
