--- a/tests/models/takeover.pml
+++ b/tests/models/takeover.pml
@@ -21,7 +21,7 @@
 
 byte now = 0;
 
-/* The key-value store: the leader's key, and each node's lease, which ends by expiry or by a takeover. */
+/* The key-value store: the leader's key, and each node's lease, which ends by expiry or by a failover. */
 byte key_holder = 0; /* the node named in the key; NOBODY: the key does not exist */
 byte key_version = 1;
 bool is_key_leased = true; /* the key is attached to its holder's lease */
--- a/tests/simulation/cloud.c
+++ b/tests/simulation/cloud.c
@@ -59,7 +59,7 @@
     snprintf(worker->name, sizeof worker->name, "vm-%06d", sim->next_machine++);
 }
 
-/* Provisions machines; a repeated request gets the machines of the first one with its name. */
+/* Provisions machines; a repeated request gets the machines of the first request with its name. */
 static int cloud_provision(struct sim *sim, const json_t *body, json_t **out) {
     const char *request = json_string_value(json_object_get(body, "hire"));
     json_t *first_response = json_object_get(sim->provisioned, request);
--- a/tests/simulation/sim.h
+++ b/tests/simulation/sim.h
@@ -160,7 +160,7 @@
     double provisioned_at, boots_at, paused_until;
     double one_way_partition_until; /* heartbeats arrive, responses and direct commands do not */
     double unreachable_until;       /* it reaches no node, direct commands reach it */
-    double reclaimed_at;            /* when the cloud takes the machine back; 0: never */
+    double reclaimed_at;            /* when the cloud reclaims the machine; 0: never */
     uint64_t incarnation, sequence_number, fencing_token;
     double renewed_at; /* when the last heartbeat that renewed the lease was sent */
     struct sim_task tasks[SIM_TASKS];
