--- a/src/base/net.h
+++ b/src/base/net.h
@@ -8,7 +8,7 @@
 #include <stddef.h>
 
 /** The response to a call. `body` is valid only during the call-back. */
-struct rp_answer {
+struct rp_response {
     int status;  /**< HTTP status; 0: no complete response was received, see `unsent` */
     bool unsent; /**< with status 0: true if no byte of the request was sent. If false, the host may
                   * have carried out the request, or may still do so. */
@@ -18,7 +18,7 @@
 };
 
 /** Called with the response to a call. It may make further calls. */
-typedef void (*rp_answer_fn)(void *arg, const struct rp_answer *answer);
+typedef void (*rp_response_fn)(void *arg, const struct rp_response *response);
 
 /** A network by which other hosts are called. */
 struct rp_net {
@@ -27,12 +27,12 @@
      * is called exactly once, at the latest after `timeout_s`, and never before `call` has
      * returned. */
     void (*call)(void *ctx, const char *addr, const char *method, const char *target,
-                 const char *body, double timeout_s, rp_answer_fn fn, void *arg);
+                 const char *body, double timeout_s, rp_response_fn fn, void *arg);
     /** Like `call`, but on a new connection that no other call uses. If the connection cannot be
      * made, the request was certainly not sent (`unsent`). */
     void (*call_on_own_connection)(void *ctx, const char *addr, const char *method,
                                    const char *target, const char *body, double timeout_s,
-                                   rp_answer_fn fn, void *arg);
+                                   rp_response_fn fn, void *arg);
 };
 
 /** A request that a node has received. Its handler must call `respond` exactly once, immediately or
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -63,7 +63,7 @@
     return true;
 }
 
-static void on_cloud_answer(void *arg, const struct rp_answer *answer) {
+static void on_cloud_answer(void *arg, const struct rp_response *answer) {
     struct rp_catalog_source *source = arg;
     json_t *value =
         answer->status == STATUS_OK ? rp_codec_parse_object(answer->body, answer->len) : NULL;
--- a/src/cloud/cloud_client.c
+++ b/src/cloud/cloud_client.c
@@ -22,7 +22,7 @@
     struct rp_cloud_client *client;
     struct rp_cloud_call *next; /* in the same queue */
     char *method, *target, *body;
-    rp_answer_fn fn;
+    rp_response_fn fn;
     void *arg;
 };
 
@@ -71,10 +71,10 @@
 
 /* ---- requests ---- */
 
-static void on_answer(void *arg, const struct rp_answer *answer) {
+static void on_answer(void *arg, const struct rp_response *answer) {
     struct rp_cloud_call *call = arg;
     struct rp_cloud_client *client = call->client;
-    rp_answer_fn callback = call->fn;
+    rp_response_fn callback = call->fn;
     void *callback_arg = call->arg;
     if (answer->status == STATUS_TOO_MANY_REQUESTS)
         client->backoff_until = rp_ts_after(rp_loop_now(client->loop), RATE_LIMIT_BACKOFF_S);
@@ -109,7 +109,8 @@
 }
 
 void rp_cloud_call(struct rp_cloud_client *client, enum rp_cloud_urgency urgency,
-                   const char *method, const char *target, char *body, rp_answer_fn fn, void *arg) {
+                   const char *method, const char *target, char *body, rp_response_fn fn,
+                   void *arg) {
     struct rp_cloud_call *call = rp_alloc(1, sizeof *call);
     *call = (struct rp_cloud_call){.client = client,
                                    .method = strdup(method),
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -48,6 +48,7 @@
 /** Queues a request, and sends it when the rate limit permits. Takes ownership of `body`, which may
  * be NULL. `fn` is never called before this function has returned. */
 void rp_cloud_call(struct rp_cloud_client *client, enum rp_cloud_urgency urgency,
-                   const char *method, const char *target, char *body, rp_answer_fn fn, void *arg);
+                   const char *method, const char *target, char *body, rp_response_fn fn,
+                   void *arg);
 
 #endif
--- a/src/cluster/image_index.c
+++ b/src/cluster/image_index.c
@@ -105,7 +105,7 @@
     }
 }
 
-static void on_images(void *arg, const struct rp_answer *answer) {
+static void on_images(void *arg, const struct rp_response *answer) {
     struct rp_image_index *index = arg;
     json_t *value = answer->status == 200 ? rp_codec_parse_object(answer->body, answer->len) : NULL;
     json_t *images = json_object_get(value, "images");
--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -291,7 +291,7 @@
 
 static void on_machines_named(struct rp_provisioning *provisioning,
                               struct rp_provision_request *request,
-                              const struct rp_answer *answer) {
+                              const struct rp_response *answer) {
     struct rp_provision_record *record = &request->record;
     size_t n;
     char(*names)[RP_TEXT_MAX] = rp_cloud_codec_parse_provisioned(answer->body, answer->len, &n);
@@ -321,7 +321,7 @@
     rp_provisioning_step(provisioning, request);
 }
 
-static void on_cloud_answer(void *arg, const struct rp_answer *answer) {
+static void on_cloud_answer(void *arg, const struct rp_response *answer) {
     struct provision_call *call = arg;
     struct rp_provisioning *provisioning = call->provisioning;
     struct rp_provision_request *request = request_of_call(call);
--- a/src/cluster/reconciliation.c
+++ b/src/cluster/reconciliation.c
@@ -144,7 +144,7 @@
 
 static void request_page(struct rp_reconciliation *reconciliation);
 
-static void on_page(void *arg, const struct rp_answer *answer) {
+static void on_page(void *arg, const struct rp_response *answer) {
     struct cloud_call *call = arg;
     struct rp_reconciliation *reconciliation = call->reconciliation;
     bool has_more = false;
@@ -216,7 +216,7 @@
     }
 }
 
-static void on_catalog(void *arg, const struct rp_answer *answer) {
+static void on_catalog(void *arg, const struct rp_response *answer) {
     struct cloud_call *call = arg;
     struct rp_catalog *fresh = rp_alloc(1, sizeof *fresh);
     if (is_current(call) && answer->status == 200 &&
--- a/src/cluster/release.c
+++ b/src/cluster/release.c
@@ -43,7 +43,7 @@
         rp_provisioning_on_machine_terminated(release->provisioning, request);
 }
 
-static void on_delete_answer(void *arg, const struct rp_answer *answer) {
+static void on_delete_answer(void *arg, const struct rp_response *answer) {
     struct delete_call *call = arg;
     struct rp_release *release = call->release;
     bool is_deleted = answer->status == 200;
--- a/src/controller/peer_health.c
+++ b/src/controller/peer_health.c
@@ -20,7 +20,7 @@
     rp_jobs_record_store_isolation(health->jobs);
 }
 
-static void on_health_response(void *arg, const struct rp_answer *answer) {
+static void on_health_response(void *arg, const struct rp_response *answer) {
     struct rp_peer_health *health = arg;
     if (answer->status != RP_RESPONSE_OK)
         return;
--- a/src/controller/running_counts.c
+++ b/src/controller/running_counts.c
@@ -36,7 +36,7 @@
     qsort(counts->received, counts->n_received, sizeof *counts->received, compare_ids);
 }
 
-static void on_counts_response(void *arg, const struct rp_answer *answer) {
+static void on_counts_response(void *arg, const struct rp_response *answer) {
     struct rp_running_counts *counts = arg;
     bool is_answered = answer->status != 0;
     /* A refused connection, which is reported at once, does not prove that the leader is silent. */
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -11,7 +11,7 @@
 #include "http/parser.h"
 #include "http/socket.h"
 
-#define READ_BYTES 16384 /* at most read from a connection for one event */
+#define READ_BYTES 16384 /* maximum number of bytes read from a connection for one event */
 
 /* States of a connection and the edges between them, each made by set_state:
  * - CONNECTING -> SENDING: the connection was established and a part of the request sent.
@@ -42,7 +42,7 @@
 };
 
 /* The response to a call whose request was not sent, not even in part. */
-static const struct rp_answer unsent_answer = {.unsent = true, .body = ""};
+static const struct rp_response unsent_response = {.unsent = true, .body = ""};
 
 static void serve_host(struct rp_http_host *host);
 
@@ -136,13 +136,13 @@
 }
 
 /* Frees the call, then passes the response to its call-back, which may start further calls. */
-static void finish_call(struct rp_http_call *call, const struct rp_answer *answer) {
-    rp_answer_fn on_response = call->on_response;
+static void finish_call(struct rp_http_call *call, const struct rp_response *response) {
+    rp_response_fn on_response = call->on_response;
     void *arg = call->arg;
     if (call->connection)
         call->connection->call = NULL;
     free_call(call);
-    on_response(arg, answer);
+    on_response(arg, response);
 }
 
 /* Serves queued calls after a connection of the host was closed or became idle: first those of the
@@ -159,8 +159,8 @@
 /* Closes the connection and fails its call, if it has one. The call counts as unsent only if the
  * connection was not yet established. */
 static void fail_connection(struct rp_http_client_connection *connection) {
-    const struct rp_answer failed = {.unsent = connection->state == CONNECTION_CONNECTING,
-                                     .body = ""};
+    const struct rp_response failed = {.unsent = connection->state == CONNECTION_CONNECTING,
+                                       .body = ""};
     struct rp_http_host *host = connection->host;
     struct rp_http_call *call = connection->call;
     host->is_in_use = true;
@@ -181,7 +181,7 @@
     }
     struct rp_http_host *host = call->host;
     rp_http_host_unqueue_call(call);
-    finish_call(call, &unsent_answer);
+    finish_call(call, &unsent_response);
     rp_http_host_release_if_unused(&host->client->hosts, host);
 }
 
@@ -191,10 +191,10 @@
     /* The body is taken out of the connection's parser: the call-back that reads it may start
      * another call on the same connection. */
     struct rp_http_parser parser = connection->parser;
-    struct rp_answer answer = {.status = parser.status,
-                               .body = parser.body ? parser.body : "",
-                               .len = parser.body_len,
-                               .retry_after = parser.retry_after};
+    struct rp_response response = {.status = parser.status,
+                                   .body = parser.body ? parser.body : "",
+                                   .len = parser.body_len,
+                                   .retry_after = parser.retry_after};
     bool is_last = parser.should_close || call->has_own_connection;
     connection->call = NULL;
     connection->parser.body = NULL;
@@ -203,7 +203,7 @@
     call->connection = NULL;
     set_state(connection, is_last ? CONNECTION_CLOSED : CONNECTION_IDLE);
     host->is_in_use = true;
-    finish_call(call, &answer);
+    finish_call(call, &response);
     rp_http_parser_free(&parser);
     on_connection_available(host);
 }
@@ -327,7 +327,7 @@
         rp_http_host_wait_for_connection(&client->hosts, host);
         return NULL;
     }
-    /* If it fails, the host's queued calls end by their time-outs. */
+    /* If it fails, the host's queued calls end by their timeouts. */
     return open_connection(host);
 }
 
@@ -363,17 +363,17 @@
  * is called from the event loop, not before rp_net's function has returned (base/net.h). */
 struct failed_call {
     struct rp_timer timer;
-    rp_answer_fn on_response;
+    rp_response_fn on_response;
     void *arg;
 };
 
 static void on_failed_call_due(void *arg) {
     struct failed_call *failed = arg;
-    failed->on_response(failed->arg, &unsent_answer);
+    failed->on_response(failed->arg, &unsent_response);
     free(failed);
 }
 
-static void fail_call_from_loop(struct rp_loop *loop, rp_answer_fn on_response, void *arg) {
+static void fail_call_from_loop(struct rp_loop *loop, rp_response_fn on_response, void *arg) {
     struct failed_call *failed = rp_alloc(1, sizeof *failed);
     *failed = (struct failed_call){.on_response = on_response, .arg = arg};
     failed->timer = (struct rp_timer){.fn = on_failed_call_due, .arg = failed};
@@ -393,7 +393,7 @@
 
 static void start_call(struct rp_http_client *client, bool has_own_connection, const char *address,
                        const char *method, const char *target, const char *body, double timeout_s,
-                       rp_answer_fn on_response, void *arg) {
+                       rp_response_fn on_response, void *arg) {
     struct rp_http_host *host = rp_http_host_find_or_add(&client->hosts, client, address);
     struct rp_http_call *call = host ? calloc(1, sizeof *call) : NULL;
     if (!call) {
@@ -419,13 +419,13 @@
 
 static void call_on_shared_connection(void *ctx, const char *address, const char *method,
                                       const char *target, const char *body, double timeout_s,
-                                      rp_answer_fn on_response, void *arg) {
+                                      rp_response_fn on_response, void *arg) {
     start_call(ctx, false, address, method, target, body, timeout_s, on_response, arg);
 }
 
 static void call_on_own_connection(void *ctx, const char *address, const char *method,
                                    const char *target, const char *body, double timeout_s,
-                                   rp_answer_fn on_response, void *arg) {
+                                   rp_response_fn on_response, void *arg) {
     start_call(ctx, true, address, method, target, body, timeout_s, on_response, arg);
 }
 
--- a/src/http/client_host.h
+++ b/src/http/client_host.h
@@ -36,7 +36,7 @@
     char *message;                                /**< request; owned until it is assigned */
     size_t message_len;
     bool has_own_connection; /**< made on a new connection, which is closed afterwards */
-    rp_answer_fn on_response;
+    rp_response_fn on_response;
     void *arg;
 };
 
--- a/src/standby/leader_suspicion.c
+++ b/src/standby/leader_suspicion.c
@@ -72,7 +72,7 @@
     return strcmp(suspicion->settings->peers[peer].name, suspicion->leader) == 0;
 }
 
-static void on_peer_response(void *arg, const struct rp_answer *answer) {
+static void on_peer_response(void *arg, const struct rp_response *answer) {
     struct rp_suspicion_peer *peer = arg;
     struct rp_leader_suspicion *suspicion = peer->suspicion;
     struct timespec now = rp_loop_now(suspicion->loop);
--- a/src/standby/standby.c
+++ b/src/standby/standby.c
@@ -116,7 +116,7 @@
 }
 
 /* A response of any status shows that the leader's process runs, even if its body is refused. */
-static void on_leader_response(void *arg, const struct rp_answer *answer) {
+static void on_leader_response(void *arg, const struct rp_response *answer) {
     struct rp_standby *standby = arg;
     struct rp_stream_message message = {0};
     if (answer->status == 0 || standby->state > RP_STANDBY_SUSPECTING)
--- a/src/standby/stream_client.c
+++ b/src/standby/stream_client.c
@@ -6,13 +6,13 @@
 
 void rp_stream_client_request(const struct rp_stream_client *client, const char *addr,
                               const struct rp_stream_request *request, double timeout_s,
-                              rp_answer_fn on_response, void *arg) {
+                              rp_response_fn on_response, void *arg) {
     char target[RP_STREAM_TARGET_MAX];
     rp_stream_request_encode(request, target);
     client->net.call(client->net.ctx, addr, "GET", target, NULL, timeout_s, on_response, arg);
 }
 
-bool rp_stream_client_read(struct rp_stream_client *client, const struct rp_answer *answer,
+bool rp_stream_client_read(struct rp_stream_client *client, const struct rp_response *answer,
                            struct rp_stream_message *out) {
     struct rp_stream_error error;
     if (answer->status != HTTP_OK)
--- a/src/standby/stream_client.h
+++ b/src/standby/stream_client.h
@@ -18,10 +18,10 @@
  * function has returned. `request` NULL: only requests the report about the leader. */
 void rp_stream_client_request(const struct rp_stream_client *client, const char *addr,
                               const struct rp_stream_request *request, double timeout_s,
-                              rp_answer_fn on_response, void *arg);
+                              rp_response_fn on_response, void *arg);
 /** Reads a response. Returns true on success: the caller must free `out` by rp_stream_message_free.
  * On failure there is nothing to free. */
-bool rp_stream_client_read(struct rp_stream_client *client, const struct rp_answer *answer,
+bool rp_stream_client_read(struct rp_stream_client *client, const struct rp_response *answer,
                            struct rp_stream_message *out);
 /** The number of messages refused, of all faults. */
 unsigned long rp_stream_client_n_refused(const struct rp_stream_client *client);
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -157,7 +157,7 @@
     enqueue(arg);
 }
 
-static void on_answer(void *arg, const struct rp_answer *answer) {
+static void on_answer(void *arg, const struct rp_response *answer) {
     struct rp_kv_call *call = arg;
     struct rp_kv_client *client = call->client;
     enum rp_kv_outcome outcome = outcome_of_status(answer->status);
--- a/src/worker/direct_call.c
+++ b/src/worker/direct_call.c
@@ -25,7 +25,7 @@
     return machine && machine->contact.incarnation == call->incarnation ? machine : NULL;
 }
 
-enum rp_direct_outcome rp_direct_call_read(const struct rp_answer *response,
+enum rp_direct_outcome rp_direct_call_read(const struct rp_response *response,
                                            struct rp_heartbeat *heartbeat) {
     memset(heartbeat, 0, sizeof *heartbeat);
     if (response->unsent)
--- a/src/worker/direct_call.h
+++ b/src/worker/direct_call.h
@@ -34,7 +34,7 @@
 struct rp_machine *rp_direct_call_find_incarnation(const struct rp_direct_call *call);
 /** Decodes the response's list of tasks into `heartbeat`. The list is empty unless the call was
  * executed or refused. The caller must free it with rp_heartbeat_free for every outcome. */
-enum rp_direct_outcome rp_direct_call_read(const struct rp_answer *response,
+enum rp_direct_outcome rp_direct_call_read(const struct rp_response *response,
                                            struct rp_heartbeat *heartbeat);
 
 #endif
--- a/src/worker/direct_commands.c
+++ b/src/worker/direct_commands.c
@@ -61,7 +61,7 @@
     }
 }
 
-static void on_direct_response(void *arg, const struct rp_answer *response) {
+static void on_direct_response(void *arg, const struct rp_response *response) {
     struct direct_message *message = arg;
     struct rp_worker_context *context = message->call.context;
     struct rp_machine *machine = rp_direct_call_find_incarnation(&message->call);
--- a/src/worker/probes.c
+++ b/src/worker/probes.c
@@ -9,7 +9,7 @@
 /* Seconds to wait for the response to a probe. */
 #define RESPONSE_TIMEOUT_S 0.7
 
-static void on_probe_response(void *arg, const struct rp_answer *response) {
+static void on_probe_response(void *arg, const struct rp_response *response) {
     struct rp_direct_call *call = arg;
     struct rp_machine *machine = rp_direct_call_find_incarnation(call);
     if (!machine)
--- a/src/worker/worker_fencing.c
+++ b/src/worker/worker_fencing.c
@@ -25,7 +25,7 @@
     void *arg;
 };
 
-static void on_fence_response(void *arg, const struct rp_answer *response);
+static void on_fence_response(void *arg, const struct rp_response *response);
 
 static void end_fencing(struct fencing *fencing, bool fenced) {
     rp_worker_fenced_fn on_fenced = fencing->on_fenced;
@@ -110,7 +110,7 @@
     return progress;
 }
 
-static void on_fence_response(void *arg, const struct rp_answer *response) {
+static void on_fence_response(void *arg, const struct rp_response *response) {
     struct fencing *fencing = arg;
     struct rp_machine *machine = rp_direct_call_find_machine(&fencing->call);
     struct fencing_progress progress = {0};
--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -86,7 +86,7 @@
 
 /* ---- servers of the simulated services and workers ---- */
 
-static void on_sim_response(void *arg, const struct rp_answer *answer) {
+static void on_sim_response(void *arg, const struct rp_response *answer) {
     struct rp_request *req = arg;
     req->respond(req, answer->status ? answer->status : 503, answer->len ? answer->body : "{}", 0);
 }
@@ -114,7 +114,7 @@
 }
 
 static void call_node(void *ctx, int node, const char *method, const char *target, const char *body,
-                      rp_answer_fn on_response, void *arg) {
+                      rp_response_fn on_response, void *arg) {
     struct world *world = ctx;
     struct rp_net net = rp_http_client_net(&world->client);
     net.call_on_own_connection(net.ctx, world->nodes[node].client_addr, method, target, body,
--- a/tests/simulation/internal.h
+++ b/tests/simulation/internal.h
@@ -33,7 +33,7 @@
     char addr[64], method[8], *target, *body;
     bool answered; /* no caller waits for the answer, or no longer */
     double deadline;
-    rp_answer_fn on_answer;
+    rp_response_fn on_answer;
     void *on_answer_arg;
     bool unsent; /* never executed: the caller's answer says that no connection was made */
     int status;
--- a/tests/simulation/network.c
+++ b/tests/simulation/network.c
@@ -99,7 +99,7 @@
 
 /* Receives the answer of a node that is a process. A failed connection is reported to the caller at
  * once; a missing answer is not reported. */
-static void on_remote_answer(void *arg, const struct rp_answer *answer) {
+static void on_remote_answer(void *arg, const struct rp_response *answer) {
     struct sim_request *request = arg;
     if (answer->status || answer->unsent)
         on_node_answer(&request->req, answer->status ? answer->status : REFUSED_STATUS,
@@ -168,7 +168,7 @@
 struct sim_outgoing {
     const char *addr, *method, *target, *body;
     double timeout_s;
-    rp_answer_fn on_answer;
+    rp_response_fn on_answer;
     void *on_answer_arg;
 };
 
@@ -232,13 +232,13 @@
 }
 
 static void on_call(void *ctx, const char *addr, const char *method, const char *target,
-                    const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
+                    const char *body, double timeout_s, rp_response_fn fn, void *arg) {
     send_request(ctx, false,
                  &(struct sim_outgoing){addr, method, target, body, timeout_s, fn, arg});
 }
 
 static void on_call_once(void *ctx, const char *addr, const char *method, const char *target,
-                         const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
+                         const char *body, double timeout_s, rp_response_fn fn, void *arg) {
     send_request(ctx, true, &(struct sim_outgoing){addr, method, target, body, timeout_s, fn, arg});
 }
 
@@ -253,7 +253,7 @@
 }
 
 void sim_remote_request(struct sim *sim, const char *addr, const char *method, const char *target,
-                        const char *body, rp_answer_fn fn, void *arg) {
+                        const char *body, rp_response_fn fn, void *arg) {
     double timeout_s = REMOTE_TIMEOUT_S;
     if (is_watch(target)) {
         char hold_ms[32];
@@ -269,10 +269,10 @@
 static void answer_node(struct sim *sim, struct sim_event *event, int status, json_t *out) {
     const struct sim_node *node = &sim->nodes[event->node];
     char *text = out ? json_dumps(out, JSON_COMPACT) : NULL;
-    struct rp_answer answer = {.status = status,
-                               .unsent = status == 0 && event->unsent,
-                               .body = text ? text : "",
-                               .len = text ? strlen(text) : 0};
+    struct rp_response answer = {.status = status,
+                                 .unsent = status == 0 && event->unsent,
+                                 .body = text ? text : "",
+                                 .len = text ? strlen(text) : 0};
     event->answered = true;
     if (node->alive && node->process_number == event->process_number)
         event->on_answer(event->on_answer_arg, &answer);
--- a/tests/simulation/sim.h
+++ b/tests/simulation/sim.h
@@ -222,7 +222,7 @@
     void *ctx;
     /* Sends a request to a node; `answered` is called once, status 0: no answer. */
     void (*call)(void *ctx, int node, const char *method, const char *target, const char *body,
-                 rp_answer_fn answered, void *arg);
+                 rp_response_fn answered, void *arg);
     /* The address at which nodes reach a worker. */
     const char *(*worker_addr)(void *ctx, int worker);
 };
@@ -297,7 +297,7 @@
                            const struct sim_remote *remote);
 void sim_step(struct sim *sim, double now);
 void sim_remote_request(struct sim *sim, const char *addr, const char *method, const char *target,
-                        const char *body, rp_answer_fn fn, void *arg);
+                        const char *body, rp_response_fn fn, void *arg);
 /* Ends all faults. From then on, every accepted job must be found and start in time. */
 void sim_end_faults(struct sim *sim);
 /* To be called at the end of a run: records a violation if less than half of the jobs of a class or
--- a/tests/unit/test_election.c
+++ b/tests/unit/test_election.c
@@ -103,13 +103,13 @@
 /* A key-value store that records the requests sent to it, for the test to answer. */
 struct recorded_requests {
     int n_reads, n_writes;
-    rp_answer_fn fn[64];
+    rp_response_fn fn[64];
     void *arg[64];
     bool answered[64];
 };
 
 static void record_request(void *ctx, const char *addr, const char *method, const char *target,
-                           const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
+                           const char *body, double timeout_s, rp_response_fn fn, void *arg) {
     struct recorded_requests *requests = ctx;
     (void)addr, (void)target, (void)body, (void)timeout_s;
     assert_less_than(requests->n_reads + requests->n_writes, 64);
@@ -161,7 +161,7 @@
     assert_more_than(n_refused, 150);
     assert_int_equal(client.n_shed, n_refused);
     for (int i = 0; i < requests.n_reads + requests.n_writes; i++)
-        requests.fn[i](requests.arg[i], &(struct rp_answer){.status = 404, .body = ""});
+        requests.fn[i](requests.arg[i], &(struct rp_response){.status = 404, .body = ""});
     rp_kv_client_close(&client);
     rp_loop_close(&loop);
 }
@@ -188,7 +188,7 @@
     assert_int_equal(n_refused, 0);
     assert_int_equal(requests.n_writes, 45);
     for (int i = 0; i < requests.n_writes; i++)
-        requests.fn[i](requests.arg[i], &(struct rp_answer){.status = 200, .body = ""});
+        requests.fn[i](requests.arg[i], &(struct rp_response){.status = 200, .body = ""});
     rp_kv_client_close(&client);
     rp_loop_close(&loop);
 }
@@ -201,7 +201,7 @@
                            const char *body) {
     requests->answered[index] = true;
     requests->fn[index](requests->arg[index],
-                        &(struct rp_answer){status, false, body, strlen(body)});
+                        &(struct rp_response){status, false, body, strlen(body)});
 }
 
 static void answer_last_request(struct recorded_requests *requests, int status, const char *body) {
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -212,7 +212,7 @@
     bool unsent;
 };
 
-static void record_outcome(void *arg, const struct rp_answer *answer) {
+static void record_outcome(void *arg, const struct rp_response *answer) {
     struct outcome *outcome = arg;
     outcome->status = answer->status;
     outcome->unsent = answer->unsent;
@@ -282,7 +282,7 @@
     int n_responses, n_ok;
 };
 
-static void count_response(void *arg, const struct rp_answer *answer) {
+static void count_response(void *arg, const struct rp_response *answer) {
     struct response_counts *counts = arg;
     counts->n_responses++;
     counts->n_ok += answer->status == 200;
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -14,13 +14,13 @@
     size_t n;
     struct {
         json_t *body;
-        rp_answer_fn fn;
+        rp_response_fn fn;
         void *arg;
     } calls[CALLS_MAX];
 };
 
 static void record_call(void *ctx, const char *addr, const char *method, const char *target,
-                        const char *body, double timeout_s, rp_answer_fn fn, void *arg) {
+                        const char *body, double timeout_s, rp_response_fn fn, void *arg) {
     struct fake_store *fake_store = ctx;
     (void)addr, (void)method, (void)target, (void)timeout_s;
     assert_less_than(fake_store->n, CALLS_MAX);
@@ -32,7 +32,7 @@
 static void answer(struct fake_store *fake_store, size_t call, int status, const char *body) {
     json_decref(fake_store->calls[call].body);
     fake_store->calls[call].fn(fake_store->calls[call].arg,
-                               &(struct rp_answer){status, false, body, strlen(body)});
+                               &(struct rp_response){status, false, body, strlen(body)});
 }
 
 static size_t n_conditions(const struct fake_store *fake_store, size_t call) {
