--- a/src/base/log.c
+++ b/src/base/log.c
@@ -5,13 +5,17 @@
 #include <string.h>
 #include <time.h>
 
-#define NODE_NAME_MAX 64 /* equals RP_NAME_MAX of config/settings.h, a higher layer */
-#define TEXT_MAX 1024
-#define STAMP_MAX 32
+/* Bytes of the node's name, with its NUL. Equals RP_NAME_MAX of config/settings.h, which this lower
+ * layer cannot include. */
+#define NODE_NAME_BYTES 64
+/* Bytes of a line's text, with its NUL; a longer text is truncated. */
+#define TEXT_BYTES 1024
+/* Bytes of a line's time up to its seconds, with its NUL. */
+#define TIME_BYTES 32
 #define NS_PER_MS 1000000
 
 static struct {
-    char node[NODE_NAME_MAX];
+    char node[NODE_NAME_BYTES];
     uint64_t term;
     enum rp_log_level level;
 } g_log = {.level = RP_LOG_INFO};
@@ -40,8 +44,8 @@
 void rp_log(enum rp_log_level level, const char *format, ...) {
     static const char *const level_names[] = {
         [RP_LOG_ERROR] = "error", [RP_LOG_INFO] = "info", [RP_LOG_DEBUG] = "debug"};
-    char text[TEXT_MAX];
-    char stamp[STAMP_MAX];
+    char text[TEXT_BYTES];
+    char stamp[TIME_BYTES];
     struct timespec now;
     struct tm utc;
     va_list ap;
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,6 +1,6 @@
 /** @file
  * Log lines on standard error: time, level, node, term, text. Owns the project's only global
- * variable: the node's name, its term and the log level. Called by all modules; initialised by
+ * variable: the node's name, its term and the log level. Called by all modules; initialized by
  * main.c.
  *
  * The text of a line is a fixed message followed by key=value pairs (docs/glossary.md). */
--- a/src/base/loop.c
+++ b/src/base/loop.c
@@ -5,8 +5,8 @@
 #include <string.h>
 #include <unistd.h>
 
-#define INITIAL_TIMER_CAPACITY 64
-#define MAX_WAIT_MS 1000 /* longest time-out of one epoll_wait call */
+#define INITIAL_TIMER_CAPACITY 64 /* timers for which the heap is first allocated */
+#define MAX_WAIT_MS 1000          /* maximum timeout of one epoll_wait call */
 
 int rp_loop_init(struct rp_loop *loop, bool is_virtual) {
     memset(loop, 0, sizeof *loop);
@@ -126,8 +126,8 @@
     }
 }
 
-/* The time-out of the next wait for events: until the first timer is due, rounded up to whole
- * milliseconds. */
+/* The timeout of the next epoll_wait call: the time until the first timer is due, rounded up to
+ * whole milliseconds and at most MAX_WAIT_MS. */
 static int next_wait_ms(const struct rp_loop *loop) {
     if (loop->n_timers == 0)
         return MAX_WAIT_MS;
--- a/src/base/loop.h
+++ b/src/base/loop.h
@@ -50,7 +50,7 @@
     int n_events, next_event;
 };
 
-/** Initialises a loop. Returns 0 or -errno. The caller must close it. */
+/** Initializes a loop. Returns 0 or -errno. The caller must close it. */
 int rp_loop_init(struct rp_loop *loop, bool is_virtual);
 
 /** Frees what the loop owns. Call-backs of timers and watches that are still set are not called. */
--- a/src/base/string_copy.h
+++ b/src/base/string_copy.h
@@ -7,7 +7,7 @@
 #include <stddef.h>
 
 /** Copies `text` into `out`, which has `size` bytes. If it does not fit, sets `out` to "" and
- * returns false: a truncated name would be the name of something else. */
+ * returns false, since a truncated name could be the name of another object. */
 bool rp_string_try_copy(char *out, size_t size, const char *text)
     __attribute__((warn_unused_result));
 /** Like rp_string_try_copy, for a text whose length was checked when it was received. One that does
--- a/src/base/timeutil.h
+++ b/src/base/timeutil.h
@@ -1,6 +1,6 @@
 /** @file
  * Arithmetic on the standard library's struct timespec, used both for instants and for durations.
- * Instants are of CLOCK_MONOTONIC (rp_loop_now) unless stated otherwise. All values are normalised:
+ * Instants are of CLOCK_MONOTONIC (rp_loop_now) unless stated otherwise. All values are normalized:
  * nanoseconds from 0 to 999,999,999. */
 #ifndef RP_BASE_TIMEUTIL_H
 #define RP_BASE_TIMEUTIL_H
--- a/src/base/token_bucket.h
+++ b/src/base/token_bucket.h
@@ -17,7 +17,7 @@
     struct timespec refilled_at;
 };
 
-/** Initialises a full bucket. */
+/** Initializes a full bucket. */
 static inline void rp_token_bucket_init(struct rp_token_bucket *bucket, double rate, double depth,
                                         struct timespec now) {
     *bucket =
--- a/src/config/platform_file.c
+++ b/src/config/platform_file.c
@@ -10,7 +10,7 @@
 #define FIELD_PATH_BYTES 256
 /* Bytes of the path of an array's element, such as "params.teams[3]", with its NUL. */
 #define ELEMENT_PATH_BYTES 64
-/* Bytes of the text of an error, such as "must be between 1 and 1000, but is 0", with its NUL. */
+/* Bytes of an error's text, such as "must be between 0.001 and 1e+06, but is 0", with its NUL. */
 #define ERROR_TEXT_BYTES 96
 
 struct platform_reader {
@@ -22,7 +22,7 @@
 /* A JSON object of the file. */
 struct section {
     const json_t *object; /* NULL when the section is missing; then each of its fields is, too */
-    const char *path;     /* of the object in the file; "" for the file's root object */
+    const char *path;     /* path of the object in the file; "" for the file's root object */
 };
 
 static void report_error(struct platform_reader *reader, const char *path, const char *text) {
@@ -40,7 +40,7 @@
 /* ---- required fields ---- */
 
 /* Returns the value of a field. When the field is missing or of another type, reports that and
- * returns NULL. The type JSON_REAL accepts integers as well. */
+ * returns NULL. The type JSON_REAL also accepts integers. */
 static json_t *require_field(struct platform_reader *reader, struct section section,
                              const char *name, json_type type) {
     static const char *const type_names[] = {
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -13,16 +13,16 @@
 /* Seconds that are added to a worker's lease as a safety margin. */
 #define WORKER_LEASE_MARGIN_S 0.25
 /* Maximum age in seconds of a leader's copy of the jobs while its watch works: the time for which
- * the store holds a watch, and the time of its response. */
+ * the key-value store holds a watch, plus the time of its response. */
 #define WATCH_MAX_STALENESS_S 4.5
 
-/* Bounds in seconds of the leadership lease that rp_settings_complete computes. */
+/* Bounds in seconds of the leader's lease that rp_settings_complete computes. */
 #define LEADER_TTL_MIN_S 1.0
 #define LEADER_TTL_MAX_S 10.0
-/* Maximum leadership lease as a share of a worker's lease. */
+/* Maximum of the leader's lease as a share of a worker's lease. */
 #define LEADER_TTL_SHARE_OF_WORKER_LEASE 0.72
-/* Maximum leadership lease as a share of the time that cancel_s leaves after a worker's lease and
- * the maximum delay of a heartbeat's response. */
+/* Maximum of the leader's lease as a share of the time that cancel_s leaves after a worker's lease
+ * and the maximum delay of a heartbeat's response. */
 #define LEADER_TTL_SHARE_OF_CANCELLATION 0.9
 
 void rp_settings_free(struct rp_settings *settings) {
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -88,8 +88,8 @@
     struct rp_tuning tuning;
 };
 
-/** Computes the leadership lease from the contents of both files, unless the operators' file sets
- * it. */
+/** Computes the duration of the leader's lease from the contents of both files, unless the
+ * operators' file sets it. */
 void rp_settings_complete(struct rp_settings *settings);
 
 /** Checks that the periods and timeouts do not contradict one another. Must be called after
--- a/src/config/text_format.c
+++ b/src/config/text_format.c
@@ -16,7 +16,7 @@
 /* The state of the parser. Each function below that returns bool and takes a parser returns false
  * on an error and has then described it in `error`. */
 struct parser {
-    const char *position; /* of the next byte to be read */
+    const char *position; /* address of the next byte to be read */
     const char *line_start;
     int line; /* counted from 1 */
     struct rp_text_format_error *error;
--- a/src/config/tuning.c
+++ b/src/config/tuning.c
@@ -21,9 +21,9 @@
 struct field {
     const char *name;
     enum field_kind kind;
-    size_t presence_offset; /* of the protobuf message's flag that the file contains the field */
-    size_t source_offset;   /* of the value in the protobuf message */
-    size_t target_offset;   /* of the member of struct rp_tuning */
+    size_t presence_offset; /* offset of the message's flag for whether the file has the field */
+    size_t source_offset;   /* offset of the value in the protobuf message */
+    size_t target_offset;   /* offset of the member in struct rp_tuning */
     double default_value;
     double min, max; /* inclusive bounds of the value */
 };
--- a/src/config/tuning.h
+++ b/src/config/tuning.h
@@ -19,13 +19,13 @@
 struct rp_tuning {
     double round_period_s;  /**< interval between scheduling cycles */
     double billing_unit_s;  /**< unit of time that the cloud bills for a machine */
-    double return_margin_s; /**< an idle machine is scaled in this long before its next unit */
+    double return_margin_s; /**< time from an idle machine's scale-in to its next billing unit */
     char heuristics[RP_HEURISTICS_MAX][RP_HEURISTIC_NAME_MAX]; /**< names in the portfolio */
     size_t n_heuristics;
-    double leader_ttl_s;       /**< leadership lease; 0: rp_settings_complete computes it */
-    double leader_check_s;     /**< interval of reading the leader's key while not leading */
-    double boot_patience;      /**< allowed boot time, as a multiple of the type's boot time */
-    double refused_pause_s;    /**< no requests for a kind of machine this long after a refusal */
+    double leader_ttl_s;    /**< leader's lease; 0: rp_settings_complete computes it */
+    double leader_check_s;  /**< interval of reading the leader's key while not leading */
+    double boot_patience;   /**< allowed boot time, as a multiple of the type's boot time */
+    double refused_pause_s; /**< time after a refusal without requests for that kind of machine */
     double leader_write_share; /**< the leader's share of the store's limit of changes per second */
     unsigned faulty_after;     /**< consecutive errors after which a machine is quarantined */
     bool preemption;           /**< whether tasks may be preempted by tasks of a higher priority */
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -24,7 +24,7 @@
     struct rp_http_client_connection *most_recent;  /**< the one that became idle last, or NULL */
 };
 
-/** Initialises a client without connections. The caller must close it. */
+/** Initializes a client without connections. The caller must close it. */
 void rp_http_client_init(struct rp_http_client *client, struct rp_loop *loop, size_t max_per_host,
                          size_t max_total, size_t max_body_bytes);
 
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -62,7 +62,7 @@
     size_t body_len, body_capacity;
 };
 
-/** Initialises a parser for the messages of one connection. A message whose body is longer than
+/** Initializes a parser for the messages of one connection. A message whose body is longer than
  * `max_body_bytes` fails. The caller must free the parser. */
 void rp_http_parser_init(struct rp_http_parser *parser, enum rp_http_role role,
                          size_t max_body_bytes);
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -10,8 +10,8 @@
 #include "http/parser.h"
 #include "http/socket.h"
 
-#define READ_BYTES 16384          /* at most read from a connection for one event */
-#define MAX_ACCEPTS 256           /* connections accepted for one event of the listening socket */
+#define READ_BYTES 16384          /* maximum number of bytes read from a connection for one event */
+#define MAX_ACCEPTS 256           /* maximum number of connections accepted for one event */
 #define RETRY_AFTER_LINE_BYTES 48 /* size of "Retry-After: SECONDS" with its line end and NUL */
 
 /* States of a connection and the edges between them, each made by set_state:
@@ -19,7 +19,7 @@
  * - HANDLING -> SENDING: the handler has responded.
  * - RECEIVING -> SENDING: the request is malformed or too slow and is refused.
  * - SENDING -> RECEIVING: the response has been sent; the connection waits for the next request.
- * - any -> CLOSED: the peer has closed or reset the connection or has exceeded a time-out, the
+ * - any -> CLOSED: the peer has closed or reset the connection or has exceeded a timeout, the
  *   response was the connection's last, the connection is evicted in favour of a new one, memory is
  *   exhausted, or the server closes. */
 enum connection_state {
@@ -150,7 +150,7 @@
     return true;
 }
 
-/* Sends as much of the response as the kernel accepts. Returns true if all of it has been sent and
+/* Sends the bytes of the response that the kernel accepts. Returns true if all have been sent and
  * the connection waits for the next request, false if it is still sending or has been dropped. */
 static bool send_response(struct rp_http_server_connection *connection) {
     enum rp_send_outcome outcome = rp_send_buffer_send(&connection->response, connection->watch.fd);
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -16,9 +16,9 @@
 struct rp_http_limits {
     size_t max_connections;   /**< at this number, a new one evicts the one idle for longest */
     size_t max_body_bytes;    /**< maximum length of a request's body */
-    double idle_timeout_s;    /**< after which a connection without a request is closed */
-    double receive_timeout_s; /**< from the first to the last byte of a request */
-    double send_timeout_s;    /**< within which the peer must receive a response */
+    double idle_timeout_s;    /**< time after which a connection without a request is closed */
+    double receive_timeout_s; /**< maximum time from the first to the last byte of a request */
+    double send_timeout_s;    /**< maximum time in which the peer receives a response */
 };
 
 /** A server; its members are set by rp_http_server_open. */
--- a/src/main.c
+++ b/src/main.c
@@ -62,8 +62,8 @@
 struct options {
     const char *platform_file;
     const char *operator_file;
-    bool is_operator_file_given; /* by --operator; if not, the default file may be absent */
-    bool is_check_only;          /* --check */
+    bool is_operator_file_given; /* --operator is given; if not, the default file may be absent */
+    bool is_check_only;          /* --check is given */
 };
 
 enum option_outcome {
@@ -204,7 +204,7 @@
     struct rp_http_server user_server; /* for users and workers */
     struct rp_http_server peer_server; /* for the other nodes */
     struct rp_node *node;
-    struct rp_watch signal_watch; /* of the descriptor that reports SIGTERM and SIGINT */
+    struct rp_watch signal_watch; /* watch of the descriptor that reports SIGTERM and SIGINT */
     struct rp_timer shutdown_timer;
 };
 
@@ -234,7 +234,7 @@
     if (sigprocmask(SIG_BLOCK, &set, NULL) == 0)
         process->signal_watch.fd = signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC);
     /* Where the signals cannot be watched they are unblocked, so that they terminate the process at
-     * once. A node tolerates an abrupt termination as well. */
+     * once. A node also tolerates an abrupt termination. */
     bool is_open = process->signal_watch.fd >= 0;
     if (!is_open || rp_watch_add(&process->loop, &process->signal_watch, EPOLLIN) < 0)
         sigprocmask(SIG_UNBLOCK, &set, NULL);
@@ -246,7 +246,7 @@
 struct connection_budget {
     size_t n_outbound;
     size_t n_from_peers;
-    size_t n_from_users; /* and from workers */
+    size_t n_from_users; /* connections from users and from workers */
 };
 
 static size_t min_size(size_t a, size_t b) {
--- a/src/model/heartbeat.h
+++ b/src/model/heartbeat.h
@@ -30,7 +30,7 @@
     RP_EXIT_NO_CAPACITY,     /* start refused: not enough free resources on the machine */
     RP_EXIT_ALREADY_PRESENT, /* start refused: another attempt of the task is on the machine */
     RP_EXIT_UNKNOWN_TASK,    /* start refused: the user has not uploaded such a task */
-    RP_EXIT_OTHER            /* missing, or unknown to this version */
+    RP_EXIT_OTHER            /* the reason is missing, or unknown to this version */
 };
 
 /** One task on a machine. */
@@ -52,7 +52,7 @@
     bool spot;
     uint64_t incarnation;   /* increases each time the worker's lease expires */
     uint64_t seq;           /* of two messages, the larger (incarnation, seq) is newer */
-    uint64_t fencing_token; /* the highest that the worker has received */
+    uint64_t fencing_token; /* highest token that the worker has received */
     bool has_notice;        /* spot notice: the cloud reclaims the machine */
     double notice_s;        /* seconds until the cloud reclaims it */
     struct rp_task_status *tasks;
--- a/src/model/heuristic.h
+++ b/src/model/heuristic.h
@@ -15,9 +15,9 @@
     RP_JOB_ORDER_SJF,  /* smallest task first */
     RP_JOB_ORDER_LTJF, /* longest run time first */
     RP_JOB_ORDER_STJF, /* shortest run time first */
-    RP_JOB_ORDER_EDF,  /* earliest deadline first, by the time left to spare */
+    RP_JOB_ORDER_EDF,  /* earliest deadline first: in ascending order of slack, the time to spare */
     RP_JOB_ORDER_SRW,  /* smallest remaining work first */
-    RP_JOB_ORDER_ESW   /* earliest deadline first, weighed against the job's work; the default */
+    RP_JOB_ORDER_ESW   /* earliest slack, weighted by the job's work; the default */
 };
 
 /** Order in which machines are considered for a task. */
--- a/src/protocol/cloud_codec.h
+++ b/src/protocol/cloud_codec.h
@@ -24,7 +24,7 @@
 bool rp_cloud_codec_parse_catalog(const char *body, size_t len, struct rp_catalog *out);
 
 /** Writes a request for `count` machines of a type in a zone. `request` is the request's name, by
- * which the cloud recognises a retry. The caller frees the text. */
+ * which the cloud recognizes a retry. The caller frees the text. */
 char *rp_cloud_codec_write_provision_request(const char *request, const char *type,
                                              const char *zone, bool spot, unsigned count);
 
--- a/src/protocol/job_codec.c
+++ b/src/protocol/job_codec.c
@@ -6,7 +6,7 @@
 #include "base/memory.h"
 
 #define ID_PREFIX "j-"
-#define ID_DIGITS_MAX 20 /* digits of 2^64 - 1 */
+#define ID_DIGITS_MAX 20 /* maximum number of digits of a job id; 2^64 - 1 has 20 digits */
 /* Maximum length of a submission's list of allowed machine types. It bounds the memory that a
  * submission makes a node allocate. */
 #define ALLOWED_TYPES_MAX 1000
@@ -71,7 +71,7 @@
         rp_codec_reader_fail(reader, "yard", RP_CODEC_ZONE_NEEDED);
 }
 
-/* Reads the number of tasks and what each of them requires. */
+/* Reads the number of tasks and the requirements of each task. */
 static void read_tasks(struct rp_codec_reader *reader, struct rp_job_spec *out) {
     read_n_tasks(reader, out);
     rp_codec_reader_amount(reader, "vcpus", &out->task_resources.cpus);
--- a/src/protocol/kv_codec.h
+++ b/src/protocol/kv_codec.h
@@ -14,8 +14,8 @@
 struct rp_kv_item {
     const char *key;
     json_t *value;     /**< borrowed; NULL for a deletion */
-    uint64_t revision; /**< of the key's latest change */
-    uint64_t lease;    /**< to which the key is attached; 0: none; always 0 for a change */
+    uint64_t revision; /**< revision of the key's latest change */
+    uint64_t lease;    /**< lease to which the key is attached, or 0; always 0 for a change */
 };
 
 /** Returns the store's revision at the time of a response, or 0 when the response contains none. */
--- a/src/protocol/user_codec.h
+++ b/src/protocol/user_codec.h
@@ -14,8 +14,8 @@
 /** Path of health checks. */
 #define RP_PATH_HEALTH "/healthz"
 
-/** Reads only the id of a submission, since a submission of a known job is responded to before
- * errors in its other fields are reported. Returns false when there is no valid id. */
+/** Reads only the id of a submission: a repeated submission of an existing job is responded to
+ * before errors in its other fields are reported. Returns false when there is no valid id. */
 bool rp_user_codec_parse_submission_id(const char *body, size_t len, char id[RP_ID_MAX]);
 
 /** Reads a submission. On success, the caller must rp_job_spec_free `out`. Returns false when the
--- a/tests/unit/test_settings.c
+++ b/tests/unit/test_settings.c
@@ -151,7 +151,7 @@
     }
 }
 
-/* Guards against a fixed default of the leadership lease: where the workers' lease is short, such a
+/* Guards against a fixed default of the leader's lease: where the workers' lease is short, such a
  * default exceeds it, the settings are rejected as contradictory and the nodes do not start. */
 static void short_worker_lease_shortens_leader_lease(void **state) {
     struct rp_settings settings;
--- a/tests/unit/test_wire.c
+++ b/tests/unit/test_wire.c
@@ -156,8 +156,8 @@
     free(commands);
 }
 
-/* The progress records of a job of 100,000 tasks stay far below the
- * store's limit of a value's size, and read back unchanged. */
+/* The progress records of a job of 100,000 tasks are far below the store's limit of a value's size,
+ * and read back unchanged. */
 static void progress_record_is_small_and_reads_back(void **state) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     uint8_t bits[RP_CHUNK_BYTES];
