--- a/src/controller/running_counts.c
+++ b/src/controller/running_counts.c
@@ -36,14 +36,14 @@
     qsort(counts->received, counts->n_received, sizeof *counts->received, compare_ids);
 }
 
-static void on_counts_response(void *arg, const struct rp_answer *answer) {
+static void on_counts_response(void *arg, const struct rp_response *answer) {
     struct rp_running_counts *counts = arg;
     bool is_answered = answer->status != 0;
     /* A refused connection, which is reported at once, does not prove that the leader is silent. */
     bool is_silent = !is_answered &&
                      rp_ts_since(rp_loop_now(counts->loop), counts->polled_at) > UNANSWERED_MIN_S;
     if (is_answered || is_silent)
-        rp_election_note_leader_answer(counts->election, is_answered);
+        rp_election_record_leader_response(counts->election, is_answered);
     json_t *body =
         answer->status == RP_RESPONSE_OK ? rp_codec_parse_object(answer->body, answer->len) : NULL;
     json_t *jobs = json_object_get(body, "jobs");
--- a/tests/simulation/test_large_fleet.c
+++ b/tests/simulation/test_large_fleet.c
@@ -3,7 +3,7 @@
 #include "test.h"
 
 #include "base/log.h"
-#include "day.h"
+#include "scenario.h"
 
 static const struct sim_size large_fleet_size = {1400, 163, 4, 22, 47, 800, 80, 10};
 
@@ -17,9 +17,10 @@
 
 /* Makes a simulated cluster in which 1,304 machines are up and busy. */
 static struct sim *new_busy_fleet(unsigned long seed, double run_s) {
-    struct sim *sim = sim_new_sized(seed, &day_no_faults, SIM_NO_BREAKAGE, 5, &large_fleet_size);
-    day_remove_team_limit(sim);
-    day_submit_arrays(sim, 120, 1, 0.05, 40, 8, run_s);
+    struct sim *sim =
+        sim_new_sized(seed, &scenario_no_faults, SIM_NO_BREAKAGE, 5, &large_fleet_size);
+    scenario_remove_team_limit(sim);
+    scenario_submit_arrays(sim, 120, 1, 0.05, 40, 8, run_s);
     sim_run(sim, 45);
     assert_string_equal(sim->violation, "");
     assert_at_least(n_machines_in(sim, RP_MACHINE_UP), 1290);
@@ -34,10 +35,10 @@
 }
 
 /* Two faults left machines of a large fleet without work. With heartbeats 4 s apart, every second
- * machine was taken for one that receives no answers. Capacity that a heartbeat reported as free
- * was used only with the next heartbeat, 4 s later. Both show here as time without work between two
- * tasks. The test also bounds the cost of users' queries, one read for each query about an open
- * job, and of scheduling. */
+ * machine was treated as one that receives no responses. Capacity that a heartbeat reported as free
+ * was used only with the next heartbeat, 4 s later. Both faults lengthen the time without work
+ * between two tasks. The test also bounds the cost of users' queries, one read for each query about
+ * an open job, and of scheduling. */
 static void large_fleet_idles_briefly_and_reads_little(void **state) {
     (void)state;
     struct sim *sim = new_busy_fleet(31, 10);
@@ -51,7 +52,7 @@
         assert_false(rp_machine_is_one_way_partitioned(machine));
     assert_at_least(sim->n_idle_periods, 500);
     /* A worker reports the exit of a task after up to 0.5 s, and the next task starts with the
-     * answer to that report. */
+     * response to that report. */
     assert_less_than(sim->idle_s / (double)sim->n_idle_periods, 1.5);
     assert_more_than(sim->n_polls, n_polls);
     /* A query about a job that has ended costs two reads. In addition each of the five nodes reads
@@ -98,7 +99,7 @@
 }
 
 /* The leader's process is paused for longer than its lease, while its clocks continue to run, and
- * then resumes with hundreds of heartbeats waiting. By then another node leads and answers all
+ * then resumes with hundreds of heartbeats waiting. By then another node leads and responds to all
  * heartbeats, and the old leader must follow. */
 static void paused_leader_of_large_fleet_costs_few_leases(void **state) {
     (void)state;
@@ -154,9 +155,9 @@
 static void failover_of_4000_machines_keeps_and_uses_them(void **state) {
     static const struct sim_size users_fleet = {4200, 500, 4, 22, 47, 2400, 240, 30};
     (void)state;
-    struct sim *sim = sim_new_sized(36, &day_no_faults, SIM_NO_BREAKAGE, 5, &users_fleet);
-    day_remove_team_limit(sim);
-    day_submit_arrays(sim, 320, 1, 0.02, 40, 8, 60);
+    struct sim *sim = sim_new_sized(36, &scenario_no_faults, SIM_NO_BREAKAGE, 5, &users_fleet);
+    scenario_remove_team_limit(sim);
+    scenario_submit_arrays(sim, 320, 1, 0.02, 40, 8, 60);
     for (int i = 0; i < 20; i++)
         sim_submit(sim, 40 + i * 0.5, i % 2 ? "ensemble" : "sweep", 4, 8, 10, 0);
     sim_run(sim, 60);
