--- a/src/cluster/allocation.c
+++ b/src/cluster/allocation.c
@@ -16,7 +16,8 @@
         cluster->team_cpus[job->team] += sign * job->spec.task_resources.cpus;
         cluster->team_gpus[job->team] += sign * job->spec.task_resources.gpus;
     }
-    /* The task may be started again, so the search for startable tasks begins at it or before. */
+    /* The task may be started again, so the search for startable tasks begins at this task or an
+     * earlier one. */
     if (sign < 0 && allocation->task < job->first_startable_task)
         job->first_startable_task = allocation->task;
 }
--- a/src/cluster/allocation.h
+++ b/src/cluster/allocation.h
@@ -16,11 +16,12 @@
 /** The only function that changes an allocation's state; updates all counts. */
 void rp_allocation_set_state(struct rp_cluster *cluster, struct rp_machine *machine,
                              struct rp_allocation *allocation, enum rp_allocation_state state);
-/** Removes the machine's allocation at `index`; the last one takes its index. The caller must
- * ensure that the task is not on the machine. The job may be freed with its last allocation. */
+/** Removes the machine's allocation at `index`; the machine's last allocation moves to that index.
+ * The caller must ensure that the task is not on the machine. The job may be freed with its last
+ * allocation. */
 void rp_allocation_remove(struct rp_cluster *cluster, struct rp_machine *machine, size_t index);
 /** Requests that the task be stopped, with `grace_s` seconds to save its progress. A request with a
- * shorter grace period replaces an earlier one. */
+ * shorter grace period replaces an earlier request for the same task. */
 void rp_allocation_request_stop(struct rp_allocation *allocation, double grace_s);
 
 #endif
--- a/src/cluster/capacity_refusal.c
+++ b/src/cluster/capacity_refusal.c
@@ -3,7 +3,8 @@
 #include <math.h>
 #include <string.h>
 
-/* Largest backoff, as a multiple of the first one. */
+/* Largest backoff after refusals of a kind of machine, as a multiple of the backoff after its first
+ * refusal. */
 #define BACKOFF_FACTOR_MAX 6
 
 static bool is_in_catalog(int type, int zone) {
--- a/src/cluster/cluster.c
+++ b/src/cluster/cluster.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Number of bits by which the fencing token is shifted in an attempt's number; the bits below it
- * are a count. */
+/* Number of bits by which the fencing token is shifted in an attempt's number; the bits below the
+ * token are a count. */
 #define TOKEN_SHIFT_BITS 32
 
 int rp_cluster_init(struct rp_cluster *cluster, struct rp_loop *loop, struct rp_jobs *jobs,
--- a/src/cluster/cluster.h
+++ b/src/cluster/cluster.h
@@ -1,8 +1,8 @@
 /** @file
  * The interface of the cluster state for other directories: machines, the allocations on them, and
- * the start permission. Includes the headers of all its modules. Only a leader has a cluster state;
- * each term starts with an empty one, and it is never loaded twice under the same fencing token
- * (docs/safety.md, "One term, one cluster state"). */
+ * the start permission. Includes the headers of the modules that operate on it. Only a leader has a
+ * cluster state; each term starts with an empty cluster state, which is never loaded twice under
+ * the same fencing token (docs/safety.md, "One term, one cluster state"). */
 #ifndef RP_CLUSTER_CLUSTER_H
 #define RP_CLUSTER_CLUSTER_H
 
@@ -15,20 +15,20 @@
 #include "cluster/task_evidence.h"
 #include "cluster/unknown_tasks.h"
 
-/** Initializes an empty cluster state. All pointers are borrowed and must outlive it. Returns 0, or
- * -1 if out of memory. */
+/** Initializes an empty cluster state. All pointers are borrowed and must outlive the cluster
+ * state. Returns 0, or -1 if out of memory. */
 int rp_cluster_init(struct rp_cluster *cluster, struct rp_loop *loop, struct rp_jobs *jobs,
                     const struct rp_settings *settings, const struct rp_catalog *catalog);
-/** Empties the cluster state and restarts the numbering of attempts for this fencing token; 0: the
- * node does not lead. */
+/** Empties the cluster state and restarts the numbering of attempts for the fencing token `token`,
+ * which is 0 when the node does not lead. */
 void rp_cluster_reset(struct rp_cluster *cluster, uint64_t token);
-/** Frees what the cluster state holds, but not itself. */
+/** Frees what the cluster state holds, but not `cluster` itself. */
 void rp_cluster_free(struct rp_cluster *cluster);
 /** A new attempt number, unique across all leaders: the fencing token, shifted by 32 bits, plus a
  * count. */
 uint64_t rp_cluster_next_attempt(struct rp_cluster *cluster);
-/** Requests that every task of the job be stopped, on any machine where it may be, with `grace_s`
- * seconds to save its progress. Planned starts are removed. */
+/** Requests that every task of the job be stopped, on any machine where the task may be, with
+ * `grace_s` seconds to save its progress. Planned starts of the job are removed. */
 void rp_cluster_stop_job(struct rp_cluster *cluster, struct rp_job *job, double grace_s);
 
 #endif
--- a/src/cluster/cluster_state.h
+++ b/src/cluster/cluster_state.h
@@ -23,17 +23,18 @@
     struct rp_machine *first, *last;
     size_t n_machines;
     struct rp_machine *buckets[RP_CLUSTER_BUCKETS];
-    /* Machines that may hold unreported tasks of an earlier leader; valid unless stale. */
+    /* Machines that may hold unreported tasks of an earlier leader; valid unless unreconciled_stale
+     * is set. */
     struct rp_machine **unreconciled;
     size_t n_unreconciled, cap_unreconciled;
     bool unreconciled_stale;
-    /* Number of machines that hold tasks of unknown jobs that have not exited. */
+    /* Number of machines that hold unknown tasks (unknown_tasks.h) that have not exited. */
     size_t n_machines_with_unknown_tasks;
-    double *team_cpus, *team_gpus; /* resources that the tasks of each team may use now */
+    double *team_cpus, *team_gpus; /* resources of each team's counted allocations */
     uint64_t fencing_token;
     uint64_t attempt_base, attempt_next;
-    /** Called when a machine's address or incarnation has changed, when its release begins, and
-     * when it is removed (`terminated`); NULL: no call. */
+    /** Called when a machine's address or incarnation has changed, when the machine's release
+     * begins, and when the machine is removed (`terminated`); NULL: no call. */
     void (*on_machine_changed)(void *arg, const struct rp_machine *machine, bool terminated);
     void *on_machine_changed_arg;
 };
--- a/src/cluster/failure_detection.c
+++ b/src/cluster/failure_detection.c
@@ -2,12 +2,13 @@
 
 #include <string.h>
 
-/* Number of machines below which a share of silent ones does not indicate a common cause. */
+/* Number of machines below which the share of silent machines does not indicate a common cause. */
 #define SILENCE_MACHINES_MIN 4
-/* Share of the machines that, silent at the same time, have a common cause. */
+/* Share of the machines whose silence at the same time has a common cause; in comments, "most
+ * machines". */
 #define COMMON_CAUSE_SHARE 0.6
-/* Share of the machines that, silent at the same time, makes this node a suspect: no machine is
- * released for its silence. */
+/* Share of the machines whose silence at the same time makes this node a suspect: no silent machine
+ * is then released for its silence. */
 #define NODE_SUSPECTED_SHARE 0.3
 /* How long most machines must have been silent for this node, not the machines, to count as
  * partitioned. */
@@ -37,7 +38,7 @@
 /* Time within which machines report again after a network partition ends. */
 #define PARTITION_RECOVERY_S 12.0
 
-/* Number of machines counted, and of those that are silent. */
+/* Number of machines counted, and number of silent machines among them. */
 struct silence_count {
     size_t n_machines;
     size_t n_silent;
@@ -102,7 +103,8 @@
 }
 
 /* Whether leadership has been provable for ISOLATED_PROVEN_S, and the key-value store responds. A
- * node that cannot reach the store either cannot resign: its lease expires instead. */
+ * node that can reach neither the workers nor the store cannot resign: its lease expires
+ * instead. */
 static bool is_leadership_proven(const struct rp_failure_detector *detector, struct timespec now) {
     return rp_kv_failing_s(detector->context->store) <= 0 &&
            rp_ts_since(now, detector->proven_since) >= ISOLATED_PROVEN_S;
@@ -110,8 +112,9 @@
 
 /* A leader that is partitioned from the workers but not from the key-value store would renew its
  * lease and schedule nothing. If most machines fall silent together while leadership was provable
- * all the time, the leader resigns, since another node may reach the workers. Such a leader also
- * releases no machine, since the machines are unlikely to have all been terminated. */
+ * all the time, the leader resigns, since another node may reach the workers. A leader that is
+ * partitioned from the workers also releases no machine, since the machines are unlikely to have
+ * all been terminated. */
 static void observe_node(struct rp_failure_detector *detector, struct timespec now) {
     struct silence_count silence = {0};
     double limit_s = silence_limit_s(detector);
--- a/src/cluster/failure_detection.h
+++ b/src/cluster/failure_detection.h
@@ -12,12 +12,14 @@
 
 #include "cluster/fleet_context.h"
 
-/** What has been observed in this term. An instant of zero means that it has not been observed. */
+/** What has been observed in this term. An instant of zero means that the member's event has not
+ * been observed. */
 struct rp_failure_detector {
     const struct rp_fleet_context *context;
     /* Since when leadership has been provable; zero: it is not provable now. */
     struct timespec proven_since;
-    /* Since when most machines have been silent; zero: they are not. */
+    /* Since when most machines have been silent while leadership was provable; zero: most machines
+     * report, or leadership is not proven. */
     struct timespec isolated_since;
     unsigned n_silent_ticks; /* consecutive ticks without any heartbeat, though many were due */
     bool is_node_suspected;  /* many machines are silent: this node may be at fault */
@@ -28,13 +30,13 @@
     struct timespec mass_loss_at;
 };
 
-/** The context is borrowed. */
+/** Initializes the detector without observations; the context is borrowed. */
 void rp_failure_detector_init(struct rp_failure_detector *detector,
                               const struct rp_fleet_context *context);
 /** Resets all observations; called when a term begins or ends. */
 void rp_failure_detector_clear(struct rp_failure_detector *detector);
-/** Called in a tick in which leadership is not provable: restarts the time for which it must have
- * been provable before the leader counts as isolated. */
+/** Called in a tick in which leadership is not provable: restarts the time for which leadership
+ * must have been provable before the leader counts as isolated. */
 void rp_failure_detector_on_lease_unproven(struct rp_failure_detector *detector);
 /** Updates the observations from all machines; called in each tick while leadership is provable. */
 void rp_failure_detector_observe(struct rp_failure_detector *detector, struct timespec now);
@@ -42,7 +44,8 @@
  * lead. */
 bool rp_failure_detector_is_leader_isolated(const struct rp_failure_detector *detector,
                                             struct timespec now);
-/** Whether most machines of the zone are silent; false for an unknown zone, which is below 0. */
+/** Whether most machines of the zone are silent; false for an unknown zone, whose index is below
+ * 0. */
 bool rp_failure_detector_is_zone_silent(const struct rp_failure_detector *detector, int zone);
 /** Whether, within the last PARTITION_RECOVERY_S seconds (failure_detection.c), most machines of
  * this machine's zone were silent, or many machines were lost at the same time. This indicates a
@@ -53,7 +56,7 @@
 bool rp_failure_is_machine_silent(const struct rp_fleet_context *context,
                                   const struct rp_machine *machine, struct timespec now);
 /** For how long, in seconds, nothing has shown that the machine receives this leader's answers; 0
- * if it receives them. */
+ * if the machine receives them. */
 double rp_failure_answers_lost_s(const struct rp_machine *machine, struct timespec now);
 
 #endif
--- a/src/cluster/fleet.c
+++ b/src/cluster/fleet.c
@@ -7,7 +7,7 @@
 #include "cluster/release_policy.h"
 #include "cluster/scale_out.h"
 
-/* Longest and shortest time between two ticks. */
+/* Longest and shortest time between two ticks of the fleet. */
 #define TICK_INTERVAL_S 0.5
 #define TICK_INTERVAL_MIN_S 0.02
 /* How long after a lease's expiry a tick is set, so that the lease has expired for certain. */
--- a/src/cluster/fleet.h
+++ b/src/cluster/fleet.h
@@ -2,7 +2,7 @@
  * The fleet: the machines that this service has provisioned from the cloud, as managed by the
  * leader. Each part has its own module: scale-out and provisioning, release (scale-in),
  * reconciliation with the cloud's list, failure detection, and the release policy. This module owns
- * them, runs them in a tick, and is the interface for other directories.
+ * these parts, runs them in a tick, and is the interface for other directories.
  *
  * Only a leader uses it, from rp_fleet_load until rp_fleet_clear. */
 #ifndef RP_CLUSTER_FLEET_H
@@ -16,25 +16,25 @@
 
 /** The fleet and its parts. The owner sets the callbacks after rp_fleet_init. */
 struct rp_fleet {
-    struct rp_fleet_context context; /* on_changed: machines or capacity have changed */
+    struct rp_fleet_context context; /* on_changed is called when machines or capacity change */
     struct rp_provisioning provisioning;
     struct rp_release release;
     struct rp_reconciliation reconciliation;
     struct rp_failure_detector failure_detector;
     struct rp_timer timer;
-    /** Called when the loading of the records for a new term ends; `is_loaded` is false if it
-     * failed. */
+    /** Called when the loading of the provision records for a new term ends; `is_loaded` is false
+     * if the loading failed. */
     void (*on_loaded)(void *arg, bool is_loaded);
     void *on_loaded_arg;
 };
 
-/** All pointers are borrowed and must outlive the fleet. */
+/** Initializes an empty fleet. All pointers are borrowed and must outlive the fleet. */
 void rp_fleet_init(struct rp_fleet *fleet, struct rp_loop *loop, struct rp_cloud_client *cloud,
                    struct rp_kv_client *store, struct rp_election *election,
                    struct rp_cluster *cluster, struct rp_jobs *jobs,
                    const struct rp_settings *settings, struct rp_catalog *catalog);
-/** Loads the provision records into the cluster state: every machine named there may hold tasks.
- * `on_loaded` reports the outcome; on success the ticks start. */
+/** Loads the provision records into the cluster state: every machine that a record marks
+ * as up may hold tasks. `on_loaded` reports the outcome; on success the ticks start. */
 void rp_fleet_load(struct rp_fleet *fleet);
 /** Called when the term ends: stops the ticks. Responses to calls in flight are discarded. */
 void rp_fleet_clear(struct rp_fleet *fleet);
@@ -43,7 +43,8 @@
 
 /** Requests at most `count` machines of a kind of the catalog from the cloud. */
 void rp_fleet_scale_out(struct rp_fleet *fleet, int type, int zone, bool spot, unsigned count);
-/** Returns the machine to the cloud; it is never used again. `reason` is written to the log. */
+/** Returns the machine to the cloud; the machine is never used again. `reason` is written to the
+ * log. */
 void rp_fleet_scale_in(struct rp_fleet *fleet, struct rp_machine *machine, const char *reason);
 /** Number of machines of the kind that have been requested and whose names are not known yet. */
 unsigned rp_fleet_n_requested(const struct rp_fleet *fleet, int type, int zone, bool spot);
@@ -56,13 +57,14 @@
 /** Whether the cloud has confirmed the deletion of a machine of this name. */
 bool rp_fleet_is_terminated(const struct rp_fleet *fleet, const char *machine);
 
-/** Called when the machine has sent a heartbeat: records that it is up. This is recorded before any
- * task is started on it, so that the next leader can determine which machines cannot hold tasks. */
+/** Called when the machine has sent a heartbeat: records durably that the machine is up. The record
+ * is written before any task is started on the machine, so that the next leader can determine which
+ * machines cannot hold tasks. */
 void rp_fleet_record_up(struct rp_fleet *fleet, struct rp_machine *machine);
-/** Creates a record for a machine that no record names. */
+/** Creates a provision record for a machine that no record names. */
 void rp_fleet_adopt(struct rp_fleet *fleet, struct rp_machine *machine);
-/** Sets the machine's type, zone and spot flag as its worker reports them, unless a record already
- * provided them. */
+/** Sets the machine's type, zone and spot flag as its worker reports them, unless a provision
+ * record already provided them. */
 void rp_fleet_set_machine_kind(struct rp_fleet *fleet, struct rp_machine *machine, const char *type,
                                const char *zone, bool spot);
 /** Price of a machine for one hour, in the cloud's currency. */
--- a/src/cluster/fleet_context.h
+++ b/src/cluster/fleet_context.h
@@ -19,7 +19,7 @@
     struct rp_jobs *jobs;
     const struct rp_settings *settings;
     struct rp_catalog *catalog;
-    struct rp_tombstones tombstones; /* of machines that this process released, in any term */
+    struct rp_tombstones tombstones; /* names of machines released by this process, in any term */
     /* Incremented whenever the fleet is cleared; responses to calls of an earlier generation are
      * discarded. */
     unsigned long generation;
--- a/src/cluster/image_index.c
+++ b/src/cluster/image_index.c
@@ -4,14 +4,14 @@
 #include <string.h>
 #include "protocol/codec.h"
 
-/* Time between two copies of the leader's index. */
+/* Time between two requests for the leader's index. */
 #define COPY_INTERVAL_S 8.0
 /* How long a node waits for the response to a request for an index. */
 #define RESPONSE_TIMEOUT_S 1.5
 /* Largest number of images in a served index, over all machines; the most recently used images of
  * each machine are sent. The index is then about 2 MB of text. */
 #define IMAGES_SENT_MAX 65536
-/* Number of images that a served index may contain of each machine even if the total then exceeds
+/* Number of each machine's images that a served index may contain even if the total then exceeds
  * IMAGES_SENT_MAX. */
 #define IMAGES_PER_MACHINE_MIN 4
 
@@ -53,8 +53,8 @@
     return n > IMAGES_PER_MACHINE_MIN ? n : IMAGES_PER_MACHINE_MIN;
 }
 
-/* [hash, GB, ...] of the machine's `n_max` most recently used images. Sorts the machine's images by
- * the time of their last use. */
+/* Builds the list [hash, GB, ...] of the machine's `n_max` most recently used images. Sorts the
+ * machine's images by the time of their last use. */
 static json_t *build_image_list(struct rp_machine *machine, size_t n_max) {
     json_t *list = json_array();
     qsort(machine->images, machine->n_images, sizeof *machine->images, compare_by_use);
@@ -76,7 +76,7 @@
 }
 
 char *rp_image_index_json(const struct rp_image_index *index) {
-    /* A leader that is still loading its records has no machines yet and serves its copy. */
+    /* A leader that is still loading its records has no machines yet and serves copied_images. */
     bool has_own = is_leading(index) && index->cluster->n_machines > 0;
     json_t *images = has_own ? build_index(index->cluster) : json_incref(index->copied_images);
     json_t *value = json_pack("{s:o*}", "images", images);
@@ -87,7 +87,8 @@
 
 /* ---- copying the index ---- */
 
-/* Adds the images of a copy to a machine, except for those that the machine has already. */
+/* Adds the images of a copy to a machine, except for images that are already recorded for the
+ * machine. */
 static void add_images(struct rp_cluster *cluster, struct rp_machine *machine, json_t *list) {
     for (size_t i = 0; i + 1 < json_array_size(list); i += 2) {
         uint64_t hash = (uint64_t)json_integer_value(json_array_get(list, i));
--- a/src/cluster/image_index.h
+++ b/src/cluster/image_index.h
@@ -1,8 +1,8 @@
 /** @file
- * The image index: which images the machines have on their disks. The other nodes copy it from the
- * leader, so that the next leader has it, too; without the copy a new leader would have only the
- * images of running tasks. Entries are hints: a wrong one costs a fetch, and no safety rule depends
- * on them.
+ * The image index: which images the machines have on their disks. The other nodes copy the index
+ * from the leader, so that the next leader has it, too; without the copy, a new leader would have
+ * only the images of running tasks. Entries are hints: a wrong entry costs a fetch, and no safety
+ * rule depends on entries.
  *
  * Owned by the node, which serves RP_PATH_IMAGES with rp_image_index_json. */
 #ifndef RP_CLUSTER_IMAGE_INDEX_H
@@ -28,7 +28,7 @@
     struct rp_timer timer;
 };
 
-/** All pointers are borrowed and must outlive the index. */
+/** Initializes an empty index. All pointers are borrowed and must outlive the index. */
 void rp_image_index_init(struct rp_image_index *index, struct rp_loop *loop, struct rp_net net,
                          struct rp_election *election, struct rp_cluster *cluster,
                          const struct rp_settings *settings);
@@ -36,8 +36,8 @@
 void rp_image_index_start(struct rp_image_index *index);
 /** Stops copying and frees the copy. */
 void rp_image_index_close(struct rp_image_index *index);
-/** Called when this node leads and its machines have been loaded: adds the images of its copy to
- * the machines, and requests the copies of the other nodes. */
+/** Called when this node leads and its machines have been loaded: adds the images of this node's
+ * copy to the machines, and requests the copies of the other nodes. */
 void rp_image_index_restore(struct rp_image_index *index);
 /** The index as JSON, for another node: the machines' images if this node leads, its copy
  * otherwise. The caller frees it. */
--- a/src/cluster/machine.h
+++ b/src/cluster/machine.h
@@ -15,7 +15,7 @@
 enum rp_machine_state {
     RP_MACHINE_BOOTING,      /* provisioned, has sent no heartbeat yet, cannot hold any task */
     RP_MACHINE_UNRECONCILED, /* loaded from an earlier leader's records: may hold any task */
-    RP_MACHINE_UP,           /* its heartbeats list every task that it holds */
+    RP_MACHINE_UP,           /* its heartbeats list every task that the machine holds */
     RP_MACHINE_LOST, /* silent until its lease expired: holds no task; released unless it reports
                         again in time */
     RP_MACHINE_RELEASING /* is being deleted in the cloud; never used again */
@@ -24,9 +24,9 @@
 /** The state of a task that may be on a machine; rp_allocation_set_state (allocation.c) lists the
  * edges. */
 enum rp_allocation_state {
-    RP_ALLOCATION_PLANNED, /* no start command has been sent: can be dropped at once */
-    RP_ALLOCATION_SENT,  /* the start was sent; a newer message of the machine shows whether it took
-                            effect */
+    RP_ALLOCATION_PLANNED, /* no start command was sent: the allocation can be dropped at once */
+    RP_ALLOCATION_SENT,  /* the start command was sent; a newer message of the machine shows whether
+                            the command took effect */
     RP_ALLOCATION_SEEN,  /* the machine lists the task as not exited */
     RP_ALLOCATION_EXITED /* the task has exited: it no longer runs on the machine and is to be
                             forgotten */
@@ -41,28 +41,29 @@
     enum rp_allocation_state state;
     enum rp_task_state task_state;
     enum rp_exit_reason exit_reason;
-    uint64_t sent_seq; /* sequence number of the heartbeat whose answer carried the start, or of the
-                          newest one before a direct start */
+    uint64_t sent_seq; /* sequence number of the heartbeat whose answer carried the start command,
+                          or of the newest heartbeat before a direct start */
     uint64_t seen_seq; /* sequence number of the newest message that listed the task */
-    bool started_directly;     /* the start was a direct command: copies of it may arrive late */
-    bool direct_start_pending; /* the response to that direct command is outstanding */
+    bool started_directly; /* the start was a direct command: late copies of the command may arrive
+                              at the machine */
+    bool direct_start_pending; /* the response to the direct start command is outstanding */
     struct timespec planned_at;
     struct timespec running_since; /* when a message first listed the task as running */
     bool stop_requested;           /* the task is to be stopped */
     double grace_s;
     struct timespec stop_sent_at;
-    bool listed; /* used only while a heartbeat is read: this heartbeat lists the task */
+    bool listed; /* used only while a heartbeat is read: that heartbeat lists the task */
 };
 
 /** Maximum number of images recorded for a machine, at 24 bytes each; when it is reached, the least
  * recently used image is evicted. */
 #define RP_IMAGES_MAX 128
-/** Maximum number of tasks of unknown jobs recorded for a machine; further ones are only
+/** Maximum number of tasks of unknown jobs recorded for a machine; further such tasks are only
  * counted. */
 #define RP_UNKNOWN_TASKS_MAX 256
 
-/** A task on a machine whose job this leader has no record of, or no longer has: it is stopped and
- * forgotten. */
+/** A task on a machine, of a job that this leader has no record of, or no longer has: the task is
+ * stopped and forgotten. */
 struct rp_unknown_task {
     char job[RP_ID_MAX];
     uint32_t task;
@@ -94,13 +95,13 @@
     bool probing;     /* a probe is in flight */
     unsigned n_probes_failed; /* consecutive probes without a response */
     struct timespec probed_at;
-    bool fencing_token_seen;       /* the newest heartbeat shows this leader's token */
+    bool fencing_token_seen;       /* the newest heartbeat shows this leader's fencing token */
     bool fenced_without_heartbeat; /* the machine has responded to this leader's fencing command,
                                       and no heartbeat has arrived since */
     struct timespec last_heartbeat_at;
     struct timespec last_message_at; /* when the newest message of any kind arrived */
-    struct timespec lease_expiry; /* no task runs there after this instant unless a later heartbeat
-                                     is answered */
+    struct timespec lease_expiry; /* no task runs on the machine after this instant unless a later
+                                     heartbeat is answered */
     /* Times of this leader's answers to heartbeats. */
     struct timespec first_answer_at, last_answer_at;
     uint64_t lost_incarnation; /* incarnation in which the machine last entered RP_MACHINE_LOST; 0:
@@ -120,7 +121,8 @@
     unsigned n_consecutive_errors; /* errors since the last task that succeeded */
     unsigned n_error_jobs;         /* number of jobs that caused these errors */
     uint64_t last_error_job; /* hash of the id of the job with the newest error; 0: no errors */
-    bool suspected;          /* either the machine or the job with the newest error is at fault */
+    bool suspected; /* it is undecided whether the machine or the job with the newest error is at
+                       fault */
     struct timespec suspected_until;
     bool quarantined;
 };
@@ -133,12 +135,12 @@
 
 /** The state of returning a machine to the cloud. */
 struct rp_scale_in {
-    bool draining;         /* its tasks are moved to other machines before it is released */
-    struct timespec since; /* when it entered RP_MACHINE_RELEASING */
+    bool draining;         /* the machine's tasks are moved to other machines before its release */
+    struct timespec since; /* when the machine entered RP_MACHINE_RELEASING */
     bool delete_sent;
-    unsigned n_lists_missing; /* complete lists of the cloud since the one that last named the
-                                 machine, including that one */
-    bool listed_failed;       /* the cloud lists it as failed */
+    unsigned n_lists_missing; /* number of complete lists received from the cloud since a list last
+                                 named the machine, including that list */
+    bool listed_failed;       /* the cloud lists the machine as failed */
 };
 
 /** A machine provisioned from the cloud, and the tasks that may be on it. Owned by the cluster
@@ -151,8 +153,8 @@
     bool spot;
     /* Lifecycle. */
     enum rp_machine_state state;
-    bool recorded;    /* a durable record names it */
-    bool up_recorded; /* a durable record marks it as up; no task is started on it before */
+    bool recorded;    /* a durable record names the machine */
+    bool up_recorded; /* a durable record marks the machine as up; no task is started before */
     struct rp_provision_request *provision_request;
     struct timespec requested_at, up_at, lost_since;
     struct rp_scale_in scale_in;
@@ -183,7 +185,8 @@
 /** Whether the state of this machine allows starting tasks on it. Whether a particular task may
  * start there is decided by start_permission.h. */
 bool rp_machine_is_usable(const struct rp_machine *machine);
-/** Whether its heartbeats arrive, but nothing shows that it receives this leader's answers. */
+/** Whether the machine's heartbeats arrive, but nothing shows that it receives this leader's
+ * answers. */
 bool rp_machine_is_one_way_partitioned(const struct rp_machine *machine);
 /** Whether no task is or may be on the machine. Exited allocations that were started directly do
  * not count: the worker keeps their attempts listed, so that late copies of their starts have no
--- a/src/cluster/machine_images.c
+++ b/src/cluster/machine_images.c
@@ -12,7 +12,7 @@
     return NULL;
 }
 
-/* The total size of all images of the machine and one more of `gb`. */
+/* The total size, in GB, of all images of the machine and of a new image of size `gb`. */
 static double total_with_new_gb(const struct rp_machine *machine, double gb) {
     double total = gb;
     for (size_t i = 0; i < machine->n_images; i++)
@@ -28,7 +28,7 @@
     return oldest;
 }
 
-/* Evicts least recently used images until one more of `gb` fits. */
+/* Evicts least recently used images until a new image of size `gb` (GB) fits on the disk. */
 static void evict_for(const struct rp_cluster *cluster, struct rp_machine *machine, double gb) {
     double cache_gb = machine->type >= 0 ? cluster->catalog->types[machine->type].cache_gb : 0;
     double needed_gb = total_with_new_gb(machine, gb);
--- a/src/cluster/machine_lifecycle.h
+++ b/src/cluster/machine_lifecycle.h
@@ -10,8 +10,8 @@
 /** Adds a machine of this name, which must be new. The cluster state owns the machine. */
 struct rp_machine *rp_machine_add(struct rp_cluster *cluster, const char *name,
                                   enum rp_machine_state state);
-/** Drops all tasks that may be on the machine, for which `evidence` is the reason, then removes and
- * frees the machine. */
+/** Drops all tasks that may be on the machine, then removes and frees the machine. `evidence` is
+ * the reason why none of these tasks can run any more. */
 void rp_machine_remove(struct rp_cluster *cluster, struct rp_machine *machine,
                        enum rp_task_evidence evidence);
 /** The only function that changes a machine's state. */
--- a/src/cluster/provision_loading.h
+++ b/src/cluster/provision_loading.h
@@ -6,12 +6,13 @@
 
 #include "cluster/provisioning.h"
 
-/** Called when the loading ends; `is_loaded` is false if a page could not be read, so that the
- * requests are incomplete. */
+/** Called when the loading ends; `is_loaded` is false if a page of records could not be read, so
+ * that the list of requests is incomplete. */
 typedef void (*rp_provision_loaded_fn)(void *arg, bool is_loaded);
 
 /** Loads all records into the provisioning, which must have been cleared, and their machines into
- * the cluster state. `on_loaded` is not called if the provisioning is cleared before. */
+ * the cluster state. `on_loaded` is not called if the provisioning is cleared before the loading
+ * ends. */
 void rp_provision_load(struct rp_provisioning *provisioning, rp_provision_loaded_fn on_loaded,
                        void *arg);
 
--- a/src/cluster/provision_request.h
+++ b/src/cluster/provision_request.h
@@ -3,7 +3,7 @@
  * record and the machines that the cloud provided (docs/safety.md). Every machine that may hold
  * tasks is named by the durable record of exactly one request.
  *
- * This module has the list of requests and their state machine; provisioning.h performs the steps
+ * This module has the list of requests and their state machine; provisioning.c performs the steps
  * of each state. */
 #ifndef RP_CLUSTER_PROVISION_REQUEST_H
 #define RP_CLUSTER_PROVISION_REQUEST_H
@@ -17,8 +17,8 @@
     RP_PROVISION_REQUESTING, /* the request is being sent to the cloud, under a name that is never
                                 reused */
     RP_PROVISION_RECORDING_NAMES, /* the record with the machines' names is being written */
-    RP_PROVISION_LIVE,            /* the durable record names its machines */
-    RP_PROVISION_ENDED            /* has no machine: its record is being deleted */
+    RP_PROVISION_LIVE,            /* the durable record names the request's machines */
+    RP_PROVISION_ENDED            /* the request has no machine: its record is being deleted */
 };
 
 /** A provision request. Its machines point to it (`rp_machine.provision_request`). */
@@ -26,21 +26,23 @@
     char name[RP_TEXT_MAX];
     enum rp_provision_state state;
     struct rp_provision_record record;
-    bool stored;         /* the record exists in the store */
-    bool in_flight;      /* a call to the store or to the cloud about it is in flight */
-    bool is_dirty;       /* the names, or which machines are up, differ from the stored record */
-    uint64_t revision;   /* revision of the record; 0: there is no record */
-    bool revision_known; /* false: the revision must be read before the next write */
+    bool stored;    /* the record exists in the store */
+    bool in_flight; /* a call about the request, to the store or the cloud, is in flight */
+    bool is_dirty; /* the stored record must be written again: the machines' names, or which of them
+                      are up, have changed */
+    uint64_t revision;             /* the store's revision of the record; 0: there is no record */
+    bool revision_known;           /* false: the revision must be read before the next write */
     struct timespec retry_at;      /* no step is performed before this instant */
-    char write_after[RP_TEXT_MAX]; /* name of the request whose record must be written before, since
-                                      it takes over machines of this one; "": none */
+    char write_after[RP_TEXT_MAX]; /* name of the request that takes over machines of this request,
+                                      and whose record must therefore be written before this
+                                      request's record; "": none */
     struct rp_provision_request *next;
 };
 
 /** The requests of a term, the newest first. */
 struct rp_provision_requests {
     struct rp_provision_request *first;
-    unsigned long n_named; /* names assigned by this process; none is reused */
+    unsigned long n_named; /* number of names assigned by this process; no name is reused */
 };
 
 /** The request of this name; NULL if there is none. */
--- a/src/cluster/provisioning.c
+++ b/src/cluster/provisioning.c
@@ -98,7 +98,8 @@
         return;
     }
     request->stored = true;
-    /* The state may have changed during the write, because its machines were terminated. */
+    /* The request's state may have changed during the write, because its machines were
+     * terminated. */
     bool is_same_state = request->state == written_state;
     if (written_state == RP_PROVISION_RECORDING_INTENT && is_same_state)
         rp_provision_request_set_state(provisioning->context, request, RP_PROVISION_REQUESTING);
@@ -129,9 +130,9 @@
         rp_provision_request_retry_after(context, request, RECORD_REFUSED_RETRY_S);
         return;
     }
-    /* Each write carries the revision that it replaces, so that a copy that arrives late cannot
-     * remove names again. After a lost response, or a conflict with a write whose response was
-     * lost, the revision must be read before the next write. */
+    /* Each write carries the revision that it replaces, so that a copy of a write that arrives late
+     * cannot remove names again. After a lost response, or a conflict with a write whose response
+     * was lost, the revision must be read before the next write. */
     request->revision_known = false;
     rp_provision_request_retry_after(context, request, WRITE_RETRY_S);
 }
@@ -200,11 +201,11 @@
                                   rp_record_provision(&request->record, names, is_up, n));
 }
 
-/* Splits a record that is larger than a value may be. Such records exist because the previous
- * version wrote up to 50 names, and the store's limit has been lowered since. A new record takes
- * over the second half of the names and is written first, then the old record is written without
- * them. A leader that loads both records between the two writes uses, for each machine, the first
- * record that names it. Returns false if no split is needed. */
+/* Splits a record that is larger than a value in the store may be. Such records exist because the
+ * previous version wrote up to 50 names, and the store's limit has been lowered since. A new record
+ * takes over the second half of the names and is written first, then the old record is written
+ * without those names. A leader that loads both records between the two writes uses, for each
+ * machine, the first record that names it. Returns false if no split is needed. */
 static bool split_record(struct rp_provisioning *provisioning,
                          struct rp_provision_request *request) {
     const struct rp_fleet_context *context = provisioning->context;
@@ -231,8 +232,8 @@
     return true;
 }
 
-/* Writes the record, or deletes it once the request has ended. Reads its revision first if that is
- * not known. */
+/* Writes the record, or deletes it once the request has ended. Reads the record's revision first if
+ * it is not known. */
 static void write_record(struct rp_provisioning *provisioning,
                          struct rp_provision_request *request) {
     const struct rp_fleet_context *context = provisioning->context;
@@ -341,7 +342,7 @@
         end_request(provisioning, request);
     } else {
         /* The cloud may have provided machines; only repeating the request under its name shows
-         * it. */
+         * whether it has. */
         rp_provision_request_retry_after(provisioning->context, request,
                                          answer->status == 429 ? CLOUD_RATE_LIMITED_RETRY_S
                                                                : CLOUD_RETRY_S);
--- a/src/cluster/provisioning.h
+++ b/src/cluster/provisioning.h
@@ -4,9 +4,9 @@
  *
  * Invariants: a request is recorded before it is sent to the cloud, so that the next leader can
  * repeat it under the same name and receives the same machines; a machine's name is durable before
- * the machine counts as recorded; that a machine is up is durable before any task is started on it.
- * Each write carries the revision that it replaces, so that a copy that arrives late cannot remove
- * names. */
+ * the machine counts as recorded; a machine is durably marked as up before any task is started on
+ * it. Each write carries the revision that it replaces, so that a copy of a write that arrives late
+ * cannot remove names. */
 #ifndef RP_CLUSTER_PROVISIONING_H
 #define RP_CLUSTER_PROVISIONING_H
 
@@ -18,8 +18,8 @@
     struct rp_fleet_context *context;
     struct rp_provision_requests requests;
     struct rp_capacity_refusals refusals;
-    size_t record_max_bytes; /* largest size of a record: the store's limit, or less after it has
-                                refused a record */
+    size_t record_max_bytes; /* largest size of a record: the store's limit, or less after the store
+                                has refused a record */
     unsigned long n_provisioned; /* machines received from the cloud since the process started */
 };
 
@@ -28,8 +28,8 @@
 /** Removes all requests and refusals. Responses to calls in flight are discarded because the
  * context's generation has changed. */
 void rp_provisioning_clear(struct rp_provisioning *provisioning);
-/** Called when the machine has sent a heartbeat: records that it is up, unless that is recorded
- * already. */
+/** Called when the machine has sent a heartbeat: records durably that it is up, unless a record
+ * says so already. */
 void rp_provisioning_record_up(struct rp_provisioning *provisioning, struct rp_machine *machine);
 /** Called when a machine of the request has been terminated and removed. The request is freed in a
  * later step if this was its last machine. */
--- a/src/cluster/quarantine.c
+++ b/src/cluster/quarantine.c
@@ -13,8 +13,8 @@
 /* Time for which no task is started on a suspected machine: the results of the job's tasks on other
  * machines may show during that time whether the job is at fault. */
 #define SUSPICION_S 20.0
-/* Backoff before a job that failed is started again; it doubles while the job fails on every
- * machine. */
+/* Backoff before a job that failed is started again; the backoff doubles while the job fails on
+ * every machine. */
 #define START_BACKOFF_S 0.5
 #define START_BACKOFF_MAX_S 30.0
 #define START_BACKOFF_DOUBLINGS_MAX 8
@@ -50,8 +50,8 @@
     return true;
 }
 
-/* Removes a faulty machine from the job's failed machines: an error there does not show that the
- * job is faulty. */
+/* Removes a faulty machine from the job's failed machines: an error on a faulty machine does not
+ * show that the job is faulty. */
 static void remove_failed_machine(struct rp_job *job, const struct rp_machine *machine) {
     unsigned index = failed_machine_index(job, machine);
     if (index == job->n_failed_machines)
@@ -88,7 +88,8 @@
 
 /* Errors of a single job do not prove that the machine is faulty: without this rule, faulty jobs
  * caused every third good machine on which they ran to be released, with its images (incident
- * 4d52). Errors of two jobs prove it, or of one job whose tasks succeed on other machines. */
+ * 4d52). Errors of two jobs prove that the machine is faulty, and so do errors of one job whose
+ * tasks succeed on other machines. */
 void rp_quarantine_count_machine_error(struct rp_cluster *cluster, const struct rp_job *job,
                                        struct rp_machine *machine, struct timespec now) {
     struct rp_machine_health *health = &machine->health;
--- a/src/cluster/quarantine.h
+++ b/src/cluster/quarantine.h
@@ -15,7 +15,7 @@
  * either the machine or the job. */
 void rp_quarantine_on_task_error(struct rp_cluster *cluster, struct rp_job *job,
                                  struct rp_machine *machine, struct timespec now);
-/** Called when a task of the job, already counted as done, succeeded on the machine. */
+/** Called when a task of the job succeeded on the machine; the task is already counted as done. */
 void rp_quarantine_on_task_success(struct rp_cluster *cluster, struct rp_job *job,
                                    struct rp_machine *machine);
 /** Records that the job failed on the machine. Returns false if it had failed there before. */
@@ -23,8 +23,8 @@
 /** Counts an error of the job against the machine alone. */
 void rp_quarantine_count_machine_error(struct rp_cluster *cluster, const struct rp_job *job,
                                        struct rp_machine *machine, struct timespec now);
-/** Ends the machine's suspicion when its time is over, so that another job can be started on it and
- * show whether it is faulty. */
+/** Ends the suspicion of the machine when suspected_until is reached, so that another job can be
+ * started on the machine and show whether the machine is faulty. */
 void rp_quarantine_step(struct rp_machine *machine, struct timespec now);
 /** Whether the job has failed on several machines and succeeded on none. Only a few tasks of a
  * suspected job are started. */
--- a/src/cluster/reconciliation.c
+++ b/src/cluster/reconciliation.c
@@ -13,29 +13,30 @@
 
 /* Number of machines requested in one page of the cloud's list. */
 #define MACHINES_PER_PAGE 500
-/* Time between two lists; the shorter one applies while any machine is silent. */
+/* Time between two requests for the cloud's list; the shorter time applies while any machine is
+ * silent. */
 #define LIST_INTERVAL_S 4.0
 #define LIST_INTERVAL_SILENT_S 1.5
-/* Share of the cloud's requests per second that lists may use at most. */
+/* Largest share of the cloud's permitted requests per second that may be used for lists. */
 #define LIST_RATE_SHARE 0.5
 /* Time between two requests for the catalog's prices. */
 #define PRICES_INTERVAL_S 30.0
-/* The list shows a machine's start or end up to list_lag_s late. Each limit below is a number of
- * such lags plus a margin in seconds. */
+/* The list shows a machine's start or end up to list_lag_s seconds late. Each limit below is a
+ * number of such lags plus a margin in seconds. */
 /* Age above which a listed machine that no record names is an orphan. */
 #define ORPHAN_LAGS 4
 #define ORPHAN_MARGIN_S 60
 /* How long this node must have led before a listed machine that no record names is an orphan, since
  * until then the machine may send a heartbeat. */
 #define ORPHAN_LEADING_S 30
-/* Time since its request after which a machine must have been listed. */
+/* Time since a machine was requested after which the cloud must have listed the machine. */
 #define MISSING_LAGS 4
 #define MISSING_MARGIN_S 5
 /* Value of n_lists_missing above which a machine is missing: lists are received out of order, so
  * several in a row must lack it. */
 #define MISSING_LISTS 2
 /* Difference between the recorded request time of a machine and the one that its age in the list
- * implies, above which the recorded one is corrected. */
+ * implies, above which the recorded time is corrected. */
 #define AGE_LAGS 3
 #define AGE_MARGIN_S 2
 
@@ -123,8 +124,8 @@
 
 /* Whether the machine has probably been terminated, since the lists lack it. A machine that has
  * been listed is listed until it is terminated, and every machine of this age has been listed.
- * Since lists are received out of order, several in a row must lack it; the response to its
- * deletion then proves it. */
+ * Since lists are received out of order, several in a row must lack the machine; the response to
+ * its deletion then proves that it is terminated. */
 static bool is_missing(const struct rp_fleet_context *context, const struct rp_machine *machine,
                        struct timespec now) {
     return machine->scale_in.n_lists_missing > MISSING_LISTS &&
--- a/src/cluster/release.c
+++ b/src/cluster/release.c
@@ -9,7 +9,8 @@
 
 /* Number of machines that one deletion call may name (PROTOCOL). */
 #define MACHINES_PER_DELETE_MAX 100
-/* Time after which the standbys have received a release, as they request changes more often. */
+/* Time after which the standbys have received the release of a machine, since they request changes
+ * at shorter intervals than this. */
 #define STANDBY_DELAY_S 0.4
 /* Time from the start of a term in which machines are deleted without waiting for the standbys, so
  * that the releases of the previous leader are repeated at once. */
--- a/src/cluster/release.h
+++ b/src/cluster/release.h
@@ -1,8 +1,8 @@
 /** @file
- * Scale-in: machines in RP_MACHINE_RELEASING are deleted in the cloud, up to 100 per call; a call
- * is repeated until the cloud responds with 200. Only that response proves that a machine is
- * terminated, and with it every task on it; the machine is then removed from the cluster state and
- * gets a tombstone.
+ * Scale-in: machines in RP_MACHINE_RELEASING are deleted in the cloud, up to 100 per call; a
+ * deletion is repeated until the cloud responds with 200. Only that response proves that a machine
+ * is terminated, and with it every task on it; the machine is then removed from the cluster state
+ * and gets a tombstone.
  *
  * Called by the fleet, the release policy and the reconciliation. */
 #ifndef RP_CLUSTER_RELEASE_H
@@ -19,7 +19,7 @@
     unsigned long n_released;             /* machines terminated since the process started */
 };
 
-/** Context and provisioning are borrowed. */
+/** Initializes the release of machines; context and provisioning are borrowed. */
 void rp_release_init(struct rp_release *release, struct rp_fleet_context *context,
                      struct rp_provisioning *provisioning);
 /** Called when a term ends. Responses to calls in flight are discarded because the context's
@@ -28,8 +28,8 @@
 /** Starts releasing the machine. `reason` is written to the log. Does nothing for a machine that is
  * being released already. */
 void rp_release_machine(struct rp_release *release, struct rp_machine *machine, const char *reason);
-/** Sends the cloud a deletion of releasing machines for which none is in flight; called in every
- * tick. */
+/** Sends the cloud a deletion of the releasing machines for which no deletion is in flight; called
+ * in every tick. */
 void rp_release_step(struct rp_release *release);
 
 #endif
--- a/src/cluster/release_policy.c
+++ b/src/cluster/release_policy.c
@@ -5,8 +5,8 @@
 /* Time within which a machine reports again after its lease expired because no leader answered
  * it. */
 #define LOST_GRACE_S 16.0
-/* Time within which a lost machine reports again if most of its zone, or many others, fell silent
- * with it. */
+/* Time within which a lost machine reports again if most machines of its zone, or many machines in
+ * all, fell silent together with it. */
 #define PARTITION_GRACE_S 75.0
 /* How long a machine that reports but receives no answers is kept: longer than its lease, so that
  * it can recover. */
@@ -15,7 +15,8 @@
 #define SPOT_NOTICE_GRACE_S 1.0
 /* Boot time assumed for a type that the catalog does not have. */
 #define UNKNOWN_TYPE_BOOT_S 60.0
-/* Margin after boot_patience times the boot time, before a booting machine is released. */
+/* A booting machine is released this time after boot_patience times its type's boot time has passed
+ * without a heartbeat. */
 #define BOOT_MARGIN_S 5.0
 
 struct policy {
@@ -49,7 +50,8 @@
     return machine->scale_in.draining ? "drained" : NULL;
 }
 
-/* Returns whether the machine was lost. */
+/* Releases the machine if the policy requires it, or makes it RP_MACHINE_LOST. Returns whether the
+ * machine became lost. */
 static bool check_running(const struct policy *policy, struct rp_machine *machine) {
     if (rp_machine_is_lease_expired(machine, policy->now)) {
         rp_machine_set_state(policy->context->cluster, machine, RP_MACHINE_LOST);
--- a/src/cluster/scale_out.c
+++ b/src/cluster/scale_out.c
@@ -7,9 +7,10 @@
 
 /* Number of machines that the cloud allows in one request (PROTOCOL). */
 #define MACHINES_PER_REQUEST_MAX 50
-/* Size of a record without its machines' names. */
+/* Size in bytes of a provision record without its machines' names. */
 #define RECORD_HEAD_BYTES 320
-/* Usual size of a machine's name in a record; a record whose names are longer is split. */
+/* Usual size in bytes of a machine's name in a provision record; a record whose names are longer is
+ * split. */
 #define RECORD_NAME_BYTES 16
 
 /* Largest number of machines of one request: its record must have space for each name twice. */
--- a/src/cluster/scale_out.h
+++ b/src/cluster/scale_out.h
@@ -7,8 +7,8 @@
 
 #include "cluster/provisioning.h"
 
-/** Requests at most `count` machines of a kind of the catalog; fewer if `count` exceeds the limit
- * of a request or of its record. */
+/** Requests at most `count` machines of a kind of the catalog; fewer if `count` exceeds the number
+ * of machines that one request or one record may have. */
 void rp_scale_out(struct rp_provisioning *provisioning, int type, int zone, bool spot,
                   unsigned count);
 /** Creates a request for a machine that no record names, so that the next leader loads the machine.
--- a/src/cluster/start_permission.c
+++ b/src/cluster/start_permission.c
@@ -11,8 +11,8 @@
 
 /* ---- reconciliation ---- */
 
-/* Rebuilds the list of machines that may be unreconciled. Every start checks this list, so it is
- * rebuilt only after a machine has changed; it is usually empty. */
+/* Rebuilds the list of machines that may be unreconciled. Every start checks this list, so the list
+ * is rebuilt only after a machine has changed; it is usually empty. */
 static void refresh_unreconciled(struct rp_cluster *cluster) {
     if (!cluster->unreconciled_stale)
         return;
@@ -55,7 +55,8 @@
 }
 
 bool rp_cluster_is_job_reconciled(struct rp_cluster *cluster, const struct rp_job *job) {
-    /* A team with a limit waits for all machines, since any task there may count against it. */
+    /* A job of a team with a limit waits until all machines are reconciled, since any task on them
+     * may count against the limit. */
     bool is_limited = has_limit(team_of(cluster, job));
     /* A job whose record is newer than this leader's fencing token was accepted after the previous
      * leader's lease had ended: no other leader can have started any of its tasks. */
--- a/src/cluster/start_permission.h
+++ b/src/cluster/start_permission.h
@@ -10,8 +10,8 @@
 
 #include "cluster/cluster_state.h"
 
-/** Resources that the message that starts a task releases before the start: of the machine's
- * capacity, and of the usage of the job's team. */
+/** Resources that other commands of a message release before the message starts a task: `capacity`
+ * is released on the machine, `quota` from the usage of the job's team. */
 struct rp_released_resources {
     struct rp_resources capacity, quota;
 };
@@ -32,9 +32,9 @@
  * a type or zone below 0. */
 bool rp_cluster_is_kind_allowed(const struct rp_cluster *cluster, const struct rp_job_spec *spec,
                                 int type, int zone, bool spot);
-/** By how much one more task of the job would exceed its team's limit; 0 or less if it would not.
- * INFINITY for a job without a team, and for a team with a limit while its usage is unknown because
- * a machine holds tasks of unknown jobs. */
+/** By how much one more task of the job would exceed the limit of the job's team; 0 or less if it
+ * would not exceed the limit. INFINITY for a job without a team, and for a team with a limit while
+ * its usage is unknown because a machine holds tasks of unknown jobs. */
 struct rp_resources rp_cluster_quota_excess(const struct rp_cluster *cluster,
                                             const struct rp_job *job);
 /** The capacity of the machine's type, minus the resources of its counted allocations. */
--- a/src/cluster/task_evidence.h
+++ b/src/cluster/task_evidence.h
@@ -10,8 +10,8 @@
 
 /** Why no task of a machine can run any more. */
 enum rp_task_evidence {
-    /** The machine's worker shows a newer incarnation: it killed all tasks of the previous one when
-     * its lease expired. */
+    /** The machine's worker shows a newer incarnation: the worker killed all tasks of the previous
+     * incarnation when its lease expired. */
     RP_EVIDENCE_NEW_INCARNATION,
     /** The machine has been silent until its lease expired: no heartbeat has been answered since,
      * so its worker has killed all tasks. The leader counts the lease from the arrival of the
@@ -23,23 +23,24 @@
      * from the cloud's list nor its silence proves that it is terminated. */
     RP_EVIDENCE_DELETION_CONFIRMED,
     /** No evidence that the tasks have ended: the term has ended, and the cluster state is
-     * discarded. The next leader loads all machines from the records, and assumes that each one
+     * discarded. The next leader loads all machines from the records, and assumes that each machine
      * that was up may hold tasks. */
     RP_EVIDENCE_TERM_OVER
 };
 
 /** The evidence's name for log lines, such as "lease_expired". */
 const char *rp_task_evidence_name(enum rp_task_evidence evidence);
-/** Drops all allocations and unknown tasks of the machine. Its images are kept: they remain on its
- * disk, and a network partition or a hang ends only the tasks. */
+/** Drops all allocations and unknown tasks of the machine. The machine's images are kept: they
+ * remain on its disk, and a network partition or a hang ends only the tasks. */
 void rp_machine_drop_tasks(struct rp_cluster *cluster, struct rp_machine *machine,
                            enum rp_task_evidence evidence);
 /** Whether the lease of the machine's worker has expired, as far as this leader's answers renew it.
- * The caller must ensure that no other node has renewed it; none does while this node leads. */
+ * The caller must ensure that no other node has renewed the lease; no other node renews it while
+ * this node leads. */
 bool rp_machine_is_lease_expired(const struct rp_machine *machine, struct timespec now);
 /** Whether the machine holds no unreported task of an earlier leader. Either a heartbeat has shown
  * this leader's fencing token, so that the worker accepts no older start and its list is complete;
- * or no earlier leader has started a task there. */
+ * or no earlier leader has started a task on the machine. */
 bool rp_machine_has_complete_task_list(const struct rp_machine *machine);
 /** Whether the machine may hold unreported tasks of an earlier leader: its task list is not
  * complete, and its lease has not expired. */
--- a/src/cluster/tombstones.h
+++ b/src/cluster/tombstones.h
@@ -10,9 +10,9 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/** Number of names that the set keeps. With 4,000 machines that are each released after the minute
- * that the cloud charges at least, 66 machines are released per second, so the names of 16 minutes
- * fit. */
+/** Number of names that the set keeps. With 4,000 machines that are each released after one minute,
+ * the shortest time that the cloud charges, 66 machines are released per second, so the names of 16
+ * minutes fit. */
 #define RP_TOMBSTONES_MAX 65536
 
 /** A set of tombstones; all zero when empty. A ring of hashes and a hash table of its positions. */
@@ -20,10 +20,10 @@
     uint64_t *hashes; /* ring of RP_TOMBSTONES_MAX hashes; NULL until the first machine is added */
     uint32_t *heads;  /* heads of the hash table's chains: 1 + a position in the ring; 0: empty */
     uint32_t *next;   /* next link of each position's chain: 1 + a position in the ring; 0: none */
-    size_t n;         /* machines added so far */
+    size_t n;         /* number of names added so far */
 };
 
-/** Adds the name, and removes the oldest one if the set is full. */
+/** Adds the machine's name, and removes the oldest name if the set is full. */
 void rp_tombstones_add(struct rp_tombstones *tombstones, const char *machine);
 /** Whether the machine is in the set. */
 bool rp_tombstones_has(const struct rp_tombstones *tombstones, const char *machine);
--- a/src/controller/cycle_trigger.c
+++ b/src/controller/cycle_trigger.c
@@ -6,18 +6,18 @@
 
 /* The share of this node's processor time that triggered cycles may use. */
 #define CYCLE_CPU_SHARE 0.35
-/* The share of one core that triggered cycles may use at most, also on a node with several cores. A
- * larger share brings no earlier starts, because each cycle then finds less to do. */
+/* The largest share of one core's time that triggered cycles may use, also on a node with several
+ * cores. A larger share brings no earlier starts, because each cycle then finds less to do. */
 #define CYCLE_CORE_SHARE_MAX 0.12
-/* The least number of seconds between two triggered cycles, however short they are: with 850
- * machines, about 20 heartbeats arrive in that time. */
+/* The minimum number of seconds between two triggered cycles, however short the cycles are: with
+ * 850 machines, about 20 heartbeats arrive in that time. */
 #define CYCLE_INTERVAL_MIN_S 0.1
 /* Seconds for which the answer to a heartbeat may wait for a cycle. docs/safety.md relies on this
  * bound. */
 #define ANSWER_WAIT_MAX_S 0.8
 
 /* Seconds until the next triggered cycle may run; zero or less when it may run now. Cycles that
- * take long have longer intervals between them, and each handles more changes at once. */
+ * take long have longer intervals between them, and each cycle handles more changes at once. */
 static double until_next_cycle_s(const struct rp_cycle_trigger *trigger) {
     const struct rp_scheduler *scheduler = trigger->scheduler;
     double since_last_s = rp_ts_since(rp_loop_now(trigger->loop), scheduler->last_cycle_at);
--- a/src/controller/node.c
+++ b/src/controller/node.c
@@ -3,8 +3,8 @@
 #include <string.h>
 #include "base/log.h"
 
-/* The interval between two reads of the leader's key while a format waits for its activation, as a
- * share of leader_check_s. */
+/* The interval between two reads of the leader's key while this version's record format is not yet
+ * active, as a share of leader_check_s. */
 #define UPGRADE_CHECK_SHARE 0.4
 /* Seconds before the stored records are read again after a failure: far shorter than any lease, and
  * long enough not to exhaust the store's request budget. */
@@ -16,7 +16,7 @@
 /* ---- leadership: record format, machine types, elections ---- */
 
 /* A node joins the elections once it has the machine types and has read that no later version's
- * format is active. */
+ * record format is active. */
 static void join_elections(struct rp_node *node) {
     bool is_ready = node->catalog_source.is_known && node->upgrade.has_read_activation;
     if (!is_ready || node->has_joined_elections || node->upgrade.state == RP_UPGRADE_TOO_OLD)
@@ -25,7 +25,8 @@
     rp_election_start(&node->election);
 }
 
-/* Called when a later version's format is active, whose records this version cannot read. */
+/* Called when a later version's record format is active: this version cannot read records in that
+ * format. */
 static void leave_elections(struct rp_node *node) {
     rp_election_resign(&node->election, RESIGN_BACKOFF_S);
     rp_election_stop(&node->election);
@@ -49,9 +50,9 @@
     else if (rp_upgrade_is_active(&node->upgrade))
         on_format_active(node);
     else if (!tuning->keep_old_forms)
-        /* Until all nodes support this version's format, those that do read the leader's key more
-         * often, so that a free key is more likely to be claimed by a node that will not be
-         * replaced. */
+        /* Until all nodes support this version's record format, the nodes that support it read the
+         * leader's key at shorter intervals than the others, so that a free key is more likely to
+         * be claimed by a node that will not be replaced. */
         node->election.check_s = tuning->leader_check_s * UPGRADE_CHECK_SHARE;
     join_elections(node);
 }
@@ -174,7 +175,7 @@
     return rp_cycle_trigger_on_capacity_freed(&node->cycle_trigger);
 }
 
-/* Does the same as on_capacity_freed, for callers that have no worker waiting for an answer. */
+/* Does the same as on_capacity_freed, for callers for which no worker waits for an answer. */
 static void on_change(void *arg) {
     (void)on_capacity_freed(arg);
 }
--- a/src/controller/node.h
+++ b/src/controller/node.h
@@ -1,6 +1,6 @@
 /** @file
  * A node: owns all of its parts, connects them, and decides when it leads. Network and event loop
- * are passed in: main.c uses HTTP, the tests a simulation.
+ * are passed in: main.c passes HTTP, the tests pass a simulation.
  *
  * Invariants: only a node in state RP_NODE_LEADING runs scheduling cycles. Whether it may answer a
  * worker or send a command is checked with the election each time (rp_election_is_valid), because a
@@ -79,8 +79,8 @@
  * or -1 when out of memory: the process should end then. */
 int rp_node_init(struct rp_node *node, struct rp_loop *loop, struct rp_net net,
                  const struct rp_settings *settings);
-/** Starts the parts that run from the beginning; everything else is started by events of the loop.
- */
+/** Starts the parts that run from the beginning; all other parts are started by events of the
+ * loop. */
 void rp_node_start(struct rp_node *node);
 /** Prepares the node for the end of the process: `GET /healthz` reports it as unhealthy from now
  * on, and the leader's key is given up. */
--- a/src/controller/node_requests.c
+++ b/src/controller/node_requests.c
@@ -11,7 +11,7 @@
 #include "protocol/worker_codec.h"
 
 #define PATH_STATUS "/status"
-#define PATH_CANCEL "/cancel" /* follows a job's path */
+#define PATH_CANCEL "/cancel" /* suffix of a job's path in a request that cancels the job */
 
 static bool is_get(const struct rp_request *req) {
     return strcmp(req->method, "GET") == 0;
@@ -131,7 +131,8 @@
     return rp_job_codec_is_id(id);
 }
 
-/* `path` is the part of the target after the path of all jobs: ID or ID/cancel. */
+/* Handles a request about one job. `path` is the part of the request's target after the path of all
+ * jobs: ID or ID/cancel. */
 static void on_job_request(struct rp_node *node, struct rp_request *req, const char *path) {
     char id[RP_ID_MAX];
     const char *action = strchr(path, '/');
--- a/src/controller/peer_health.h
+++ b/src/controller/peer_health.h
@@ -1,11 +1,11 @@
 /** @file
- * Detects whether this node is isolated from the key-value store: the store fails for this node
- * alone. While the store does not respond to this node, this node checks with the other nodes
- * whether the store responds to them. An outage of the store affects all nodes alike, and taking
- * this node out of the load balancer would not help. If the store responds to the other nodes, they
- * serve users better, and this node does not receive the changes that they make. A node that
- * receives responses neither from the store nor from any other node is partitioned itself, which
- * counts as isolation from the store, too.
+ * Detects whether this node is isolated from the key-value store, which means that the store fails
+ * for this node alone. While the store does not respond to this node, this node checks with the
+ * other nodes whether the store responds to them. An outage of the store affects all nodes alike,
+ * and taking this node out of the load balancer would not help. If the store responds to the other
+ * nodes, they serve users better, and this node does not receive the changes that they make. A node
+ * that receives responses neither from the store nor from any other node is partitioned itself,
+ * which counts as isolation from the store, too.
  *
  * The node (node.h) starts and stops the checks and reads their result; node_requests.c answers the
  * checks of the other nodes. */
@@ -26,7 +26,8 @@
     struct rp_net net;
     const struct rp_settings *settings;
     const struct rp_kv_client *store;
-    /* Notified while this node is isolated from the store: its task starts are then suspended. */
+    /* Notified while this node is isolated from the store: starts of its tasks are then
+     * suspended. */
     struct rp_jobs *jobs;
     struct rp_timer timer;
     /* When another node, or the store, last responded. */
--- a/src/controller/running_counts.c
+++ b/src/controller/running_counts.c
@@ -12,7 +12,7 @@
 /* Seconds to wait for a response: less than POLL_PERIOD_S, so that one poll is in flight at a time.
  */
 #define RESPONSE_TIMEOUT_S 1.5
-/* Seconds after which a failed poll counts as unanswered; one that failed sooner was refused. */
+/* Seconds after which a failed poll counts as unanswered; a poll that failed sooner was refused. */
 #define UNANSWERED_MIN_S (RESPONSE_TIMEOUT_S / 2)
 
 static int compare_ids(const void *a, const void *b) {
--- a/src/controller/running_counts.h
+++ b/src/controller/running_counts.h
@@ -1,7 +1,7 @@
 /** @file
  * Counts, for display to users, how many tasks of each open job are done and how many run. Only the
- * leader has the counts; the other nodes poll it every two seconds and show those of its last
- * response. A count may be that old, and no decision depends on it.
+ * leader has the counts; the other nodes poll the leader every two seconds and show the counts of
+ * its last response. A count may be two seconds old, and no decision depends on it.
  *
  * The poll also checks whether the leader is alive: its success or failure is passed to the
  * election, which uses it to decide whether workers may be redirected to the leader. The node
--- a/src/worker/answer_queue.h
+++ b/src/worker/answer_queue.h
@@ -27,7 +27,8 @@
     size_t n, cap;
 };
 
-/** Adds the answer to the machine's newest heartbeat, which was received at `received_at`. */
+/** Adds the pending answer to the machine's newest heartbeat, which was received at
+ * `received_at`. */
 void rp_answer_queue_add(struct rp_answer_queue *queue, struct rp_request *req,
                          const struct rp_machine *machine, struct timespec received_at);
 /** Returns all answers and leaves the queue empty. Sending the answers may add new ones to `queue`.
--- a/src/worker/command_batch.c
+++ b/src/worker/command_batch.c
@@ -8,8 +8,8 @@
 /* The maximum number of commands in one message. At about 90 bytes for each, the message remains
  * below the 64 KiB that a line of an answer may have (PROTOCOL). */
 #define COMMANDS_MAX 400
-/* The number of bits by which the leader's token is shifted in an attempt's number, which is the
- * shifted token plus a count (rp_cluster_next_attempt). */
+/* The number of bits by which the leader's fencing token is shifted in an attempt's number, which
+ * is the shifted token plus a count (rp_cluster_next_attempt). */
 #define ATTEMPT_TOKEN_SHIFT 32
 
 void rp_command_batch_init(struct rp_command_batch *batch) {
@@ -72,11 +72,12 @@
 
 /* A worker that has forgotten an attempt would begin it again when a late copy of its start arrives
  * (PROTOCOL, `forget`). Starts in answers to heartbeats have no late copies. Direct starts may have
- * them, but the copies have no effect once the incarnation has changed, or the token, which is part
- * of the attempt's number. */
+ * them, but the copies have no effect once the worker's incarnation has changed, or the leader's
+ * fencing token, which is part of the attempt's number. */
 static bool may_forget(const struct rp_worker_context *context, const struct rp_machine *machine,
                        const struct rp_allocation *allocation) {
-    /* Until the machine shows this leader's token, an earlier leader's start may still arrive. */
+    /* Until the machine shows this leader's fencing token, an earlier leader's start may still
+     * arrive. */
     if (!machine->contact.fencing_token_seen)
         return false;
     bool is_of_this_term =
--- a/src/worker/command_batch.h
+++ b/src/worker/command_batch.h
@@ -25,7 +25,7 @@
 void rp_command_batch_add_unknown_tasks(struct rp_command_batch *batch,
                                         const struct rp_machine *machine);
 /** Adds all commands for the answer to a heartbeat: stops and forgets first, then, if the machine
- * has shown this leader's token, starts that must be repeated and planned starts. */
+ * has shown this leader's fencing token, starts that must be repeated, then planned starts. */
 void rp_command_batch_add_for_answer(struct rp_command_batch *batch,
                                      struct rp_worker_context *context, struct rp_machine *machine);
 /** Adds the commands that may be sent directly: stops without time to save, then the starts of
--- a/src/worker/direct_commands.c
+++ b/src/worker/direct_commands.c
@@ -80,7 +80,7 @@
     rp_heartbeat_free(&heartbeat);
     end_starts(message, machine, outcome);
     machine->contact.unreachable = outcome == RP_DIRECT_UNSENT;
-    /* The starts planned for an unreachable machine can be planned elsewhere. */
+    /* The starts planned for an unreachable machine can be planned on other machines. */
     if (rp_heartbeat_n_live_allocations(machine) < n_live_before || outcome == RP_DIRECT_UNSENT)
         rp_worker_notify_capacity_freed(context);
 out:
--- a/src/worker/heartbeat_queue.h
+++ b/src/worker/heartbeat_queue.h
@@ -18,8 +18,8 @@
 struct rp_heartbeat_queue_owner {
     /** Whether the heartbeats should wait longer; called several times a second. */
     bool (*can_wait)(void *arg);
-    /** The wait has ended. The owner must answer the heartbeat at once and must not add it to the
-     * queue again. */
+    /** Called when the heartbeat's wait has ended. The owner must answer the heartbeat at once and
+     * must not add it to the queue again. */
     void (*on_released)(void *arg, struct rp_request *req);
     void *arg;
 };
--- a/src/worker/heartbeat_reader.c
+++ b/src/worker/heartbeat_reader.c
@@ -42,8 +42,8 @@
 /* A machine in a one-way partition appears healthy: occasionally a heartbeat arrives that shows
  * free capacity and a newer incarnation, but tasks that are started on the machine are lost. When
  * its next heartbeat to this node is due, its worker sends the heartbeat to another node. Until a
- * heartbeat shows that answers arrive, the machine gets no work; if none does, it is scaled in
- * (cluster/release_policy.c). */
+ * heartbeat shows that answers arrive, the machine gets no work; if no heartbeat shows that, the
+ * machine is scaled in (cluster/release_policy.c). */
 static void detect_one_way_partition(const struct rp_worker_context *context,
                                      struct rp_machine *machine,
                                      const struct rp_heartbeat *heartbeat) {
@@ -135,9 +135,9 @@
     remove_missing(context, machine, heartbeat->seq);
     if (heartbeat->has_notice)
         rp_spot_notice_apply(context, machine, heartbeat->notice_s);
-    /* Only a heartbeat that shows this leader's token proves that no start of an earlier leader can
-     * still arrive (PROTOCOL, "Tokens"). Until then the machine may hold more tasks than the
-     * heartbeat lists. */
+    /* Only a heartbeat that shows this leader's fencing token proves that no start of an earlier
+     * leader can still arrive (PROTOCOL, "Tokens"). Until then the machine may hold more tasks than
+     * the heartbeat lists. */
     if (machine->state != RP_MACHINE_RELEASING && machine->contact.fencing_token_seen)
         rp_machine_set_state(context->cluster, machine, RP_MACHINE_UP);
     rp_fleet_record_up(context->fleet, machine);
--- a/src/worker/spot_notice.c
+++ b/src/worker/spot_notice.c
@@ -8,8 +8,8 @@
 #define SAVE_TIME_FACTOR 1.5
 #define SAVE_MARGIN_S 1.0
 
-/* Stops one allocation. May also remove other allocations of the machine: those of a gang whose
- * starts have not been sent yet. */
+/* Stops one allocation. May also remove other allocations of the machine: tasks of the same gang
+ * whose starts have not been sent yet. */
 static void stop_allocation(struct rp_worker_context *context, struct rp_machine *machine,
                             size_t index) {
     struct rp_allocation *allocation = &machine->allocations[index];
@@ -43,6 +43,6 @@
     machine->spot_notice.received = true;
     machine->spot_notice.ends_at = rp_ts_after(rp_loop_now(context->loop), notice_s);
     for (size_t i = machine->n_allocations; i-- > 0;)
-        if (i < machine->n_allocations) /* stopping a gang may have removed several */
+        if (i < machine->n_allocations) /* stopping a gang may have removed several allocations */
             stop_allocation(context, machine, i);
 }
--- a/src/worker/task_exit.h
+++ b/src/worker/task_exit.h
@@ -6,8 +6,8 @@
 
 #include "worker/worker_context.h"
 
-/** Applies an exit. The allocation must just have become RP_ALLOCATION_EXITED, with its exit reason
- * set. */
+/** Applies the exit of the allocation's task. The allocation must just have become
+ * RP_ALLOCATION_EXITED, with its exit reason set. */
 void rp_task_exit_apply(struct rp_worker_context *context, struct rp_machine *machine,
                         const struct rp_allocation *allocation);
 
--- a/src/worker/task_reader.c
+++ b/src/worker/task_reader.c
@@ -48,7 +48,7 @@
                                             struct rp_machine *machine, struct rp_job *job,
                                             const struct rp_task_status *status) {
     /* An old copy of a heartbeat that is read before any newer one may list a task that ended long
-     * ago. A heartbeat that shows this leader's token is no such copy. */
+     * ago. A heartbeat that shows this leader's fencing token is no such copy. */
     if (status->state != RP_TASK_EXITED && machine->contact.fencing_token_seen &&
         rp_job_n_task_allocations(job, status->task))
         rp_error("task may be on two machines: task=%s/%u machine=%s", job->spec.id, status->task,
--- a/src/worker/worker_context.h
+++ b/src/worker/worker_context.h
@@ -1,7 +1,7 @@
 /** @file
- * The context that all modules of this directory share: the parts of the node that they use, their
- * counters, and the call-back that requests a scheduling cycle. The controller fills it in, struct
- * rp_workers (workers.h) owns it, and it exists as long as the node does. */
+ * The context that all modules of src/worker/ share: the parts of the node that these modules use,
+ * their counters, and the call-back that requests a scheduling cycle. The controller fills it in,
+ * struct rp_workers (workers.h) owns it, and it exists as long as the node does. */
 #ifndef RP_WORKER_WORKER_CONTEXT_H
 #define RP_WORKER_WORKER_CONTEXT_H
 
@@ -38,8 +38,8 @@
     struct rp_worker_counters counters;
     /** Number of array tasks that direct commands may still start in this term. */
     unsigned n_direct_array_starts_left;
-    /** Called when capacity was freed. Returns true when an answer to a worker need not wait for a
-     * scheduling cycle, and false when a cycle follows shortly, which calls
+    /** Called when capacity of a machine was freed. Returns true when an answer to a worker need
+     * not wait for a scheduling cycle, and false when a cycle follows shortly, which calls
      * rp_workers_answer_pending. NULL: no cycle is requested, and no answer waits. */
     bool (*on_capacity_freed)(void *arg);
     void *arg; /* argument of on_capacity_freed */
--- a/src/worker/worker_fencing.c
+++ b/src/worker/worker_fencing.c
@@ -36,9 +36,9 @@
     on_fenced(arg, fenced);
 }
 
-/* Sends the command that shows the token. To a machine that has already shown the token, it carries
- * the stops of tasks whose jobs have ended: until these tasks have exited, the capacity that they
- * use is not available to any other task. */
+/* Sends the direct command that shows this leader's fencing token. To a machine that has already
+ * shown the token, it carries the stops of tasks whose jobs have ended: until these tasks have
+ * exited, the capacity that they use is not available to any other task. */
 static void send_command(struct fencing *fencing, const struct rp_machine *machine) {
     const struct rp_worker_context *context = fencing->call.context;
     struct rp_command_batch batch;
@@ -60,11 +60,11 @@
            (heartbeat->incarnation == contact->incarnation && heartbeat->seq > contact->seq);
 }
 
-/* Reads the response as a heartbeat. The machine shows this leader's token after the command: it
- * can accept no start of an earlier leader any more, so its list of tasks is complete. Its lease
- * was last renewed by a heartbeat that it sent before now. A response that is newer than any
- * heartbeat so far counts as one: heartbeats that were sent before it are refused, and the worker
- * sends its heartbeat again. Returns whether the response was read as a heartbeat. */
+/* Reads the response as a heartbeat. The machine shows this leader's fencing token after the
+ * command: it can accept no start of an earlier leader any more, so its list of tasks is complete.
+ * Its lease was last renewed by a heartbeat that it sent before now. A response that is newer than
+ * any heartbeat so far counts as one: heartbeats that were sent before it are refused, and the
+ * worker sends its heartbeat again. Returns whether the response was read as a heartbeat. */
 static bool read_as_heartbeat(struct rp_worker_context *context, struct rp_machine *machine,
                               const struct rp_heartbeat *heartbeat) {
     bool is_first = machine->state == RP_MACHINE_UNRECONCILED;
@@ -85,8 +85,8 @@
 
 /* The effect of a response on the fencing. */
 struct fencing_progress {
-    bool fenced; /* the response counts as a heartbeat */
-    bool resend; /* another command is to be sent */
+    bool fenced; /* the response counts as a heartbeat, so that the machine is fenced */
+    bool resend; /* another direct command must be sent to the machine */
 };
 
 static struct fencing_progress read_response(struct fencing *fencing, struct rp_machine *machine,
@@ -100,7 +100,7 @@
         rp_election_verify(context->election);
     progress.fenced =
         is_same && outcome == RP_DIRECT_EXECUTED && read_as_heartbeat(context, machine, heartbeat);
-    /* Otherwise the response took a sequence number after the newest heartbeat's. */
+    /* A response that is not read as a heartbeat took a sequence number after the newest one's. */
     if (!progress.fenced)
         machine->contact.n_direct++;
     bool was_other_incarnation = is_same && outcome == RP_DIRECT_REFUSED &&
--- a/src/worker/workers.c
+++ b/src/worker/workers.c
@@ -9,8 +9,8 @@
 #include "worker/heartbeat_reader.h"
 
 /* Seconds from this leader's first answer to a machine that was provisioned before the failover. A
- * machine that receives the answers has shown this leader's token within this time, which covers
- * two heartbeats and, between them, a worker's wait for an answer. */
+ * machine that receives the answers has shown this leader's fencing token within this time, which
+ * covers two heartbeats and, between them, a worker's wait for an answer. */
 #define TOKEN_TIMEOUT_S 8.0
 
 /* ---- responses ---- */
@@ -88,9 +88,9 @@
 
 /* ---- heartbeats that are not read as the machine's newest ---- */
 
-/* Returns NULL when no record names the machine and the heartbeat does not show this leader's
- * token. Such a heartbeat may be a copy, sent long ago by a machine that has been terminated since;
- * only this leader's token proves that the machine exists. */
+/* Returns the heartbeat's machine; NULL when no record names the machine and the heartbeat does not
+ * show this leader's fencing token. Such a heartbeat may be a copy, sent long ago by a machine that
+ * has been terminated since; only this leader's token proves that the machine exists. */
 static struct rp_machine *find_or_adopt_machine(const struct rp_workers *workers,
                                                 const struct rp_heartbeat *heartbeat) {
     const struct rp_worker_context *context = &workers->context;
@@ -114,9 +114,9 @@
 }
 
 /* Whether the heartbeat may be of the lost incarnation, which has ended, or of the next one, which
- * cannot hold any task yet. Once the heartbeat shows this leader's token, it is of the next one. If
- * such heartbeats were refused like those of the lost incarnation, all machines that were
- * partitioned during a failover would be refused until they were scaled in. */
+ * cannot hold any task yet. Once the heartbeat shows this leader's fencing token, it is of the next
+ * incarnation. If such heartbeats were refused like those of the lost incarnation, all machines
+ * that were partitioned during a failover would be refused until they were scaled in. */
 static bool may_be_of_lost_incarnation(const struct rp_workers *workers,
                                        const struct rp_machine *machine,
                                        const struct rp_heartbeat *heartbeat) {
--- a/src/worker/workers.h
+++ b/src/worker/workers.h
@@ -1,6 +1,6 @@
 /** @file
- * The node's side of the exchange with workers: receives heartbeats, decides whether this node may
- * answer them, reads them into the cluster state, and answers with commands.
+ * The node's side of the exchange with workers: receives their heartbeats, decides whether this
+ * node may answer the heartbeats, reads them into the cluster state, and answers with commands.
  *
  * Owns the context and the queues of this directory. Invariant: every answer renews the machine's
  * lease and so lets its tasks continue to run. Therefore only a leader whose lease is provably
@@ -15,7 +15,8 @@
 /** The exchange of a node with all workers. */
 struct rp_workers {
     struct rp_worker_context context;
-    /* This node leads and has loaded the records. Set by the controller. */
+    /* This node leads and has loaded the stored records of jobs and machines. Set by the
+     * controller. */
     bool is_leading;
     struct rp_heartbeat_queue awaiting_leader;
     struct rp_answer_queue awaiting_cycle;
