--- a/src/scheduler/array_packing.c
+++ b/src/scheduler/array_packing.c
@@ -4,8 +4,8 @@
 #include "scheduler/packing.h"
 #include "scheduler/plan_resources.h"
 
-/* Share of the time of a fetch that a task may wait for capacity on a machine that has its image.
- */
+/* Longest time that a task may wait for capacity on a machine that has its image, as a share of the
+ * time of a fetch on another machine. */
 #define IMAGE_WAIT_FETCH_TIME_SHARE 1.0
 /* Share of a task's time, including its fetch, for which a machine's GPU work must still run before
  * the task may use the machine's spare capacity. */
--- a/src/scheduler/candidate_list.h
+++ b/src/scheduler/candidate_list.h
@@ -8,7 +8,7 @@
 
 #include "scheduler/packing_state.h"
 
-/** Determines the lists that are needed, and for each group those that it uses. */
+/** Determines which candidate lists are needed, and which of them each group uses. */
 void rp_candidate_lists_assign(struct rp_packing *packing);
 /** Fills the lists in the heuristic's order; the lists of spare capacity are in the order of the
  * input's machines. The caller has sorted the machines (rp_machine_order_sort). Returns false when
--- a/src/scheduler/cycle.c
+++ b/src/scheduler/cycle.c
@@ -196,7 +196,7 @@
     return capacity->gpus > 0 ? amount->gpus : amount->cpus;
 }
 
-/* How the capacity of a machine type is used, in its main resource. */
+/* How the capacity of a machine type is used, in GPUs for types that have them, else in CPUs. */
 struct type_utilization {
     unsigned n_up, n_booting, n_idle;
     double capacity;
--- a/src/scheduler/cycle.h
+++ b/src/scheduler/cycle.h
@@ -14,7 +14,7 @@
                        const struct rp_settings *settings, struct rp_metrics *metrics);
 /** Called when this node becomes the leader: cycles run periodically from then on. */
 void rp_scheduler_start(struct rp_scheduler *scheduler);
-/** Called when this node is no longer the leader: no cycle runs after it. */
+/** Called when this node is no longer the leader: no cycle runs after this call. */
 void rp_scheduler_stop(struct rp_scheduler *scheduler);
 /** Runs one cycle now, unless this node's leadership cannot be proven or no tasks may be started
  * yet. */
--- a/src/scheduler/cycle_input.h
+++ b/src/scheduler/cycle_input.h
@@ -14,7 +14,8 @@
     struct rp_plan_group *groups;
     struct rp_plan_team *teams;
     struct rp_resources
-        *guarantees_left; /* for each team, CPUs and GPUs left of its guaranteed quota */
+        *guarantees_left; /* for each team, the CPUs and GPUs of its guaranteed quota that neither
+                             its running work nor the groups built so far use */
     bool *has_image;      /* for each image, whether each machine has it */
     uint64_t *images;     /* hashes of the images' names, sorted */
     size_t n_images;
@@ -22,7 +23,7 @@
     size_t n_releases;
 };
 
-/** Frees the arrays. */
+/** Frees the input's arrays. */
 void rp_cycle_input_free(struct rp_cycle_input *input);
 
 /** The machine of a placement; NULL for a requested or new machine. */
--- a/src/scheduler/gang_repair.c
+++ b/src/scheduler/gang_repair.c
@@ -89,7 +89,8 @@
     return machine;
 }
 
-/* Returns false when no machine was found for at least one missing task. */
+/* Allocates all missing tasks anew. Returns false when no machine was found for at least one of
+ * them. */
 static bool replace_missing_tasks(struct rp_scheduler *scheduler, struct rp_job *job,
                                   uint64_t attempt) {
     bool is_missing = false;
@@ -108,9 +109,9 @@
     struct gang_attempt attempt = find_attempt(scheduler, job);
     double incomplete_max_s = scheduler->settings->gang_wait_s * INCOMPLETE_MAX_GANG_WAITS;
     if (job->gang_attempt != attempt.number) {
-        /* Recorded once per attempt. The oldest allocation's time cannot be used in each cycle,
-         * since every allocation that exits with RP_EXIT_GANG_WAIT_TIMEOUT is followed by a new
-         * one. */
+        /* The attempt and the time of its oldest allocation are recorded once per attempt. The
+         * oldest allocation's time cannot be used in each cycle, since every allocation that exits
+         * with RP_EXIT_GANG_WAIT_TIMEOUT is followed by a new one. */
         job->gang_attempt = attempt.number;
         job->gang_incomplete_since = attempt.planned_at;
     }
--- a/src/scheduler/gang_reservation.h
+++ b/src/scheduler/gang_reservation.h
@@ -11,7 +11,7 @@
 #include "scheduler/cycle_input.h"
 
 /** Reserves machines for one gang of several tasks, and for some gangs of one task that have waited
- * long. */
+ * for SINGLE_TASK_GANG_WAIT_S. */
 void rp_gang_reservation_run(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                              const struct rp_plan *plan, struct timespec now);
 
--- a/src/scheduler/group_input.c
+++ b/src/scheduler/group_input.c
@@ -50,8 +50,8 @@
         avoids_gpu_types && spec->kind == RP_JOB_ARRAY ? types & ~types_without_gpus : 0;
 }
 
-/* Seconds of slack until the earliest objective of its class that the job can still meet;
- * RP_NO_OBJECTIVE_SLACK_S if its class has no objective. Sets the group's `is_late` if it has
+/* Seconds of slack until the earliest objective of the job's class that the job can still meet;
+ * RP_NO_OBJECTIVE_SLACK_S if the class has no objective. Sets the group's `is_late` if it has
  * objectives and can meet none. */
 static double find_slack_s(const struct rp_scheduler *scheduler, const struct rp_job *job,
                            struct rp_plan_group *group) {
--- a/src/scheduler/group_input.h
+++ b/src/scheduler/group_input.h
@@ -7,7 +7,7 @@
 
 #include "scheduler/cycle_input.h"
 
-/** Adds the groups, higher priorities first. When memory is short, leaves `groups` or
+/** Adds the groups to the input, higher priorities first. When memory is short, leaves `groups` or
  * `guarantees_left` NULL. */
 void rp_group_input_build(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                           struct timespec now);
--- a/src/scheduler/image_input.h
+++ b/src/scheduler/image_input.h
@@ -1,7 +1,7 @@
 /** @file
  * Determines which machines have the images of the waiting work. Hundreds of jobs share a few
- * images, which is why this is determined once for each image. Image names are distinguished by
- * their hashes only: a collision costs no more than a fetch. */
+ * images, which is why the machines are determined once for each image. Image names are
+ * distinguished by their hashes only: a collision costs no more than a fetch. */
 #ifndef RP_SCHEDULER_IMAGE_INPUT_H
 #define RP_SCHEDULER_IMAGE_INPUT_H
 
--- a/src/scheduler/job_order.c
+++ b/src/scheduler/job_order.c
@@ -138,8 +138,8 @@
 }
 
 /* Weight of the group's work during a shortage. Without the class factor, the only job of a class
- * would be placed after all smaller jobs. Its work must start earlier instead, by the time that it
- * takes beside other work, and the weight becomes negative. */
+ * would be placed after all smaller jobs. The work of such a job must start earlier by the time
+ * that it takes while other work runs too, which is why the weight becomes negative. */
 static double shortage_work_weight(const struct rp_packing *packing,
                                    const struct rp_plan_group *group, double weight) {
     double factor = rp_load_shedding_class_factor(packing, group);
--- a/src/scheduler/load_shedding.c
+++ b/src/scheduler/load_shedding.c
@@ -5,12 +5,13 @@
 #include "scheduler/packing.h"
 #include "scheduler/plan_resources.h"
 
-/* Work is shed when it exceeds the capacity up to its due time times SHED_CAPACITY_FACTOR plus
- * SHED_CAPACITY_FACTOR_MACHINES divided by the number of machines. Estimates are rough, and the
- * fewer machines the work is spread over, the rougher they are. */
+/* Work is shed when it exceeds the capacity up to its due time, multiplied by a factor:
+ * SHED_CAPACITY_FACTOR plus SHED_CAPACITY_FACTOR_MACHINES divided by the number of machines.
+ * Estimates are rough, and the fewer machines the work is spread over, the rougher they are. */
 #define SHED_CAPACITY_FACTOR 0.9
 #define SHED_CAPACITY_FACTOR_MACHINES 30.0
-/* A class with at most this many unfinished jobs is rare if another class has more jobs. */
+/* A class with at most this many unfinished jobs is rare if another class of its priority,
+ * likewise with or without GPUs, has more jobs. */
 #define RARE_CLASS_JOBS_MAX 10.0
 
 void rp_load_shedding_count_classes(struct rp_packing *packing) {
@@ -73,8 +74,8 @@
 }
 
 /* Moore's rule: groups are admitted by due time, and whenever the admitted work cannot be done by
- * the due time, its largest job is shed. This maximizes the number of jobs that meet their
- * objectives. Without it, under sustained overload, jobs that are about to be late take the
+ * the due time, the largest admitted job is shed. This maximizes the number of jobs that meet their
+ * objectives. Without shedding, under sustained overload, jobs that are about to be late take the
  * capacity of those that could still meet their objectives, and all jobs are late. */
 static void shed_priority(struct rp_packing *packing, enum rp_priority priority, bool gpus,
                           struct rp_pool_load *load) {
--- a/src/scheduler/machine_draining.c
+++ b/src/scheduler/machine_draining.c
@@ -11,7 +11,7 @@
 /* One machine, and one more for each MACHINES_PER_DRAINING machines of the fleet, may be draining
  * at a time. */
 #define MACHINES_PER_DRAINING 40
-/* Largest share of a machine that its replicas may hold for the machine to be drained. */
+/* A machine is not drained if its replicas hold more than this share of it. */
 #define REPLICA_SHARE_MAX 0.25
 /* Least number of seconds from the beginning of draining of one machine with replicas to that of
  * the next. */
@@ -42,7 +42,7 @@
 /* The work on a machine that could be drained. */
 struct drained_work {
     bool is_movable;
-    double busy_s;        /* seconds until its last task ends without being stopped */
+    double busy_s;        /* seconds until the machine's last task ends if none is stopped */
     double replica_share; /* share of the machine that its replicas hold */
 };
 
@@ -92,7 +92,8 @@
     struct drained_work work = find_drained_work(scheduler, machine, capacity, now);
     if (!work.is_movable)
         return -1;
-    /* A move interrupts the replica for a moment, and the machine that it frees costs little. */
+    /* Moving a replica interrupts it for a moment, and the machine that is then scaled in costs
+     * little. */
     if (work.replica_share > REPLICA_SHARE_MAX ||
         (work.replica_share > 0 &&
          rp_ts_since(now, scheduler->replicas_moved_at) < REPLICA_DRAIN_INTERVAL_S))
--- a/src/scheduler/machine_input.c
+++ b/src/scheduler/machine_input.c
@@ -59,8 +59,8 @@
 }
 
 /* Resources of a GPU machine that its GPU work does not use even when it fills the machine
- * (full_gpu_work), less what other work on it uses. Nothing while an image is fetched for a GPU
- * task, because another fetch would slow it down. */
+ * (full_gpu_work), less what other work on it uses. No resources are spare while an image is
+ * fetched for a GPU task, because another fetch would slow it down. */
 static struct rp_resources spare_capacity(const struct rp_scheduler *scheduler,
                                           const struct rp_machine *machine) {
     const struct rp_resources *capacity =
--- a/src/scheduler/machine_input.h
+++ b/src/scheduler/machine_input.h
@@ -6,8 +6,8 @@
 
 #include "scheduler/cycle_input.h"
 
-/** Adds the machines that work may be planned on, including requested ones. The caller has built
- * the offerings. When memory is short, leaves `machines` or `releases` NULL. */
+/** Adds to the input the machines that work may be planned on, including requested ones. The caller
+ * has built the offerings. When memory is short, leaves `machines` or `releases` NULL. */
 void rp_machine_input_build(struct rp_scheduler *scheduler, struct rp_cycle_input *input,
                             struct timespec now);
 
--- a/src/scheduler/machine_order.c
+++ b/src/scheduler/machine_order.c
@@ -10,7 +10,7 @@
 struct machine_key_input {
     const struct rp_plan_machine *machine;
     double size;                   /* in CPUs */
-    double billing_unit_elapsed_s; /* since the machine's current billing unit began */
+    double billing_unit_elapsed_s; /* seconds since the machine's current billing unit began */
     gsl_rng *rng; /* NULL except for RP_MACHINE_ORDER_RND, and when memory is short */
 };
 
--- a/src/scheduler/machine_pool.h
+++ b/src/scheduler/machine_pool.h
@@ -1,12 +1,13 @@
 /** @file
- * Pools: all machines of one type, zone and kind (ordinary or spot), with the work in progress on
- * them. Load shedding and the decision whether a group waits compare the waiting work with them. */
+ * Machine pools: a pool is all machines of one type, zone and kind (ordinary or spot), with their
+ * work in progress. Load shedding and the decision whether a group waits compare the waiting work
+ * with the pools' capacity and work. */
 #ifndef RP_SCHEDULER_MACHINE_POOL_H
 #define RP_SCHEDULER_MACHINE_POOL_H
 
 #include "scheduler/packing_state.h"
 
-/** Capacity and load of several pools, in units of their main resource (CPUs or GPUs). */
+/** Capacity and load of several pools, in GPUs for pools with GPUs, else in CPUs. */
 struct rp_pool_load {
     double n_machines;
     double capacity;
--- a/src/scheduler/new_machine_packing.h
+++ b/src/scheduler/new_machine_packing.h
@@ -11,12 +11,12 @@
 /** Places tasks on the machines that the plan already provisions. */
 void rp_new_machine_packing_place(struct rp_packing *packing, struct rp_group_packing *current);
 /** Provisions machines for the group's tasks one after the other, until all tasks are placed, no
- * offering can hold another one, or the plan's limit of new machines is reached. */
+ * offering has capacity for another task, or the plan's limit of new machines is reached. */
 void rp_new_machine_packing_place_rest(struct rp_packing *packing,
                                        struct rp_group_packing *current);
 /** Whether the existing and new machines that the group may use will have capacity for the rest of
  * the group within a share of its job's slack. In that case the group waits, nothing is provisioned
- * for it, and its work is added to `queued_s`. */
+ * for it, and its work is added to `queued_s` of the packing state. */
 bool rp_new_machine_packing_can_wait(struct rp_packing *packing,
                                      const struct rp_group_packing *current);
 
--- a/src/scheduler/packing.h
+++ b/src/scheduler/packing.h
@@ -7,8 +7,9 @@
 
 #include "scheduler/packing_state.h"
 
-/** Allocates the state and fills the bins; the lists and orders are filled by their own modules.
- * Returns false when memory is short. The caller calls rp_packing_free in either case. */
+/** Allocates the state and fills the bins; the candidate lists and the orders of groups and
+ * machines are filled by candidate_list.h, job_order.h and machine_order.h. Returns false when
+ * memory is short. The caller calls rp_packing_free in either case. */
 bool rp_packing_init(struct rp_packing *packing, const struct rp_plan_input *input,
                      struct rp_plan *plan);
 /** Frees the state, but not the plan. */
--- a/src/scheduler/packing_state.h
+++ b/src/scheduler/packing_state.h
@@ -48,11 +48,12 @@
 struct rp_machine_pool {
     int type, zone;
     bool spot;
-    double n_machines, work_s; /* without the shares of the machines that services hold */
+    double n_machines, work_s; /* number of machines and their work in progress, both without the
+                                  shares that services hold */
     const struct rp_resources *capacity;
 };
 
-/** An index of groups or machines that is being sorted. */
+/** The index of a group or machine that is being sorted, with its rank and key. */
 struct rp_sort_entry {
     size_t item;
     int rank; /* compared before the key */
--- a/src/scheduler/plan.h
+++ b/src/scheduler/plan.h
@@ -23,10 +23,10 @@
     size_t *new_machines; /* for each new machine, the index of its offering */
     size_t n_new_machines, cap_new_machines;
     uint32_t n_starting, n_waiting; /* placed tasks that start now, and that wait */
-    bool short_of_capacity[2];      /* for work without GPUs, and with GPUs: not all of it can meet
-                                       its objectives */
-    double unplaced_work;           /* work without capacity, weighted by priority */
-    double cost;                    /* formula (1) of the paper */
+    bool short_of_capacity[2]; /* [0] for work without GPUs, [1] with GPUs: whether some of the work
+                                  cannot meet its objectives */
+    double unplaced_work;      /* work for which the plan has no capacity, weighted by priority */
+    double cost;               /* formula (1) of the paper */
     unsigned long n_machines_examined; /* sum of the machines examined for each group */
     bool failed;                       /* out of memory; the plan must not be applied */
 };
--- a/src/scheduler/plan_input.h
+++ b/src/scheduler/plan_input.h
@@ -66,9 +66,10 @@
     struct rp_resources task_resources; /* resources that one task needs */
     double run_s;                       /* estimated run time of one task */
     double image_gb;
-    double age_s;   /* age of the job */
-    double slack_s; /* seconds until it is late; RP_NO_OBJECTIVE_SLACK_S without an objective */
-    bool is_late;   /* the job can no longer meet any of its objectives */
+    double age_s; /* age of the job */
+    /* Seconds until the job is late; RP_NO_OBJECTIVE_SLACK_S if it has no objective. */
+    double slack_s;
+    bool is_late;          /* the job can no longer meet any of its objectives */
     uint32_t class_jobs;   /* unfinished jobs of its class, including this one */
     bool is_first_task;    /* the first task of a job that has waited long; it is started ahead of
                               the job's other tasks */
@@ -80,10 +81,10 @@
     int fixed_zone;      /* zone of the job's allocated tasks; -1: none is allocated yet */
     uint32_t spread_max; /* greatest number of the job's tasks in one zone */
     uint32_t zone_used[RP_ZONES_MAX]; /* number of the job's allocated tasks by zone */
-    bool is_guaranteed;    /* fits its team's guaranteed quota and is placed before the work of
-                              other teams */
-    bool has_reservation;  /* machines are reserved for it; capacity elsewhere is better only if it
-                              is free now */
+    bool is_guaranteed; /* the group fits its team's guaranteed quota and is placed before the work
+                           of other teams */
+    bool has_reservation;  /* machines are reserved for the job; capacity of other machines is
+                              preferred only if it is free now */
     const bool *has_image; /* for each machine, whether it has the image; NULL: no machine has it */
 };
 
--- a/src/scheduler/preemption.c
+++ b/src/scheduler/preemption.c
@@ -4,9 +4,10 @@
 #include "base/log.h"
 #include "scheduler/reservation.h"
 
-/* Seconds of fetching, from which on a machine with the image is freed instead. */
+/* If a fetch of the image takes at least this many seconds, a machine that holds the image is freed
+ * instead. */
 #define LONG_FETCH_S 15
-#define GRACE_FACTOR 1.2 /* multiple of the time that a task declares it needs to save */
+#define GRACE_FACTOR 1.2 /* grace period: multiple of the time that a task declares for saving */
 #define GRACE_MARGIN_S 1 /* seconds added to the grace period */
 /* Assumed bound, in seconds, on the run time that a stopped task with checkpoints loses. */
 #define PROGRESS_LOST_MAX_S 5.0
@@ -142,7 +143,7 @@
     }
 }
 
-/* Whether the plan starts the group now, or on a machine that is free soon. */
+/* Whether the plan starts the group now, or on a machine that is free within RP_FREE_SOON_S. */
 static bool starts_soon(const struct rp_cycle_input *input, const struct rp_plan *plan,
                         size_t group) {
     for (size_t p = 0; p < plan->n_placements; p++) {
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -11,7 +11,8 @@
 
 #include "scheduler/cycle_input.h"
 
-/** Capacity that becomes free within this many seconds without preemption is waited for. */
+/** Nothing is preempted for a gang if capacity for it becomes free within this many seconds anyway.
+ */
 #define RP_FREE_SOON_S 8
 
 /** Cost of freeing the capacity for one task of the job on the machine, in seconds: the work that
@@ -23,7 +24,8 @@
  * machine for the job. */
 void rp_preemption_free_machine(struct rp_scheduler *scheduler, struct rp_machine *machine,
                                 const struct rp_job *job);
-/** Seconds that a task is given to save its progress when it is stopped; 0 if it never saves. */
+/** Seconds that a task is given to save its progress when it is stopped; 0 if the task never saves.
+ */
 double rp_preemption_grace_s(const struct rp_job_spec *spec);
 /** Seconds of run time that are lost if the task is stopped now. */
 double rp_preemption_lost_s(const struct rp_allocation *allocation, struct timespec now);
@@ -37,7 +39,7 @@
                                         const struct rp_cycle_input *input, struct rp_plan *plan,
                                         struct timespec now);
 /** Frees a machine for each gang of one task with a high or critical priority that has no
- * reservation and that the plan starts neither now nor soon. */
+ * reservation and that the plan starts neither now nor within RP_FREE_SOON_S. */
 void rp_preemption_run(struct rp_scheduler *scheduler, const struct rp_cycle_input *input,
                        const struct rp_plan *plan, struct timespec now);
 
--- a/src/scheduler/quota.c
+++ b/src/scheduler/quota.c
@@ -68,8 +68,8 @@
                                       machine->spot);
 }
 
-/* The number of the job's tasks that fit where other work is already being stopped, without those
- * that fit there now. */
+/* The number of the job's tasks that fit where other work is already being stopped, without the
+ * tasks that fit there now. */
 static uint32_t n_tasks_with_pending_capacity(const struct rp_scheduler *scheduler,
                                               const struct rp_job *job) {
     uint32_t tasks = 0;
--- a/src/scheduler/quota.h
+++ b/src/scheduler/quota.h
@@ -1,7 +1,7 @@
 /** @file
  * Enforces the teams' guaranteed quotas: while a team's unfinished work fits within its guaranteed
  * quota, it does not wait for any other team's work. Array tasks that other teams run beyond their
- * own guaranteed quotas are stopped for it, regardless of their priority. */
+ * own guaranteed quotas are stopped for the team's work, regardless of their priority. */
 #ifndef RP_SCHEDULER_QUOTA_H
 #define RP_SCHEDULER_QUOTA_H
 
--- a/src/scheduler/replica_moves.c
+++ b/src/scheduler/replica_moves.c
@@ -4,7 +4,8 @@
 #include "scheduler/replica_preemption.h"
 #include "scheduler/task_moves.h"
 
-/* Upper bound, in seconds, of the penalty of a machine that a replica moves to. */
+/* A replica moves only to a machine whose penalty (replica_placement.h) is less than this, in
+ * seconds. */
 #define TARGET_PENALTY_MAX_S 3.0
 
 /* Whether some replica is missing, being stopped, or not running yet. */
--- a/src/scheduler/replica_moves.h
+++ b/src/scheduler/replica_moves.h
@@ -1,8 +1,8 @@
 /** @file
  * Moves replicas off machines that are draining or quarantined, one by one. The next replica is
  * stopped only once all replicas are running again, and only if another machine holds its image and
- * has capacity. If they were all stopped together, based on the capacity that is free in one cycle,
- * the last ones would find no free capacity and wait for a machine to boot. */
+ * has capacity. If all replicas of a machine were stopped together, based on the capacity that is
+ * free in one cycle, the last ones would find no free capacity and wait for a machine to boot. */
 #ifndef RP_SCHEDULER_REPLICA_MOVES_H
 #define RP_SCHEDULER_REPLICA_MOVES_H
 
--- a/src/scheduler/replica_placement.c
+++ b/src/scheduler/replica_placement.c
@@ -11,9 +11,11 @@
 /* Penalty for each replica of the job on the machine, which would be lost together with the
  * machine. */
 #define SAME_MACHINE_PENALTY_S 0.4
-/* Upper bound of the replicas that count towards a penalty, of the machine and of its zone. */
+/* Greatest number of the job's replicas that count towards SAME_MACHINE_PENALTY_S, and likewise
+ * towards SAME_ZONE_PENALTY_S. */
 #define PENALIZED_REPLICAS_MAX 4
-/* Penalty for each replica of the job that the zone has beyond its even share. */
+/* Penalty for each replica of the job in the machine's zone beyond the zone's even share of the
+ * job's replicas. */
 #define SAME_ZONE_PENALTY_S 0.8
 /* Penalty, in seconds, for each second of work that is lost by preemption on the machine. */
 #define LOST_WORK_WEIGHT 0.02
@@ -25,12 +27,13 @@
 /* Penalty for a machine with GPUs, if the replica uses none: other work needs such machines as a
  * whole, and they cost many times as much as machines without GPUs. */
 #define WASTED_GPU_PENALTY_S 120.0
-/* Penalty for a machine without replicas: one that already holds some is not kept longer by one
- * more. */
+/* Penalty for a machine without replicas. Machines that already hold replicas are preferred,
+ * because one more replica does not keep them longer. */
 #define NO_REPLICAS_PENALTY_S 0.3
-/* Least time, in seconds, that is assumed until a fetch under way ends. */
+/* Least remaining time, in seconds, that is assumed for a fetch in progress. */
 #define FETCH_REMAINING_MIN_S 0.3
-/* Penalty for a machine where the start has to wait for the response to the next heartbeat. */
+/* Penalty for a machine to which the start can be sent only in the response to the machine's next
+ * heartbeat. */
 #define NEXT_HEARTBEAT_PENALTY_S 1.5
 /* Upper bound of the other images, fetched at the same time, that count towards the fetch time. */
 #define FETCHES_COUNTED_MAX 8
--- a/src/scheduler/replica_placement.h
+++ b/src/scheduler/replica_placement.h
@@ -7,7 +7,7 @@
 #include "scheduler/services.h"
 
 /** The machine's penalty for a task of the job, in seconds; negative if the machine cannot take
- * one. */
+ * such a task. */
 double rp_replica_placement_penalty_s(const struct rp_services *services,
                                       struct rp_machine *machine, const struct rp_job *job,
                                       struct timespec now);
--- a/src/scheduler/replica_preemption.c
+++ b/src/scheduler/replica_preemption.c
@@ -127,7 +127,8 @@
         if (allocation->state == RP_ALLOCATION_PLANNED) {
             rp_allocation_remove(services->cluster, machine,
                                  (size_t)(allocation - machine->allocations));
-            continue; /* the removal has freed its capacity and its team's quota already */
+            continue; /* removing the planned task has freed the task's capacity and its team's
+                         quota already */
         }
         rp_allocation_request_stop(allocation, 0);
         add_release(&freed, allocation, job);
--- a/src/scheduler/replica_preemption.h
+++ b/src/scheduler/replica_preemption.h
@@ -21,9 +21,9 @@
                                                                 const struct rp_job *job,
                                                                 struct timespec now);
 /** Stops lower-priority work of the job's team, on any machine, until the job's missing replicas
- * are within the team's limit. Otherwise, a team at its limit whose lower-priority work runs where
- * a replica cannot run (such as on spot machines) would have no machine provisioned for the replica
- * either. */
+ * are within the team's limit. Otherwise, no machine would be provisioned for a replica of a team
+ * at its limit if the team's lower-priority work runs where the replica cannot run (such as on spot
+ * machines). */
 void rp_replica_preemption_free_quota(struct rp_services *services, const struct rp_job *job,
                                       struct timespec now);
 
--- a/src/scheduler/scheduler.h
+++ b/src/scheduler/scheduler.h
@@ -27,13 +27,13 @@
                                     hold, so that some were left out */
     unsigned long n_machines_examined; /* machines examined by the winning plans */
     struct timespec last_cycle_at;
-    struct timespec replicas_moved_at; /* when a machine with replicas was last drained */
+    struct timespec replicas_moved_at; /* when draining of a machine with replicas last began */
     /* For each machine type, the resources that GPU work takes of a machine that it fills. */
     struct rp_resources full_gpu_work[RP_TYPES_MAX];
-    /* Whether not all work can meet its objectives, as of the last plan: [0] without GPUs, [1] with
+    /* Whether some work cannot meet its objectives, as of the last plan: [0] without GPUs, [1] with
      * GPUs. */
     bool short_of_capacity[2];
-    double last_cycle_duration_s; /* of the last cycle that applied a plan */
+    double last_cycle_duration_s; /* duration of the last cycle that applied a plan */
     struct rp_timer timer;
     bool active;
 };
--- a/src/scheduler/service_controller.c
+++ b/src/scheduler/service_controller.c
@@ -10,9 +10,11 @@
 #include "worker/direct_commands.h"
 
 #define CHECK_PERIOD_S 0.25 /* seconds between checks for silent machines and missing replicas */
-/* Bound on the number of exited attempts that all workers together keep. */
+/* The leader resigns when all workers together keep more exited attempts than this, and more than
+ * EXITED_KEPT_PER_MACHINE_MAX for each machine of the fleet. */
 #define EXITED_KEPT_MAX 300
-/* Bound on the number of exited attempts that workers keep, for each machine of the fleet. */
+/* Exited attempts for each machine of the fleet that all workers together may keep (see
+ * EXITED_KEPT_MAX). */
 #define EXITED_KEPT_PER_MACHINE_MAX 24
 
 static void on_check_timer(void *arg);
--- a/src/scheduler/service_controller.h
+++ b/src/scheduler/service_controller.h
@@ -16,8 +16,8 @@
                                 struct rp_workers *workers, struct rp_fleet *fleet,
                                 const struct rp_settings *settings,
                                 const struct rp_catalog *catalog);
-/** Called when this node becomes the leader: starts the periodic check, with no arrivals counted
- * yet. */
+/** Called when this node becomes the leader: starts the periodic check, with no arrivals of
+ * services counted yet. */
 void rp_service_controller_start(struct rp_services *services);
 /** Called when this node is no longer the leader: stops the periodic check. */
 void rp_service_controller_stop(struct rp_services *services);
--- a/src/scheduler/service_headroom.h
+++ b/src/scheduler/service_headroom.h
@@ -13,11 +13,11 @@
 /** Counts a service that has just been accepted. */
 void rp_service_headroom_record_arrival(struct rp_services *services, const struct rp_job *job,
                                         struct timespec now);
-/** CPUs that should be ready on all machines. */
+/** CPUs that should be ready for services on all machines together. */
 double rp_service_headroom_target_cpus(const struct rp_services *services);
-/** CPUs that are ready on all machines. */
+/** CPUs that are ready for services on all machines together. */
 double rp_service_headroom_ready_cpus(const struct rp_services *services);
-/** CPUs that are ready on the machine. */
+/** CPUs that are ready for services on the machine. */
 double rp_service_headroom_machine_ready_cpus(const struct rp_services *services,
                                               const struct rp_machine *machine);
 
--- a/src/scheduler/services.h
+++ b/src/scheduler/services.h
@@ -10,8 +10,9 @@
 /** Decaying statistics of the services that have recently arrived; the target headroom is computed
  * from them. */
 struct rp_service_arrivals {
-    double cpus_per_s;       /* decayed rate of the CPUs requested */
-    double largest_job_cpus; /* decayed CPUs of the largest whole job */
+    double cpus_per_s; /* decayed rate of the CPUs requested */
+    /* Number of CPUs that all tasks of the largest service request together, decayed. */
+    double largest_job_cpus;
     struct timespec updated_at;
 };
 
--- a/src/scheduler/silent_machines.c
+++ b/src/scheduler/silent_machines.c
@@ -12,14 +12,14 @@
 #define PROBE_MARGIN_S 0.15
 /* Number of consecutive probes without a response before a machine is scaled in. */
 #define FAILED_PROBES_MIN 2
-/* Share of all machines. If a greater share is silent, the cause is a network partition, which
- * ends. */
+/* If a greater share of all machines than this is silent, the cause is a network partition, which
+ * is temporary. */
 #define PARTITION_SHARE 0.2
-/* Share of a zone's machines. If a greater share is silent, the cause is a network partition, which
- * ends. */
+/* If a greater share of a zone's machines than this is silent, the cause is a network partition,
+ * which is temporary. */
 #define ZONE_PARTITION_SHARE 0.4
-/* Seconds, beyond the time after which a heartbeat is late, within which a new leader has received
- * a message from every machine that is running. */
+/* Seconds from the beginning of leadership, beyond the time after which a heartbeat is late, within
+ * which a new leader has received a message from every machine that is running. */
 #define NEW_LEADER_GRACE_S 3.0
 
 bool rp_silent_machines_is_reporting(const struct rp_services *services,
@@ -30,7 +30,7 @@
 }
 
 /* The zones, as a bit set, in which more than one machine and more than ZONE_PARTITION_SHARE of the
- * machines are silent: the cause is a network partition, which ends, rather than machines that hang
+ * machines are silent: the cause is a temporary network partition, rather than machines that hang
  * or have died. Returns all zones if more than one machine and more than PARTITION_SHARE of all
  * machines are silent. When a zone's partition begins, its machines become silent within one
  * heartbeat period, before the first of them is scaled in. */
--- a/src/scheduler/silent_machines.h
+++ b/src/scheduler/silent_machines.h
@@ -1,10 +1,10 @@
 /** @file
  * Handles machines that become silent while they hold replicas. When a machine hangs or has died,
- * its replicas may not be started elsewhere before its lease has expired, unless it is certainly
- * terminated: the cloud's response to its release confirms that within a moment. Therefore a
- * machine that neither sends heartbeats nor responds to probes is scaled in. If many machines are
- * silent, none is scaled in: the cause is then a network partition, during which they continue to
- * run. */
+ * its replicas may not be started elsewhere before the machine's lease has expired, unless the
+ * machine is certainly terminated: the cloud's response to the machine's release confirms that
+ * within a moment. Therefore a machine that neither sends heartbeats nor responds to probes is
+ * scaled in. If many machines are silent, none is scaled in: the cause is then a network partition,
+ * during which the machines continue to run. */
 #ifndef RP_SCHEDULER_SILENT_MACHINES_H
 #define RP_SCHEDULER_SILENT_MACHINES_H
 
