--- a/src/api/refusal.h
+++ b/src/api/refusal.h
@@ -18,9 +18,9 @@
     RP_REFUSAL_UNKNOWN_TEAM,     /* the settings have no such team */
     RP_REFUSAL_CATALOG_UNKNOWN,  /* the machine types have not been received from the cloud yet */
     RP_REFUSAL_NO_FITTING_TYPE,  /* a task is larger than every machine type that it allows */
-    RP_REFUSAL_OVER_TEAM_LIMIT,  /* more than the team may ever use at once */
+    RP_REFUSAL_OVER_TEAM_LIMIT,  /* the job needs more than its team may ever use at once */
     RP_REFUSAL_TOO_LARGE,        /* no transaction of the store can hold the description */
-    RP_REFUSAL_FORMAT_NOT_ACTIVE /* it needs a stored format that not every node supports yet */
+    RP_REFUSAL_FORMAT_NOT_ACTIVE /* the job needs RP_FORMAT, which not every node supports yet */
 };
 
 /** A reason, with the codec's error text where there is one. */
--- a/src/api/submission_record.h
+++ b/src/api/submission_record.h
@@ -17,13 +17,13 @@
 };
 
 /** Makes the record of a job that is accepted now, in pieces of at most `value_max_bytes` and no
- * more pieces than a transaction may have. Before the format is activated no node reads parts, so a
+ * more pieces than a transaction may have. Before RP_FORMAT is activated no node reads parts, so a
  * record too large for one value gets no pieces. Repeated machine types, and those that are not in
  * the catalog, may be removed from `spec`. */
 void rp_submission_record(const struct rp_upgrade *upgrade, const struct rp_catalog *catalog,
                           struct rp_job_spec *spec, size_t value_max_bytes,
                           struct rp_submission_pieces *out);
-/** The maximum size of a value in bytes. Before the format is active it is the store's current
+/** The maximum size of a value in bytes. Before RP_FORMAT is active it is the store's current
  * limit; afterwards it is the lower one of the current and the future limit. */
 size_t rp_submission_value_max_bytes(const struct rp_upgrade *upgrade);
 
--- a/src/api/user_api.c
+++ b/src/api/user_api.c
@@ -93,8 +93,8 @@
     respond(request, status, rp_user_codec_write_job_status(&job), NO_RETRY_AFTER);
 }
 
-/* Responds with the terminal state that was read from the store or written to it. It never changes:
- * this node caches it, and answers later requests without the store. */
+/* Responds with the terminal state that was read from the store or written to it. A terminal state
+ * never changes: this node caches it, and answers later requests without the store. */
 static void respond_terminal_state(struct user_request *request, enum rp_job_phase phase) {
     rp_terminal_states_record(request->api->terminal_states, request->id, phase);
     respond_phase(request, RP_RESPONSE_OK, phase);
@@ -222,8 +222,8 @@
         set_state(request, REQUEST_WRITING);
     } else {
         /* A conflict: the job exists, or has changed since it was read. No response: only a read
-         * shows whether the write was carried out. If it was not, it may still be, and a second
-         * write is harmless since both carry the same conditions. */
+         * shows whether the write was carried out. If the write was not carried out, it may still
+         * be, and a second write is harmless since both carry the same conditions. */
         set_state(request, REQUEST_READING_OPEN);
     }
 }
@@ -235,8 +235,8 @@
 }
 
 /* Writes the submission. A record that is too large for one value is written in parts, all in one
- * transaction, so that the job is stored entirely or not at all. Before the activation no node
- * reads parts, and the user has to repeat the submission later. */
+ * transaction, so that the job is stored entirely or not at all. Before the activation of RP_FORMAT
+ * no node reads parts, and the user has to repeat the submission later. */
 static void write_submission(struct user_request *request) {
     struct rp_user_api *api = request->api;
     struct rp_submission_pieces pieces;
@@ -286,7 +286,7 @@
 }
 
 /* The only place where a request changes its state. The first state depends on the request:
- * - a submission is written; one of a service reads the format first, unless the format is known to
+ * - a submission is written; one of a service reads the format first, unless RP_FORMAT is known to
  *   be active; one with a reason for refusal reads the open record first, since a job that exists
  *   already is answered with its state;
  * - a query is looked up together with others, or reads the open record;
--- a/src/api/user_api.h
+++ b/src/api/user_api.h
@@ -16,7 +16,7 @@
 #include "jobs/terminal_states.h"
 
 /** The parts of a node that the users' interface uses. The node owns all of them, and they outlive
- * this. */
+ * this struct. */
 struct rp_user_api {
     struct rp_loop *loop;
     const struct rp_settings *settings;
--- a/src/cloud/catalog_source.c
+++ b/src/cloud/catalog_source.c
@@ -93,8 +93,8 @@
 }
 
 /* Without the stored catalog, a process that restarts while the cloud does not respond takes no
- * part in elections and accepts no submissions. If it was the leader, its key has to expire first,
- * and workers lose their leases meanwhile. */
+ * part in elections and accepts no submissions. If that process was the leader, its key has to
+ * expire first, and workers lose their leases meanwhile. */
 static void on_stored_timer(void *arg) {
     struct rp_catalog_source *source = arg;
     if (!source->is_known)
@@ -136,8 +136,7 @@
         store_catalog(source, record, is_stored ? item.revision : RP_KV_ABSENT);
 }
 
-/* Before the activation of this version's format, nothing is written that the previous version
- * cannot read. */
+/* Before the activation of RP_FORMAT, nothing is written that the previous version cannot read. */
 void rp_catalog_source_store(struct rp_catalog_source *source) {
     if (source->cloud_catalog && rp_upgrade_is_active(source->upgrade))
         rp_kv_get(source->store, RP_KV_BUDGET_LEADER, RP_KEY_CATALOG, on_stored_catalog_compared,
--- a/src/cloud/catalog_source.h
+++ b/src/cloud/catalog_source.h
@@ -45,7 +45,7 @@
 /** Stops requesting the catalog, and frees what the source owns. */
 void rp_catalog_source_close(struct rp_catalog_source *source);
 /** Stores the catalog received from the cloud, for processes that start while the cloud does not
- * respond. Called when this node leads, and when the format becomes active while it leads. */
+ * respond. Called when this node leads, and when RP_FORMAT becomes active while this node leads. */
 void rp_catalog_source_store(struct rp_catalog_source *source);
 
 #endif
--- a/src/cloud/cloud_client.c
+++ b/src/cloud/cloud_client.c
@@ -20,7 +20,7 @@
 
 struct rp_cloud_call {
     struct rp_cloud_client *client;
-    struct rp_cloud_call *next; /* in the same queue */
+    struct rp_cloud_call *next; /* next call in the same queue */
     char *method, *target, *body;
     rp_response_fn fn;
     void *arg;
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -33,7 +33,7 @@
     struct rp_net net;
     const char *addr;
     struct rp_token_bucket rate_limiter;
-    struct timespec backoff_until; /* no request is sent before; set by a response of status 429 */
+    struct timespec backoff_until; /* until when no request is sent; set by a response with 429 */
     struct rp_cloud_queue queues[RP_CLOUD_URGENCIES];
     struct rp_timer queue_timer; /* set while requests wait */
 };
--- a/src/election/election.c
+++ b/src/election/election.c
@@ -13,26 +13,29 @@
  * trusts its own lease, and lengthens the time for which it assumes that a fenced leader may still
  * act. The steady clock may run 0.05% fast against the store's clock; this is four times that. */
 #define CLOCK_DRIFT_SHARE 0.002
-/* Margin in addition to that for clock drift, for steps of the clock and for an iteration of the
- * event loop that ends between the check of the lease and the sending of a message. */
+/* Margin in seconds, in addition to CLOCK_DRIFT_SHARE, for steps of the clock and for an iteration
+ * of the event loop that ends between the check of the lease and the sending of a message. */
 #define CLOCK_MARGIN_S 0.15
-/* Time beyond the lease's length for which the leader that the last read of the key found is still
- * reported as the leader. If that read is longer ago, the leader may have lost the key since. */
+/* Seconds beyond the lease's length for which the leader that the last read of the key found is
+ * still reported as the leader. If that read is longer ago, the leader may have lost the key since.
+ */
 #define STALE_LEADER_TOLERANCE_S 2.0
-/* Time beyond the lease's length during which a silent leader is presumed to have stopped. A leader
- * that is silent for longer and still has the key must be renewing its lease. */
+/* Seconds beyond the lease's length during which a silent leader is presumed to have stopped. A
+ * leader that is silent for longer and still has the key must be renewing its lease. */
 #define SILENT_LEADER_TOLERANCE_S 0.5
-/* Delay before the next attempt after a request has failed. */
+/* Seconds from a failed request to the next attempt. */
 #define RETRY_DELAY_S 0.25
-/* Longest time between renewals of the leader's lease. When an outage of the store begins, the
- * lease has already lost the time since its last renewal. */
+/* Maximum number of seconds between renewals of the leader's lease. When an outage of the store
+ * begins, the lease has already lost the time since its last renewal. */
 #define RENEWAL_PERIOD_MAX_S 0.5
-/* Fewest renewals within the length of a lease; shortens the renewal period of a short lease. */
+/* Minimum number of renewals within the length of a lease; shortens the renewal period of a short
+ * lease. */
 #define RENEWALS_PER_LEASE_MIN 8
-/* Longest lease of a term that begins because the previous leader fell silent. One node is then
- * probably down, and if this leader falls silent too, workers have too few nodes left to try. A
- * worker waits 4 s for a response and a second later sends its heartbeat to the next node, which
- * holds it for up to 3.7 s (worker/heartbeat_queue.c); by then the next leader has to be known. */
+/* Maximum length in seconds of the lease of a term that begins because the previous leader fell
+ * silent. One node is then probably down, and if this leader falls silent too, workers have too few
+ * nodes left to try. A worker waits 4 s for a response and a second later sends its heartbeat to
+ * the next node, which holds it for up to 3.7 s (worker/heartbeat_queue.c); by then the next leader
+ * has to be known. */
 #define TTL_AFTER_SILENT_LEADER_MAX_S 7.5
 
 static void on_timer(void *arg);
@@ -92,7 +95,7 @@
 }
 
 /* Whether the backoff after a resignation is over, during which this node does not claim the key
- * and the other nodes can. It applies also while the key still names this node, since the
+ * and the other nodes can. The backoff applies also while the key still names this node, since the
  * revocation of its lease may be carried out seconds later. */
 static bool is_backoff_over(const struct rp_election *election) {
     return rp_ts_is_reached(rp_loop_now(election->loop), election->backoff_until);
@@ -260,7 +263,8 @@
         return;
     bool has_ended = result->outcome == RP_KV_OK || result->outcome == RP_KV_NOT_FOUND;
     if (!has_ended) {
-        /* No node may lead before that lease has ended, hence the revocation is requested again. */
+        /* No node may lead before the fenced leader's lease has ended, hence the revocation is
+         * requested again. */
         rp_timer_set(election->loop, &election->timer, RETRY_DELAY_S);
         return;
     }
@@ -350,7 +354,7 @@
 
 static void record_leader(struct rp_election *election, const struct rp_leader_record *record,
                           uint64_t revision) {
-    /* The recorded silence was that of the previous leader. */
+    /* The recorded silence is that of the previous leader: it does not apply to the new one. */
     if (strcmp(record->node, election->leader) != 0)
         election->leader_silent_since = (struct timespec){0};
     rp_string_copy(election->leader, sizeof election->leader, record->node);
@@ -465,8 +469,8 @@
 
 /* ---- the timer ---- */
 
-/* Starts the next step of the current state. In the states without one, this node awaits the result
- * of a request, which always arrives. */
+/* Starts the next step of the current state. In the states without a next step, this node awaits
+ * the result of a request, which always arrives. */
 static void on_timer(void *arg) {
     struct rp_election *election = arg;
     switch (election->state) {
--- a/src/jobs/garbage_collector.h
+++ b/src/jobs/garbage_collector.h
@@ -21,7 +21,8 @@
     const struct rp_jobs_context *context;
     struct rp_garbage *first_garbage;
     bool is_deleting;   /* a transaction of deletions is in flight */
-    size_t max_changes; /* per transaction; halved when the store refuses one as too long */
+    size_t max_changes; /* maximum number per transaction; halved when the store refuses a
+                           transaction as too long */
 };
 
 /** Initializes an empty collector. `context` is borrowed. */
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -18,7 +18,8 @@
     RP_JOB_OPEN,      /* tasks may be started */
     RP_JOB_COMPLETE,  /* all tasks are done; the terminal state has not been written */
     RP_JOB_FINISHING, /* the transaction that writes the terminal state is in flight */
-    RP_JOB_CLOSED /* the store shows that it ended, done or cancelled; kept for its references */
+    RP_JOB_CLOSED /* the store shows that the job ended, done or cancelled; kept while references to
+                     it exist */
 };
 
 /** Maximum number of machines that a job records as those on which its tasks failed. */
@@ -28,23 +29,25 @@
 struct rp_job {
     struct rp_job_spec spec;
     enum rp_job_state state;
-    uint64_t record_revision; /* revision of its record among the open jobs, for compare-and-swap */
-    uint64_t accepted_revision;       /* store revision at which it was accepted */
+    /* Revision of the job's record below RP_KEY_OPEN, for compare-and-swap. */
+    uint64_t record_revision;
+    uint64_t accepted_revision;       /* store revision at which the job was accepted */
     struct timespec accepted_wall_at; /* wall-clock time of the accepting node */
-    struct timespec first_seen_at;    /* when this leader first read its record */
+    struct timespec first_seen_at;    /* when this leader first read the job's record */
     double age_at_first_seen_s;
-    int team; /* index of its team in the settings */
+    int team; /* index of the job's team in the settings */
     uint32_t n_done, n_running;
     uint32_t n_allocated; /* allocations whose task may be on a machine */
-    uint32_t n_refs;      /* references of allocations, and one held while it is being closed */
-    uint8_t *task_allocation_counts; /* for each task, the number of allocations in which it may be;
-                                        NULL: none */
+    uint32_t n_refs; /* references of allocations, and one held while the job is being closed */
+    uint8_t *task_allocation_counts; /* for each task, the number of allocations in which the task
+                                        may be; NULL: no task has one */
     uint32_t n_allocated_by_zone[RP_ZONES_MAX];
-    uint32_t first_startable_task; /* no task below it can be started */
+    uint32_t first_startable_task; /* no task with a lower number can be started */
     struct rp_job_progress progress;
-    struct rp_stored_records stored; /* stored records besides its own; deleted after its end */
+    /* The job's stored records besides the job record; deleted after the job's end. */
+    struct rp_stored_records stored;
     uint64_t image_hash;
-    unsigned long reserved_in_cycle; /* last scheduling cycle that reserved machines for it */
+    unsigned long reserved_in_cycle; /* last scheduling cycle that reserved machines for the job */
     /* Only for a gang that has not begun: its attempt number, when that attempt was first seen
      * incomplete, and since when no machine has been available for its missing tasks (zero: a
      * machine is available, or the gang is complete). */
@@ -54,8 +57,8 @@
      */
     char failed_machines[RP_JOB_FAILED_MACHINES_MAX][RP_TEXT_MAX];
     unsigned n_failed_machines;
-    unsigned n_start_backoffs; /* consecutive backoffs while it failed on every machine where it was
-                                  started */
+    unsigned n_start_backoffs; /* consecutive backoffs during which the job failed on every machine
+                                  where it was started */
     struct timespec start_backoff_until;
     /* Observed run times. The tasks of one job run for about the same time, whatever run time its
      * owner estimated. */
--- a/src/jobs/job_loader.h
+++ b/src/jobs/job_loader.h
@@ -36,7 +36,7 @@
 /** Abandons a load in progress without calling back; the caller changes the context's generation.
  */
 void rp_job_loader_stop(struct rp_job_loader *loader);
-/** The reader has read the further parts of one record, or has failed to. */
+/** Handles the outcome of the reader's request for the further parts of one record. */
 void rp_job_loader_on_parts_result(struct rp_job_loader *loader, enum rp_parts_outcome outcome);
 
 #endif
--- a/src/jobs/job_lookup.c
+++ b/src/jobs/job_lookup.c
@@ -11,7 +11,7 @@
 /* Maximum number of queries in a batch: bounds the memory of a batch and the number of users who
  * wait for one response. */
 #define BATCH_QUERIES_MAX 64
-/* Seconds between two checks whether the budget has headroom again. */
+/* Seconds between two checks whether the request budget for queries has headroom again. */
 #define POLL_PERIOD_S 0.02
 /* Seconds after which a batch is queued for the budget, however few queries it has. */
 #define COLLECT_MAX_S 0.3
@@ -76,7 +76,8 @@
     return false;
 }
 
-/* The conditions are that none of the jobs is open: those that fail name the open ones. */
+/* The transaction's conditions are that none of the batch's jobs is open: the conditions that fail
+ * name the open jobs. */
 static void send_batch(struct rp_job_lookup *lookup) {
     struct rp_lookup_batch *batch = lookup->collecting;
     struct rp_kv_txn *txn = rp_kv_txn_begin();
--- a/src/jobs/job_progress.c
+++ b/src/jobs/job_progress.c
@@ -102,7 +102,7 @@
     return is_dirty ? RP_PROGRESS_DIRTY : RP_PROGRESS_CLEAN;
 }
 
-/* The only place where the state of a unit changes. */
+/* The only function that changes the state of a unit. */
 static void set_unit_state(struct rp_job_progress *progress, unsigned unit,
                            enum rp_progress_unit_state state) {
     uint64_t bit = UINT64_C(1) << unit;
@@ -126,10 +126,10 @@
     case RP_PROGRESS_READ_SENT: /* the read carries no tasks; no write is sent before the revision
                                    has been read */
         return is_dirty ? RP_PROGRESS_IN_FLIGHT_DIRTY : RP_PROGRESS_IN_FLIGHT;
-    case RP_PROGRESS_WRITE_SUCCEEDED: /* tasks done since it was sent are still to be written */
+    case RP_PROGRESS_WRITE_SUCCEEDED: /* tasks that the write did not carry remain to be written */
     case RP_PROGRESS_READ_RETURNED:
         return is_dirty ? RP_PROGRESS_DIRTY : RP_PROGRESS_CLEAN;
-    case RP_PROGRESS_WRITE_FAILED: /* the tasks that it carried have to be written again */
+    case RP_PROGRESS_WRITE_FAILED: /* the tasks that the write carried have to be written again */
         return RP_PROGRESS_DIRTY;
     }
     return state;
--- a/src/jobs/job_progress.h
+++ b/src/jobs/job_progress.h
@@ -19,11 +19,13 @@
 
 /** The state of a unit of progress. */
 enum rp_progress_unit_state {
-    RP_PROGRESS_CLEAN,          /* nothing to write: all results are durable */
-    RP_PROGRESS_DIRTY,          /* tasks are done that no request has carried */
-    RP_PROGRESS_IN_FLIGHT,      /* a request for its record is in flight */
-    RP_PROGRESS_IN_FLIGHT_DIRTY /* a request is in flight, and further tasks were done since it was
-                                   sent */
+    RP_PROGRESS_CLEAN, /* nothing to write: all results of the unit are durable */
+    RP_PROGRESS_DIRTY, /* tasks of the unit are done that no successful write or write in flight has
+                          carried */
+    RP_PROGRESS_IN_FLIGHT, /* a write or read of the unit's record is in flight; nothing else is to
+                              be written */
+    RP_PROGRESS_IN_FLIGHT_DIRTY /* a write or read of the unit's record is in flight, which does not
+                                   carry all done tasks of the unit */
 };
 
 /** The events that change the state of units. */
@@ -45,9 +47,9 @@
     uint32_t n_tasks;
     uint8_t *done, *durable; /* bit sets over the tasks; once loaded, durable is a subset of done */
     uint64_t dirty_units, in_flight_units; /* bit sets over the units */
-    uint64_t *revisions; /* of the progress records: first of the chunks, then of the units */
-    struct timespec dirty_since; /* time of the oldest change that no request has carried */
-    /* No write is sent before this instant; set when the store refuses one. */
+    uint64_t *revisions; /* revisions of the progress records: of the chunks, then of the units */
+    struct timespec dirty_since; /* when the oldest change was made that no write has carried */
+    /* No write is sent before this instant; set when the store refuses a write. */
     struct timespec write_back_backoff_until;
 };
 
--- a/src/jobs/job_watch.c
+++ b/src/jobs/job_watch.c
@@ -13,7 +13,8 @@
 /* Maximum staleness of the table in seconds at which tasks are started: a start needs a fresher
  * table than a response to a heartbeat. */
 #define START_STALENESS_MAX_S 9.0
-/* Seconds for the first watch to be answered after the leader's lease has become provable again. */
+/* Seconds within which the first watch request has to be answered after the leader's lease has
+ * become provable again. */
 #define WATCH_CATCH_UP_S 3.0
 /* Seconds for which a leader that resigned because its watch was not answered does not claim the
  * leader's key again, so that another node can. */
--- a/src/jobs/job_watch.h
+++ b/src/jobs/job_watch.h
@@ -24,7 +24,8 @@
     struct rp_garbage_collector *collector;
     uint64_t revision; /* the table contains all changes up to this store revision; 0: no list page
                           was received */
-    struct timespec synced_at; /* when the latest answered watch request, or the load, was sent */
+    struct timespec synced_at; /* when the latest answered watch request was sent; until one is
+                                  answered, when the load began */
     struct timespec sent_at;   /* send time of the request in flight; zero: there is none */
     struct timespec lease_provable_since; /* since when the leader's lease has been provable without
                                              a gap; zero: it is not provable */
@@ -44,7 +45,7 @@
 /** Stops the watch. The caller changes the context's generation, so that a response that arrives
  * later is ignored. */
 void rp_job_watch_stop(struct rp_job_watch *watch);
-/** A load begins: the watch will start at the revision of its list. */
+/** A load begins: the watch will start at the revision of the load's list. */
 void rp_job_watch_on_load_start(struct rp_job_watch *watch);
 /** A page of the load's list was received, as of `revision`. `has_more`: another page follows. */
 void rp_job_watch_on_list_page(struct rp_job_watch *watch, uint64_t revision, bool has_more);
--- a/src/jobs/progress_writer.c
+++ b/src/jobs/progress_writer.c
@@ -122,10 +122,10 @@
         rp_garbage_collector_add(writer->collector, written->job_id, &stored);
 }
 
-/* Each write carries the condition that the record still has the revision that it replaces. Without
- * it, a write that is carried out seconds late, after a newer one, removes results that their
- * workers have already forgotten. After a lost response, or a conflict with a write whose response
- * was lost, the revision has to be read. */
+/* Each write carries the condition that the record still has the revision that the write replaces.
+ * Without that condition, a write that is carried out seconds late, after a newer one, removes
+ * results that their workers have already forgotten. After a lost response, or a conflict with a
+ * write whose response was lost, the revision has to be read. */
 static void on_record_write_failed(struct rp_job *job, struct rp_progress_record record,
                                    const struct rp_kv_result *result) {
     char key[RP_KEY_MAX];
@@ -204,7 +204,7 @@
 }
 
 /* Until every node reads units, progress is written in chunks, which all nodes can read; the
- * progress of a job whose chunk does not fit into a value waits for the activation. */
+ * progress of a job whose chunk does not fit into a value waits for the activation of RP_FORMAT. */
 static void write_job(struct progress_write *write, struct rp_kv_txn *txn, struct rp_job *job) {
     struct rp_progress_writer *writer = write->writer;
     bool is_unit = rp_upgrade_is_active(writer->context->upgrade);
--- a/src/jobs/progress_writer.h
+++ b/src/jobs/progress_writer.h
@@ -14,8 +14,8 @@
     const struct rp_jobs_context *context;
     struct rp_job_table *table;
     struct rp_garbage_collector *collector;
-    size_t max_records; /* per transaction; halved when the store refuses one, raised again by 1
-                           with each that succeeds */
+    size_t max_records; /* maximum number per transaction; halved when the store refuses a
+                           transaction, raised again by 1 with each that succeeds */
 };
 
 /** Initializes a writer for the jobs of `table`; all pointers are borrowed. */
--- a/src/jobs/record_reader.h
+++ b/src/jobs/record_reader.h
@@ -20,8 +20,8 @@
 
 /** The outcome of reading the parts of the first partial record. */
 enum rp_parts_outcome {
-    RP_PARTS_FAILED,  /* the request failed; the record remains in the queue */
-    RP_PARTS_READ,    /* the job is in the table, or its record cannot be read */
+    RP_PARTS_FAILED, /* the request failed; the record remains in the queue */
+    RP_PARTS_READ, /* the parts were read: the job is in the table, or its record cannot be read */
     RP_PARTS_DROPPED, /* the job had ended while its record was queued */
 };
 
--- a/src/jobs/run_time_estimator.c
+++ b/src/jobs/run_time_estimator.c
@@ -9,7 +9,7 @@
 #define CLASS_OBSERVATIONS_MAX 20.0
 /* Weight of the owner's estimate, in observations of the class. */
 #define OWNER_ESTIMATE_WEIGHT 2.0
-/* Weight of one run of the job itself, in estimates by its class. */
+/* Weight of one run of the job itself; the expectation by the job's class has weight 1. */
 #define JOB_RUN_WEIGHT 2.0
 
 static const struct rp_class_stats *find_class(const struct rp_run_time_estimator *estimator,
--- a/src/jobs/run_time_estimator.h
+++ b/src/jobs/run_time_estimator.h
@@ -7,8 +7,8 @@
 
 #include "jobs/job.h"
 
-/** Classes of which run times are recorded. Run times of further classes are counted in /status and
- * logged. */
+/** Maximum number of job classes whose run times are recorded. Run times of further classes are
+ * counted in /status and logged. */
 #define RP_CLASSES_MAX 256
 
 /** The ratio of the real run times of a class to its owners' estimates. */
--- a/src/standby/change_log.h
+++ b/src/standby/change_log.h
@@ -7,15 +7,15 @@
 
 #include "standby/stream_message.h"
 
-/** Number of changes in the ring: several minutes of changes at 4,000 machines, which change a few
- * dozen times a second; 3 MB. */
+/** Number of changes in the ring: several minutes of changes at 4,000 machines, which together make
+ * a few dozen changes a second; the ring takes 3 MB. */
 #define RP_CHANGES_KEPT 16384
 
 /** The log of one term. Zeroed memory is an empty log of no term. */
 struct rp_change_log {
     uint64_t term;
-    uint64_t index;         /* of the latest change; 0: none in this term */
-    struct rp_change *ring; /* RP_CHANGES_KEPT; NULL until the first change in this process */
+    uint64_t index;         /* number of the latest change; 0: none in this term */
+    struct rp_change *ring; /* RP_CHANGES_KEPT changes; NULL until this process's first change */
 };
 
 /** Begins a term: empties the log. */
--- a/src/standby/leader_suspicion.h
+++ b/src/standby/leader_suspicion.h
@@ -21,7 +21,8 @@
 struct rp_suspicion_peer {
     struct rp_leader_suspicion *suspicion;
     struct timespec responded_at; /* when the peer last responded */
-    bool is_unreachable;          /* down or partitioned: silent while the leader responded */
+    bool is_unreachable;          /* the peer is down or partitioned: it was silent while the leader
+                                     responded */
 };
 
 /** The followed leader, and the evidence of its failure. */
@@ -30,10 +31,12 @@
     const struct rp_settings *settings;
     struct rp_stream_client *client;
     char leader[RP_TEXT_MAX]; /* the node whose silence is counted; "" for none */
-    double silent_s;          /* time that this node has run without a response of the leader */
+    double silent_s; /* seconds for which this node has run without a response of the leader */
     struct timespec peers_queried_at;
-    struct timespec reported_responsive_at; /* a peer last reported a response; 0: none did */
-    struct timespec reported_silent_at;     /* a peer last reported the silence; 0: none did */
+    /* When a peer last reported that the leader responds; zero: none did. */
+    struct timespec reported_responsive_at;
+    /* When a peer last reported that the leader is silent; zero: none did. */
+    struct timespec reported_silent_at;
     struct rp_suspicion_peer *peers;
 };
 
@@ -49,7 +52,7 @@
 /** Adds the time since the last call, in which the leader has not responded, to its silence. The
  * time added is bounded, since this node itself may have been stalled. */
 void rp_leader_suspicion_add_silence(struct rp_leader_suspicion *suspicion, double elapsed_s);
-/** Whether the silence is long enough to query the other nodes about the leader. */
+/** Whether the leader's silence is long enough to query the other nodes about the leader. */
 bool rp_leader_suspicion_is_suspected(const struct rp_leader_suspicion *suspicion);
 /** Discards the other nodes' earlier reports about the leader: only reports received from now on
  * count. */
@@ -60,10 +63,11 @@
 /** While the leader is suspected: queries the other nodes about it at a high rate. */
 void rp_leader_suspicion_query_peers(struct rp_leader_suspicion *suspicion, struct timespec now);
 /** Whether the leader has been silent for long enough and the other nodes confirm it. `delay_s` is
- * added to the silence required, for a node that has no copy of the machine directory. */
+ * added to the seconds of silence required, for a node that has no copy of the machine directory.
+ */
 bool rp_leader_suspicion_is_confirmed(const struct rp_leader_suspicion *suspicion,
                                       struct timespec now, double delay_s);
-/** Delays the next attempt after a failover that was not possible or did not complete. */
+/** Delays this node's next failover after a failover that was not possible or did not complete. */
 void rp_leader_suspicion_defer(struct rp_leader_suspicion *suspicion);
 
 #endif
--- a/src/standby/machine_directory.h
+++ b/src/standby/machine_directory.h
@@ -19,14 +19,14 @@
     char machine[RP_TEXT_MAX];
     char addr[RP_TEXT_MAX];
     uint64_t incarnation;
-    bool is_releasing;                 /* the leader was releasing it */
-    struct rp_directory_machine *next; /* in the same bucket */
+    bool is_releasing;                 /* the leader was releasing the machine */
+    struct rp_directory_machine *next; /* next machine in the same bucket */
 };
 
 /** The directory. Zeroed memory is a directory without a leader or machines. */
 struct rp_machine_directory {
     uint64_t term;  /* the term of the leader whose directory was copied; 0: no copy */
-    uint64_t index; /* the last change applied */
+    uint64_t index; /* the number of the last change applied; 0: none */
     size_t n_machines;
     struct rp_directory_machine *buckets[RP_DIRECTORY_BUCKETS];
     struct rp_tombstones tombstones; /* terminated machines; names are never reused */
--- a/src/standby/machine_fencing.c
+++ b/src/standby/machine_fencing.c
@@ -8,11 +8,11 @@
 
 /* Maximum number of machines that are being fenced at a time; docs/standby.md, "Leading". */
 #define IN_FLIGHT_MAX 128
-/* Seconds from when this node leads to the first pass. In this time it responds to the heartbeats
- * that wait at this node, which also gives those machines the token. */
+/* Seconds from when this node leads to the first pass. In this time this node responds to the
+ * heartbeats that wait at it, which also gives those machines its fencing token. */
 #define FIRST_PASS_DELAY_S 0.15
 /* Seconds from the first pass to the second, which also fences the machines whose heartbeat was
- * answered but which have not sent the token back since. */
+ * answered but which have not sent this leader's fencing token back since. */
 #define SECOND_PASS_DELAY_S 1.2
 
 static void fence_next(struct rp_machine_fencing *fencing);
@@ -27,8 +27,8 @@
     fence_next(fencing);
 }
 
-/* Sends the token to the machine, unless the machine has been removed or has sent the token back
- * meanwhile (it is not unreconciled any more), or its address is not known. */
+/* Sends this leader's fencing token to the machine, unless the machine has been removed, has been
+ * reconciled meanwhile by sending the token back, or has no known address. */
 static void fence_machine(struct rp_machine_fencing *fencing, const char *name) {
     struct rp_machine *machine = rp_machine_find(fencing->cluster, name);
     const struct rp_directory_machine *entry = rp_machine_directory_find(fencing->directory, name);
--- a/src/standby/machine_fencing.h
+++ b/src/standby/machine_fencing.h
@@ -19,11 +19,13 @@
     struct rp_workers *workers;
     const struct rp_machine_directory *directory;
     struct rp_timer timer;
-    char (*machines)[RP_TEXT_MAX]; /* of this pass, in the order of the cluster state */
+    char (*machines)[RP_TEXT_MAX]; /* the machines of the current pass, in the order of the cluster
+                                      state */
     size_t n_machines, next_machine;
     size_t n_in_flight; /* machines whose response is awaited */
     bool is_second_pass;
-    unsigned long n_fenced, n_unfenced; /* in this term, or in the last term of this node */
+    unsigned long n_fenced, n_unfenced; /* attempts to fence a machine that succeeded, or failed, in
+                                           this or the last term of this node */
 };
 
 /** Initializes the fencing without starting it. Everything that it refers to must outlive it. */
@@ -31,9 +33,9 @@
                              struct rp_cluster *cluster, struct rp_workers *workers,
                              const struct rp_machine_directory *directory);
 /** Starts the fencing when this node begins to lead: a first pass after a short delay, and a second
- * pass over the machines that are still unreconciled. */
+ * pass over the machines that have not been reconciled by then. */
 void rp_machine_fencing_start(struct rp_machine_fencing *fencing);
-/** Stops the fencing when the term ends: no further machine is sent the token. */
+/** Stops the fencing when the term ends: the token is sent to no further machine. */
 void rp_machine_fencing_stop(struct rp_machine_fencing *fencing);
 /** Stops the fencing and frees the list of machines. */
 void rp_machine_fencing_close(struct rp_machine_fencing *fencing);
--- a/src/standby/standby.h
+++ b/src/standby/standby.h
@@ -60,10 +60,10 @@
     struct rp_leader_suspicion suspicion;
     unsigned long n_old_terms; /* messages refused because their sender has been replaced */
     unsigned long n_gaps;      /* messages refused because changes before them are missing */
-    /* Failovers. */
+    /* Failovers to this node. */
     struct rp_failover_times last_failover;
-    unsigned long n_failovers; /* completed */
-    unsigned long n_withdrawn; /* suspicions that ended without a claim on the key */
+    unsigned long n_failovers; /* failovers that were completed */
+    unsigned long n_withdrawn; /* suspicions that ended without a claim of the leader's key */
     /* Used while leading. */
     struct rp_stream_server server;
     struct rp_machine_fencing fencing;
--- a/src/standby/stream_message.h
+++ b/src/standby/stream_message.h
@@ -31,14 +31,14 @@
 /** A request for the stream: the position that the standby has reached. */
 struct rp_stream_request {
     uint64_t term;  /* the term of the leader whose directory was copied; 0: no copy */
-    uint64_t index; /* the last change applied */
+    uint64_t index; /* the number of the last change that the standby has applied */
 };
 
 /** The kinds of changes of a machine. */
 enum rp_change_kind {
-    RP_CHANGE_MACHINE_UP,        /* it sends heartbeats: address and incarnation are known */
-    RP_CHANGE_MACHINE_RELEASING, /* its release is being requested from the cloud */
-    RP_CHANGE_MACHINE_TERMINATED /* it is terminated for certain */
+    RP_CHANGE_MACHINE_UP, /* the machine sends heartbeats: its address and incarnation are known */
+    RP_CHANGE_MACHINE_RELEASING, /* the machine's release is being requested from the cloud */
+    RP_CHANGE_MACHINE_TERMINATED /* the machine is terminated for certain */
 };
 
 /** A change of a machine; in a snapshot, the current state of the machine. */
--- a/src/standby/stream_server.h
+++ b/src/standby/stream_server.h
@@ -28,8 +28,8 @@
                            const struct rp_settings *settings);
 /** Unsubscribes the server from changes and frees the log. */
 void rp_stream_server_close(struct rp_stream_server *server);
-/** Empties the log when this node's term begins, while its cluster state is still empty; `term` 0:
- * when its term has ended. */
+/** Empties the log when this node's term begins, while its cluster state is still empty, or with
+ * `term` 0 when this node's term has ended. */
 void rp_stream_server_begin_term(struct rp_stream_server *server, uint64_t term);
 /** The leader's response to a request: changes, or a snapshot if some of them are no longer in the
  * log or the request is of another term. The caller must free `out` by rp_stream_message_free. */
--- a/src/store/keys.h
+++ b/src/store/keys.h
@@ -17,7 +17,7 @@
  * the prefix of the open jobs so that the earlier leader's watch receives it before any job that is
  * accepted later. No job has such an id. */
 #define RP_KEY_FENCE RP_KEY_ROOT "open/!fence"
-/** Prefix of the jobs that are not in a terminal state, by id. */
+/** Prefix of the records of jobs that are not in a terminal state, by job id. */
 #define RP_KEY_OPEN RP_KEY_ROOT "open/"
 /** Prefix of the terminal states, by job id. These records are kept forever. */
 #define RP_KEY_TERMINAL RP_KEY_ROOT "over/"
@@ -27,14 +27,16 @@
 #define RP_KEY_PROVISION RP_KEY_ROOT "rental/"
 /** Prefix of the further parts of job records that one value cannot hold, by job id and part. */
 #define RP_KEY_PART RP_KEY_ROOT "part/"
-/** Prefix of the announcements of nodes that support RP_FORMAT, by node. An announcement exists
- * while its node runs. */
+/** Prefix of the announcements by which nodes state that they support RP_FORMAT, by node. An
+ * announcement exists while its node runs. */
 #define RP_KEY_ANNOUNCEMENT RP_KEY_ROOT "version/"
-/** Key of the activation record: all nodes support RP_FORMAT. It is never deleted. */
+/** Key of the activation record, which states that all nodes support RP_FORMAT. It is never
+ * deleted. */
 #define RP_KEY_ACTIVATION RP_KEY_ROOT "format"
 /** Key of the machine types, which are read when the cloud does not respond. */
 #define RP_KEY_CATALOG RP_KEY_ROOT "catalog"
-/** Bytes of a buffer for any key with its NUL. The store allows 200 bytes for a key. */
+/** Size in bytes of a buffer that can hold any key with its NUL. The store allows 200 bytes for a
+ * key. */
 #define RP_KEY_MAX 200
 
 /** Tasks in a chunk, a progress record of format 1. A chunk takes nearly 2.1 KiB, which a key-value
@@ -52,8 +54,8 @@
 #define RP_UNITS_MAX ((RP_TASKS_MAX + RP_UNIT_TASKS - 1) / RP_UNIT_TASKS)
 /** Chunks of the largest job. */
 #define RP_CHUNKS_MAX ((RP_TASKS_MAX + RP_CHUNK_TASKS - 1) / RP_CHUNK_TASKS)
-/** Most pieces of a job's record: the one at the job's own key, and the further parts. They are
- * written in one transaction. */
+/** Maximum number of pieces of a job's record: the one at the job's own key, and the further parts.
+ * All pieces are written in one transaction. */
 #define RP_PARTS_MAX 64
 
 /** Writes the key of `name` below `prefix`. */
--- a/src/store/kv_budget.h
+++ b/src/store/kv_budget.h
@@ -30,7 +30,8 @@
 /** The store's limits, and how the nodes share them. */
 struct rp_kv_rate_limits {
     double requests_per_s; /* limit for all nodes together */
-    double writes_per_s;   /* limit of changes; a transaction makes several */
+    double writes_per_s;   /* limit of changes for all nodes together; a transaction makes several
+                              changes */
     size_t n_nodes;        /* number of nodes, this one included */
     double leader_write_share;
 };
--- a/src/store/kv_client.c
+++ b/src/store/kv_client.c
@@ -9,23 +9,24 @@
 #include "protocol/codec.h"
 #include "protocol/kv_codec.h"
 
-/* Timeout of a request. A response takes milliseconds, occasionally a few hundred. */
+/* Timeout of a request, in seconds. A response takes milliseconds, occasionally a few hundred. */
 #define RESPONSE_TIMEOUT_S 1.5
-/* Timeout of a list, whose response can have up to 512 KiB. */
+/* Timeout of a list, in seconds, whose response can have up to 512 KiB. */
 #define LIST_TIMEOUT_S 3.0
-/* Longest time that a request waits for its budget before it is refused. Users retry at once when
- * they are refused; the leader would only repeat its request. */
+/* Maximum number of seconds that a request waits for its budget before this client refuses it.
+ * Users retry at once when they are refused; the leader would only repeat its request. */
 #define USER_QUEUE_WAIT_MAX_S 0.3
 #define LEADER_QUEUE_WAIT_MAX_S 4.0
-/* Time between checks of whether a budget lets a waiting request through. */
+/* Seconds between checks of whether a budget lets a waiting request through. */
 #define QUEUE_CHECK_INTERVAL_S 0.02
-/* Most attempts at a request that the store refuses for its rate limit. */
+/* Maximum number of attempts at a request that the store refuses for its rate limit. */
 #define RATE_LIMIT_ATTEMPTS_MAX 3
-/* Backoff before the second attempt; before the third it is twice that. */
+/* Seconds from a refusal for the rate limit to the second attempt; before the third attempt the
+ * backoff is twice as long. */
 #define RATE_LIMIT_BACKOFF_S 0.1
 /* Number of rate-limited responses for each log line about them. */
 #define RATE_LIMITED_RESPONSES_PER_LOG_LINE 100
-/* Shortest time between log lines about requests shed for one budget. */
+/* Minimum number of seconds between log lines about requests shed for one budget. */
 #define SHED_LOG_INTERVAL_S 5.0
 
 enum {
--- a/src/store/kv_client.h
+++ b/src/store/kv_client.h
@@ -29,7 +29,7 @@
 struct rp_kv_queue {
     struct rp_kv_call *first, *last;
     unsigned long n_shed_unlogged;  /* requests shed since the last log line about shedding */
-    struct timespec shed_logged_at; /* zero: never */
+    struct timespec shed_logged_at; /* when shedding was last logged; zero: never */
 };
 
 /** A node's client. Other modules only read the counters. */
@@ -40,7 +40,7 @@
     struct rp_kv_rate_limits limits;
     struct rp_kv_budgets budgets;
     struct rp_kv_queue queues[RP_KV_BUDGETS];
-    struct rp_timer queue_timer;        /* is set while requests wait */
+    struct rp_timer queue_timer;        /* set while requests wait for their budgets */
     struct timespec failing_since;      /* first failure since the last success; zero: no failure */
     unsigned long n_ok;                 /* responses of any known status except 503 */
     unsigned long n_refused, n_unknown; /* attempts that ended as RP_KV_REFUSED, RP_KV_UNKNOWN */
@@ -59,25 +59,27 @@
  * arrives afterwards. */
 void rp_kv_client_close(struct rp_kv_client *client);
 
-/** Reads one key. RP_KV_NOT_FOUND when it does not exist. */
+/** Reads one key. The outcome is RP_KV_NOT_FOUND when the key does not exist. */
 void rp_kv_get(struct rp_kv_client *client, enum rp_kv_budget budget, const char *key, rp_kv_fn fn,
                void *arg);
 /** Lists at most `limit` keys that begin with `prefix`, in their order, starting with the first one
  * after `after`, or with the first one of all if `after` is NULL. */
 void rp_kv_list(struct rp_kv_client *client, enum rp_kv_budget budget, const char *prefix,
                 const char *after, unsigned limit, rp_kv_fn fn, void *arg);
-/** Sends a transaction, and takes ownership of it. RP_KV_CONDITION_FAILED when a condition failed.
- */
+/** Sends a transaction, and takes ownership of it. The outcome is RP_KV_CONDITION_FAILED when a
+ * condition failed. */
 void rp_kv_txn_submit(struct rp_kv_client *client, enum rp_kv_budget budget, struct rp_kv_txn *txn,
                       rp_kv_fn fn, void *arg);
 /** Requests a lease that ends unless it is renewed within `ttl_s`. */
 void rp_kv_lease_grant(struct rp_kv_client *client, double ttl_s, rp_kv_fn fn, void *arg);
-/** Renews a lease for its full length. RP_KV_NOT_FOUND when it has ended. */
+/** Renews a lease for its full length. The outcome is RP_KV_NOT_FOUND when the lease has ended. */
 void rp_kv_lease_renew(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg);
-/** Ends a lease, which deletes all keys attached to it. RP_KV_NOT_FOUND when it has ended. */
+/** Ends a lease, which deletes all keys attached to it. The outcome is RP_KV_NOT_FOUND when the
+ * lease has already ended. */
 void rp_kv_lease_revoke(struct rp_kv_client *client, uint64_t lease, rp_kv_fn fn, void *arg);
 /** Requests the changes of keys with `prefix` after revision `from`; the store waits up to `hold_s`
- * for one. RP_KV_COMPACTED when that revision is too old. */
+ * seconds for a change. The outcome is RP_KV_COMPACTED when the store no longer keeps the changes
+ * after `from`. */
 void rp_kv_watch(struct rp_kv_client *client, const char *prefix, uint64_t from, double hold_s,
                  rp_kv_fn fn, void *arg);
 
--- a/src/store/records.h
+++ b/src/store/records.h
@@ -22,7 +22,7 @@
 
 /** The format that a record names; 1 when it names none. */
 unsigned rp_record_format(const json_t *value);
-/** Marks a record with RP_FORMAT, and returns it; for use once that format is activated. */
+/** Marks a record with RP_FORMAT, and returns it; for use only once RP_FORMAT is activated. */
 json_t *rp_record_mark(json_t *value);
 /** The size in bytes of the value as it is sent, for comparison with the store's limit. */
 size_t rp_record_size(const json_t *value);
@@ -33,23 +33,24 @@
  * `max_pieces` are needed. The first piece is stored at the record's key and holds the number of
  * the others. The caller owns the pieces. */
 size_t rp_record_split(const json_t *record, size_t max_bytes, json_t **pieces, size_t max_pieces);
-/** The number of further parts that belong to this piece; 0: the record is complete. */
+/** The number of further parts that belong to this piece; 0: this piece is the whole record. */
 size_t rp_record_n_parts(const json_t *value);
 /** The record that consists of these pieces, in order; NULL when they do not form one. */
 json_t *rp_record_join(json_t *const *pieces, size_t n);
 
-/* ---- the format's activation ---- */
+/* ---- activation of RP_FORMAT ---- */
 
-/** The announcement below RP_KEY_ANNOUNCEMENT: the node supports RP_FORMAT. */
+/** The announcement record below RP_KEY_ANNOUNCEMENT: it states that the node supports RP_FORMAT.
+ */
 json_t *rp_record_announcement(const char *node);
-/** The activation at RP_KEY_ACTIVATION: every node supports RP_FORMAT. */
+/** The activation record at RP_KEY_ACTIVATION: it states that every node supports RP_FORMAT. */
 json_t *rp_record_activation(void);
 
 /* ---- jobs ---- */
 
 /** The record below RP_KEY_OPEN: a job as it was submitted. `accepted_at` is a time of day. */
 json_t *rp_record_open(const struct rp_job_spec *spec, struct timespec accepted_at);
-/** Reads a job's record, which must be complete. */
+/** Reads a job's whole record; a record in parts must have been joined. */
 bool rp_record_open_read(json_t *value, struct rp_job_spec *spec, struct timespec *accepted_at);
 /** The record below RP_KEY_TERMINAL: RP_JOB_DONE or RP_JOB_CANCELLED. */
 json_t *rp_record_terminal(enum rp_job_phase phase);
@@ -80,7 +81,8 @@
 };
 /** The record at RP_KEY_LEADER. Without `own` and `fenced` it equals that of version 0.1.0. */
 json_t *rp_record_leader(const struct rp_leader_record *record);
-/** Reads the leader's key in any format, because a leader is elected before the activation. */
+/** Reads the leader's key in any format, because a leader is elected before RP_FORMAT is activated.
+ */
 bool rp_record_leader_read(const json_t *value, struct rp_leader_record *out);
 /** The record at RP_KEY_FENCE: the node that fenced a leader. It is not marked with a format: it is
  * written whichever format the other nodes support, and no node reads its value. */
@@ -106,7 +108,8 @@
 size_t rp_record_provision_n_names(json_t *value);
 /** The name of machine `index`, borrowed from the record; NULL when it is malformed. */
 const char *rp_record_provision_name(json_t *value, size_t index);
-/** Whether the record lists the machine as up. */
+/** Whether the record lists the machine as up: the machine has sent a heartbeat, and may hold
+ * tasks. */
 bool rp_record_provision_is_up(json_t *value, const char *name);
 
 #endif
--- a/src/upgrade/format_upgrade.c
+++ b/src/upgrade/format_upgrade.c
@@ -5,8 +5,8 @@
 #include "store/records.h"
 
 #define ACTIVATION_READ_PERIOD_S 0.5
-/* Length of the lease of an announcement. A node that has terminated counts as one that does not
- * support the format after this time. */
+/* Length in seconds of the lease of an announcement. A node that has terminated counts as one that
+ * does not support the format after this time. */
 #define ANNOUNCEMENT_TTL_S 10.0
 #define ANNOUNCEMENT_RENEWAL_PERIOD_S 2.0
 /* Maximum number of announcements that are listed at once: as many items as the store lists in one
@@ -54,12 +54,12 @@
     (void)result;
 }
 
-/* Whether the activation is known, which is final. */
+/* Whether an activation, of RP_FORMAT or of a later format, is known. This is final. */
 static bool is_decided(const struct rp_upgrade *upgrade) {
     return upgrade->state >= RP_UPGRADE_ACTIVE;
 }
 
-/* Ends the announcement, which is not needed any more once the activation is known. */
+/* Ends this node's announcement, which is not needed once the activation is known. */
 static void withdraw_announcement(struct rp_upgrade *upgrade) {
     rp_timer_cancel(upgrade->loop, &upgrade->timer);
     if (upgrade->lease != RP_KV_NO_LEASE)
@@ -184,9 +184,9 @@
     return RP_KV_ABSENT;
 }
 
-/* The transaction that activates the format, on the condition that every node's announcement still
- * exists; NULL while one does not. If the store accepts fewer conditions than there are nodes, the
- * remaining announcements are checked only in the list that was just read. */
+/* The transaction that activates RP_FORMAT, on the condition that every node's announcement still
+ * exists; NULL if an announcement is missing. If the store accepts fewer conditions than there are
+ * nodes, the remaining announcements are checked only in the list that was just read. */
 static struct rp_kv_txn *build_activation(struct rp_upgrade *upgrade,
                                           const struct rp_kv_result *announcements) {
     const struct rp_settings *settings = upgrade->settings;
@@ -214,7 +214,7 @@
     return NULL;
 }
 
-/* Whether this node has announced the format, and leads. */
+/* Whether this node has announced RP_FORMAT, and leads. */
 static bool can_activate(const struct rp_upgrade *upgrade) {
     return upgrade->state == RP_UPGRADE_ANNOUNCED &&
            rp_election_is_valid(upgrade->election, rp_loop_now(upgrade->loop));
--- a/src/upgrade/format_upgrade.h
+++ b/src/upgrade/format_upgrade.h
@@ -17,21 +17,21 @@
 
 /** State of this node's upgrade. The transitions are listed at set_state in format_upgrade.c. */
 enum rp_upgrade_state {
-    /** No activation of the format is known, and this node's announcement is not known to exist. */
+    /** No activation of RP_FORMAT is known, and this node's announcement is not known to exist. */
     RP_UPGRADE_UNANNOUNCED,
-    /** A lease for the announcement has been requested. */
+    /** A lease for this node's announcement has been requested. */
     RP_UPGRADE_ACQUIRING_LEASE,
-    /** The announcement is being written. */
+    /** This node's announcement is being written. */
     RP_UPGRADE_ANNOUNCING,
-    /** The announcement exists, and its lease is renewed. */
+    /** This node's announcement exists, and its lease is renewed. */
     RP_UPGRADE_ANNOUNCED,
-    /** Every node supports the format: it may be written. Final. */
+    /** Every node supports RP_FORMAT: records of it may be written. Final. */
     RP_UPGRADE_ACTIVE,
     /** A later format is active: this version must neither lead nor write. Final. */
     RP_UPGRADE_TOO_OLD
 };
 
-/** Called when a read has shown whether the format is active. */
+/** Called when a read has shown whether RP_FORMAT is active. */
 typedef void (*rp_upgrade_fn)(void *arg);
 
 /** A node's view of the upgrade. Other modules only read `state`, `has_read_activation` and
@@ -44,7 +44,8 @@
     enum rp_upgrade_state state;
     uint64_t lease; /* lease of the announcement */
     struct timespec renewed_at;
-    bool is_activating; /* as leader: awaits the list of announcements or the activation's write */
+    bool is_activating; /* this leader awaits the response to its list of announcements or to its
+                           write of the activation */
     bool has_read_activation; /* a read has shown whether a format is active */
     size_t n_nodes_announced; /* as leader: nodes whose announcement was in the latest list */
     struct rp_timer timer;
@@ -52,12 +53,12 @@
     void *arg;
 };
 
-/** `on_change` is called when the activation becomes known, and when the first read finds that it
- * does not exist yet. */
+/** `on_change` is called when the activation becomes known, and when the first read of its record
+ * finds that none exists yet. */
 void rp_upgrade_init(struct rp_upgrade *upgrade, struct rp_loop *loop, struct rp_kv_client *store,
                      struct rp_election *election, const struct rp_settings *settings,
                      rp_upgrade_fn on_change, void *arg);
-/** Begins to read the activation, and to announce the format. */
+/** Begins to read the activation record, and to announce that this node supports RP_FORMAT. */
 void rp_upgrade_start(struct rp_upgrade *upgrade);
 /** Starts no further requests; the announcement ends with its lease. */
 void rp_upgrade_stop(struct rp_upgrade *upgrade);
@@ -65,8 +66,8 @@
 bool rp_upgrade_is_active(const struct rp_upgrade *upgrade);
 /** Handles the activation's record, which was read by any module; NULL: there is none. */
 void rp_upgrade_on_activation_record(struct rp_upgrade *upgrade, const json_t *record);
-/** Marks a record with RP_FORMAT once that is active. Takes ownership of `record`, and returns it.
- */
+/** Marks a record with RP_FORMAT once that format is active. Takes ownership of `record`, and
+ * returns it. */
 json_t *rp_upgrade_mark_record(const struct rp_upgrade *upgrade, json_t *record);
 /** The state's name in /status. */
 const char *rp_upgrade_state_name(const struct rp_upgrade *upgrade);
