--- a/tests/behaviour/behaviour_digest.c
+++ b/tests/behaviour/behaviour_digest.c
@@ -20,12 +20,12 @@
 
 #define JSON_HASH_SEED 20240229 /* fixed, since jansson uses a random seed by default */
 #define PLANTED_CHANGE "RP_BEHAVIOUR_PLANTED_CHANGE"
-#define PLANTED_ROUND_PERIOD_S 2.5 /* the simulated nodes' regular period is 2 s */
+#define PLANTED_ROUND_PERIOD_S 2.5 /* the simulated nodes' regular cycle period is 2 s */
 #define RESULT_MAX 256
 #define MAX_PROCESSES 256
 
 /* Changes the nodes' behaviour on purpose, so that a test can check that the hashes change: the
- * nodes run scheduling cycles less often. */
+ * nodes run scheduling cycles less often than usual. */
 static void apply_planted_change(struct sim *sim) {
     for (int i = 0; i < sim->n_nodes; i++)
         sim->settings[i].tuning.round_period_s = PLANTED_ROUND_PERIOD_S;
--- a/tests/behaviour/digest_workloads.h
+++ b/tests/behaviour/digest_workloads.h
@@ -3,15 +3,16 @@
  * in addition to the random faults of a scenario.
  *
  * Each function submits jobs to a newly created simulation and runs it to its end. The seed varies
- * times and amounts. A change of a function changes its hashes: two commits can be compared by it
- * only if both contain the change. Called through the table of scenarios. */
+ * times and amounts. A change of a function changes its hashes: two commits can be compared by
+ * these hashes only if both contain the change. Called through the table of scenarios. */
 #pragma once
 
 #include "simulation/sim.h"
 
 /** Jobs of every kind except services. */
 void run_mixed_jobs(struct sim *sim, unsigned long seed);
-/** As run_mixed_jobs; users query often, and query all nodes after each change. */
+/** As run_mixed_jobs, but users query often, and query all nodes after each change of a job's
+ * state. */
 void run_frequent_queries(struct sim *sim, unsigned long seed);
 /** Jobs that use the whole fleet, and services at the same time. */
 void run_services(struct sim *sim, unsigned long seed);
--- a/tests/loopback/takeovers.c
+++ b/tests/loopback/takeovers.c
@@ -21,7 +21,7 @@
 #define STEP_S 0.02
 #define STARTUP_S 20.0        /* time before the first leader may be ended */
 #define STEADY_S 3.0          /* time for which a leader leads before it is ended */
-#define START_TIMEOUT_S 60    /* the run fails if no task starts under a new token within it */
+#define START_TIMEOUT_S 60    /* the run fails if no task starts under a new token in this time */
 #define DRAIN_TIMEOUT_S 100.0 /* after the last end, for all jobs to finish */
 #define JOB_INTERVAL_S 0.35
 #define PORT_TRIES 200 /* consecutive ports that are tried, since some may be in use */
@@ -32,7 +32,7 @@
 struct process {
     pid_t pid;         /* 0: not running */
     bool is_stopped;   /* by SIGSTOP, until SIGCONT at resumes_at */
-    double resumes_at; /* when it is restarted or continued */
+    double resumes_at; /* when the process is restarted or continued */
     char settings_file[128];
     char client_addr[ADDR_MAX];
 };
@@ -77,8 +77,8 @@
     enum phase phase;
     double phase_since;
     double ended_at;      /* time of the last end of a leader */
-    double claimed_at;    /* when another node held the leader's key after it; 0: not yet */
-    uint64_t ended_token; /* token of the last leader that was ended */
+    double claimed_at;    /* when another node held the leader's key after that end; 0: not yet */
+    uint64_t ended_token; /* fencing token of the last leader that was ended */
     double next_job_at;
     double downtime_s; /* each end is a kill with a restart after this time; 0: kills and stops */
     bool was_stopped;  /* the last leader was stopped for a while, not killed */
--- a/tests/simulation/internal.h
+++ b/tests/simulation/internal.h
@@ -16,12 +16,12 @@
 #define SIM_REMOTE_NODE (SIM_NODES_MAX - 1)
 
 enum event_kind {
-    EV_REQUEST,          /* of a node, to the store, the cloud, a worker or another node */
-    EV_HEARTBEAT,        /* of a worker, to a node */
-    EV_HEARTBEAT_ANSWER, /* of a node, to a worker */
+    EV_REQUEST,          /* a node's request to the store, the cloud, a worker or another node */
+    EV_HEARTBEAT,        /* a worker's heartbeat to a node */
+    EV_HEARTBEAT_ANSWER, /* a node's response to a worker's heartbeat */
     EV_CONCURRENT_READ,  /* a user is due to send a request to the event's node */
-    EV_USER_ANSWER,      /* of a node, to a user's valid request */
-    EV_INVALID_ANSWER    /* of a node, to a user's invalid request */
+    EV_USER_ANSWER,      /* a node's response to a user's valid request */
+    EV_INVALID_ANSWER    /* a node's response to a user's invalid request */
 };
 
 /* A message in transit, or an action that is due at a later time. */
@@ -31,11 +31,12 @@
     int node;                     /* the node that sent the request, or that receives it */
     unsigned long process_number; /* the process that sent the request */
     char addr[64], method[8], *target, *body;
-    bool answered; /* no caller waits for the response, or no longer */
+    bool answered; /* no caller waits for the response, or the caller has stopped waiting */
     double deadline;
     rp_response_fn on_answer;
     void *on_answer_arg;
-    bool unsent; /* never executed: it is reported to the caller that no connection was made */
+    bool unsent; /* the request is never executed: the caller is informed that no connection was
+                    made */
     int status;
     /* Index of the worker or, in messages of users, of the job; of an invalid request, the status
      * that it must get. */
--- a/tests/simulation/network.c
+++ b/tests/simulation/network.c
@@ -355,7 +355,7 @@
            (is_for_peer(event) && sim->now < sim->nodes[peer_index(event)].partitioned_until);
 }
 
-/* Postpones the event to that time; returns false, since it is not finished. */
+/* Postpones the event to that time; returns false, since the event is not finished. */
 static bool defer_until(struct sim_event *event, double due_at) {
     event->due_at = due_at;
     return false;
--- a/tests/simulation/rules.c
+++ b/tests/simulation/rules.c
@@ -36,7 +36,7 @@
 /* Sums over the placed tasks of all machines at the moment at which a task starts. */
 struct start_survey {
     double cpus;      /* CPUs of the teams with a limit */
-    uint32_t in_zone; /* placed tasks of its job in its zone, itself included */
+    uint32_t in_zone; /* placed tasks of the task's job in its zone, itself included */
 };
 
 /* Checks a task that starts against another placed task of its job. ran_twice: both are the same
@@ -217,8 +217,8 @@
 
 /* Called when a response has renewed a worker's lease and its commands have been executed.
  * kept_cancelled: a task of a cancelled job has not exited, and the lease expires more than
- * cancel_s seconds after the cancellation was confirmed. A renewal lets every task that it does
- * not stop continue: if the machine is paused right after it, the task may run until the lease
+ * cancel_s seconds after the cancellation was confirmed. A renewal lets every task that it does not
+ * stop continue: if the machine is paused right after the renewal, the task may run until the lease
  * expires, and a cancelled job must have been stopped within cancel_s. */
 void sim_check_lease_renewal(struct sim *sim, const struct sim_worker *worker) {
     if (sim->breakage == SIM_WORKERS_IGNORE_STOPS)
@@ -235,8 +235,8 @@
 
 /* Called with the response to a user's invalid request; event->index is the status that the request
  * must get: 404 for an unknown job, 400 or 422 for a submission that lacks a field or cannot run.
- * invented: it gets 200 or 201. wrong_status: it gets another status; 503 is allowed, since
- * a node that cannot decide responds with it. */
+ * invented: it gets 200 or 201. wrong_status: it gets another status; 503 is allowed, since a node
+ * that cannot decide responds with 503. */
 void sim_check_invalid_request(struct sim *sim, const struct sim_event *event) {
     bool unknown = event->index == 404 && sim->breakage == SIM_UNKNOWN_IS_FOUND;
     int status = unknown || (event->index != 404 && sim->breakage == SIM_INVALID_IS_ACCEPTED)
@@ -306,7 +306,7 @@
 
 /* The number of the job's tasks that must be placed together, or 0 if it does not wait to be
  * placed: all tasks of a gang of which none is placed, one task of an array. `missing` is set to
- * the number of its tasks that are neither done nor placed. */
+ * the number of the job's tasks that are neither done nor placed. */
 static unsigned n_tasks_waiting(const struct capacity_survey *survey, const struct sim_job *job,
                                 int index, unsigned *missing) {
     const struct rp_job_spec *spec = &job->spec;
--- a/tests/simulation/scenario.h
+++ b/tests/simulation/scenario.h
@@ -6,7 +6,7 @@
 
 #include "sim.h"
 
-/* Every accepted job is terminal this many seconds after the faults have ended. */
+/* Every accepted job must be terminal this many simulated seconds after the faults have ended. */
 #define SCENARIO_COMPLETION_S 250
 
 extern const struct sim_faults scenario_no_faults;
--- a/tests/simulation/sim.h
+++ b/tests/simulation/sim.h
@@ -92,7 +92,7 @@
     SIM_WORKERS_KEEP_TASKS, /* tasks keep running when the worker's lease expires */
     SIM_STORE_IGNORES_CONDITIONS,
     SIM_WORKERS_IGNORE_STOPS,           /* cancelled tasks keep running */
-    SIM_DUPLICATES_GET_NEW_INCARNATION, /* copies of heartbeats carry a number above all others */
+    SIM_DUPLICATES_GET_NEW_INCARNATION, /* copies of heartbeats carry the next incarnation */
     SIM_POLLS_ARE_DROPPED,              /* no poll of the first job gets a response */
     SIM_LARGE_JOBS_NEVER_START,         /* tasks of the largest jobs never finish the image fetch */
     SIM_REPLICAS_NEVER_START,           /* services' tasks never finish the image fetch */
@@ -116,7 +116,7 @@
  * environment variable RP_SIM_STANDBY switches it on, too. */
 extern bool sim_standby;
 
-/* A message that leaves a node: a request, or its response to one. */
+/* A message that leaves a node: a request, or a response to a request. */
 struct sim_message {
     double time; /* simulated time in seconds */
     int from;    /* the node's index */
@@ -147,7 +147,7 @@
     bool checkpointed;
     double ready_at;      /* when the image fetch or the checkpoint ends; of a waiting gang task:
                              when its image fetch ended */
-    double running_since; /* when it began to run, minus the run time that it had saved */
+    double running_since; /* when the task began to run, minus the run time that it had saved */
     double stopped_at;
 };
 
@@ -158,14 +158,15 @@
     bool spot;
     bool fails_tasks; /* every task that starts on it fails */
     double provisioned_at, boots_at, paused_until;
-    double one_way_partition_until; /* heartbeats arrive, responses and direct commands do not */
-    double unreachable_until;       /* it reaches no node, direct commands reach it */
-    double reclaimed_at;            /* when the cloud reclaims the machine; 0: never */
+    double one_way_partition_until; /* until then its heartbeats arrive; responses and direct
+                                       commands to it do not */
+    double unreachable_until; /* until then the worker reaches no node, direct commands reach it */
+    double reclaimed_at;      /* when the cloud reclaims the machine; 0: never */
     uint64_t incarnation, sequence_number, fencing_token;
     double renewed_at; /* when the last heartbeat that renewed the lease was sent */
     struct sim_task tasks[SIM_TASKS];
     int n_tasks;
-    int node; /* index of the node that it sends its heartbeats to */
+    int node; /* index of the node that the worker sends heartbeats to */
     bool heartbeat_in_flight;
     double sent_at, next_heartbeat_at;
     uint64_t heartbeat_number; /* number of the heartbeat in flight */
@@ -187,7 +188,7 @@
     bool cancel_at_end;                   /* the user cancels just as the last task ends */
     bool cancel_on_acceptance;            /* the user cancels as soon as the job is accepted */
     bool cancel_again;                    /* the user cancels once more when the job is terminal */
-    double placeable_since; /* since when it waits despite free capacity; 0: it does not */
+    double placeable_since; /* since when the job waits despite free capacity; 0: not waiting */
     double down_since[SIM_JOB_TASKS]; /* since when a replica has not been running; 0: it runs */
     double down_s, up_s; /* sums over replicas: not running, running; from 10 s after acceptance */
 };
@@ -202,7 +203,8 @@
     bool restarts_as_old; /* the next process is of the previous version */
     char *settings;       /* text of its settings file */
     double clock_drift, clock_offset_s, restarts_at, paused_until, store_refusal_until;
-    double partitioned_until; /* partitioned from the key-value store and the other nodes */
+    double partitioned_until; /* until then the node is partitioned from the key-value store and the
+                                 other nodes */
 };
 
 struct sim_key {
@@ -221,7 +223,7 @@
 /* How the simulation reaches nodes that run in processes of their own (tests/loopback). */
 struct sim_remote {
     void *ctx;
-    /* Sends a request to a node; `answered` is called once; status 0: no response. */
+    /* Sends a request to a node; `answered` is called once, with status 0 for no response. */
     void (*call)(void *ctx, int node, const char *method, const char *target, const char *body,
                  rp_response_fn answered, void *arg);
     /* The address at which nodes reach a worker. */
@@ -236,9 +238,9 @@
     double now; /* simulated time in seconds */
     int n_nodes;
     struct sim_faults faults;
-    struct sim_limits limits;           /* in force */
-    struct sim_limits announced_limits; /* apply to what nodes write from the activation on */
-    double format_active_at;            /* when the format was activated; 0: not yet */
+    struct sim_limits limits;           /* limits that the key-value store enforces now */
+    struct sim_limits announced_limits; /* for nodes' writes once the new record format is active */
+    double format_active_at;            /* when the new record format was activated; 0: not yet */
     double write_tokens, write_tokens_at;
     unsigned long n_oversized_writes, n_rate_limited_writes, n_direct_commands;
     double faults_ended_at; /* when sim_end_faults was called; 0: not yet */
@@ -260,8 +262,8 @@
     int partitioned_zone;        /* 1 + the zone whose machines reach no node, 0: none */
     int node_in_partition;       /* 1 + the node that is partitioned with that zone, 0: none */
     int node_without_heartbeats; /* 1 + the node that no heartbeat reaches, 0: none */
-    double peer_partition_until; /* no node can connect to another */
-    bool has_eager_users;        /* users poll twenty times as often */
+    double peer_partition_until; /* until then no node can connect to another */
+    bool has_eager_users;        /* users poll twenty times as often as usual */
     bool has_concurrent_reads;   /* users poll all nodes after each change of a job's state */
     uint64_t last_fencing_token;
     json_t *provisioned; /* request name -> response */
--- a/tests/simulation/store.c
+++ b/tests/simulation/store.c
@@ -8,7 +8,8 @@
 #include <string.h>
 #include "store/records.h"
 
-/* Time after the format activation in which writes in transit may exceed the announced limits. */
+/* Time after the activation of the new record format in which writes in transit may exceed the
+ * announced limits. */
 #define ACTIVATION_TOLERANCE_S 1.5
 
 static struct sim_key *key_find(struct sim *sim, const char *key) {
@@ -75,9 +76,9 @@
 }
 
 /* Checks a write while a node of the previous version runs or will restart as one, or the new
- * format is not active yet. activated_early: the activation is stored while such a node exists.
- * too_early: a record is stored that the previous version does not read, or a service, which the
- * previous version would run as an array. */
+ * record format is not active yet. activated_early: the activation is stored while such a node
+ * exists. too_early: a record is stored that the previous version does not read, or a service,
+ * which the previous version would run as an array. */
 static void check_format(struct sim *sim, const char *key, const json_t *value) {
     bool is_format_key =
         has_prefix(key, RP_KEY_ANNOUNCEMENT) || strcmp(key, RP_KEY_ACTIVATION) == 0;
@@ -107,7 +108,7 @@
         sim_record_violation(sim, "too_large: changes=%zu bytes=%zu", n_changes, largest);
 }
 
-/* Takes one token per change from the token bucket of writes; false: it holds too few. */
+/* Takes one token per change from the token bucket of writes; false: the bucket holds too few. */
 static bool take_write_tokens(struct sim *sim, size_t n_changes) {
     double rate = sim->limits.write_rps;
     sim->write_tokens = fmin(rate, sim->write_tokens + (sim->now - sim->write_tokens_at) * rate);
--- a/tests/simulation/test_combined_leaders.c
+++ b/tests/simulation/test_combined_leaders.c
@@ -1,14 +1,16 @@
 /* Changes of the leader combined with cancellations, fast restarts of nodes and delayed writes to
- * the key-value store. In every test the rules (rules.c) must hold, and every accepted job must
- * end. */
+ * the key-value store. After each step rules.c checks the safety rules of PROTOCOL, such as: no
+ * task runs on two machines, no task of a cancelled job runs more than cancel_s after the
+ * confirmation, no job is forgotten. Every test fails if a rule is violated or an accepted job does
+ * not end. */
 #include "test.h"
 
 #include "base/log.h"
 #include "scenario.h"
 
-/* Jobs are cancelled around a change of the leader, one every 0.5 s, the first one 0.5 s before it.
- * The change is caused by a crash of the leader (its process restarts after 3 s, or after 0.2 s) or
- * by its resignation. A cancelled job must not continue to run under the new leader. */
+/* Jobs are cancelled around a change of the leader, one every 0.5 s, the first one 0.5 s before the
+ * change. The cause of the change is that the leader crashes (the process restarts after 3 s, or
+ * after 0.2 s) or resigns. A cancelled job must not continue to run under the new leader. */
 static void cancelled_jobs_stay_cancelled_across_leader_change(void **state) {
     int n_confirmed = 0;
     (void)state;
@@ -34,12 +36,13 @@
     assert_at_least(n_confirmed, 70);
 }
 
-/* Fault: the first responses of a new leader renewed the leases of cancelled tasks, but did not
- * contain the commands that stop them. A machine that hung right after one of them ran its
- * cancelled tasks for one more lease. In this test the key-value store refuses the old leader, and
- * then an outage extends the validity of the leader's key by another 10 s. The workers therefore
- * still hold their leases when the new leader begins, more than cancel_s - lease_s after the
- * cancellations. */
+/* Fault: the first responses of a new leader to heartbeats renewed the workers' leases, but did not
+ * contain the commands that stop cancelled tasks. A machine that hung right after such a response
+ * ran its cancelled tasks for one more lease. In this test the key-value store refuses the old
+ * leader, and then an outage extends the validity of the leader's key by another 10 s. The workers
+ * therefore still hold their leases when the new leader begins, more than cancel_s - lease_s after
+ * the cancellations. Machines hang right after the new leader's first response; none may run a
+ * cancelled task more than cancel_s after the confirmation. */
 static void first_answers_of_new_leader_stop_cancelled_tasks(void **state) {
     int n_hung = 0;
     (void)state;
@@ -156,8 +159,8 @@
     }
 }
 
-/* Every node is down for longer than the workers' lease. By the end of that lease no task may run
- * any more. */
+/* Every node is down for longer than the workers' lease. 2 s after the end of that lease no task
+ * may still run. */
 static void tasks_end_while_all_nodes_are_down_beyond_lease(void **state) {
     (void)state;
     for (unsigned long seed = 140; seed < 144; seed++) {
--- a/tests/simulation/test_combined_machines.c
+++ b/tests/simulation/test_combined_machines.c
@@ -1,14 +1,16 @@
 /* Machines that are unreachable, paused, lost or new, combined with changes of the leader, direct
- * commands and cancellations; and duplicates of old heartbeats. In every test the rules (rules.c)
- * must hold, and every accepted job must end. */
+ * commands and cancellations; and duplicates of old heartbeats. After each step rules.c checks the
+ * safety rules of PROTOCOL, such as: no task runs on two machines, no task of a cancelled job runs
+ * more than cancel_s after the confirmation, no job is forgotten. Every test fails if a rule is
+ * violated or an accepted job does not end. */
 #include "test.h"
 
 #include "base/log.h"
 #include "scenario.h"
 
 /* The leader crashes while half of the machines, with long tasks on them, reach no node, receive no
- * responses from any node, or hang, for 5 to 45 s. The new leader must not start their tasks
- * elsewhere while they may still run. */
+ * responses from any node, or hang, for 5 to 45 s. The new leader must not start the tasks of these
+ * machines elsewhere while the tasks may still run there. */
 static void leader_crash_while_machines_are_silent_breaks_no_rule(void **state) {
     (void)state;
     for (unsigned long seed = 400; seed < 409; seed++) {
@@ -59,7 +61,7 @@
 }
 
 /* Machines reach no node with their heartbeats, while direct commands reach them: the leader starts
- * replicas of services on them by direct commands. */
+ * replicas of services on such machines by direct commands. No rule may be broken. */
 static void direct_starts_on_unreachable_machines_break_no_rule(void **state) {
     static const struct sim_faults faults = {.unreachable_s = 8, .crash_s = 50};
     unsigned long n_direct_commands = 0;
@@ -76,8 +78,9 @@
     assert_at_least(n_direct_commands, 10);
 }
 
-/* A machine is paused, which delays a direct command to it, or its response, until the machine
- * resumes. Meanwhile the job is cancelled, or its replicas are started on other machines. */
+/* A machine is paused, which delays a direct command to the machine, or the command's response,
+ * until the machine resumes. Meanwhile the job is cancelled, or its replicas are started on other
+ * machines. */
 static void direct_commands_delayed_by_paused_machines_break_no_rule(void **state) {
     static const struct sim_faults faults = {.pause_s = 5};
     unsigned long n_direct_commands = 0;
@@ -117,9 +120,9 @@
     assert_int_equal(n_confirmed, 40);
 }
 
-/* The team is at its limit while jobs are cancelled on machines that hang or reach no node, and the
- * leader changes. Waiting tasks must not start before it is certain that the cancelled tasks have
- * ended; otherwise the team would exceed its limit. */
+/* A team is at its CPU limit while its jobs are cancelled on machines that hang or reach no node,
+ * and the leader changes. Waiting tasks must not start before it is certain that the cancelled
+ * tasks have ended; otherwise the team would exceed its limit. */
 static void full_team_stays_within_limit_at_failover(void **state) {
     (void)state;
     for (unsigned long seed = 450; seed < 458; seed++) {
@@ -139,8 +142,8 @@
     }
 }
 
-/* Gangs and arrays that may run in one zone only lose machines, by failures and by spot notices,
- * and still have to end. */
+/* Each gang or array is bound to one zone. Meanwhile machines crash, and the cloud reclaims spot
+ * machines, in most cases with a notice. All jobs must still end. */
 static void zone_bound_jobs_end_despite_lost_machines(void **state) {
     static const struct sim_faults faults = {
         .machine_crash_s = 6, .spot_notice_s = 6, .crash_s = 60};
--- a/tests/simulation/test_combined_store.c
+++ b/tests/simulation/test_combined_store.c
@@ -1,6 +1,8 @@
 /* The key-value store refuses the leader, has an outage, carries transactions out late, or its
- * responses are lost, combined with other faults. In every test the rules (rules.c) must hold, and
- * every accepted job must end. */
+ * responses are lost, combined with other faults. After each step rules.c checks the safety rules
+ * of PROTOCOL, such as: no task runs on two machines, no task of a cancelled job runs more than
+ * cancel_s after the confirmation, no job is forgotten. Every test fails if a rule is violated or
+ * an accepted job does not end. */
 #include "test.h"
 
 #include <math.h>
@@ -52,10 +54,10 @@
         }
 }
 
-/* Five outages of 6 s follow one another, 3 s apart. Leases have their full time again after an
- * outage, so the leader's lease outlives each of them and no other node can become the leader.
- * Between the outages the key-value store refuses the leader, which therefore reads none of the
- * cancellations that other nodes confirm. */
+/* Five outages of 6 s follow one another, 3 s apart. The key-value store extends all leases to
+ * their full time after an outage, so the leader's lease outlives each outage and no other node can
+ * become the leader. Between the outages the key-value store refuses the leader, which therefore
+ * reads none of the cancellations that other nodes confirm. */
 static void cancellations_hold_when_leader_is_refused_between_outages(void **state) {
     (void)state;
     for (unsigned long seed = 40; seed < 44; seed++) {
@@ -119,7 +121,8 @@
 
 /* The key-value store refuses the leader alone, and other nodes confirm cancellations that the
  * leader cannot read. Fault: the leader continued to start tasks for 9 s, among them tasks of the
- * cancelled jobs. It must start nothing meanwhile. */
+ * cancelled jobs. The leader must start nothing in that time: no task of a cancelled job may start
+ * 2.6 s or more after the confirmation. */
 static void leader_refused_by_store_starts_no_task(void **state) {
     int n_confirmed = 0;
     (void)state;
--- a/tests/simulation/test_combined_users.c
+++ b/tests/simulation/test_combined_users.c
@@ -1,6 +1,8 @@
 /* Requests of users at the very moment at which a job ends or is cancelled or the leader changes;
- * invalid requests; and two to four random faults at a time. In every test the rules (rules.c) must
- * hold, and every accepted job must end. */
+ * invalid requests; and two to four random faults at a time. After each step rules.c checks the
+ * safety rules of PROTOCOL, such as: no task runs on two machines, no task of a cancelled job runs
+ * more than cancel_s after the confirmation, no job is forgotten. Every test fails if a rule is
+ * violated or an accepted job does not end. */
 #include "test.h"
 
 #include "base/log.h"
@@ -144,8 +146,9 @@
     }
 }
 
-/* Two to four kinds of fault at a time, drawn at random with their mean times and probabilities, on
- * three or five nodes, with arrays, gangs and a service. */
+/* Two to four kinds of fault occur at a time, drawn at random with their mean times and
+ * probabilities, on three or five nodes that run arrays, gangs and a service. No rule may be
+ * broken, and all jobs must be terminal at the end. */
 static void random_combinations_of_faults_break_no_rule(void **state) {
     (void)state;
     for (unsigned long seed = 600; seed < 630; seed++) {
--- a/tests/simulation/test_failover.c
+++ b/tests/simulation/test_failover.c
@@ -181,10 +181,10 @@
     sim_free(sim);
 }
 
-/* Fault: a new leader had recorded only the images of running tasks, and started work,
- * above all replicas, on machines that first had to fetch the image. The other nodes must keep a
- * record of the images of all machines and report it to the new leader, even if that node was down
- * before. */
+/* Fault: a new leader had recorded only the images of running tasks, and started work, above all
+ * replicas, on machines that first had to fetch the image. The other nodes must keep a record of
+ * the images of all machines and report it to the new leader, even if the new leader's node was
+ * down before. */
 static void failover_keeps_images(void **state) {
     struct sim *sim = scenario_new(16, 3);
     size_t n_with_images_before = 0;
--- a/tests/simulation/test_large_fleet.c
+++ b/tests/simulation/test_large_fleet.c
@@ -67,8 +67,8 @@
 }
 
 /* The leader's process crashes. All its workers send their heartbeats to the next leader, which
- * reads every record once. No machine's lease may expire because of it, and no machine may be
- * provisioned or released. */
+ * reads every record once. No machine's lease may expire because of the crash, and no machine may
+ * be provisioned or released. */
 static void failover_of_large_fleet_ends_no_lease(void **state) {
     (void)state;
     struct sim *sim = new_busy_fleet(32, 150);
@@ -150,8 +150,8 @@
 }
 
 /* The fleet that the users have, of up to 4,200 machines: no fixed limit of the program may be
- * below it. The leader crashes under load, and another node has to replace it. Every machine must
- * remain recorded, used and kept, and the rules must hold. */
+ * below that size. The leader crashes under load, and another node has to replace it. Every machine
+ * must remain recorded, used and kept, and the rules (rules.c) must hold. */
 static void failover_of_4000_machines_keeps_and_uses_them(void **state) {
     static const struct sim_size users_fleet = {4200, 500, 4, 22, 47, 2400, 240, 30};
     (void)state;
--- a/tests/simulation/test_machines.c
+++ b/tests/simulation/test_machines.c
@@ -112,8 +112,8 @@
     sim_free(sim);
 }
 
-/* Machines that never finish booting must be distinguished from slow ones, released and replaced,
- * so that no work waits for them for ever and the time for which they are charged is bounded. */
+/* Machines that never finish booting must be distinguished from machines that boot slowly, released
+ * and replaced. Otherwise work waits for them for ever and they are charged for without a bound. */
 static void machines_that_never_boot_are_released(void **state) {
     static const struct sim_faults faults = {.boot_failure = 0.4};
     int n_never_booted = 0;
@@ -177,8 +177,8 @@
 }
 
 /* Fault: a network partition that delayed packets delivered heartbeats of incarnations that had
- * ended. Their tasks, which ran on other machines by then, were recorded on the old machines as
- * well. */
+ * ended. The tasks of these incarnations, which ran on other machines by then, were recorded on the
+ * old machines as well. */
 static void heartbeats_of_ended_incarnations_add_no_allocation(void **state) {
     struct sim *sim = scenario_new(13, 3);
     (void)state;
--- a/tests/simulation/test_placement.c
+++ b/tests/simulation/test_placement.c
@@ -36,9 +36,9 @@
 }
 
 /* Fault: gangs whose tasks need whole machines starved on a full fleet, where smaller tasks took
- * all capacity that became free. Machines must be reserved for such a gang until it has enough of
- * them. A cloud that has no more machines must not receive requests all the time: fewer than 60 are
- * refused. */
+ * all capacity that became free. Machines must be reserved for such a gang until it has enough
+ * machines. A cloud that has no more machines must not receive requests all the time: fewer than 60
+ * are refused. */
 static void large_gang_starts_on_full_fleet(void **state) {
     struct sim *sim = scenario_new(12, 3);
     (void)state;
@@ -55,9 +55,9 @@
     sim_free(sim);
 }
 
-/* Machines reserved for a gang are idle until the last of them is free. Fault: they were released
- * at the end of their billing unit, provisioned again and booted, for minutes, so that the gang
- * never had all of them at the same time. */
+/* Machines reserved for a gang are idle until the last of them is free. Fault: such machines were
+ * released at the end of their billing unit, provisioned again and booted, for minutes, so that the
+ * gang never had all of them at the same time. */
 static void machines_reserved_for_gang_are_not_released(void **state) {
     struct sim *sim = scenario_new(17, 3);
     int n_idle_reserved = 0;
--- a/tests/simulation/test_random_faults.c
+++ b/tests/simulation/test_random_faults.c
@@ -1,5 +1,8 @@
-/* Simulated scenarios with random faults: one kind at a time, then all together. The rules
- * (rules.c) must hold throughout, and every accepted job must end after the faults. */
+/* Simulated scenarios with random faults: one kind at a time, then all together. After each step
+ * rules.c checks the safety rules of PROTOCOL, such as: no task runs on two machines, no task of a
+ * cancelled job runs more than cancel_s after the confirmation, no job is forgotten. Every test but
+ * broken_simulations_are_caught fails if a rule is violated or an accepted job does not end after
+ * the faults. */
 #include "test.h"
 
 #include "base/log.h"
@@ -98,8 +101,8 @@
     run_fault_scenarios(&faults, 500, 24);
 }
 
-/* The heartbeats of some machines arrive, but the responses to them do not, and the leader changes
- * meanwhile. */
+/* The heartbeats of some machines arrive, but the responses to these heartbeats do not, and the
+ * leader changes meanwhile. No rule may be broken. */
 static void one_way_partitions_break_no_rule(void **state) {
     static const struct sim_faults faults = {.one_way_partition_s = 12, .crash_s = 50};
     (void)state;
@@ -118,7 +121,8 @@
     run_fault_scenarios(&faults, 620, 8);
 }
 
-/* Nodes lose the key-value store and the other nodes, but not the workers. */
+/* Nodes lose their connections to the key-value store and the other nodes, but not to the workers.
+ * No rule may be broken. */
 static void partitioned_nodes_break_no_rule(void **state) {
     static const struct sim_faults faults = {
         .partitioned_node_s = 20, .duplicate = 0.02, .delay = 0.01};
--- a/tests/simulation/test_records.c
+++ b/tests/simulation/test_records.c
@@ -85,7 +85,8 @@
 
 /* Job descriptions that are too long for one value under the new limits must be stored in parts.
  * The next leader must read them, the jobs must end, and no part may be left. Before the activation
- * such a job waits, or is stored whole where the current limit allows it. */
+ * of the new record format, such a job waits, or is stored whole where the current limit allows
+ * this. */
 static void long_descriptions_are_stored_in_parts_and_deleted(void **state) {
     struct sim *sim = scenario_new(47, 3);
     (void)state;
@@ -108,7 +109,7 @@
 
 /* The key-value store lowers its limits further than announced. The nodes must write smaller pieces
  * at a lower rate, must not repeat refused requests in a loop, and the leader must not lose its
- * leadership because of it. */
+ * leadership because of the refusals. */
 static void limits_below_announced_ones_cost_no_leadership(void **state) {
     struct sim *sim = scenario_new(48, 3);
     (void)state;
--- a/tests/simulation/test_services.c
+++ b/tests/simulation/test_services.c
@@ -20,8 +20,8 @@
 }
 
 /* On a fleet that is full of work of low priority, replicas must run within the time that it takes
- * to fetch their image, and again after one has ended by itself, whatever its exit reason. No
- * task of an array may be stopped for longer than that takes, and all arrays must end. */
+ * to fetch their image, and again after one has ended by itself, whatever its exit reason. No task
+ * of an array may be stopped for longer than such a fetch takes, and all arrays must end. */
 static void replicas_run_on_full_fleet(void **state) {
     static const struct sim_faults replica_exits = {.replica_exit_s = 100};
     struct sim *sim = sim_new(40, &replica_exits, SIM_NO_BREAKAGE, 3);
@@ -89,7 +89,7 @@
 
 /* Workers list the ended attempts of direct starts in their heartbeats for as long as the leader's
  * term lasts. The number of these attempts must not grow for ever: the leader must begin another
- * term, in which workers forget them. */
+ * term, in which workers forget these attempts. */
 static void ended_direct_attempts_are_forgotten(void **state) {
     struct sim *sim = scenario_new(54, 3);
     size_t n_listed = 0;
@@ -131,7 +131,8 @@
 }
 
 /* Direct commands are lost, late and repeated, also after a machine has begun another incarnation,
- * after the leader has changed, and after machines were terminated. */
+ * after the leader has changed, and after machines were terminated. No rule of rules.c may be
+ * broken. */
 static void services_under_network_and_machine_faults_break_no_rule(void **state) {
     static const struct sim_faults faults = {.drop = 0.02,
                                              .delay = 0.03,
--- a/tests/simulation/test_standby.c
+++ b/tests/simulation/test_standby.c
@@ -1,12 +1,14 @@
-/* Failovers to a standby, in the simulation. The rules are checked after each step (rules.c); each
- * test also asserts that its fault has occurred. */
+/* Failovers to a standby, in the simulation. After each step rules.c checks the safety rules of
+ * PROTOCOL, such as: no task runs on two machines, no task of a cancelled job runs more than
+ * cancel_s after the confirmation, no job is forgotten. Each test also asserts that its fault has
+ * occurred. */
 #include "test.h"
 
 #include "base/log.h"
 #include "scenario.h"
 
 /* Maximum number of seconds from a leader's crash to the first start of a task under the next
- * leader's token. */
+ * leader's fencing token. */
 #define FAILOVER_MAX_S 5.0
 
 /* A simulation with arrays and gangs running and more arrays submitted every second. Every fifth of
@@ -58,8 +60,8 @@
     }
 }
 
-/* Without the setting there is no failover and no fence record: the next leader has to wait for the
- * expiry of the lease. */
+/* Without the setting `standby` there is no failover to a standby and no fence record: the next
+ * leader has to wait until the earlier leader's lease has expired. */
 static void disabled_standby_causes_no_failover(void **state) {
     (void)state;
     sim_standby = false;
@@ -91,7 +93,8 @@
 }
 
 /* The leader is paused in the middle of sending starts, and resumes after 1, 5 or 30 s. The
- * shortest pause causes no failover. After the longer ones it must follow the next leader. */
+ * shortest pause causes no failover. After the longer pauses the earlier leader must follow the
+ * next leader. */
 static void resumed_leader_follows_after_failover(void **state) {
     static const double pauses[] = {1, 5, 30};
     (void)state;
@@ -113,7 +116,7 @@
 }
 
 /* The leader still reaches its workers, but neither the key-value store nor the other nodes, while
- * jobs are cancelled through the next leader. */
+ * jobs are cancelled through the next leader. Within 12 s a failover must have occurred. */
 static void partitioned_leader_is_fenced(void **state) {
     (void)state;
     for (unsigned long seed = 40; seed < 46; seed++) {
@@ -129,8 +132,8 @@
     }
 }
 
-/* A node that receives no response from any other node is more likely partitioned itself: no leader
- * is replaced because of it. */
+/* A node that receives no response from any other node is more likely partitioned itself. In a
+ * partition of all nodes from one another, the leader must therefore not be replaced. */
 static void peer_partition_keeps_the_leader(void **state) {
     (void)state;
     struct sim *sim = sim_with_work(50, 3);
@@ -143,7 +146,8 @@
 }
 
 /* During an outage of the key-value store no other node can lead, and the leader keeps leading
- * until its lease expires. In this test it is also paused, so that the other nodes suspect it. */
+ * until its lease expires. In this test the leader is also paused, so that the other nodes suspect
+ * a crash. */
 static void store_outage_prevents_failover(void **state) {
     (void)state;
     struct sim *sim = sim_with_work(51, 3);
@@ -159,7 +163,8 @@
     scenario_end(sim);
 }
 
-/* All followers claim the key at the same instant, although the leader is healthy. */
+/* All followers claim the leader's key at the same instant, although the leader is healthy. One
+ * leader must remain. */
 static void concurrent_claims_leave_one_leader(void **state) {
     (void)state;
     for (unsigned long seed = 60; seed < 64; seed++) {
@@ -224,9 +229,9 @@
                   json_string("guests"));
 }
 
-/* Machines that hang cannot receive the token: tasks that may run there are not started elsewhere
- * before their lease has expired. Jobs submitted later, of a team without a limit, start at once.
- */
+/* Machines that hang cannot receive the next leader's fencing token: tasks that may run there must
+ * not be started elsewhere before the machines' leases have expired. Jobs submitted later, of a
+ * team without a limit, start at once. */
 static void unreachable_machines_delay_only_their_tasks(void **state) {
     (void)state;
     for (unsigned long seed = 90; seed < 96; seed++) {
@@ -303,8 +308,8 @@
     }
 }
 
-/* The next leader gives the key up at once, while the leader that it fenced may still act. A third
- * node must not treat the key as free. */
+/* The next leader gives up the leader's key at once, while the leader that it fenced may still act.
+ * A third node must not treat the key as free. */
 static void early_resignation_does_not_free_the_key(void **state) {
     (void)state;
     for (unsigned long seed = 210; seed < 216; seed++) {
@@ -316,7 +321,7 @@
 }
 
 /* The next leader's process crashes and restarts at once, and claims the key that names its own
- * node. The leader that the earlier process fenced may still act. */
+ * node. The leader that this node's earlier process fenced may still act. */
 static void restarted_standby_keeps_the_fenced_lease(void **state) {
     (void)state;
     for (unsigned long seed = 220; seed < 226; seed++) {
@@ -327,8 +332,8 @@
 }
 
 /* The earlier leader still receives submissions and reaches machines that the next leader does not
- * reach. The notice of the failover must reach it before any job that the next leader treats as its
- * own. */
+ * reach. The notice of the failover must reach the earlier leader before any job that the next
+ * leader treats as its own. */
 static void recent_jobs_belong_to_the_next_leader(void **state) {
     (void)state;
     for (unsigned long seed = 230; seed < 246; seed++) {
@@ -371,7 +376,8 @@
     }
 }
 
-/* The leader crashes after the cloud has released a machine whose stored record still exists. */
+/* The leader crashes after the cloud has released a machine whose stored record still exists. The
+ * first start under the next leader must follow within FAILOVER_MAX_S. */
 static void released_machines_do_not_delay_failover(void **state) {
     (void)state;
     for (unsigned long seed = 260; seed < 270; seed++) {
@@ -400,7 +406,8 @@
     }
 }
 
-/* Failovers whose transactions and responses are lost or arrive late, under all kinds of faults. */
+/* Failovers whose transactions and responses are lost or arrive late, under all kinds of faults. No
+ * rule may be broken. */
 static void failovers_under_all_faults_keep_the_rules(void **state) {
     static const struct sim_faults faults = {.drop = 0.02,
                                              .delay = 0.02,
--- a/tests/simulation/test_upgrade.c
+++ b/tests/simulation/test_upgrade.c
@@ -77,9 +77,9 @@
     assert_true(n_old_after_new >= 5 && n_new_after_old >= 5);
 }
 
-/* A rolling upgrade without faults. The new format must be active within two seconds after the last
- * node has restarted. No worker's lease may expire, and after the activation a service must be
- * accepted and run at once. */
+/* A rolling upgrade without faults. The new record format must be active within two seconds after
+ * the last node has restarted. No worker's lease may expire, and after that activation a service
+ * must be accepted and run at once. */
 static void rolling_upgrade_without_faults_ends_no_lease(void **state) {
     struct sim *sim = scenario_new(43, 5);
     (void)state;
@@ -113,7 +113,7 @@
 }
 
 /* A node that is down may return with the old version: until it has restarted with the new version,
- * the new format must not be activated and no service may be accepted. All other work must
+ * the new record format must not be activated and no service may be accepted. All other work must
  * continue. */
 static void node_that_is_down_blocks_activation(void **state) {
     struct sim *sim = scenario_new(44, 3);
@@ -139,8 +139,8 @@
 }
 
 /* Operators may keep a return to the previous version possible (setting keep_old_forms). One node
- * that therefore does not announce the new format must be enough: all records are still written in
- * the old format. */
+ * with this setting, which therefore does not announce the new record format, must be enough to
+ * keep all written records in the old format. */
 static void node_that_keeps_old_forms_blocks_activation(void **state) {
     struct sim *sim = scenario_new(45, 3);
     (void)state;
@@ -156,8 +156,8 @@
     sim_free(sim);
 }
 
-/* A node of this version that restarts after the format of a later version has been activated may
- * neither lead nor be healthy. */
+/* A node of this version that restarts after the record format of a later version has been
+ * activated may neither lead nor be healthy. */
 static void node_older_than_active_format_does_not_lead(void **state) {
     struct sim *sim = scenario_new(55, 3);
     (void)state;
@@ -210,8 +210,8 @@
     sim_free(sim);
 }
 
-/* Outside CI: loads the nodes of the version in production, which was built from its own sources
- * (tests/mixed/run). */
+/* Not run in CI: loads the code of the nodes of the version in production, which was built from its
+ * own sources (tests/mixed/run). */
 static void load_old_version(const char *library) {
     void *handle = library ? dlopen(library, RTLD_NOW | RTLD_LOCAL) : NULL;
     if (library && !handle)
--- a/tests/unit/test_election.c
+++ b/tests/unit/test_election.c
@@ -68,15 +68,16 @@
             taken++;
         }
     assert_true(taken >= 100 && taken <= 106);
-    /* A take of more than the depth is allowed when the bucket is full, and is paid back. */
+    /* A take of more tokens than the bucket's depth is allowed when the bucket is full, and is paid
+     * back. */
     assert_true(rp_token_bucket_has(&bucket, 50, rp_ts(100)));
     rp_token_bucket_take(&bucket, 50);
     assert_false(rp_token_bucket_has(&bucket, 1, rp_ts(104)));
     assert_true(rp_token_bucket_has(&bucket, 1, rp_ts(105)));
 }
 
-/* A leader that was read too long ago is not named. Otherwise, a node that is partitioned from the
- * key-value store redirects workers in circles. */
+/* A node does not name a leader whose key it read too long ago. Otherwise, a node that is
+ * partitioned from the key-value store redirects workers in circles. */
 static void stale_or_silent_leader_is_not_named(void **state) {
     struct rp_election election = {.state = RP_ELECTION_FOLLOWING,
                                    .node = "n0",
@@ -167,8 +168,8 @@
 }
 
 /* Users of one node may make more changes than its even share of the changes of all nodes, since
- * the leader rarely needs all of its own. With the even share, 3 changes per second of 20 on one of
- * five nodes waited and were refused (incident 5bf9). */
+ * the leader rarely needs all of its own share. With the even share, 3 changes per second of 20 on
+ * one of five nodes waited and were refused (incident 5bf9). */
 static void submissions_above_even_share_are_not_refused(void **state) {
     struct rp_loop loop;
     struct rp_kv_client client;
@@ -223,7 +224,8 @@
     answer_last_request(requests, 200, revision);
 }
 
-/* A node that claimed the key at 100 s, with lease 7 and at revision 5. */
+/* A node that claimed the leader's key at 100 s of the test's clock, with lease 7 and at revision
+ * 5. */
 struct leading_node {
     struct rp_loop loop;
     struct rp_kv_client client;
@@ -279,8 +281,9 @@
     leading_node_close(&node);
 }
 
-/* A node that gave up the key reads its own name there until the revocation of its lease is carried
- * out. If it claims the key again in that time, the other nodes have no chance to lead. */
+/* A node that gave up the leader's key reads its own name in the key until the revocation of its
+ * lease is carried out. If the node claims the key again in that time, the other nodes have no
+ * chance to lead. */
 static void resigned_node_does_not_reclaim_key_during_backoff(void **state) {
     static const char own_record[] =
         "{\"path\":\"rp/main/leader\",\"v\":{\"node\":\"n0\"},\"key_rev\":5}";
--- a/tests/unit/test_http.c
+++ b/tests/unit/test_http.c
@@ -171,9 +171,9 @@
     return fd;
 }
 
-/* A node at its limit of connections closes the one idle for longest in favour of a new one.
- * Without this, connections that workers and users leave open make the node refuse all others,
- * health checks included. */
+/* A node at its limit of connections closes the connection that has been idle for longest in favour
+ * of a new one. Without this eviction, connections that workers and users leave open make the node
+ * refuse all others, health checks included. */
 static void longest_idle_connection_is_evicted_at_limit(void **state) {
     struct rp_loop loop;
     struct rp_http_server server;
@@ -291,8 +291,8 @@
 }
 
 /* A new leader calls thousands of machines at once over a limited number of connections. All calls
- * must be made. They are not if a connection that becomes available serves only queued calls to its
- * own host: calls to hosts without a connection then never start. */
+ * must be made. If a connection that becomes available serves only queued calls to its own host,
+ * calls to hosts without a connection never start. */
 static void calls_to_many_hosts_share_few_connections(void **state) {
     struct rp_loop loop;
     struct rp_http_server server;
--- a/tests/unit/test_lookup.c
+++ b/tests/unit/test_lookup.c
@@ -91,8 +91,8 @@
     fixture_close(&fixture);
 }
 
-/* A query that arrives while a request is in flight is not answered by it: the response of that
- * request may be older than the query. */
+/* A query that arrives while a request is in flight is not answered by that request: the response
+ * of that request may be older than the query. */
 static void query_added_during_a_request_gets_a_newer_result(void **state) {
     struct fixture fixture;
     int early = -1;
--- a/tests/unit/test_plan.c
+++ b/tests/unit/test_plan.c
@@ -360,7 +360,7 @@
 }
 
 /* Machines that are reserved for a gang are not used by other groups; the gang starts once all of
- * them have capacity. */
+ * these machines have capacity for the gang's tasks. */
 static void reserved_machines_are_used_by_their_gang_only(void **state) {
     struct rp_plan_machine machines[] = {make_machine(0, 8, 8), make_machine(0, 8, 0),
                                          make_machine(0, 8, 8)};
@@ -435,7 +435,7 @@
 }
 
 /* While not all jobs can meet their objectives, the small jobs of the only class of arrays are
- * placed first. A class of gangs with more jobs must not make that class count as rare. */
+ * placed first. A class of gangs with more jobs must not make the class of arrays count as rare. */
 static void gangs_do_not_make_an_array_class_rare(void **state) {
     struct rp_plan_machine machines[10];
     struct rp_plan_group groups[] = {make_group(400, 1, 60), make_group(160, 1, 10),
--- a/tests/unit/test_stream.c
+++ b/tests/unit/test_stream.c
@@ -164,8 +164,8 @@
     gsl_rng_free(rng);
 }
 
-/* A directory that requests changes after every 40th one, and loses a third of the responses, ends
- * up with the same machines as the leader. */
+/* A machine directory that requests changes after every 40th change, and loses a third of the
+ * responses, ends up with the same machines as the leader. */
 static void directory_catches_up_after_lost_responses(void **state) {
     gsl_rng *rng = gsl_rng_alloc(gsl_rng_taus2);
     struct rp_change_log log = {0};
