--- a/src/base/loop.h
+++ b/src/base/loop.h
@@ -27,7 +27,7 @@
 };
 
 /** A descriptor whose events are waited for. The caller sets `fd`, `fn` and `arg`. Its address must
- * not change until it is removed. The loop does not close the descriptor. */
+ * not change until the watch is removed. The loop does not close the descriptor. */
 struct rp_watch {
     int fd;
     rp_watch_fn fn;
@@ -60,8 +60,8 @@
  * and never cached, since fencing depends on the current time. */
 struct timespec rp_loop_now(const struct rp_loop *loop);
 
-/** Sets the timer to be due in `after_s` seconds. It never runs before the next iteration of the
- * loop. A timer that is already set is rescheduled. Returns 0 or -ENOMEM. */
+/** Sets the timer to be due in `after_s` seconds. Its call-back never runs before the next
+ * iteration of the loop. A timer that is already set is rescheduled. Returns 0 or -ENOMEM. */
 int rp_timer_set(struct rp_loop *loop, struct rp_timer *timer, double after_s);
 
 /** Cancels the timer. Has no effect on one that is not set. */
@@ -70,8 +70,8 @@
 /** Starts waiting for epoll events (EPOLLIN and so on) of a descriptor. Returns 0 or -errno. */
 int rp_watch_add(struct rp_loop *loop, struct rp_watch *watch, uint32_t events);
 
-/** Changes which events are waited for; makes no system call if they are the same. Returns 0 or
- * -errno. */
+/** Changes which events are waited for; makes no system call if `events` are waited for
+ * already. Returns 0 or -errno. */
 int rp_watch_change(struct rp_loop *loop, struct rp_watch *watch, uint32_t events);
 
 /** Stops waiting for events of the watch. Afterwards none is delivered, not even one that has
--- a/src/base/net.h
+++ b/src/base/net.h
@@ -1,6 +1,6 @@
 /** @file
- * Interface by which the modules of a node send requests to other hosts and receive theirs. main.c
- * implements it by the HTTP client and server, the tests by a simulated network. */
+ * Interface by which the modules of a node send requests to other hosts and receive requests from
+ * them. main.c implements it by the HTTP client and server, the tests by a simulated network. */
 #ifndef RP_BASE_NET_H
 #define RP_BASE_NET_H
 
@@ -14,7 +14,7 @@
                   * have carried out the request, or may still do so. */
     const char *body; /**< NUL-terminated, never NULL */
     size_t len;       /**< length of the body, in bytes */
-    int retry_after;  /**< seconds to wait before a retry, set by the host; 0: none given */
+    int retry_after;  /**< seconds to wait before a retry (Retry-After header); 0: no such header */
 };
 
 /** Called with the response to a call. It may make further calls. */
--- a/src/base/string_copy.h
+++ b/src/base/string_copy.h
@@ -10,8 +10,8 @@
  * returns false, since a truncated name could be the name of another object. */
 bool rp_string_try_copy(char *out, size_t size, const char *text)
     __attribute__((warn_unused_result));
-/** Like rp_string_try_copy, for a text whose length was checked when it was received. One that does
- * not fit is a defect of the program and aborts the process. */
+/** Like rp_string_try_copy, for a text whose length was checked when it was received. A text that
+ * does not fit is a defect of the program and aborts the process. */
 void rp_string_copy(char *out, size_t size, const char *text);
 
 #endif
--- a/src/base/token_bucket.h
+++ b/src/base/token_bucket.h
@@ -13,7 +13,7 @@
 struct rp_token_bucket {
     double rate;  /**< tokens added each second */
     double depth; /**< maximum number of tokens */
-    double level; /**< current number of tokens; below 0 until refills make up for a large take */
+    double level; /**< number of tokens; below 0 after more were taken than were in the bucket */
     struct timespec refilled_at;
 };
 
--- a/src/config/platform_file.c
+++ b/src/config/platform_file.c
@@ -155,7 +155,7 @@
 
 static void read_teams(struct platform_reader *reader, struct section params,
                        struct rp_settings *settings) {
-    static const double quota_max = 1e9; /* more than any cluster has */
+    static const double quota_max = 1e9; /* more CPUs or GPUs than any cluster has */
     struct list list = read_list(reader, params, "teams", sizeof *settings->teams);
     settings->teams = list.elements;
     settings->n_teams = list.n;
@@ -222,8 +222,8 @@
 }
 
 /* Reads the current limits of the key-value store and those of `next`, which take effect at some
- * moment without an announcement. Therefore, from the activation of the record format on, nodes
- * keep to the lower one of each two limits. */
+ * moment without an announcement. Therefore, from the activation of RP_FORMAT on, nodes keep each
+ * limit at the lower of its two values. */
 static void read_state(struct platform_reader *reader, struct section state,
                        struct rp_settings *settings) {
     const json_t *next = json_object_get(state.object, "next");
--- a/src/config/settings.c
+++ b/src/config/settings.c
@@ -7,8 +7,8 @@
 /* Seconds after a heartbeat within which its response must arrive. A worker drops a later response
  * (worker protocol). */
 #define HEARTBEAT_RESPONSE_MAX_DELAY_S 4.0
-/* Factor by which a worker's lease may appear longer on a node's clock. The excess of 0.002 is four
- * times the drift that is possible between the clocks of two hosts. */
+/* Factor by which a worker's lease may appear longer on a node's clock. The excess of 0.002 over 1
+ * is four times the drift that is possible between the clocks of two hosts. */
 #define WORKER_LEASE_DRIFT_FACTOR 1.002
 /* Seconds that are added to a worker's lease as a safety margin. */
 #define WORKER_LEASE_MARGIN_S 0.25
@@ -40,12 +40,12 @@
     return RP_UNKNOWN_TEAM;
 }
 
-/* Any node may confirm a cancellation. A leader may be unable to read it: the key-value store
- * rejects the requests of the leader's node alone, and then has an outage in which no other node
- * can take over. Such a leader renews the leases of the cancelled tasks for at most the time
- * returned here. The last renewed lease expires lease_s later, which is within cancel_s of the
- * confirmation. A bound above the leader's own lease and the staleness of a working watch is not
- * needed. */
+/* Any node may confirm a cancellation. A leader may be unable to read a cancellation that another
+ * node has confirmed: the key-value store rejects the requests of the leader's node alone, and then
+ * has an outage in which no other node can take over. Such a leader renews the leases of the
+ * cancelled tasks for at most the time returned here. The last renewed lease expires lease_s later,
+ * which is within cancel_s of the confirmation. The bound is at most the leader's own lease plus
+ * the staleness of a working watch, since more is not needed. */
 double rp_settings_max_staleness_s(const struct rp_settings *settings) {
     double max_s = settings->cancel_s - settings->lease_s * WORKER_LEASE_DRIFT_FACTOR -
                    HEARTBEAT_RESPONSE_MAX_DELAY_S;
@@ -56,10 +56,10 @@
     struct rp_tuning *tuning = &settings->tuning;
     if (tuning->leader_ttl_s > 0)
         return;
-    /* A long lease is preferred. A leader that cannot renew its lease must stop responding to
-     * workers, and an outage of the key-value store must not make the workers' leases expire. The
-     * lease must still be short enough that the workers' leases and cancel_s are kept when another
-     * node takes over. */
+    /* A long lease of the leader is preferred. A leader that cannot renew its lease must stop
+     * responding to workers, and an outage of the key-value store must not make the workers' leases
+     * expire. The leader's lease must still be short enough that the workers' leases and cancel_s
+     * are kept when another node takes over. */
     double max_s = fmin(LEADER_TTL_SHARE_OF_WORKER_LEASE * settings->lease_s,
                         LEADER_TTL_SHARE_OF_CANCELLATION * (settings->cancel_s - settings->lease_s -
                                                             HEARTBEAT_RESPONSE_MAX_DELAY_S));
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -24,7 +24,7 @@
 };
 
 /** A team with its guaranteed quotas (`cpus`, `gpus`) and its limits (`cpus_max`, `gpus_max`). 0
- * means none. */
+ * means that the team has no such quota or limit. */
 struct rp_team {
     char name[RP_NAME_MAX];
     double cpus, cpus_max;
@@ -33,9 +33,9 @@
 
 /** The quantity that a service-level objective bounds. */
 enum rp_objective_kind {
-    RP_OBJECTIVE_WAIT,     /**< the time until a job's tasks start */
-    RP_OBJECTIVE_FINISHED, /**< the time until a job is done */
-    RP_OBJECTIVE_DEADLINE, /**< jobs done by their deadline */
+    RP_OBJECTIVE_WAIT,     /**< the time from a job's acceptance until its tasks start */
+    RP_OBJECTIVE_FINISHED, /**< the time from a job's acceptance until it is done */
+    RP_OBJECTIVE_DEADLINE, /**< the time until a job is done, relative to its deadline */
     RP_OBJECTIVE_OTHER     /**< a kind unknown to this version; never stored in the settings */
 };
 
@@ -43,17 +43,17 @@
 struct rp_objective {
     enum rp_objective_kind kind;
     char class_name[RP_NAME_MAX];
-    double within_s; /**< maximum time for the kinds wait and finished */
+    double within_s; /**< for the kinds wait and finished: the maximum time in seconds */
     double share;    /**< share of the class's jobs that must meet the objective */
-    double times;    /**< factor on a job's deadline, for the kind deadline */
+    double times;    /**< for the kind deadline: a job must be done within `times` its deadline */
 };
 
 /** Limits of the key-value store. */
 struct rp_kv_limits {
     double rps;       /**< requests per second */
     double write_rps; /**< changes per second */
-    double value_kb;  /**< size of a value, in KiB */
-    size_t txn_ops;   /**< changes per transaction */
+    double value_kb;  /**< maximum size of a value, in KiB */
+    size_t txn_ops;   /**< maximum number of changes in a transaction */
 };
 
 /** The settings of a node. */
@@ -75,11 +75,11 @@
     size_t n_objectives;
     double report_s;    /**< interval between a worker's heartbeats */
     double lease_s;     /**< duration of a worker's lease */
-    double gang_wait_s; /**< maximum time that a gang's task waits for the others */
-    double gang_peer_s; /**< time after which a gang's task ends once another is lost */
+    double gang_wait_s; /**< maximum time that a gang's task waits for the gang's other tasks */
+    double gang_peer_s; /**< time from the loss of a gang's task to the end of its other tasks */
     double cancel_s;    /**< maximum time from confirming a cancellation to its tasks' end */
     struct rp_kv_limits kv_limits_current; /**< current limits of the key-value store */
-    struct rp_kv_limits kv_limits_lowest;  /**< per limit, the lower one of current and future */
+    struct rp_kv_limits kv_limits_lowest;  /**< each limit's lower value, current or future */
     double cloud_rps;                      /**< requests per second that the cloud accepts */
     double list_lag_s;      /**< maximum delay of changes in the cloud's list of machines */
     double memory_mb;       /**< memory that the node may use */
--- a/src/config/text_format.h
+++ b/src/config/text_format.h
@@ -19,9 +19,10 @@
     char text[RP_TEXT_FORMAT_ERROR_MAX];
 };
 
-/** Parses `text` into `out`, which must be an initialized message of its descriptor. Stops at the
- * first error, describes it in `error` and returns false. The caller must release `out`, also after
- * an error, by protobuf_c_message_free_unpacked, which frees its strings and lists. */
+/** Parses `text` into `out`, which must be a message that was initialized for its descriptor.
+ * Stops at the first error, describes it in `error` and returns false. The caller must release
+ * `out`, also after an error, by protobuf_c_message_free_unpacked, which frees its strings and
+ * lists. */
 bool rp_text_format_read(const char *text, ProtobufCMessage *out,
                          struct rp_text_format_error *error);
 
--- a/src/config/tuning.h
+++ b/src/config/tuning.h
@@ -22,16 +22,16 @@
     double return_margin_s; /**< time from an idle machine's scale-in to its next billing unit */
     char heuristics[RP_HEURISTICS_MAX][RP_HEURISTIC_NAME_MAX]; /**< names in the portfolio */
     size_t n_heuristics;
-    double leader_ttl_s;    /**< leader's lease; 0: rp_settings_complete computes it */
-    double leader_check_s;  /**< interval of reading the leader's key while not leading */
-    double boot_patience;   /**< allowed boot time, as a multiple of the type's boot time */
-    double refused_pause_s; /**< time after a refusal without requests for that kind of machine */
+    double leader_ttl_s; /**< duration of the leader's lease; 0: rp_settings_complete computes it */
+    double leader_check_s; /**< interval of a non-leading node's reads of the leader's key */
+    double boot_patience; /**< allowed boot time, as a multiple of the machine type's nominal one */
+    double refused_pause_s;    /**< time without requests for a kind of machine that was refused */
     double leader_write_share; /**< the leader's share of the store's limit of changes per second */
-    unsigned faulty_after;     /**< consecutive errors after which a machine is quarantined */
+    unsigned faulty_after;     /**< consecutive task errors after which a machine is quarantined */
     bool preemption;           /**< whether tasks may be preempted by tasks of a higher priority */
-    bool keep_old_forms;       /**< this node writes records in the previous version's format */
+    bool keep_old_forms;       /**< whether this node prevents the activation of RP_FORMAT */
     double service_reserve; /**< capacity reserved for services, as a multiple of past arrivals */
-    bool standby;           /**< whether this node takes part in failover (src/standby) */
+    bool standby; /**< whether this node takes part in failover to a standby (src/standby) */
     double suspect_after_s; /**< silence of the leader after which a standby takes over */
 };
 
--- a/src/http/client.c
+++ b/src/http/client.c
@@ -41,13 +41,13 @@
     struct rp_http_call *call; /* NULL while idle */
 };
 
-/* The response to a call whose request was not sent, not even in part. */
+/* The response to a call of whose request no byte was sent. */
 static const struct rp_response unsent_response = {.unsent = true, .body = ""};
 
 static void serve_host(struct rp_http_host *host);
 
 /* Serves the hosts that wait for a connection while one can be opened or an idle one evicted. The
- * loop terminates: a host is queued again only if neither is possible. */
+ * loop terminates: a host is queued again only if no connection can be opened or evicted. */
 static void serve_waiting_hosts(struct rp_http_client *client) {
     while (client->hosts.first_waiting &&
            (client->n_connections < client->max_total || client->least_recent)) {
@@ -318,7 +318,7 @@
 }
 
 /* Opens a connection for a call of the host, evicting an idle one if the total is at its limit.
- * Returns NULL if the limits or the system refuse one. */
+ * Returns NULL if a limit is reached or the system cannot open a connection. */
 static struct rp_http_client_connection *open_connection_within_limits(struct rp_http_host *host) {
     struct rp_http_client *client = host->client;
     if (host->n_connections >= client->max_per_host)
@@ -327,7 +327,7 @@
         rp_http_host_wait_for_connection(&client->hosts, host);
         return NULL;
     }
-    /* If it fails, the host's queued calls end by their timeouts. */
+    /* If no connection can be opened, the host's queued calls end by their timeouts. */
     return open_connection(host);
 }
 
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -21,7 +21,7 @@
     size_t max_body_bytes; /**< limit of a response's body; a longer one fails its call */
     struct rp_http_host_table hosts;
     struct rp_http_client_connection *least_recent; /**< the connection idle for longest, or NULL */
-    struct rp_http_client_connection *most_recent;  /**< the one that became idle last, or NULL */
+    struct rp_http_client_connection *most_recent; /**< latest connection to become idle, or NULL */
 };
 
 /** Initializes a client without connections. The caller must close it. */
--- a/src/http/client_host.h
+++ b/src/http/client_host.h
@@ -32,8 +32,8 @@
     struct rp_http_host *host;
     struct rp_http_call *next; /**< next call in the host's queue */
     struct rp_timer timer;
-    struct rp_http_client_connection *connection; /**< NULL while queued */
-    char *message;                                /**< request; owned until it is assigned */
+    struct rp_http_client_connection *connection; /**< NULL while the call is queued */
+    char *message; /**< the request's text; owned until the call is assigned to a connection */
     size_t message_len;
     bool has_own_connection; /**< made on a new connection, which is closed afterwards */
     rp_response_fn on_response;
@@ -63,7 +63,7 @@
  */
 void rp_http_host_release_if_unused(struct rp_http_host_table *table, struct rp_http_host *host);
 
-/** Appends the host to the queue for connections, unless it is already in it. */
+/** Appends the host to the queue for connections, unless the queue already contains it. */
 void rp_http_host_wait_for_connection(struct rp_http_host_table *table, struct rp_http_host *host);
 
 /** Removes and returns the first host of the queue for connections, which must not be empty. */
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -52,7 +52,7 @@
     char method[RP_HTTP_METHOD_MAX];
     char *target;          /**< target of a request whose start line has been parsed, else NULL */
     int status;            /**< status of a response */
-    int minor_version;     /**< minor version: HTTP/1.x */
+    int minor_version;     /**< minor version of the message: the x of HTTP/1.x */
     bool should_close;     /**< the connection is to be closed after this message */
     int retry_after;       /**< Retry-After in seconds, 0 when absent */
     bool expects_continue; /**< the request has the header Expect: 100-continue */
@@ -73,8 +73,8 @@
 /** Frees what the parser has allocated. */
 void rp_http_parser_free(struct rp_http_parser *parser);
 
-/** Parses bytes until the message is complete or has failed. Returns how many it used; the others
- * belong to the next message, and the caller must keep them. */
+/** Parses bytes until the message is complete or has failed. Returns the number of bytes used;
+ * the other bytes belong to the next message, and the caller must keep them. */
 size_t rp_http_parser_feed(struct rp_http_parser *parser, const char *data, size_t len);
 
 /** Handles the end of the connection: completes a message whose body has no length, and fails any
--- a/src/http/server.c
+++ b/src/http/server.c
@@ -30,7 +30,7 @@
 };
 
 struct rp_http_server_connection {
-    struct rp_http_server *server; /* NULL once closed */
+    struct rp_http_server *server; /* NULL once the connection is closed */
     struct rp_http_server_connection *prev, *next;
     struct rp_watch watch;
     struct rp_timer timer;
@@ -349,7 +349,7 @@
 }
 
 /* Closes the connection that has been idle for longest. Workers and users that switch to another
- * node leave their connections open; without the eviction, these make a node refuse new
+ * node leave their connections open; without the eviction, a node at its limit refuses new
  * connections, for example those of a thousand workers after a failover, or of a health check.
  * Returns false if no connection is idle. */
 static bool evict_idle_connection(struct rp_http_server *server) {
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -14,11 +14,11 @@
 
 /** Limits of a server, by which peers cannot exhaust its resources. */
 struct rp_http_limits {
-    size_t max_connections;   /**< at this number, a new one evicts the one idle for longest */
-    size_t max_body_bytes;    /**< maximum length of a request's body */
-    double idle_timeout_s;    /**< time after which a connection without a request is closed */
+    size_t max_connections; /**< at this number, a new connection evicts the one idle for longest */
+    size_t max_body_bytes;  /**< maximum length of a request's body */
+    double idle_timeout_s;  /**< time after which a connection without a request is closed */
     double receive_timeout_s; /**< maximum time from the first to the last byte of a request */
-    double send_timeout_s;    /**< maximum time in which the peer receives a response */
+    double send_timeout_s;    /**< maximum time that the peer may take to receive a response */
 };
 
 /** A server; its members are set by rp_http_server_open. */
@@ -28,8 +28,8 @@
     struct rp_http_limits limits;
     rp_request_fn on_request;
     void *arg;                                      /**< argument of on_request */
-    struct rp_http_server_connection *most_recent;  /**< head of the list, used most recently */
-    struct rp_http_server_connection *least_recent; /**< tail of the list of connections */
+    struct rp_http_server_connection *most_recent;  /**< most recently used: head of the list */
+    struct rp_http_server_connection *least_recent; /**< least recently used: tail of the list */
     size_t n_connections;
     unsigned long n_refused; /**< connections refused with 503 because of max_connections */
     unsigned long n_evicted; /**< idle connections closed in favour of a new one */
--- a/src/main.c
+++ b/src/main.c
@@ -28,12 +28,13 @@
  * are sent and the leader's key is deleted. */
 #define SHUTDOWN_GRACE_S 0.5
 
-/* Upper bound of the eighth of the allowed connections that is reserved for outbound calls. */
+/* Upper bound of the eighth of the allowed connections that is reserved for outbound calls. If the
+ * sixteenth bounded by OUTBOUND_CONNECTIONS_MAX is larger, that is reserved instead. */
 #define OUTBOUND_CONNECTIONS_BASE_MAX 64
-/* Upper bound of the sixteenth of the allowed connections that is reserved for outbound calls where
- * it exceeds the bounded eighth above. With thousands of machines a new leader sends requests to
- * all of them at once, and each machine that does not respond occupies a connection until its
- * request times out. */
+/* Upper bound of the sixteenth of the allowed connections that is reserved for outbound calls if it
+ * is larger than the eighth bounded by OUTBOUND_CONNECTIONS_BASE_MAX. With thousands of machines a
+ * new leader sends requests to all of them at once, and each machine that does not respond occupies
+ * a connection until its request times out. */
 #define OUTBOUND_CONNECTIONS_MAX 512
 /* Maximum number of outbound connections to one host. */
 #define CONNECTIONS_PER_HOST_MAX 24
--- a/src/model/catalog.h
+++ b/src/model/catalog.h
@@ -22,7 +22,7 @@
     struct rp_resources capacity;
     double cache_gb; /* size of the image cache */
     double fetch_gb_per_s;
-    double price, spot_price; /* per hour */
+    double price, spot_price; /* per hour: price of an on-demand and of a spot machine */
     double boot_s;            /* nominal boot time; some machines need a multiple of it */
     uint32_t zones;           /* bit set over rp_catalog.zones */
 };
@@ -33,7 +33,7 @@
     size_t n_types;
     char zones[RP_ZONES_MAX][RP_TEXT_MAX];
     size_t n_zones;
-    size_t n_left_out; /* number of types and zones beyond these bounds */
+    size_t n_left_out; /* number of the cloud's types and zones that are not stored here */
 };
 
 #endif
--- a/src/model/command.h
+++ b/src/model/command.h
@@ -21,7 +21,7 @@
     char job[RP_ID_MAX];
     uint32_t task;
     uint64_t attempt;
-    double grace_s; /* for a stop: time to save a checkpoint; 0: the task ends at once */
+    double grace_s; /* for a stop: seconds to save a checkpoint; 0: the task ends at once */
 };
 
 #endif
--- a/src/model/heartbeat.h
+++ b/src/model/heartbeat.h
@@ -52,9 +52,9 @@
     bool spot;
     uint64_t incarnation;   /* increases each time the worker's lease expires */
     uint64_t seq;           /* of two messages, the larger (incarnation, seq) is newer */
-    uint64_t fencing_token; /* highest token that the worker has received */
+    uint64_t fencing_token; /* highest fencing token that the worker has received */
     bool has_notice;        /* spot notice: the cloud reclaims the machine */
-    double notice_s;        /* seconds until the cloud reclaims it */
+    double notice_s;        /* with has_notice: seconds until the cloud reclaims the machine */
     struct rp_task_status *tasks;
     size_t n_tasks;
 };
--- a/src/model/heuristic.h
+++ b/src/model/heuristic.h
@@ -23,18 +23,18 @@
 /** Order in which machines are considered for a task. */
 enum rp_machine_order {
     RP_MACHINE_ORDER_RND, /* random */
-    RP_MACHINE_ORDER_LM,  /* largest first */
-    RP_MACHINE_ORDER_SM,  /* smallest first */
-    RP_MACHINE_ORDER_LA,  /* latest arrival of a task first */
-    RP_MACHINE_ORDER_EA,  /* earliest arrival of a task first */
+    RP_MACHINE_ORDER_LM,  /* largest capacity first */
+    RP_MACHINE_ORDER_SM,  /* smallest capacity first */
+    RP_MACHINE_ORDER_LA,  /* the machine whose last task arrived latest first */
+    RP_MACHINE_ORDER_EA,  /* the machine whose first task arrived earliest first */
     RP_MACHINE_ORDER_LD,  /* latest end of the machine's work first */
     RP_MACHINE_ORDER_ED,  /* earliest end of the machine's work first */
     RP_MACHINE_ORDER_LAA, /* latest mean arrival of tasks first */
     RP_MACHINE_ORDER_EAA, /* earliest mean arrival of tasks first */
-    RP_MACHINE_ORDER_CFH, /* closest to the full billing unit first */
-    RP_MACHINE_ORDER_FFH, /* furthest from the full billing unit first */
-    RP_MACHINE_ORDER_BF,  /* best fit: least free capacity first */
-    RP_MACHINE_ORDER_CP   /* cheapest capacity first */
+    RP_MACHINE_ORDER_CFH, /* the least time left in the machine's billing unit first */
+    RP_MACHINE_ORDER_FFH, /* the most time left in the machine's billing unit first */
+    RP_MACHINE_ORDER_BF,  /* best fit: least free share of GPUs, or of CPUs without GPUs, first */
+    RP_MACHINE_ORDER_CP   /* lowest price per capacity first */
 };
 
 /** A heuristic of the portfolio. */
--- a/src/model/job_spec.h
+++ b/src/model/job_spec.h
@@ -16,7 +16,7 @@
 enum rp_job_kind {
     RP_JOB_ARRAY,  /* independent tasks, each runs to completion */
     RP_JOB_GANG,   /* either all tasks run at the same time, or none does */
-    RP_JOB_SERVICE /* an array whose tasks run until its user cancels it (docs/questions.md) */
+    RP_JOB_SERVICE /* an array whose tasks run until the user cancels the job (docs/questions.md) */
 };
 
 /** Priority of a job. Tasks of a higher priority may preempt those of a lower one. */
@@ -40,9 +40,9 @@
     bool spread;                /* at most half of the tasks, rounded up, may be in one zone */
     bool spot;                  /* tasks may run on spot machines */
     double run_time_estimate_s; /* the user's estimate of a task's run time; often wrong by half */
-    double checkpoint_interval_s; /* in seconds of progress; 0: none are saved */
+    double checkpoint_interval_s; /* seconds of progress between checkpoints; 0: none are saved */
     double save_duration_s;       /* time that a stopped task needs to save a checkpoint */
-    double deadline_s;            /* desired end, counted from the submission; 0: none */
+    double deadline_s; /* seconds from the submission to the desired end; 0: no deadline */
 };
 
 #endif
--- a/src/model/listed_machine.h
+++ b/src/model/listed_machine.h
@@ -11,7 +11,7 @@
 enum rp_listed_state {
     RP_LISTED_BOOTING, /* may already be up and run tasks */
     RP_LISTED_RUNNING,
-    RP_LISTED_FAILED /* stopped without a request; no longer billed, listed until it is deleted */
+    RP_LISTED_FAILED /* stopped without a release request; no longer billed, listed until deleted */
 };
 
 /** An entry of the cloud's list. */
@@ -22,7 +22,7 @@
     char zone[RP_TEXT_MAX];
     bool spot;
     enum rp_listed_state state;
-    double age_s; /* time from the provision request to the moment that the list describes */
+    double age_s; /* seconds from the provision request to the moment that the list describes */
 };
 
 #endif
--- a/src/protocol/cloud_codec.c
+++ b/src/protocol/cloud_codec.c
@@ -112,7 +112,7 @@
     out->state = state == RP_CODEC_NO_ENUM_VALUE ? RP_LISTED_RUNNING : (enum rp_listed_state)state;
     out->spot = json_is_true(json_object_get(object, "loaners"));
     out->age_s = json_number_value(json_object_get(object, "age_s"));
-    /* The address may still be unknown. It is then left empty. */
+    /* The cloud's list may not contain the machine's address yet. It is then left empty. */
     (void)rp_codec_copy_text(out->addr, RP_TEXT_MAX, addr ? addr : "");
     return rp_codec_copy_string(object, "ref", out->machine, RP_TEXT_MAX) &&
            rp_codec_copy_string(object, "frame", out->type, RP_TEXT_MAX) &&
--- a/src/protocol/codec.h
+++ b/src/protocol/codec.h
@@ -80,8 +80,8 @@
 int rp_codec_find_enum_value(const json_t *object, const char *name,
                              struct rp_codec_enum_names names);
 
-/** A reader of an object's fields that records the first error. Its functions leave a previous
- * error unchanged. */
+/** A reader of an object's fields that records the first error. The rp_codec_reader functions
+ * leave a previous error unchanged. */
 struct rp_codec_reader {
     const json_t *object;
     struct rp_codec_error error;
--- a/src/protocol/kv_codec.h
+++ b/src/protocol/kv_codec.h
@@ -47,7 +47,7 @@
 /** Creates a transaction without conditions and changes. The caller must json_decref it. */
 json_t *rp_kv_codec_begin_txn(void);
 
-/** Adds the condition that `key` has this revision. Revision 0: it does not exist. */
+/** Adds the condition that `key` has this revision. Revision 0: the key does not exist. */
 void rp_kv_codec_add_condition(json_t *txn, const char *key, uint64_t revision);
 
 /** Adds a write of `key`. Takes ownership of `value`. With a `lease` other than 0, the key is
